--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -27,9 +27,9 @@
 from benchmarks.service_process import ServiceProcess, enqueue, members, running  # noqa: E402
 from benchmarks.slopes import Slope, fit, table  # noqa: E402
 from benchmarks.standins import Agent, Endpoint, LoopThread  # noqa: E402
-from honeyhitch.brain import Brain  # noqa: E402
-from honeyhitch.memory.pool import Pool  # noqa: E402
-from honeyhitch.wire import discovery, http1  # noqa: E402
+from honeyhitch.endpoints.pool import Pool  # noqa: E402
+from honeyhitch.policy.engine import Brain  # noqa: E402
+from honeyhitch.protocols import discovery, http1  # noqa: E402
 from tests.fleet import Fleet, Partner  # noqa: E402
 from tests.program import SETTINGS  # noqa: E402
 from tests.world import SECOND, settings  # noqa: E402
--- a/benchmarks/fleet_watchers.py
+++ b/benchmarks/fleet_watchers.py
@@ -21,8 +21,8 @@
 from honeyhitch.partitioning.fleet import Fleet  # noqa: E402
 from honeyhitch.partitioning.ownership import ZoneCandidates  # noqa: E402
 from honeyhitch.partitioning.settings import FleetSettings  # noqa: E402
-from honeyhitch.wire.asking import Asking  # noqa: E402
-from honeyhitch.wire.drivers.list_watch import ListWatch  # noqa: E402
+from honeyhitch.protocols.discovery_backoff import Asking  # noqa: E402
+from honeyhitch.transports.list_watch import ListWatch  # noqa: E402
 
 LOOK_SECONDS = 0.05
 
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -21,12 +21,12 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from honeyhitch import interface as api  # noqa: E402
-from honeyhitch.brain import Brain  # noqa: E402
-from honeyhitch.interface import Outcome  # noqa: E402
 from honeyhitch.partitioning.fleet import Fleet  # noqa: E402
 from honeyhitch.partitioning.ownership import ZoneCandidates  # noqa: E402
 from honeyhitch.partitioning.settings import FleetSettings, Region  # noqa: E402
+from honeyhitch.policy import interface as api  # noqa: E402
+from honeyhitch.policy.engine import Brain  # noqa: E402
+from honeyhitch.policy.interface import Outcome  # noqa: E402
 from tests.fleet import HANDSHAKE, ROUND_TRIP, Partner  # noqa: E402
 from tests.world import MS, SECOND, settings  # noqa: E402
 
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -338,10 +338,10 @@
 
 def memory(folder: Path, count: int) -> tuple[float, float]:
     """Kilobytes for an open connection with its buffers, and for a cached session."""
-    from honeyhitch.memory.buffer import Buffer
+    from honeyhitch.protocols.buffer import Buffer
+    from honeyhitch.protocols.http1 import AnswerMachine
     from honeyhitch.tls.sessions import Key, SessionCache
-    from honeyhitch.wire.drivers.tls_channel import TlsChannel, open_tls
-    from honeyhitch.wire.http1 import AnswerMachine
+    from honeyhitch.transports.tls_channel import TlsChannel, open_tls
 
     pki = Authority(folder)
     pki.issue(file="server")
--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -31,16 +31,16 @@
 
 import uvloop
 
+from honeyhitch import config as configuration
 from honeyhitch import logs
-from honeyhitch.lifecycle import config as configuration
-from honeyhitch.lifecycle.serve import run
-from honeyhitch.memory.transactions import Try
-from honeyhitch.undelivered import operations
-from honeyhitch.undelivered.filters import Filter
-from honeyhitch.undelivered.records import Record, Standing
-from honeyhitch.undelivered.rules import Step, plan
-from honeyhitch.undelivered.settings import Action, Rule, Terms
-from honeyhitch.undelivered.store import Store
+from honeyhitch.dead_letters import operations
+from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.rules import Step, plan
+from honeyhitch.dead_letters.settings import Action, Rule, Terms
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.journal.transactions import Try
+from honeyhitch.service.service import run
 from tests.agent import Agent
 from tests.partner import Partner
 from tests.program import SETTINGS, free_port, write
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -27,8 +27,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 from benchmarks.start import cpu  # noqa: E402
-from honeyhitch.figures import Figures  # noqa: E402
-from honeyhitch.memory.transactions import Ending, Transaction  # noqa: E402
+from honeyhitch.dispatcher.metrics import Figures  # noqa: E402
+from honeyhitch.journal.transactions import Ending, Transaction  # noqa: E402
 from tests.test_upgrade import Rig, loaded  # noqa: E402
 
 STALLED = 16  # callers that never end their line
--- a/honeyhitch/__init__.py
+++ b/honeyhitch/__init__.py
@@ -1,7 +1,7 @@
 """honeyhitch: the decisions of a dispatcher of notifications to outside receivers."""
 
-from honeyhitch.brain import Brain
-from honeyhitch.interface import Settings
+from honeyhitch.policy.engine import Brain
+from honeyhitch.policy.interface import Settings
 
 __all__ = ["Brain", "Settings", "__version__"]
 __version__ = "0.1.0"
--- a/honeyhitch/__main__.py
+++ b/honeyhitch/__main__.py
@@ -1,6 +1,6 @@
 """`python -m honeyhitch`."""
 
-from honeyhitch.lifecycle.cli import main
+from honeyhitch.cli.main import main
 
 if __name__ == "__main__":
     main(prog_name="honeyhitch")
--- /dev/null
+++ b/honeyhitch/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line."""
--- a/honeyhitch/lifecycle/fleet_commands.py
+++ b/honeyhitch/cli/fleet.py
@@ -6,7 +6,7 @@
 
 import click
 
-from honeyhitch.lifecycle.management_commands import call_figures, management_options
+from honeyhitch.cli.management import call_figures, management_options
 
 
 @click.group()
--- a/honeyhitch/lifecycle/cli.py
+++ b/honeyhitch/cli/main.py
@@ -12,14 +12,14 @@
 import click
 
 from honeyhitch import __version__, logs
-from honeyhitch.lifecycle import config as configuration
+from honeyhitch import config as configuration
 
 GROUPS = {
-    "fleet": "honeyhitch.lifecycle.fleet_commands",
-    "stats": "honeyhitch.lifecycle.management_commands",
-    "status": "honeyhitch.lifecycle.management_commands",
-    "tls": "honeyhitch.lifecycle.tls_commands",
-    "undelivered": "honeyhitch.lifecycle.undelivered",
+    "fleet": "honeyhitch.cli.fleet",
+    "stats": "honeyhitch.cli.management",
+    "status": "honeyhitch.cli.management",
+    "tls": "honeyhitch.cli.tls",
+    "undelivered": "honeyhitch.cli.undelivered",
 }
 
 
@@ -49,7 +49,7 @@
 @click.option("--log-level", type=click.Choice(logs.LEVELS), help="From which level on.")
 def serve(path: str | None, operator: str | None, log_format: str | None, log_level: str | None) -> None:
     """Run one dispatcher in the foreground till SIGTERM; SIGHUP makes it read its configuration again."""
-    from honeyhitch.lifecycle.serve import serve as run
+    from honeyhitch.service.service import serve as run
 
     config = _read(path, operator)
     logs.setup(log_format or config.operator.log_format, log_level or config.operator.log_level)
--- a/honeyhitch/lifecycle/management_commands.py
+++ b/honeyhitch/cli/management.py
@@ -11,8 +11,8 @@
 
 import click
 
-from honeyhitch.lifecycle import config as configuration
-from honeyhitch.wire.management import Answer
+from honeyhitch import config as configuration
+from honeyhitch.protocols.management import Answer
 
 PATIENCE = 3.0  # seconds; an answer is owed within 1
 COLUMNS = ("ok", "shed", "errors", "tries")
--- a/honeyhitch/lifecycle/tls_commands.py
+++ b/honeyhitch/cli/tls.py
@@ -13,9 +13,9 @@
 
 import click
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle import config as configuration
-from honeyhitch.memory.pool import Pool, PoolError
+from honeyhitch import config as configuration
+from honeyhitch.endpoints.pool import Pool, PoolError
+from honeyhitch.policy import interface as api
 from honeyhitch.tls.settings import Partner, Scope, TlsSetup
 
 if TYPE_CHECKING:
@@ -138,7 +138,7 @@
 async def _connect(
     partners: Partners, targets: list[tuple[Partner, str]], warn_days: int | None
 ) -> list[dict[str, Any]]:
-    from honeyhitch.wire.drivers.tls_probe import look
+    from honeyhitch.transports.tls_probe import look
 
     reports = []
     for partner, address in targets:
--- a/honeyhitch/lifecycle/undelivered/__init__.py
+++ b/honeyhitch/cli/undelivered/__init__.py
@@ -4,8 +4,8 @@
 
 import click
 
-from honeyhitch.lifecycle.undelivered import changing, looking
-from honeyhitch.lifecycle.undelivered.access import Access
+from honeyhitch.cli.undelivered import changing, looking
+from honeyhitch.cli.undelivered.access import Access
 
 
 @click.group()
--- a/honeyhitch/lifecycle/undelivered/access.py
+++ b/honeyhitch/cli/undelivered/access.py
@@ -12,9 +12,9 @@
 
 import click
 
-from honeyhitch.lifecycle import config as configuration
-from honeyhitch.undelivered.settings import Limits, Terms
-from honeyhitch.wire.drivers.control_client import ControlClient, ControlRefused
+from honeyhitch import config as configuration
+from honeyhitch.dead_letters.settings import Limits, Terms
+from honeyhitch.transports.control_client import ControlClient, ControlRefused
 
 
 class Access:
@@ -59,7 +59,7 @@
             raise click.ClickException(f"state: no dispatcher answers: {error}") from error
 
     def _directly(self, name: str, told: dict[str, Any]) -> dict[str, Any]:
-        from honeyhitch.undelivered import operations
+        from honeyhitch.dead_letters import operations
 
         store = self.store(writes=name in operations.WRITES)
         try:
@@ -73,8 +73,8 @@
     def store(self, writes: bool = False) -> Any:
         """The store itself, here in this process; a dispatcher that has it is not in a reader's way."""
         try:
-            from honeyhitch.undelivered.files import StoreError
-            from honeyhitch.undelivered.store import Store
+            from honeyhitch.dead_letters.files import StoreError
+            from honeyhitch.dead_letters.store import Store
         except ImportError as error:
             raise click.ClickException(f"needs the extra honeyhitch[undelivered] ({error})") from error
         try:
--- a/honeyhitch/lifecycle/undelivered/changing.py
+++ b/honeyhitch/cli/undelivered/changing.py
@@ -9,8 +9,8 @@
 
 import click
 
-from honeyhitch.lifecycle.undelivered.access import Access
-from honeyhitch.lifecycle.undelivered.options import Command, access, filters, named
+from honeyhitch.cli.undelivered.access import Access
+from honeyhitch.cli.undelivered.options import Command, access, filters, named
 
 
 def changing(why: str) -> Callable[[Command], Command]:
--- a/honeyhitch/lifecycle/undelivered/looking.py
+++ b/honeyhitch/cli/undelivered/looking.py
@@ -14,8 +14,8 @@
 
 import click
 
-from honeyhitch.lifecycle.undelivered.access import Access
-from honeyhitch.lifecycle.undelivered.options import access, filters, moment, named, table
+from honeyhitch.cli.undelivered.access import Access
+from honeyhitch.cli.undelivered.options import access, filters, moment, named, table
 
 COLUMNS = ("seq", "id", "ended", "dest", "class", "tenant", "ending", "reason", "ran", "tries", "standing")
 FORMULA = ("=", "+", "-", "@", "\t", "\r")  # a spreadsheet would run a cell that starts so
@@ -253,8 +253,8 @@
 def report(store: Access, chosen: dict[str, str], output: str, title: str, amount_field: str) -> None:
     """Write a page for the accountants: by partner, tenant, reason and day, with what became of it all."""
     opened = store.store()
-    from honeyhitch.undelivered.filters import Filter, FilterError
-    from honeyhitch.undelivered.report import Report
+    from honeyhitch.dead_letters.filters import Filter, FilterError
+    from honeyhitch.dead_letters.report import Report
 
     told = Report(store.terms, time.time_ns(), amount_field)
     try:
--- a/honeyhitch/lifecycle/undelivered/options.py
+++ b/honeyhitch/cli/undelivered/options.py
@@ -9,7 +9,7 @@
 
 import click
 
-from honeyhitch.lifecycle.undelivered.access import Access
+from honeyhitch.cli.undelivered.access import Access
 
 SPANS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
--- a/honeyhitch/setup.py
+++ b/honeyhitch/config/deployment.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from honeyhitch.dead_letters.settings import Undelivered
 from honeyhitch.partitioning.settings import FleetSettings
 from honeyhitch.tls.settings import Partner, TlsSetup
-from honeyhitch.undelivered.settings import Undelivered
 
 
 class ConfigError(Exception):
--- a/honeyhitch/lifecycle/config/file.py
+++ b/honeyhitch/config/file.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle.config.instance import Pairs
-from honeyhitch.lifecycle.config.operator import read as read_operator
-from honeyhitch.setup import Address, ConfigError, Limits, Operator
+from honeyhitch.config.deployment import Address, ConfigError, Limits, Operator
+from honeyhitch.config.instance import Pairs
+from honeyhitch.config.operator import read as read_operator
+from honeyhitch.policy import interface as api
 
 KEYS = ("name", "listen", "discovery", "management", "state")
 OFF_IF_MISSING = ("management",)
--- a/honeyhitch/lifecycle/config/fleet.py
+++ b/honeyhitch/config/fleet.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from honeyhitch.lifecycle.config.values import Table
+from honeyhitch.config.deployment import Address, ConfigError
+from honeyhitch.config.values import Table
 from honeyhitch.partitioning.settings import SECOND, FleetSettings, Region
-from honeyhitch.setup import Address, ConfigError
 
 MOST_SECONDS = 30 * 86400
 NUMBERS = {"partitions": int, "candidates": int, "reserve": float, "peer-connections": int}
--- a/honeyhitch/lifecycle/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle.config.values import decimal, pick, whole
-from honeyhitch.setup import ConfigError
+from honeyhitch.config.deployment import ConfigError
+from honeyhitch.config.values import decimal, pick, whole
+from honeyhitch.policy import interface as api
 
 EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
 
--- a/honeyhitch/lifecycle/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Mapping
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle.config import tls
-from honeyhitch.lifecycle.config.values import Table
-from honeyhitch.setup import Address, ConfigError, MqttMember, MqttSetup
+from honeyhitch.config import tls
+from honeyhitch.config.deployment import Address, ConfigError, MqttMember, MqttSetup
+from honeyhitch.config.values import Table
+from honeyhitch.policy import interface as api
 
 
 def _topic(text: str, name: str, wild: bool) -> str:
--- a/honeyhitch/lifecycle/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.lifecycle.config import fleet, mqtt, tls, undelivered
-from honeyhitch.lifecycle.config.values import Table
-from honeyhitch.setup import Address, ConfigError, Control, Operator
+from honeyhitch.config import fleet, mqtt, tls, undelivered
+from honeyhitch.config.deployment import Address, ConfigError, Control, Operator
+from honeyhitch.config.values import Table
+from honeyhitch.policy import interface as api
 from honeyhitch.tls.settings import Partner
 
 
--- a/honeyhitch/lifecycle/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle.config.values import Table
-from honeyhitch.setup import ConfigError
+from honeyhitch.config.deployment import ConfigError
+from honeyhitch.config.values import Table
+from honeyhitch.policy import interface as api
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSetup
 
 SECOND = 10**9  # ns
--- a/honeyhitch/lifecycle/config/undelivered.py
+++ b/honeyhitch/config/undelivered.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle.config.values import Table
-from honeyhitch.setup import ConfigError
-from honeyhitch.undelivered.settings import DAY, SECOND, Action, Limits, Rule, Terms, Undelivered
+from honeyhitch.config.deployment import ConfigError
+from honeyhitch.config.values import Table
+from honeyhitch.dead_letters.settings import DAY, SECOND, Action, Limits, Rule, Terms, Undelivered
+from honeyhitch.policy import interface as api
 
 MB = 1_000_000
 MOST_DAYS = 3650
@@ -139,7 +139,7 @@
 
 def _libraries() -> None:
     try:
-        from honeyhitch.undelivered import store
+        from honeyhitch.dead_letters import store
 
         store.Store
     except ImportError as error:
--- a/honeyhitch/lifecycle/config/values.py
+++ b/honeyhitch/config/values.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-from honeyhitch.setup import ConfigError
+from honeyhitch.config.deployment import ConfigError
 
 T = TypeVar("T")
 
--- a/honeyhitch/undelivered/verbs.py
+++ b/honeyhitch/dead_letters/commands.py
@@ -6,10 +6,10 @@
 from http import HTTPStatus
 from typing import Any
 
-from honeyhitch.undelivered import operations
-from honeyhitch.undelivered.files import StoreError
-from honeyhitch.undelivered.keeping import Busy, Keeping
-from honeyhitch.wire.control import Asked, ControlError, Verbs
+from honeyhitch.dead_letters import operations
+from honeyhitch.dead_letters.files import StoreError
+from honeyhitch.dead_letters.service import Busy, Keeping
+from honeyhitch.protocols.control import Asked, ControlError, Verbs
 
 PREFIX = "/undelivered/"
 
--- a/honeyhitch/undelivered/copies.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -9,11 +9,11 @@
 from enum import Enum
 from itertools import islice
 
-from honeyhitch import interface as api
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.ports import Came
-from honeyhitch.undelivered.records import Standing
-from honeyhitch.undelivered.resends import Known
+from honeyhitch.dead_letters.records import Standing
+from honeyhitch.dead_letters.resends import Known
+from honeyhitch.dispatcher.ports import Came
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
 
 FEW = 50  # looked at in one go, so that the loop is not stalled
 Key = tuple[int, str]  # destination and idempotency key
--- a/honeyhitch/undelivered/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from honeyhitch import interface as api
+from honeyhitch.policy import interface as api
 
 
 class Verdict(Enum):
--- a/honeyhitch/undelivered/files.py
+++ b/honeyhitch/dead_letters/files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from honeyhitch.undelivered import schema
+from honeyhitch.dead_letters import schema
 
 DATABASE, KEYS, LOCK = "undelivered.db", "keys.json", "lock"
 DAMAGE = (sqlite3.Error, UnicodeDecodeError)  # the latter where SQLite's own words quote a damaged name
--- a/honeyhitch/undelivered/filters.py
+++ b/honeyhitch/dead_letters/filters.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from honeyhitch.undelivered.records import Standing
+from honeyhitch.dead_letters.records import Standing
 
 MOST = (1 << 63) - 1  # as great a number as the store holds
 ENDINGS = ("failed", "rejected")
--- a/honeyhitch/undelivered/moving.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.memory.journal import Journal
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.ports import Scheduler
-from honeyhitch.undelivered import records
-from honeyhitch.undelivered.worker import Done, Job
+from honeyhitch.dead_letters import records
+from honeyhitch.dead_letters.worker import Done, Job
+from honeyhitch.dispatcher.ports import Scheduler
+from honeyhitch.journal.journal import Journal
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
 
 log = logs.get()
 TOGETHER = 64  # messages in one transaction
--- a/honeyhitch/undelivered/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from honeyhitch.undelivered.eligibility import Verdict
-from honeyhitch.undelivered.filters import Filter, FilterError
-from honeyhitch.undelivered.records import Kept, Record, Standing
-from honeyhitch.undelivered.rules import verdict
-from honeyhitch.undelivered.store import STEP, Store
+from honeyhitch.dead_letters.eligibility import Verdict
+from honeyhitch.dead_letters.filters import Filter, FilterError
+from honeyhitch.dead_letters.records import Kept, Record, Standing
+from honeyhitch.dead_letters.rules import verdict
+from honeyhitch.dead_letters.store import STEP, Store
 
 MOST_PAGE = 1000
 GROUPS = ("destination", "cls", "tenant", "front", "ending", "reason", "standing", "may_have_run", "day")
--- a/honeyhitch/undelivered/pacing.py
+++ b/honeyhitch/dead_letters/pacing.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from honeyhitch import interface as api
+from honeyhitch.policy import interface as api
 
 SECOND = 10**9  # ns
 QUIET, MOST_GAP = 30 * SECOND, 600 * SECOND  # ns without a call after which a sick one is tried, and at most
--- a/honeyhitch/undelivered/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -7,8 +7,8 @@
 from enum import Enum
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.memory.transactions import Ending, Transaction, Try
+from honeyhitch.journal.transactions import Ending, Transaction, Try
+from honeyhitch.policy import interface as api
 
 NEVER_RAN = frozenset(one.value for one in api.Outcome if one.never_ran)
 NOT_TRIED, LOST = "not-tried", "lost"  # reasons that are no outcomes: nothing was sent, or nobody saw the end
--- a/honeyhitch/undelivered/report.py
+++ b/honeyhitch/dead_letters/report.py
@@ -14,10 +14,10 @@
 
 import jinja2
 
-from honeyhitch.undelivered.eligibility import Verdict
-from honeyhitch.undelivered.records import Kept, Record, Standing
-from honeyhitch.undelivered.rules import verdict
-from honeyhitch.undelivered.settings import Terms
+from honeyhitch.dead_letters.eligibility import Verdict
+from honeyhitch.dead_letters.records import Kept, Record, Standing
+from honeyhitch.dead_letters.rules import verdict
+from honeyhitch.dead_letters.settings import Terms
 
 DAY = 86400 * 10**9  # ns
 MOST_AMOUNT = Decimal(10) ** 15  # beyond it a body's number is taken for a mistake
@@ -84,7 +84,7 @@
 
     def html(self, title: str) -> str:
         """The page."""
-        loader = jinja2.PackageLoader("honeyhitch.undelivered")
+        loader = jinja2.PackageLoader("honeyhitch.dead_letters")
         environment = jinja2.Environment(loader=loader, autoescape=True, undefined=jinja2.StrictUndefined)
         tables = [
             (TITLES[name], sorted(self.groups[name].items(), key=lambda row: _order(name, row[0])))
--- a/honeyhitch/undelivered/resending.py
+++ b/honeyhitch/dead_letters/resending.py
@@ -14,20 +14,20 @@
 from collections.abc import Callable
 from typing import Any
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.conditions import condition
-from honeyhitch.core import BUSY, Dispatcher
-from honeyhitch.memory.transactions import RESEND, Ending, Transaction
-from honeyhitch.ports import Came, Scheduler
-from honeyhitch.undelivered import resends
-from honeyhitch.undelivered.copies import Copies, Key
-from honeyhitch.undelivered.pacing import Pacing, Rates
-from honeyhitch.undelivered.records import Record
-from honeyhitch.undelivered.resends import Candidate, Known
-from honeyhitch.undelivered.settings import Rule, Undelivered
-from honeyhitch.undelivered.store import Store
-from honeyhitch.undelivered.worker import Done, Job
+from honeyhitch.dead_letters import resends
+from honeyhitch.dead_letters.duplicate_index import Copies, Key
+from honeyhitch.dead_letters.pacing import Pacing, Rates
+from honeyhitch.dead_letters.records import Record
+from honeyhitch.dead_letters.resends import Candidate, Known
+from honeyhitch.dead_letters.settings import Rule, Undelivered
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.dead_letters.worker import Done, Job
+from honeyhitch.dispatcher.dispatcher import BUSY, Dispatcher
+from honeyhitch.dispatcher.ports import Came, Scheduler
+from honeyhitch.journal.transactions import RESEND, Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.health import condition
 
 log = logs.get()
 SECOND = 10**9  # ns
--- a/honeyhitch/undelivered/resends.py
+++ b/honeyhitch/dead_letters/resends.py
@@ -13,12 +13,12 @@
 
 from blake3 import blake3
 
-from honeyhitch import interface as api
-from honeyhitch.memory.transactions import RESEND, Ending, Transaction
-from honeyhitch.undelivered.records import Record, Standing, reason
-from honeyhitch.undelivered.rules import Plan, Step, plan
-from honeyhitch.undelivered.settings import Rule
-from honeyhitch.undelivered.store import Store
+from honeyhitch.dead_letters.records import Record, Standing, reason
+from honeyhitch.dead_letters.rules import Plan, Step, plan
+from honeyhitch.dead_letters.settings import Rule
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.journal.transactions import RESEND, Ending, Transaction
+from honeyhitch.policy import interface as api
 
 WHO = "honeyhitch"
 LOOKED_AT = 64  # records of a destination looked at for each one that may be sent
--- a/honeyhitch/undelivered/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from honeyhitch import interface as api
-from honeyhitch.undelivered.eligibility import Decision, Past, Verdict, decide
-from honeyhitch.undelivered.records import Record, Standing
-from honeyhitch.undelivered.settings import SETS, Action, Rule, Terms
+from honeyhitch.dead_letters.eligibility import Decision, Past, Verdict, decide
+from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.settings import SETS, Action, Rule, Terms
+from honeyhitch.policy import interface as api
 
 ASKED = Rule(name="asked", action=Action.RESEND, healthy=0, rate=10.0)  # a person's word stands for a rule
 COLUMN = {
--- a/honeyhitch/undelivered/keeping.py
+++ b/honeyhitch/dead_letters/service.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.core import Dispatcher
-from honeyhitch.ports import Scheduler
-from honeyhitch.undelivered import operations
-from honeyhitch.undelivered.moving import Moving, tell_dropped
-from honeyhitch.undelivered.resending import Resending
-from honeyhitch.undelivered.settings import Undelivered
-from honeyhitch.undelivered.store import Store
-from honeyhitch.undelivered.worker import Job, Worker
+from honeyhitch.dead_letters import operations
+from honeyhitch.dead_letters.journal_transfer import Moving, tell_dropped
+from honeyhitch.dead_letters.resending import Resending
+from honeyhitch.dead_letters.settings import Undelivered
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.dead_letters.worker import Job, Worker
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.dispatcher.ports import Scheduler
 
 log = logs.get()
 CARE = 600.0  # seconds between looks at what is over age
--- a/honeyhitch/undelivered/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -15,11 +15,10 @@
 
 import zstandard
 
-from honeyhitch.memory.transactions import Try
-from honeyhitch.undelivered import files
-from honeyhitch.undelivered.files import StoreError
-from honeyhitch.undelivered.filters import Filter
-from honeyhitch.undelivered.records import (
+from honeyhitch.dead_letters import files
+from honeyhitch.dead_letters.files import StoreError
+from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.records import (
     OPEN,
     Dropped,
     Kept,
@@ -29,8 +28,9 @@
     pack_tries,
     unpack_tries,
 )
-from honeyhitch.undelivered.seal import Keys, SealError
-from honeyhitch.undelivered.settings import Limits, Terms
+from honeyhitch.dead_letters.seal import Keys, SealError
+from honeyhitch.dead_letters.settings import Limits, Terms
+from honeyhitch.journal.transactions import Try
 
 LEVEL = 3  # of compression
 LARGEST = 16 << 20  # bytes of a body when unpacked; nothing that was taken on is greater
--- a/honeyhitch/undelivered/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.undelivered.files import StoreError
-from honeyhitch.undelivered.store import Store
+from honeyhitch.dead_letters.files import StoreError
+from honeyhitch.dead_letters.store import Store
 
 log = logs.get()
 TOGETHER = 64  # jobs in one transaction at most
--- a/honeyhitch/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from honeyhitch import interface as api
-from honeyhitch.memory.pool import PoolMember
-from honeyhitch.memory.transactions import Transaction
+from honeyhitch.endpoints.pool import PoolMember
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
 
 
 class Phase(Enum):
--- a/honeyhitch/core.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -8,16 +8,26 @@
 
 from typing import Any
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.brain import Brain
-from honeyhitch.conditions import avoided
-from honeyhitch.delivery import Admission, Call, Phase, Result, State
-from honeyhitch.figures import Figures
-from honeyhitch.memory.journal import Journal, JournalFull
-from honeyhitch.memory.pool import Pool, PoolMember
-from honeyhitch.memory.transactions import RESEND, Ending, Transaction, Try
-from honeyhitch.ports import Came, Carrier, Front, Guard, Keeper, Neighbour, Opener, Scheduler, Shares
+from honeyhitch.dispatcher.delivery import Admission, Call, Phase, Result, State
+from honeyhitch.dispatcher.metrics import Figures
+from honeyhitch.dispatcher.ports import (
+    Came,
+    Carrier,
+    Front,
+    Guard,
+    Keeper,
+    Neighbour,
+    Opener,
+    Scheduler,
+    Shares,
+)
+from honeyhitch.endpoints.pool import Pool, PoolMember
+from honeyhitch.journal.journal import Journal, JournalFull
+from honeyhitch.journal.transactions import RESEND, Ending, Transaction, Try
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.engine import Brain
+from honeyhitch.policy.health import avoided
 
 log = logs.get()
 MS = 1_000_000  # ns
--- a/honeyhitch/figures.py
+++ b/honeyhitch/dispatcher/metrics.py
@@ -9,7 +9,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from honeyhitch.memory.transactions import Ending, Transaction
+from honeyhitch.journal.transactions import Ending, Transaction
 
 
 @dataclass(slots=True)
--- a/honeyhitch/ports.py
+++ b/honeyhitch/dispatcher/ports.py
@@ -6,10 +6,10 @@
 from enum import Enum
 from typing import Protocol
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Call
-from honeyhitch.memory.pool import PoolMember
-from honeyhitch.memory.transactions import Transaction
+from honeyhitch.dispatcher.delivery import Call
+from honeyhitch.endpoints.pool import PoolMember
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
 
 
 class Scheduler(Protocol):
--- /dev/null
+++ b/honeyhitch/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoints that discovery has named."""
--- a/honeyhitch/memory/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any
 
-from honeyhitch import interface as api
+from honeyhitch.policy import interface as api
 
 GATED = "tls"  # the carrier whose members take calls on connections that are open already
 PHASES = {"Ready": api.Status.READY, "Terminating": api.Status.DRAINING, "Gone": api.Status.GONE}
--- /dev/null
+++ b/honeyhitch/journal/__init__.py
@@ -0,0 +1,1 @@
+"""The journal of accepted messages and what a replay of it gives."""
--- a/honeyhitch/memory/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from honeyhitch.memory.account import Account, unpack
-from honeyhitch.memory.transactions import Transaction
+from honeyhitch.journal.state import Account, unpack
+from honeyhitch.journal.transactions import Transaction
 
 
 class Follower(Account):
--- a/honeyhitch/memory/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from honeyhitch import logs
-from honeyhitch.memory.account import LARGEST, Account, pack, unpack
-from honeyhitch.memory.transactions import Ending, Transaction, Try
+from honeyhitch.journal.state import LARGEST, Account, pack, unpack
+from honeyhitch.journal.transactions import Ending, Transaction, Try
 
 log = logs.get()
 DISK_A_NAME = 600  # bytes of the disk for each id or key that is remembered; it takes some 45 of them
--- a/honeyhitch/memory/account.py
+++ b/honeyhitch/journal/state.py
@@ -11,7 +11,7 @@
 import zlib
 from collections.abc import Callable, Iterator
 
-from honeyhitch.memory.transactions import Ending, Held, Transaction, Try
+from honeyhitch.journal.transactions import Ending, Held, Transaction, Try
 
 HEAD = struct.Struct("<II")  # length and checksum of what follows
 SPLIT = struct.Struct("<I")  # length of the JSON in a record; the body follows it
--- a/honeyhitch/lifecycle/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Start and stop: configuration, signals, serving and the command line."""
--- a/honeyhitch/memory/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What is kept in memory and in the journal."""
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -9,13 +9,13 @@
 from collections.abc import Awaitable, Callable, MutableMapping
 from typing import Any
 
-from honeyhitch.core import Dispatcher
-from honeyhitch.delivery import Admission
-from honeyhitch.lifecycle import config as configuration
-from honeyhitch.lifecycle import shutdown
-from honeyhitch.lifecycle.serve import Service
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.wire.resp import Fields
+from honeyhitch import config as configuration
+from honeyhitch.dispatcher.delivery import Admission
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.protocols.resp import Fields
+from honeyhitch.service import shutdown
+from honeyhitch.service.service import Service
 
 SECOND = 10**9  # ns
 Message = MutableMapping[str, Any]
--- a/honeyhitch/brain.py
+++ b/honeyhitch/policy/engine.py
@@ -1,4 +1,4 @@
-"""Every decision of honeyhitch. Its interface (settings, events, actions) is honeyhitch/interface.py."""
+"""Every decision of honeyhitch. Its settings, events and actions are in `interface.py` beside it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from math import exp, inf
 from random import Random
 
-from honeyhitch import interface as api
-from honeyhitch.decaying_tally import DecayingTally
-from honeyhitch.interface import Effect, Outcome
-from honeyhitch.message_queue import MessageQueue
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.decaying_counter import DecayingTally
+from honeyhitch.policy.interface import Effect, Outcome
+from honeyhitch.policy.message_queue import MessageQueue
 
 MS, SECOND, NEVER = 10**6, 10**9, 1 << 62  # ns
 LADDER = (250 * MS, SECOND, 4 * SECOND, 16 * SECOND)  # ns; the design's pauses between tries
--- a/honeyhitch/conditions.py
+++ b/honeyhitch/policy/health.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from honeyhitch import interface as api
-from honeyhitch.brain import RISKY_SHARE, Brain, Destination
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.engine import RISKY_SHARE, Brain, Destination
 
 
 def condition(brain: Brain, destination: int, now: int) -> api.Condition:
--- a/honeyhitch/wire/agent_check.py
+++ b/honeyhitch/protocols/agent_check.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from honeyhitch.delivery import Phase, State
-from honeyhitch.memory.buffer import Buffer
+from honeyhitch.dispatcher.delivery import Phase, State
+from honeyhitch.protocols.buffer import Buffer
 
 MOST_REQUEST = 8192  # bytes
 
--- a/honeyhitch/wire/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -4,10 +4,10 @@
 
 import re
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Result
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.wire import http1
+from honeyhitch.dispatcher.delivery import Result
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import http1
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
--- a/honeyhitch/wire/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from honeyhitch.wire import http1
-from honeyhitch.wire.member_reader import ListError, MemberReader
+from honeyhitch.protocols import http1
+from honeyhitch.protocols.list_parser import ListError, MemberReader
 
 MOST_LINE = 4 << 20  # bytes of one list
 TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # what tells where an object ends: strings and brackets
--- a/honeyhitch/wire/forwarding.py
+++ b/honeyhitch/protocols/forwarding.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass
 
-from honeyhitch import interface as api
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.wire.resp import FORWARDED, MOST_LINE, MS
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols.resp import FORWARDED, MOST_LINE, MS
 
 KEY = b"0" * 16  # the first argument, which means nothing
 
--- a/honeyhitch/wire/management.py
+++ b/honeyhitch/protocols/management.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from honeyhitch.delivery import Phase, State
-from honeyhitch.memory.buffer import Buffer
+from honeyhitch.dispatcher.delivery import Phase, State
+from honeyhitch.protocols.buffer import Buffer
 
 MOST_DIGITS = 15  # of a destination's number
 MOST_LINE = 256  # bytes of a call, its line end included
--- a/honeyhitch/wire/mqtt.py
+++ b/honeyhitch/protocols/mqtt.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.wire.mqtt_packets import (
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.mqtt_packets import (
     LARGEST,
     Kind,
     MqttError,
--- a/honeyhitch/wire/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -5,13 +5,13 @@
 import base64
 import json
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Call, Result
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.wire.calls import batch_body, report, wait
-from honeyhitch.wire.mqtt_packets import Kind as PacketKind
-from honeyhitch.wire.mqtt_packets import Packet, Properties
-from honeyhitch.wire.resp import FieldError, Fields
+from honeyhitch.dispatcher.delivery import Call, Result
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols.calls import batch_body, report, wait
+from honeyhitch.protocols.mqtt_packets import Kind as PacketKind
+from honeyhitch.protocols.mqtt_packets import Packet, Properties
+from honeyhitch.protocols.resp import FieldError, Fields
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
--- a/honeyhitch/wire/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from honeyhitch.memory.buffer import Buffer
+from honeyhitch.protocols.buffer import Buffer
 
 LARGEST = 1 << 18  # bytes of one packet that is read; told to the server in CONNECT
 
--- a/honeyhitch/wire/notices.py
+++ b/honeyhitch/protocols/notices.py
@@ -4,9 +4,9 @@
 
 import json
 
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.wire import http1
-from honeyhitch.wire.asking import Patience
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.protocols import http1
+from honeyhitch.protocols.discovery_backoff import Patience
 
 MS = 1_000_000  # ns
 LATE = 0.3  # seconds that an end may be late by (protocol page)
--- a/honeyhitch/wire/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -6,10 +6,10 @@
 from enum import Enum
 from typing import Protocol
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Admission
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.transactions import Transaction
+from honeyhitch.dispatcher.delivery import Admission
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols.buffer import Buffer
 
 MOST_ARGS = 64
 MOST_BULK = 65536  # bytes; a body holds no more
--- a/honeyhitch/lifecycle/descriptors.py
+++ b/honeyhitch/service/descriptors.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from honeyhitch.lifecycle.config import FIXED_SOCKETS, Config
+from honeyhitch.config import FIXED_SOCKETS, Config
 
 BESIDE_SOCKETS = 16  # connections at once to the agent-check, and as many to health and to management
 CONTROL_FILES, STORE_FILES = 10, 10  # descriptors: a listener and its connections; database, log, lock
--- a/honeyhitch/lifecycle/optional_parts.py
+++ b/honeyhitch/service/features.py
@@ -9,16 +9,16 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from honeyhitch.lifecycle.config import ConfigError
-from honeyhitch.memory.pool import GATED, PoolMember
+from honeyhitch.config import ConfigError
+from honeyhitch.config.deployment import MqttSetup
+from honeyhitch.dead_letters.settings import Undelivered
+from honeyhitch.endpoints.pool import GATED, PoolMember
 from honeyhitch.partitioning.settings import FleetSettings
-from honeyhitch.setup import MqttSetup
 from honeyhitch.tls.settings import TlsSetup
-from honeyhitch.undelivered.settings import Undelivered
 
 if TYPE_CHECKING:
-    from honeyhitch.lifecycle.serve import Service
-    from honeyhitch.wire.drivers.broker import Way
+    from honeyhitch.service.service import Service
+    from honeyhitch.transports.mqtt_transport import Way
 
 
 def add_tls(service: Service, most: int) -> Way | None:
@@ -29,8 +29,8 @@
     if broker is None and not setup.partners:
         return None
     from honeyhitch.tls.partners import Partners  # needs the extra honeyhitch[tls]
-    from honeyhitch.wire.drivers.tls_broker import TlsWay
-    from honeyhitch.wire.drivers.tls_members import TlsCarrier
+    from honeyhitch.transports.tls_broker import TlsWay
+    from honeyhitch.transports.tls_transport import TlsCarrier
 
     every = TlsSetup((*setup.partners, *([broker] if broker is not None else [])))
     rng = Random(service.config.seed ^ 0x715)
@@ -51,7 +51,7 @@
 
 def add_mqtt(service: Service, setup: MqttSetup, way: Way | None) -> None:
     """The MQTT front, and the members behind its broker."""
-    from honeyhitch.wire.drivers.broker import MqttCarrier, MqttFront
+    from honeyhitch.transports.mqtt_transport import MqttCarrier, MqttFront
 
     front = MqttFront(setup, service.dispatcher, service.scheduler, service.tasks, way)
     carrier = MqttCarrier(setup, service.dispatcher, service.scheduler, service.tasks, way)
@@ -67,7 +67,7 @@
 
 def add_fleet(service: Service, settings: FleetSettings, listen: bool) -> None:
     """Partitioned destinations. Callers in this process could not be sent to another instance."""
-    from honeyhitch.lifecycle.fleet import MOST_SAVED, FleetService
+    from honeyhitch.service.fleet import MOST_SAVED, FleetService
 
     if not listen:
         raise ConfigError("fleet: cannot be had by a library's dispatcher, which nothing is handed in to")
@@ -91,8 +91,8 @@
 
 def add_undelivered(service: Service, setup: Undelivered) -> None:
     """The store of undelivered messages, with what looks after it."""
-    from honeyhitch.undelivered.keeping import Keeping  # needs the extra honeyhitch[undelivered]
-    from honeyhitch.undelivered.verbs import register
+    from honeyhitch.dead_letters.commands import register
+    from honeyhitch.dead_letters.service import Keeping  # needs the extra honeyhitch[undelivered]
 
     service.keeping = Keeping(
         setup, service.config.state, service.dispatcher, service.scheduler, service.loop
--- a/honeyhitch/lifecycle/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.core import BUSY, Dispatcher
-from honeyhitch.memory.transactions import Transaction
+from honeyhitch.dispatcher.dispatcher import BUSY, Dispatcher
+from honeyhitch.dispatcher.ports import Scheduler
+from honeyhitch.journal.transactions import Transaction
 from honeyhitch.partitioning.fleet import ClockError, Fleet
 from honeyhitch.partitioning.settings import SECOND, FleetSettings
-from honeyhitch.ports import Scheduler
-from honeyhitch.wire.asking import Asking
-from honeyhitch.wire.drivers.list_watch import ListWatch
-from honeyhitch.wire.drivers.peers import Forwarder, PeerConnections
-from honeyhitch.wire.resp import MS, Route
+from honeyhitch.protocols.discovery_backoff import Asking
+from honeyhitch.protocols.resp import MS, Route
+from honeyhitch.transports.list_watch import ListWatch
+from honeyhitch.transports.peers import Forwarder, PeerConnections
 
 log = logs.get()
 FILE = "fleet-view.json"  # in the state folder
--- a/honeyhitch/lifecycle/beside.py
+++ b/honeyhitch/service/handover.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.core import Dispatcher
-from honeyhitch.memory.folder import FIRST, SECOND, StateFolder
-from honeyhitch.memory.follower import Follower
-from honeyhitch.memory.journal import Journal, JournalFull
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.journal.directory import FIRST, SECOND, StateFolder
+from honeyhitch.journal.follower import Follower
+from honeyhitch.journal.journal import Journal, JournalFull
+from honeyhitch.policy import interface as api
 
 log = logs.get()
 LOOK, REST = 0.02, 0.25  # seconds between looks while another process is there, and while none is
--- a/honeyhitch/lifecycle/serve.py
+++ b/honeyhitch/service/service.py
@@ -13,32 +13,33 @@
 import uvloop
 
 from honeyhitch import __version__, logs
-from honeyhitch.core import Dispatcher
-from honeyhitch.delivery import Phase, State
-from honeyhitch.lifecycle import optional_parts, shutdown
-from honeyhitch.lifecycle.beside import Beside
-from honeyhitch.lifecycle.config import Config, ConfigError
-from honeyhitch.lifecycle.descriptors import BESIDE_SOCKETS, budget
-from honeyhitch.lifecycle.signals import Stop, on_reload
-from honeyhitch.memory.folder import FIRST, FolderHeld, StateFolder
-from honeyhitch.memory.journal import Journal, JournalUnusable
-from honeyhitch.memory.pool import Pool, PoolError
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.setup import Address, Control
-from honeyhitch.wire import resp
-from honeyhitch.wire.agent_check import AgentSession, HealthSession
-from honeyhitch.wire.control import Asked, Verbs
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.drivers.discovery import Discovery
-from honeyhitch.wire.drivers.members import HttpCarrier
-from honeyhitch.wire.drivers.tasks import LoopScheduler, Tasks
-from honeyhitch.wire.drivers.virtual_server import ServerSession, VirtualServer
-from honeyhitch.wire.management import ManagementSession
+from honeyhitch.config import Config, ConfigError
+from honeyhitch.config.deployment import Address, Control
+from honeyhitch.dispatcher.delivery import Phase, State
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.endpoints.pool import Pool, PoolError
+from honeyhitch.journal.directory import FIRST, FolderHeld, StateFolder
+from honeyhitch.journal.journal import Journal, JournalUnusable
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.protocols import resp
+from honeyhitch.protocols.agent_check import AgentSession, HealthSession
+from honeyhitch.protocols.control import Asked, Verbs
+from honeyhitch.protocols.management import ManagementSession
+from honeyhitch.service import features as optional_parts
+from honeyhitch.service import shutdown
+from honeyhitch.service.descriptors import BESIDE_SOCKETS, budget
+from honeyhitch.service.handover import Beside
+from honeyhitch.service.signals import Stop, on_reload
+from honeyhitch.transports import sockets
+from honeyhitch.transports.client_server import ServerSession, VirtualServer
+from honeyhitch.transports.discovery import Discovery
+from honeyhitch.transports.http_transport import HttpCarrier
+from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 if TYPE_CHECKING:  # what a start without an operator's file needs none of
-    from honeyhitch.lifecycle.fleet import FleetService
-    from honeyhitch.undelivered.keeping import Keeping
-    from honeyhitch.wire.drivers.control import ControlServer
+    from honeyhitch.dead_letters.service import Keeping
+    from honeyhitch.service.fleet import FleetService
+    from honeyhitch.transports.control import ControlServer
 
 log = logs.get()
 REDELIVERY = 600 * 10**9  # ns for which ids are remembered that a broker may hand in again
@@ -222,7 +223,7 @@
         self.beside.resumed = True
 
     def _control(self, setup: Control) -> None:
-        from honeyhitch.wire.drivers.control import ControlServer, ControlUnusable
+        from honeyhitch.transports.control import ControlServer, ControlUnusable
 
         try:
             self.control = ControlServer(setup.at(self.config.state), self.verbs, self.tasks)
--- a/honeyhitch/lifecycle/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from honeyhitch.lifecycle.serve import Service
+    from honeyhitch.service.service import Service
 
 ACCEPT_ON, SEND_ON, LEAVE_AT = 0.6, 2.8, 3.3  # seconds after SIGTERM; SIGKILL comes after 3.7 at the soonest
 BACK_AT = 4.3  # seconds after SIGTERM; the next process starts 0.6 s after SIGKILL
--- /dev/null
+++ b/honeyhitch/simulator_host.py
@@ -0,0 +1,274 @@
+"""Adapter: hosts instances of the decision module on the wire of standard input and output.
+
+It parses, translates and flushes; every decision is in brain.py.
+"""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable
+from typing import TextIO
+
+from honeyhitch import logs
+from honeyhitch.config.deployment import ConfigError
+from honeyhitch.config.instance import Pairs
+from honeyhitch.config.values import decimal, pick, whole
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.engine import Brain
+
+log = logs.get()
+OUTCOMES = {
+    "pass": api.Outcome.DELIVERED,
+    "fault": api.Outcome.ERROR,
+    "no_room": api.Outcome.REFUSED,
+    "too_slow": api.Outcome.TIMEOUT,
+    "no_route": api.Outcome.CONNECT_FAILED,
+    "cut": api.Outcome.RESET,
+    "undone": api.Outcome.CANCELLED,
+    "stale_send": api.Outcome.NOT_SENT,
+}
+MODES = {
+    "delta": api.ListMode.CHANGES,
+    "full": api.ListMode.FULL,
+    "cached": api.ListMode.CACHED,
+    "failed": api.ListMode.FAILED,
+}
+STATUSES = {s.value: s for s in api.Status}
+CAME_AGAIN = 2 | 16  # bits of `marks`
+WORK_VALID = 1
+PAGES = 16
+NS_PER_MS = 1_000_000
+
+
+class WireError(ConfigError):
+    """A line that the wire does not allow."""
+
+
+def _opt(text: str, name: str) -> int:
+    return 0 if text == "-" else whole(text, name)
+
+
+class Instance:
+    """One hosted decision module and what the adapter must remember for it."""
+
+    def __init__(self, brain: Brain, report_fields: tuple[str, ...]) -> None:
+        self.brain = brain
+        self.report_fields = report_fields
+        self.events: list[api.Event] = []
+
+
+class Host:
+    """All instances of this process; reads batches and writes replies."""
+
+    def __init__(self, out: TextIO) -> None:
+        self.out = out
+        self.instances: dict[str, Instance] = {}
+        self.pages: dict[int, tuple[api.Entry, ...]] = {}
+        self.filling: tuple[int, int, list[api.Entry]] | None = None
+        self.tick: tuple[int, str] | None = None
+        self.clock = 0
+        self.touched: dict[str, None] = {}
+        self.bugs: list[str] = []
+        self.readers: dict[str, tuple[int, Callable[[list[str]], object]]] = {
+            "ledger": (2, self._ledger),
+            "endpoint": (7, self._endpoint),
+            "down": (1, self._down),
+            "membership": (4, self._membership),
+            "arrival": (9, self._arrival),
+            "returned": (9, self._returned),
+            "abandoned": (2, lambda p: self._add(p[0], api.Withdrawn(p[1]))),
+            "fired": (2, lambda p: self._add(p[0], api.TimerFired())),
+            "accepted": (5, lambda p: self._known(p[0])),
+            "health_result": (5, self._health_result),
+            "note_from": (3, lambda p: self._known(p[0])),
+        }
+
+    def line(self, line: str) -> None:
+        """Take one line of input."""
+        head, *parts = line.split(" ")
+        if self.tick is None:
+            if not line:
+                return
+            if head != "tick" or len(parts) != 2:
+                raise WireError(f"expected 'tick CLOCK NUMBER', got {line[:80]!r}")
+            now = whole(parts[0], "clock")
+            whole(parts[1], "batch number")
+            if now < self.clock:
+                raise WireError("clock: expected a time not before the last batch's")
+            self.clock, self.tick = now, (now, parts[1])
+            return
+        if self.filling is not None and head != "endpoint":
+            raise WireError(f"expected {self.filling[1]} more 'endpoint' lines, got {line[:80]!r}")
+        if head == "commit":
+            if parts:
+                raise WireError("expected 'commit' alone")
+            self._commit()
+        elif head == "power_on":
+            self._power_on(parts)
+        elif head in self.readers:
+            count, reader = self.readers[head]
+            if len(parts) != count:
+                raise WireError(f"{head}: expected {count} values, got {len(parts)}")
+            reader(parts)
+        else:
+            raise WireError(f"expected an event or 'commit', got {line[:80]!r}")
+
+    def _known(self, name: str) -> Instance:
+        instance = self.instances.get(name)
+        if instance is None:
+            raise WireError(f"expected the name of a running instance, got {name!r}")
+        self.touched[name] = None
+        return instance
+
+    def _add(self, name: str, event: api.Event) -> None:
+        self._known(name).events.append(event)
+
+    def _power_on(self, parts: list[str]) -> None:
+        if len(parts) < 2:
+            raise WireError("power_on: expected an instance, a seed and settings")
+        try:
+            settings = Pairs.of_words(parts[2:]).settings()
+        except ValueError as error:
+            raise WireError(f"power_on: {error}") from error
+        brain = Brain(settings, whole(parts[1], "seed"))
+        self.instances[parts[0]] = Instance(brain, settings.report_fields)
+        self.touched[parts[0]] = None
+
+    def _down(self, parts: list[str]) -> None:
+        self._known(parts[0])
+        del self.instances[parts[0]]
+        self.touched.pop(parts[0], None)
+
+    def _ledger(self, parts: list[str]) -> None:
+        page, count = whole(parts[0], "page"), whole(parts[1], "hosts")
+        if not 0 <= page < PAGES or count < 0:
+            raise WireError(f"ledger: expected a page from 0 to {PAGES - 1} and a count, got {page} {count}")
+        self.pages[page] = ()
+        self.filling = (page, count, []) if count else None
+
+    def _endpoint(self, parts: list[str]) -> None:
+        if self.filling is None:
+            raise WireError("endpoint: expected only inside a ledger")
+        page, left, entries = self.filling
+        entries.append(
+            api.Entry(
+                endpoint=parts[0],
+                scale=decimal(parts[1], "scale"),
+                zone=_opt(parts[2], "az"),
+                status=pick(STATUSES, parts[3], "status"),
+                destination=_opt(parts[5], "belongs-to"),
+                kind=_opt(parts[6], "machine"),
+            )
+        )
+        self.filling = (page, left - 1, entries) if left > 1 else None
+        if left == 1:
+            self.pages[page] = tuple(entries)
+
+    def _membership(self, parts: list[str]) -> None:
+        mode = pick(MODES, parts[1], "mode")
+        if mode is api.ListMode.FAILED:
+            self._add(parts[0], api.ListNews(mode))
+            return
+        page = whole(parts[2], "page")
+        if page not in self.pages:
+            raise WireError(f"membership: expected the page of an earlier ledger, got {page}")
+        self._add(parts[0], api.ListNews(mode, self.pages[page]))
+
+    def _arrival(self, parts: list[str]) -> None:
+        marks = _opt(parts[8], "marks")
+        event = api.NewMessage(
+            message=parts[1],
+            tenant=_opt(parts[2], "team"),
+            key=None if parts[3] == "-" else whole(parts[3], "target-key"),
+            time_left=whole(parts[4], "time-budget"),
+            cls=whole(parts[5], "class"),
+            work=_opt(parts[6], "work") if marks & WORK_VALID else 0,
+            destination=whole(parts[7], "terminates-at"),
+            came_again=bool(marks & CAME_AGAIN),
+        )
+        self._add(parts[0], event)
+
+    def _returned(self, parts: list[str]) -> None:
+        outcome = pick(OUTCOMES, parts[4], "outcome")
+        wait = _opt(parts[7], "wait-ms") * NS_PER_MS if outcome is api.Outcome.REFUSED else 0
+        told = dict(zip(self._known(parts[0]).report_fields, self._row(parts[8]), strict=False))
+        event = api.AttemptEnded(
+            message=parts[1],
+            attempt=whole(parts[2], "shot"),
+            endpoint=parts[3],
+            outcome=outcome,
+            took=whole(parts[5], "rtt"),
+            settled=pick({"1": True, "0": False}, parts[6], "settled"),
+            wait=wait,
+            allowance=told.get("x0", 1.0),
+            limit=told.get("x1", 0.0),
+        )
+        self._add(parts[0], event)
+
+    @staticmethod
+    def _row(text: str) -> tuple[float, ...]:
+        return () if text == "-" else tuple(decimal(word, "pressure") for word in text.split(","))
+
+    def _health_result(self, parts: list[str]) -> None:
+        self._known(parts[0])
+        pick(OUTCOMES, parts[2], "outcome")
+        whole(parts[3], "rtt")
+
+    def _commit(self) -> None:
+        assert self.tick is not None
+        now, number = self.tick
+        lines: list[str] = []
+        for name in self.touched:
+            instance = self.instances[name]
+            events, instance.events = instance.events, []
+            try:
+                for action in instance.brain.handle(now, events):
+                    lines.append(self._action(name, action))
+            except Exception as error:
+                log.exception("module.fault", instance=name)
+                reason = f"{type(error).__name__}: {error}".replace("\n", " ")
+                lines.append(f"bug {name} {reason}")
+        lines.append(f"ready {number}\n")
+        self.out.write("\n".join(lines))
+        self.out.flush()
+        self.tick, self.touched = None, {}
+
+    @staticmethod
+    def _action(name: str, action: api.Action) -> str:
+        match action:
+            case api.Send(message, endpoint, timeout):
+                return f"route {name} {message} {timeout} {endpoint}"
+            case api.Cancel(message, attempt):
+                return f"undo_send {name} {message} {attempt}"
+            case api.Refuse(message, come_back):
+                return f"push_back {name} {message} {come_back}"
+            case api.Fail(message):
+                return f"respond_error {name} {message}"
+            case api.SetTimer(at):
+                return f"timer {name} {at} wake"
+            case api.Subscribe():
+                return f"keep_informed {name} 1"
+            case api.Open(endpoint, _):
+                raise WireError(f"no endpoint of the wire is gated, yet {endpoint} is")
+            case api.Close(endpoint):
+                return f"drop_conns {name} {endpoint}"
+
+
+def main() -> int:
+    """Run until the input ends; 0 at a batch's end, 1 on a line that is wrong."""
+    sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
+    sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
+    host, number = Host(sys.stdout), 0
+    try:
+        for number, line in enumerate(sys.stdin, 1):
+            host.line(line.rstrip("\n"))
+        if host.tick is not None:
+            raise WireError("the input ended inside a batch, expected 'commit'")
+    except (ConfigError, UnicodeDecodeError) as error:
+        log.error("line.unusable", line=number, error=str(error))
+        return 1
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/honeyhitch/tls/door.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from honeyhitch import interface as api
-from honeyhitch.tls.budget import HandshakeBudget, Start
+from honeyhitch.policy import interface as api
 from honeyhitch.tls.failures import TlsError
+from honeyhitch.tls.handshake_budget import HandshakeBudget, Start
 
 
 class Door:
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from honeyhitch import interface as api
 from honeyhitch import logs
+from honeyhitch.policy import interface as api
 from honeyhitch.tls import material
-from honeyhitch.tls.budget import HandshakeBudget
 from honeyhitch.tls.certificates import Facts, of_der
 from honeyhitch.tls.failures import Failure, TlsError
+from honeyhitch.tls.handshake_budget import HandshakeBudget
 from honeyhitch.tls.machine import TlsMachine
 from honeyhitch.tls.material import Material, MaterialError
 from honeyhitch.tls.sessions import Key, SessionCache
--- a/honeyhitch/wire/drivers/channel.py
+++ b/honeyhitch/transports/channel.py
@@ -9,8 +9,8 @@
 import socket
 from typing import Protocol
 
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.wire.drivers import sockets
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.transports import sockets
 
 
 class Channel(Protocol):
--- a/honeyhitch/wire/drivers/virtual_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -14,10 +14,10 @@
 from typing import Protocol
 
 from honeyhitch import logs
-from honeyhitch.memory.buffer import Buffer, Overflow
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.drivers.tasks import Tasks
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.protocols.buffer import Buffer, Overflow
+from honeyhitch.transports import sockets
+from honeyhitch.transports.tasks import Tasks
 
 log = logs.get()
 BACKLOG = 1024
--- a/honeyhitch/wire/drivers/control.py
+++ b/honeyhitch/transports/control.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 
 from honeyhitch import logs
-from honeyhitch.memory.buffer import Buffer, Overflow
-from honeyhitch.wire import control
-from honeyhitch.wire.control import ControlError, Verbs
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.drivers.tasks import Tasks
+from honeyhitch.protocols import control
+from honeyhitch.protocols.buffer import Buffer, Overflow
+from honeyhitch.protocols.control import ControlError, Verbs
+from honeyhitch.transports import sockets
+from honeyhitch.transports.tasks import Tasks
 
 log = logs.get()
 MOST = 8  # connections at once
--- a/honeyhitch/wire/drivers/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.core import Dispatcher
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.wire import http1, notices
-from honeyhitch.wire.asking import Asking, Patience
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.drivers.list_watch import ListWatch, ask, connect_by
-from honeyhitch.wire.drivers.tasks import Tasks
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.protocols import http1, notices
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.discovery_backoff import Asking, Patience
+from honeyhitch.transports import sockets
+from honeyhitch.transports.list_watch import ListWatch, ask, connect_by
+from honeyhitch.transports.tasks import Tasks
 
 log = logs.get()
 NS = 1_000_000_000
--- a/honeyhitch/wire/drivers/members.py
+++ b/honeyhitch/transports/http_transport.py
@@ -5,17 +5,17 @@
 import asyncio
 from dataclasses import dataclass
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.core import Dispatcher
-from honeyhitch.delivery import Call, Result
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.pool import PoolMember
+from honeyhitch.dispatcher.delivery import Call, Result
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.endpoints.pool import PoolMember
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import calls, http1
+from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.tls.failures import Failure, TlsError
-from honeyhitch.wire import calls, http1
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.drivers.channel import Channel, PlainChannel
-from honeyhitch.wire.drivers.tasks import LoopScheduler, Tasks
+from honeyhitch.transports import sockets
+from honeyhitch.transports.channel import Channel, PlainChannel
+from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 log = logs.get()
 NS = 1_000_000_000
--- a/honeyhitch/wire/drivers/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -8,10 +8,9 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.wire import http1
-from honeyhitch.wire.asking import Asking
-from honeyhitch.wire.discovery import (
+from honeyhitch.protocols import http1
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.discovery import (
     MOST_LINE,
     Watch,
     WatchError,
@@ -19,7 +18,8 @@
     watch_request,
     whole_list,
 )
-from honeyhitch.wire.drivers import sockets
+from honeyhitch.protocols.discovery_backoff import Asking
+from honeyhitch.transports import sockets
 
 log = logs.get()
 
--- a/honeyhitch/wire/drivers/broker.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -9,21 +9,21 @@
 import asyncio
 from typing import Protocol
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.core import Dispatcher
-from honeyhitch.delivery import Call, Result
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.pool import PoolMember
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.setup import MqttSetup
-from honeyhitch.wire import mqtt_messages as messages
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.drivers.channel import Channel, PlainChannel
-from honeyhitch.wire.drivers.tasks import LoopScheduler, Tasks
-from honeyhitch.wire.mqtt import Outgoing, Session
-from honeyhitch.wire.mqtt_packets import Packet
-from honeyhitch.wire.resp import FieldError, Fields
+from honeyhitch.config.deployment import MqttSetup
+from honeyhitch.dispatcher.delivery import Call, Result
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.endpoints.pool import PoolMember
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import mqtt_messages as messages
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.mqtt import Outgoing, Session
+from honeyhitch.protocols.mqtt_packets import Packet
+from honeyhitch.protocols.resp import FieldError, Fields
+from honeyhitch.transports import sockets
+from honeyhitch.transports.channel import Channel, PlainChannel
+from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 log = logs.get()
 FLIGHT, LOOK = 20.0, 0.05  # seconds that calls in flight have before a link is made anew, and between looks
--- a/honeyhitch/wire/drivers/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -8,19 +8,19 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from honeyhitch import interface as api
 from honeyhitch import logs
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.wire import forwarding
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.forwarding import (
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import forwarding
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.forwarding import (
     ConnectionEnded,
     ForwardOutcome,
     NothingWritten,
     Relayed,
     Unanswered,
 )
+from honeyhitch.transports import sockets
 
 log = logs.get()
 CONNECT_WITHIN = 0.1  # seconds; owners are on the same network
--- a/honeyhitch/wire/drivers/sockets.py
+++ b/honeyhitch/transports/sockets.py
@@ -9,7 +9,7 @@
 import socket
 import struct
 
-from honeyhitch.memory.buffer import Buffer
+from honeyhitch.protocols.buffer import Buffer
 
 SO_ATTACH_REUSEPORT_CBPF, BPF_RET_K = 51, 0x06  # asm-generic/socket.h; linux/filter.h
 
--- a/honeyhitch/wire/drivers/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -5,12 +5,12 @@
 import asyncio
 
 from honeyhitch import logs
-from honeyhitch.tls.budget import Start
 from honeyhitch.tls.failures import TlsError
+from honeyhitch.tls.handshake_budget import Start
 from honeyhitch.tls.partners import Known, Partners
-from honeyhitch.wire.drivers.channel import Channel
-from honeyhitch.wire.drivers.tls_channel import TlsChannel
-from honeyhitch.wire.drivers.tls_open import open_verified
+from honeyhitch.transports.channel import Channel
+from honeyhitch.transports.tls_channel import TlsChannel
+from honeyhitch.transports.tls_open import open_verified
 
 log = logs.get()
 NS = 1_000_000_000
--- a/honeyhitch/wire/drivers/tls_channel.py
+++ b/honeyhitch/transports/tls_channel.py
@@ -6,10 +6,10 @@
 import contextlib
 import socket
 
-from honeyhitch.memory.buffer import Buffer
+from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.machine import Phase, TlsMachine
-from honeyhitch.wire.drivers import sockets
+from honeyhitch.transports import sockets
 
 IDLE_READ = 4096  # bytes taken from an idle connection at once; tickets are shorter
 
--- a/honeyhitch/wire/drivers/tls_open.py
+++ b/honeyhitch/transports/tls_open.py
@@ -11,7 +11,7 @@
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.partners import Known, Partners
 from honeyhitch.tls.sessions import Key
-from honeyhitch.wire.drivers.tls_channel import TlsChannel, open_tls
+from honeyhitch.transports.tls_channel import TlsChannel, open_tls
 
 NS = 1_000_000_000
 
--- a/honeyhitch/wire/drivers/tls_probe.py
+++ b/honeyhitch/transports/tls_probe.py
@@ -7,11 +7,11 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from honeyhitch.memory.buffer import Buffer
+from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.tls.certificates import Facts, of_der
 from honeyhitch.tls.failures import TlsError
 from honeyhitch.tls.partners import Known, Partners
-from honeyhitch.wire.drivers.tls_open import open_verified
+from honeyhitch.transports.tls_open import open_verified
 
 TICKETS = 0.5  # seconds that a server has to send a ticket, or to refuse our certificate
 
--- a/honeyhitch/wire/drivers/tls_members.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -12,22 +12,29 @@
 from dataclasses import dataclass, field, replace
 
 from honeyhitch import logs
-from honeyhitch.core import Dispatcher
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.pool import GATED, PoolMember
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.endpoints.pool import GATED, PoolMember
+from honeyhitch.protocols import http1
+from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.tls import retirement
-from honeyhitch.tls.budget import RETRY, Start
 from honeyhitch.tls.certificates import Facts
-from honeyhitch.tls.door import Door
+from honeyhitch.tls.connection_gate import Door
 from honeyhitch.tls.failures import Failure, TlsError
+from honeyhitch.tls.handshake_budget import RETRY, Start
 from honeyhitch.tls.machine import Phase
 from honeyhitch.tls.partners import Known, Partners
 from honeyhitch.tls.sessions import Key
-from honeyhitch.wire import http1
-from honeyhitch.wire.drivers.members import MOST_ANSWER, NS, Connection, HttpCarrier, NoConnection, Progress
-from honeyhitch.wire.drivers.tasks import LoopScheduler, Tasks
-from honeyhitch.wire.drivers.tls_channel import TlsChannel
-from honeyhitch.wire.drivers.tls_open import open_verified
+from honeyhitch.transports.http_transport import (
+    MOST_ANSWER,
+    NS,
+    Connection,
+    HttpCarrier,
+    NoConnection,
+    Progress,
+)
+from honeyhitch.transports.tasks import LoopScheduler, Tasks
+from honeyhitch.transports.tls_channel import TlsChannel
+from honeyhitch.transports.tls_open import open_verified
 
 log = logs.get()
 LOOK = 0.25  # seconds between looks at connections that are to go
--- a/tests/broker.py
+++ b/tests/broker.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.wire.mqtt_packets import Kind, Packet, decode, encode
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
 
 
 @dataclass
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,9 +16,9 @@
 from random import Random
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.brain import Brain
-from honeyhitch.interface import Outcome
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.engine import Brain
+from honeyhitch.policy.interface import Outcome
 
 from .world import MS, SECOND, settings
 
--- a/tests/keeping_rig.py
+++ b/tests/keeping_rig.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch.memory import journal as journal_module
-from honeyhitch.memory.journal import Journal
-from honeyhitch.undelivered.moving import Moving
-from honeyhitch.undelivered.settings import Limits, Terms
-from honeyhitch.undelivered.store import Store
-from honeyhitch.undelivered.worker import Done, Job
+from honeyhitch.dead_letters.journal_transfer import Moving
+from honeyhitch.dead_letters.settings import Limits, Terms
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.dead_letters.worker import Done, Job
+from honeyhitch.journal import journal as journal_module
+from honeyhitch.journal.journal import Journal
 
 from .rig import Stand, VirtualTime
 from .world import SECOND
--- a/tests/program.py
+++ b/tests/program.py
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from honeyhitch.lifecycle import config
-from honeyhitch.lifecycle.serve import run
+from honeyhitch import config
+from honeyhitch.service.service import run
 
 SETTINGS: dict[str, Any] = {
     "classes": [
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Call
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.undelivered import rules
-from honeyhitch.undelivered.filters import Filter
-from honeyhitch.undelivered.records import Record
-from honeyhitch.undelivered.resending import Resending
-from honeyhitch.undelivered.settings import Action, Rule, Terms, Undelivered
+from honeyhitch.dead_letters import rules
+from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.records import Record
+from honeyhitch.dead_letters.resending import Resending
+from honeyhitch.dead_letters.settings import Action, Rule, Terms, Undelivered
+from honeyhitch.dispatcher.delivery import Call
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
 
 from .keeping_rig import KeepingStand, Killed, Points
 from .rig import NAMED, VirtualTime
@@ -122,7 +122,7 @@
         self.time.at(now + took, lambda: self.over(call, results))
 
     def over(self, call: Call, results: list[api.Outcome]) -> None:
-        from honeyhitch.delivery import Result
+        from honeyhitch.dispatcher.delivery import Result
 
         told = [(one, one is api.Outcome.DELIVERED) for one in results]
         self.core.ended(call, Result(told))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.core import Dispatcher
-from honeyhitch.delivery import Call, Result
-from honeyhitch.memory.journal import Journal
-from honeyhitch.memory.pool import Pool, PoolMember
-from honeyhitch.memory.transactions import Transaction
+from honeyhitch.dispatcher.delivery import Call, Result
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.endpoints.pool import Pool, PoolMember
+from honeyhitch.journal.journal import Journal
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy import interface as api
 
 from .world import SECOND, settings
 
--- a/tests/test_virtual_server.py
+++ b/tests/test_client_server.py
@@ -13,14 +13,15 @@
 
 import pytest
 
-from honeyhitch.delivery import Admission
-from honeyhitch.lifecycle import config
-from honeyhitch.lifecycle.descriptors import budget
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.wire import resp
-from honeyhitch.wire.drivers import sockets, virtual_server
-from honeyhitch.wire.drivers.tasks import Tasks
-from honeyhitch.wire.drivers.virtual_server import VirtualServer
+from honeyhitch import config
+from honeyhitch.dispatcher.delivery import Admission
+from honeyhitch.protocols import resp
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.service.descriptors import budget
+from honeyhitch.transports import client_server as virtual_server
+from honeyhitch.transports import sockets
+from honeyhitch.transports.client_server import VirtualServer
+from honeyhitch.transports.tasks import Tasks
 
 from .program import play, write
 from .test_exchanges import SET, START, raw
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,8 +9,8 @@
 import pytest
 from click.testing import CliRunner
 
-from honeyhitch.lifecycle import config
-from honeyhitch.lifecycle.cli import main
+from honeyhitch import config
+from honeyhitch.cli.main import main
 
 from .program import SETTINGS, write
 
--- a/tests/test_undelivered.py
+++ b/tests/test_dead_letters.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch import interface as api
-from honeyhitch.undelivered.eligibility import Past, Verdict, decide
+from honeyhitch.dead_letters.eligibility import Past, Verdict, decide
+from honeyhitch.policy import interface as api
 
 from .world import SECOND
 
--- a/tests/test_undelivered_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.undelivered.filters import Filter
-from honeyhitch.undelivered.records import OPEN, Standing
+from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.records import OPEN, Standing
+from honeyhitch.journal.transactions import Ending, Transaction
 
 from .keeping_rig import Killed, Points
 from .resend_world import UNSAFE, Partner, ResendStand
--- a/tests/test_undelivered_program.py
+++ b/tests/test_dead_letters_program.py
@@ -17,24 +17,24 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from honeyhitch.lifecycle import config
-from honeyhitch.lifecycle.cli import main
-from honeyhitch.lifecycle.serve import run
-from honeyhitch.undelivered.filters import Filter
-from honeyhitch.undelivered.records import Standing
-from honeyhitch.undelivered.report import Fate, Report
-from honeyhitch.undelivered.resending import Resending
-from honeyhitch.undelivered.settings import Terms
-from honeyhitch.undelivered.store import Store
-from honeyhitch.wire.drivers.control_client import ControlClient, ControlRefused
+from honeyhitch import config
+from honeyhitch.cli.main import main
+from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.records import Standing
+from honeyhitch.dead_letters.report import Fate, Report
+from honeyhitch.dead_letters.resending import Resending
+from honeyhitch.dead_letters.settings import Terms
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.service.service import run
+from honeyhitch.transports.control_client import ControlClient, ControlRefused
 
 from .agent import Agent
 from .broker import Broker
 from .partner import Partner
 from .program import free_port, play, started, write
 from .rig import START, row
+from .test_dead_letters_store import record
 from .test_program import Client
-from .test_undelivered_store import record
 
 OPERATOR = "[undelivered]\nmax-count = 1000\n"
 SETTLED = "the partner's books"
--- a/tests/test_undelivered_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -11,17 +11,17 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.conditions import condition
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.ports import Came
-from honeyhitch.undelivered import operations, resends, rules
-from honeyhitch.undelivered.copies import Copies
-from honeyhitch.undelivered.eligibility import Decision, Verdict
-from honeyhitch.undelivered.records import Record, Standing
-from honeyhitch.undelivered.resending import Resending
-from honeyhitch.undelivered.settings import Action, Rule
-from honeyhitch.undelivered.store import Store
+from honeyhitch.dead_letters import operations, resends, rules
+from honeyhitch.dead_letters.duplicate_index import Copies
+from honeyhitch.dead_letters.eligibility import Decision, Verdict
+from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.resending import Resending
+from honeyhitch.dead_letters.settings import Action, Rule
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.dispatcher.ports import Came
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.health import condition
 
 from .resend_world import KEYED, RULE, SAFE, TERMS, UNSAFE, Partner, ResendStand, day, records
 from .rig import VirtualTime, row
--- a/tests/test_undelivered_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -8,16 +8,16 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle import config
-from honeyhitch.undelivered.pacing import MOST_GAP, QUIET, Pacing, Rates
-from honeyhitch.undelivered.records import Record, Standing
-from honeyhitch.undelivered.rules import Step, plan
-from honeyhitch.undelivered.settings import Action, Rule, Terms, Undelivered
+from honeyhitch import config
+from honeyhitch.dead_letters.pacing import MOST_GAP, QUIET, Pacing, Rates
+from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.rules import Step, plan
+from honeyhitch.dead_letters.settings import Action, Rule, Terms, Undelivered
+from honeyhitch.policy import interface as api
 
 from .program import write
 from .rig import START
-from .test_undelivered_store import record
+from .test_dead_letters_store import record
 from .world import SECOND
 
 NOW = START + 100 * SECOND
--- a/tests/test_undelivered_store.py
+++ b/tests/test_dead_letters_store.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from honeyhitch.memory.transactions import Try
-from honeyhitch.undelivered import files, operations, schema
-from honeyhitch.undelivered.filters import Filter, FilterError
-from honeyhitch.undelivered.records import Record, Standing
-from honeyhitch.undelivered.seal import Keys, SealError
-from honeyhitch.undelivered.settings import DAY, Limits
-from honeyhitch.undelivered.store import Store, StoreError
+from honeyhitch.dead_letters import files, operations, schema
+from honeyhitch.dead_letters.filters import Filter, FilterError
+from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.seal import Keys, SealError
+from honeyhitch.dead_letters.settings import DAY, Limits
+from honeyhitch.dead_letters.store import Store, StoreError
+from honeyhitch.journal.transactions import Try
 
 from .rig import START
 from .world import SECOND
--- a/tests/test_undelivered_moving.py
+++ b/tests/test_dead_letters_transfer.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.memory.transactions import Ending
-from honeyhitch.undelivered.filters import Filter
-from honeyhitch.undelivered.records import Record
+from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.records import Record
+from honeyhitch.journal.transactions import Ending
+from honeyhitch.policy import interface as api
 
 from .keeping_rig import KeepingStand, Killed, Points
 from .rig import VirtualTime
--- a/tests/test_asking.py
+++ b/tests/test_discovery_backoff.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.wire import notices
-from honeyhitch.wire.asking import CALM, FEW, FIRST, MOST, SILENCE, TOLD, UNASKED, Asking
-from honeyhitch.wire.discovery import Watch, WatchError
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import notices
+from honeyhitch.protocols.discovery import Watch, WatchError
+from honeyhitch.protocols.discovery_backoff import CALM, FEW, FIRST, MOST, SILENCE, TOLD, UNASKED, Asking
 
 from .world import SECOND, World, settings
 
--- a/tests/test_core.py
+++ b/tests/test_dispatcher.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.memory.pool import PoolMember
-from honeyhitch.memory.transactions import Ending
+from honeyhitch.endpoints.pool import PoolMember
+from honeyhitch.journal.transactions import Ending
+from honeyhitch.policy import interface as api
 
 from .rig import LIST, NAMED, Stand, VirtualTime, row
 from .world import MS, SECOND
--- a/tests/test_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle import config
-from honeyhitch.memory.pool import Pool, PoolError
+from honeyhitch import config
+from honeyhitch.endpoints.pool import Pool, PoolError
+from honeyhitch.policy import interface as api
 
 from .program import SETTINGS, write
 from .rig import row
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -13,12 +13,11 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Admission, Call, Phase, State
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.pool import Pool, PoolError, PoolMember
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.wire import (
+from honeyhitch.dispatcher.delivery import Admission, Call, Phase, State
+from honeyhitch.endpoints.pool import Pool, PoolError, PoolMember
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import (
     agent_check,
     calls,
     control,
@@ -30,6 +29,7 @@
     notices,
     resp,
 )
+from honeyhitch.protocols.buffer import Buffer
 
 from .rig import SETTINGS, START
 from .world import settings
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -15,18 +15,18 @@
 import pytest
 import uvloop
 
-from honeyhitch.core import Dispatcher
-from honeyhitch.memory.account import unpack
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.journal import Journal
-from honeyhitch.memory.pool import Pool, PoolMember
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.setup import MqttSetup
-from honeyhitch.wire.drivers import sockets
-from honeyhitch.wire.drivers.broker import MqttCarrier
-from honeyhitch.wire.drivers.members import HttpCarrier
-from honeyhitch.wire.drivers.tasks import LoopScheduler, Tasks
-from honeyhitch.wire.mqtt_packets import Kind, Packet, decode, encode
+from honeyhitch.config.deployment import MqttSetup
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.endpoints.pool import Pool, PoolMember
+from honeyhitch.journal.journal import Journal
+from honeyhitch.journal.state import unpack
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
+from honeyhitch.transports import sockets
+from honeyhitch.transports.http_transport import HttpCarrier
+from honeyhitch.transports.mqtt_transport import MqttCarrier
+from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 from .rig import SETTINGS, row
 from .world import SECOND, settings
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.interface import Outcome
-from honeyhitch.wire import calls, http1
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.interface import Outcome
+from honeyhitch.protocols import calls, http1
 
 from .fleet import Fleet, Partner
 from .test_exchanges import parts
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -7,8 +7,8 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from honeyhitch.memory.transactions import Transaction
-from honeyhitch.wire.drivers.peers import Forwarder, PeerConnections
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.transports.peers import Forwarder, PeerConnections
 
 from .program import play
 from .rig import SETTINGS
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.wire import agent_check, calls, discovery, http1, mqtt, resp
+from honeyhitch.protocols import agent_check, calls, discovery, http1, mqtt, resp
+from honeyhitch.protocols.buffer import Buffer
 
 from .test_exchanges import FAULTS, Beside, Resp, parts
 
--- a/tests/test_beside.py
+++ b/tests/test_handover.py
@@ -14,15 +14,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle import config
-from honeyhitch.lifecycle.beside import Beside
-from honeyhitch.lifecycle.serve import run
-from honeyhitch.memory.folder import FIRST, SECOND, FolderHeld, StateFolder
-from honeyhitch.memory.follower import Follower
-from honeyhitch.memory.journal import Journal, JournalUnusable
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.wire.drivers import sockets
+from honeyhitch import config
+from honeyhitch.journal.directory import FIRST, SECOND, FolderHeld, StateFolder
+from honeyhitch.journal.follower import Follower
+from honeyhitch.journal.journal import Journal, JournalUnusable
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.service.handover import Beside
+from honeyhitch.service.service import run
+from honeyhitch.transports import sockets
 
 from .program import Peer, play, started, write
 from .rig import START, Stand, VirtualTime, row
--- a/tests/test_members.py
+++ b/tests/test_http_transport.py
@@ -7,13 +7,13 @@
 import pytest
 import uvloop
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Call
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.pool import PoolMember
-from honeyhitch.wire import http1
-from honeyhitch.wire.drivers.channel import PlainChannel
-from honeyhitch.wire.drivers.members import Connection, HttpCarrier, Progress
+from honeyhitch.dispatcher.delivery import Call
+from honeyhitch.endpoints.pool import PoolMember
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import http1
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.transports.channel import PlainChannel
+from honeyhitch.transports.http_transport import Connection, HttpCarrier, Progress
 
 from .rig import START
 from .test_exchanges import parts
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from honeyhitch.memory.account import unpack
-from honeyhitch.memory.journal import Journal, JournalFull
-from honeyhitch.memory.transactions import Ending, Transaction
+from honeyhitch.journal.journal import Journal, JournalFull
+from honeyhitch.journal.state import unpack
+from honeyhitch.journal.transactions import Ending, Transaction
 
 NOW = 1_000
 
--- a/tests/test_member_reader.py
+++ b/tests/test_list_parser.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch.wire.discovery import Watch, WatchError
-from honeyhitch.wire.member_reader import MOST_PART, ListError, MemberReader
+from honeyhitch.protocols.discovery import Watch, WatchError
+from honeyhitch.protocols.list_parser import MOST_PART, ListError, MemberReader
 
 from .rig import row
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from honeyhitch import logs
-from honeyhitch.lifecycle.cli import main
+from honeyhitch.cli.main import main
 
 from .program import Peer, play, started
 from .rig import row
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Call
-from honeyhitch.lifecycle import config
-from honeyhitch.lifecycle.serve import run
-from honeyhitch.memory.pool import PoolError, PoolMember
-from honeyhitch.memory.transactions import Ending, Transaction
+from honeyhitch import config
+from honeyhitch.dispatcher.delivery import Call
+from honeyhitch.endpoints.pool import PoolError, PoolMember
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.service.service import run
 
 from .program import free_port, play, write
 from .rig import LIST, Stand, VirtualTime, row
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -13,16 +13,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Phase, State
-from honeyhitch.lifecycle import config
-from honeyhitch.lifecycle.cli import main
-from honeyhitch.lifecycle.descriptors import BESIDE_SOCKETS, budget
-from honeyhitch.lifecycle.serve import run
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.transactions import Ending
-from honeyhitch.wire import resp
-from honeyhitch.wire.management import MOST_LINE, ManagementSession
+from honeyhitch import config
+from honeyhitch.cli.main import main
+from honeyhitch.dispatcher.delivery import Phase, State
+from honeyhitch.journal.transactions import Ending
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import resp
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.management import MOST_LINE, ManagementSession
+from honeyhitch.service.descriptors import BESIDE_SOCKETS, budget
+from honeyhitch.service.service import run
 
 from .program import Peer, free_port, play, started, write
 from .rig import Stand, row
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -15,7 +15,7 @@
 from starlette.responses import PlainTextResponse, Response
 from starlette.routing import Route
 
-from honeyhitch.lifecycle import config
+from honeyhitch import config
 from honeyhitch.middleware import DispatcherMiddleware
 
 from .program import Peer, free_port, play, write
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -9,9 +9,9 @@
 from paho.mqtt.packettypes import PacketTypes
 from paho.mqtt.properties import Properties
 
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.wire.mqtt import Session
-from honeyhitch.wire.mqtt_packets import Kind, Packet, decode, encode
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.mqtt import Session
+from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
 
 
 class Writer(paho.Client):
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -20,7 +20,7 @@
 import pytest
 from click.testing import CliRunner
 
-from honeyhitch.lifecycle.cli import main
+from honeyhitch.cli.main import main
 from honeyhitch.partitioning.fleet import Fleet
 from honeyhitch.partitioning.settings import FleetSettings, Region
 
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle import fleet as service
-from honeyhitch.lifecycle.fleet import FILE, FleetService
-from honeyhitch.memory.buffer import Buffer
-from honeyhitch.memory.transactions import Ending, Transaction
-from honeyhitch.wire import forwarding, resp
-from honeyhitch.wire.resp import Route
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.protocols import forwarding, resp
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.resp import Route
+from honeyhitch.service import fleet as service
+from honeyhitch.service.fleet import FILE, FleetService
 
 from .fleet_control import LEASE, MS, SKEW, entry, fleet_settings
 from .rig import SETTINGS, Stand, row
--- a/tests/test_brain.py
+++ b/tests/test_policy_engine.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.interface import Outcome
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.interface import Outcome
 from tests.world import MS, SECOND, World, settings
 
 FALL = 2 * SECOND
@@ -316,13 +316,14 @@
         settings(**{field: value})
 
 
-def test_line_limits_of_the_module() -> None:
+def test_line_limits_of_the_policy_modules() -> None:
     from pathlib import Path
 
-    lines = Path(__file__).parent.parent.joinpath("honeyhitch", "brain.py").read_text().splitlines()
-    assert sum(bool(line.strip()) for line in lines) <= 500
-    assert max(len(line) for line in lines) <= 110
-    assert "honeyhitch/interface.py" in lines[0]
+    for module in Path(__file__).parent.parent.joinpath("honeyhitch", "policy").glob("*.py"):
+        lines = module.read_text().splitlines()
+        assert sum(bool(line.strip()) for line in lines) <= 500
+        assert max(len(line) for line in lines) <= 110
+        assert lines[0].startswith('"""')
 
 
 def test_little_time_left_is_no_age_unless_it_came_again() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,9 +22,9 @@
 from paho.mqtt.packettypes import PacketTypes
 from paho.mqtt.properties import Properties
 
-from honeyhitch.memory.account import unpack
-from honeyhitch.wire import calls
-from honeyhitch.wire.mqtt_packets import Kind, Packet
+from honeyhitch.journal.state import unpack
+from honeyhitch.protocols import calls
+from honeyhitch.protocols.mqtt_packets import Kind, Packet
 
 from .broker import Broker
 from .program import Peer, free_port, play, started, write
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from honeyhitch import interface as api
+from honeyhitch.policy import interface as api
 from tests.world import CLASSES, MS, SECOND, World, settings
 
 OUTCOMES = [o for o in api.Outcome if o is not api.Outcome.CANCELLED]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Call, Result
-from honeyhitch.interface import Effect, Outcome
-from honeyhitch.memory.transactions import Ending, Transaction
+from honeyhitch.dispatcher.delivery import Call, Result
+from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.interface import Effect, Outcome
 
 from .rig import LIST, NAMED, Stand, VirtualTime
 from .world import MS, SECOND
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from honeyhitch import interface as api
-from honeyhitch.brain import PROOF, Brain
-from honeyhitch.interface import Outcome
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.engine import PROOF, Brain
+from honeyhitch.policy.interface import Outcome
 from tests.world import MS, SECOND, World, settings
 
 ONE = (api.Entry("a", 0, scale=20.0),)
--- a/tests/test_leaving.py
+++ b/tests/test_shutdown.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from honeyhitch import interface as api
-from honeyhitch.lifecycle import shutdown
+from honeyhitch.policy import interface as api
+from honeyhitch.service import shutdown
 
 from .agent import Agent
 from .program import enqueue, play, started
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from honeyhitch.wire import asking, notices
+from honeyhitch.protocols import discovery_backoff as asking
+from honeyhitch.protocols import notices
 
 from .program import Peer, enqueue, play, started
 from .rig import row
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,9 +9,9 @@
 import pytest
 from click.testing import CliRunner
 
-from honeyhitch.lifecycle.cli import GROUPS, main
+from honeyhitch.cli.main import GROUPS, main
 
-LOOK = "import json, sys; import honeyhitch.lifecycle.cli, honeyhitch.lifecycle.serve; "
+LOOK = "import json, sys; import honeyhitch.cli.main, honeyhitch.service.service; "
 LOOK += "print(json.dumps(sorted(sys.modules)))"
 
 
@@ -32,18 +32,18 @@
         "sqlite3",
         "http.client",
         "honeyhitch.tls.machine",
-        "honeyhitch.undelivered.store",
-        "honeyhitch.wire.mqtt",
-        "honeyhitch.wire.mqtt_packets",
-        "honeyhitch.lifecycle.fleet",
-        "honeyhitch.wire.drivers.peers",
-        "honeyhitch.wire.drivers.broker",
-        "honeyhitch.wire.drivers.control",
+        "honeyhitch.dead_letters.store",
+        "honeyhitch.protocols.mqtt",
+        "honeyhitch.protocols.mqtt_packets",
+        "honeyhitch.service.fleet",
+        "honeyhitch.transports.peers",
+        "honeyhitch.transports.mqtt_transport",
+        "honeyhitch.transports.control",
         *GROUPS.values(),
     ],
 )
 def test_a_plain_start_does_not_load(loaded: set[str], name: str) -> None:
-    assert "honeyhitch.core" in loaded and name not in loaded
+    assert "honeyhitch.dispatcher.dispatcher" in loaded and name not in loaded
 
 
 @pytest.mark.parametrize("name", sorted(GROUPS))
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -6,7 +6,7 @@
 
 import uvloop
 
-from honeyhitch.wire.drivers.tasks import Tasks
+from honeyhitch.transports.tasks import Tasks
 
 
 def test_a_group_that_fails_as_it_is_stopped_does_not_start_again() -> None:
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from honeyhitch.lifecycle.cli import main
+from honeyhitch.cli.main import main
 
 from .authority import Authority
 from .program import write
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from honeyhitch.lifecycle import config
+from honeyhitch import config
 from honeyhitch.tls.material import MaterialError, load
 from honeyhitch.tls.partners import Partners
 from honeyhitch.tls.sessions import Key, SessionCache
--- a/tests/test_tls_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -11,13 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch import interface as api
-from honeyhitch.delivery import Call
-from honeyhitch.memory.pool import GATED, PoolMember
+from honeyhitch.dispatcher.delivery import Call
+from honeyhitch.endpoints.pool import GATED, PoolMember
+from honeyhitch.policy import interface as api
 from honeyhitch.tls import retirement
-from honeyhitch.tls.budget import RESUMED, HandshakeBudget
-from honeyhitch.tls.door import Door
+from honeyhitch.tls.connection_gate import Door
 from honeyhitch.tls.failures import Failure, TlsError
+from honeyhitch.tls.handshake_budget import RESUMED, HandshakeBudget
 
 from .rig import LIST, START, Stand, VirtualTime, row
 from .world import MS, SECOND
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch import interface as api
+from honeyhitch.policy import interface as api
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.machine import Phase, Records, TlsMachine
 from honeyhitch.tls.material import load
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -17,7 +17,7 @@
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
 from honeyhitch import logs
-from honeyhitch.memory.account import unpack
+from honeyhitch.journal.state import unpack
 
 from .agent import Agent
 from .authority import Authority, Issued
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from honeyhitch.wirehost import Host, WireError
+from honeyhitch.simulator_host import Host, WireError
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = (
@@ -114,4 +114,5 @@
 
 def test_deploy_file_names_the_module_and_the_adapter() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert deploy["policy"] == ["honeyhitch/brain.py"] and "honeyhitch.wirehost" in deploy["sim"]
+    modules = sorted(str(path.relative_to(ROOT)) for path in (ROOT / "honeyhitch" / "policy").glob("*.py"))
+    assert deploy["policy"] == modules and "honeyhitch.wirehost" in deploy["sim"]
--- a/tests/world.py
+++ b/tests/world.py
@@ -6,8 +6,8 @@
 import dataclasses
 from typing import Any
 
-from honeyhitch import interface as api
-from honeyhitch.brain import Brain
+from honeyhitch.policy import interface as api
+from honeyhitch.policy.engine import Brain
 
 MS = 1_000_000
 SECOND = 1000 * MS
