--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -27,8 +27,8 @@
 from benchmarks.service_process import ServiceProcess, enqueue, members, running  # noqa: E402
 from benchmarks.slopes import Slope, fit, table  # noqa: E402
 from benchmarks.standins import Agent, Endpoint, LoopThread  # noqa: E402
-from honeyhitch.endpoints.pool import Pool  # noqa: E402
-from honeyhitch.policy.engine import Brain  # noqa: E402
+from honeyhitch.endpoints.pool import EndpointPool  # noqa: E402
+from honeyhitch.policy.engine import DeliveryPolicy  # noqa: E402
 from honeyhitch.protocols import discovery, http1  # noqa: E402
 from tests.fleet import Fleet, Partner  # noqa: E402
 from tests.program import SETTINGS  # noqa: E402
@@ -135,9 +135,9 @@
                 machine = http1.AnswerMachine(most=2 * len(body) + 4096)
                 answer = machine.feed(head + body)
                 assert answer is not None
-                pool = Pool(settings(kinds=settings().kinds))
+                pool = EndpointPool(settings(kinds=settings().kinds))
                 news = pool.update(discovery.whole_list(answer))
-                Brain(settings(), 1).handle(1, [news])
+                DeliveryPolicy(settings(), 1).handle(1, [news])
                 per = "destination listed"
                 self.note("whole list: CPU to take it over", "s", per, count, time.process_time() - began)
                 self.note("whole list: bytes", "bytes", per, count, len(body))
@@ -188,7 +188,7 @@
 
     def returns(self) -> None:
         """What instances send to a destination that was down for 30 s, by their number; virtual time."""
-        cold = {"fall_multiple": 1.5, "cold_share": 0.31, "cold": 14 * SECOND}
+        cold = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
         for count in self.instances:
             for seed in range(1, self.plays + 1):
                 partner = Partner(limit=lambda now: 14.0, down=(5 * SECOND, 35 * SECOND))
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -25,7 +25,7 @@
 from honeyhitch.partitioning.ownership import ZoneCandidates  # noqa: E402
 from honeyhitch.partitioning.settings import FleetSettings, Region  # noqa: E402
 from honeyhitch.policy import interface as api  # noqa: E402
-from honeyhitch.policy.engine import Brain  # noqa: E402
+from honeyhitch.policy.engine import DeliveryPolicy  # noqa: E402
 from honeyhitch.policy.interface import Outcome  # noqa: E402
 from tests.fleet import HANDSHAKE, ROUND_TRIP, Partner  # noqa: E402
 from tests.world import MS, SECOND, settings  # noqa: E402
@@ -33,7 +33,7 @@
 START = 1_700_000_000 * SECOND
 CLASS = 1  # of the settings in tests/world.py: keyed
 LIMIT, RATE = 14.0, 9.5  # calls a second that a destination takes, events a second for it
-COLD = {"fall_multiple": 1.5, "cold_share": 0.31, "cold": 14 * SECOND}
+COLD = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
 FALL_SPAN = 3 * SECOND
 BEAT, NOTICED, LOOK = SECOND, 3 * SECOND, 250 * MS  # heartbeats, how soon a failure is published, looks
 RESTART = 5 * SECOND  # a process is away for so long
@@ -104,7 +104,7 @@
         self.clock_off = 0
         self.reads_until = 0  # lines of its watch arrive in their order
         self.fleet: Fleet | None = None
-        self.brain: Brain
+        self.brain: DeliveryPolicy
         self.held: set[str] = set()
         self.idle: Counter[int] = Counter()
         self.portions: dict[int, float] = {}
@@ -142,7 +142,13 @@
         names = [zone for region in self.regions for zone in region.zones]
         self.partitions, self.faults, self.totals = partitions, faults, Totals()
         instances = len(names) if partitioned else dispatchers
-        self.s = settings(instances=instances, slots=6, resolution=MS, scale=api.Scale.ROUGH, **COLD)
+        self.s = settings(
+            instance_count=instances,
+            max_concurrent_calls=6,
+            resolution=MS,
+            listed_rate_meaning=api.ListedRateMeaning.ROUGH,
+            **COLD,
+        )
         self.cls = self.s.classes[CLASS]
         self.partners = {
             number: Partner(limit=lambda now: LIMIT, down=self._outage(number, down))
@@ -166,7 +172,7 @@
 
     # Time.
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
+    def call_at(self, when: int, what: Callable[[], None]) -> None:
         """Do something then."""
         heapq.heappush(self.heap, (when, next(self.sequence), what))
 
@@ -201,8 +207,8 @@
         for fault in self.faults:
             self._plan(fault)
         if self.partitioned:
-            self.at(START, self._beat)
-            self.at(START + SECOND, self._look)
+            self.call_at(START, self._beat)
+            self.call_at(START + SECOND, self._look)
 
     # Events.
 
@@ -216,7 +222,7 @@
     def _next_arrival(self, number: int, arrive: Callable[[], None]) -> None:
         when = self.now + int(self.rng.expovariate(RATE) * SECOND)
         if when < self.end:
-            self.at(when, arrive)
+            self.call_at(when, arrive)
 
     def _hand_in(self, number: int) -> None:
         self.totals.handed_in += 1
@@ -237,7 +243,7 @@
 
     def _owner(self, first: Hollow, number: int) -> Hollow | None:
         assert first.fleet is not None
-        if first.fleet.portion(number, self._clock(first)) > 0:
+        if first.fleet.quota_fraction(number, self._clock(first)) > 0:
             return first
         for owner in first.fleet.owners(number, self._clock(first)):
             other = self.by_name[owner.name]
@@ -245,7 +251,7 @@
                 continue
             self.totals.forwarded += 1  # it answers, be it that it is not its own either
             assert other.fleet is not None
-            return other if other.fleet.portion(number, self._clock(other)) > 0 else None
+            return other if other.fleet.quota_fraction(number, self._clock(other)) > 0 else None
         return None
 
     def _reachable(self, zone: str, other: str) -> bool:
@@ -258,7 +264,7 @@
 
     def _start(self, one: Hollow, saved: dict[str, Any] | None = None) -> None:
         one.alive, one.incarnation, one.idle = True, one.incarnation + 1, Counter()
-        one.brain = Brain(self.s, self.rng.randrange(1 << 32))
+        one.brain = DeliveryPolicy(self.s, self.rng.randrange(1 << 32))
         one.portions, one.look_at, one.lease_lasted = {}, 0, False
         if self.partitioned:
             regions = self.regions
@@ -270,8 +276,8 @@
                 one.fleet.restore(saved, self._clock(one))
             self._connect(one)
         else:
-            entries = tuple(api.Entry(f"e{n}", n, scale=LIMIT) for n in self.partners)
-            self._feed(one, api.ListNews(api.ListMode.CACHED, entries))
+            entries = tuple(api.EndpointListing(f"e{n}", n, listed_rate=LIMIT) for n in self.partners)
+            self._feed(one, api.EndpointListUpdate(api.UpdateMode.CACHED, entries))
         for name in sorted(one.held):
             message = self.messages[name]
             left, ran_at = message.deadline - self.now, message.ran_at
@@ -280,9 +286,9 @@
                 CLASS,
                 message.destination,
                 left,
-                came_again=True,
+                recovered_from_journal=True,
                 attempts=message.attempts,
-                ran_at=ran_at,
+                first_possible_execution=ran_at,
             )
             self._feed(one, event)
 
@@ -301,13 +307,15 @@
         for action in one.brain.handle(self.now, list(events)):
             match action:
                 case api.SetTimer(when):
-                    self.at(max(when, self.now + MS), lambda: self._later(one, incarnation, api.TimerFired()))
+                    self.call_at(
+                        max(when, self.now + MS), lambda: self._later(one, incarnation, api.TimerFired())
+                    )
                 case api.Send(name, endpoint, _):
                     sends.setdefault(endpoint, []).append(name)
-                case api.Refuse(name, _) | api.Fail(name):
+                case api.Reject(name, _) | api.Fail(name):
                     one.held.discard(name)
                     self.totals.returned += 1
-                case api.Close(endpoint):
+                case api.CloseIdleConnections(endpoint):
                     one.idle[int(endpoint[1:])] = 0
         for endpoint, names in sends.items():
             self._send(one, int(endpoint[1:]), names)
@@ -321,7 +329,7 @@
         for name in names:
             message = self.messages[name]
             attempt = message.attempts
-            if one.fleet is not None and one.fleet.portion(number, self._clock(one)) == 0:
+            if one.fleet is not None and one.fleet.quota_fraction(number, self._clock(one)) == 0:
                 self._not_sent(one, number, name, attempt)
                 continue
             message.attempts += 1
@@ -331,10 +339,10 @@
             self._call(one, number, name, attempt)
 
     def _not_sent(self, one: Hollow, number: int, name: str, attempt: int) -> None:
-        told = api.Told(number, f"e{number}", self.now + LOOK)
-        unused = api.AttemptEnded(name, attempt, f"e{number}", Outcome.NOT_SENT, 0, False, unused=True)
+        told = api.RetryAfterReceived(number, f"e{number}", self.now + LOOK)
+        unused = api.AttemptEnded(name, attempt, f"e{number}", Outcome.NOT_SENT, 0, False, not_started=True)
         incarnation = one.incarnation
-        self.at(self.now, lambda: self._later(one, incarnation, told, unused))
+        self.call_at(self.now, lambda: self._later(one, incarnation, told, unused))
 
     def _call(self, one: Hollow, number: int, name: str, attempt: int) -> None:
         partner, now = self.partners[number], self.now
@@ -349,17 +357,17 @@
             outcome, took = Outcome.CONNECT_FAILED, ROUND_TRIP
         else:
             one.idle[number] -= not fresh
-            outcome = Outcome.DELIVERED if partner.take(now) else Outcome.REFUSED
-            self.totals.refused_calls += outcome is Outcome.REFUSED
+            outcome = Outcome.DELIVERED if partner.take(now) else Outcome.REJECTED
+            self.totals.refused_calls += outcome is Outcome.REJECTED
         took = int(took * self.rng.uniform(0.8, 1.2))
         allowance, limit = (1.0, 0.0) if partner.is_down(now) else partner.told
-        part = one.fleet.portion(number, self._clock(one)) or 1.0 if one.fleet is not None else 1.0
+        part = one.fleet.quota_fraction(number, self._clock(one)) or 1.0 if one.fleet is not None else 1.0
         incarnation = one.incarnation
 
         def ended() -> None:
             self._ended(one, incarnation, number, name, attempt, outcome, took, allowance, limit * part)
 
-        self.at(now + took, ended)
+        self.call_at(now + took, ended)
 
     def _ended(
         self,
@@ -378,7 +386,7 @@
         message = self.messages[name]
         message.out -= 1
         delivered = outcome is Outcome.DELIVERED
-        if outcome.never_ran:
+        if outcome.proves_not_executed:
             message.ran_at = None
         if outcome is not Outcome.CONNECT_FAILED:
             one.idle[number] += 1
@@ -386,7 +394,7 @@
             one.held.discard(name)
             self.totals.delivered += 1
         event = api.AttemptEnded(
-            name, attempt, f"e{number}", outcome, took, delivered, allowance=allowance, limit=limit
+            name, attempt, f"e{number}", outcome, took, delivered, limit_remaining=allowance, rate_limit=limit
         )
         self._feed(one, event)
 
@@ -429,7 +437,7 @@
                 if published is not None:
                     self.totals.in_force.append((self.now - published) / SECOND)
 
-        self.at(one.reads_until, read)
+        self.call_at(one.reads_until, read)
 
     def _connect(self, one: Hollow) -> None:
         self._tell(one, self._stamped(True, list(self.entries.values())))
@@ -439,29 +447,29 @@
         for one in self.hollows:
             self._tell(one, told)
         if self.now < self.end + self.cls.deadline:
-            self.at(self.now + BEAT, self._beat)
+            self.call_at(self.now + BEAT, self._beat)
 
     def _refresh(self, one: Hollow) -> None:
         """As the service does: the module is told of parts that changed, and what is lost is handed back."""
         assert one.fleet is not None
-        now, entries, lost = self._clock(one), list[api.Entry](), set[int]()
+        now, entries, lost = self._clock(one), list[api.EndpointListing](), set[int]()
         one.look_at, one.lease_lasted = one.fleet.next_change(now), one.fleet.lease_lasts(now)
         for number in self.partners:
             if not one.fleet.keeps(number):
                 continue
-            portion = one.fleet.portion(number, now)
+            portion = one.fleet.quota_fraction(number, now)
             if portion != one.portions.get(number, 0.0):
                 one.portions[number] = portion
-                entries.append(api.Entry(f"e{number}", number, scale=LIMIT * portion))
+                entries.append(api.EndpointListing(f"e{number}", number, listed_rate=LIMIT * portion))
             if not portion and not one.fleet.awaits(number, now):
                 lost.add(number)
         if entries:
-            self._feed(one, api.ListNews(api.ListMode.CHANGES, tuple(entries)))
+            self._feed(one, api.EndpointListUpdate(api.UpdateMode.CHANGES, tuple(entries)))
         for name in [name for name in one.held if self.messages[name].destination in lost]:
             if not self.messages[name].out and self.messages[name].ran_at is None:
                 one.held.discard(name)
                 self.totals.returned += 1
-                self._feed(one, api.Withdrawn(name))
+                self._feed(one, api.MessageWithdrawn(name))
 
     def _look(self) -> None:
         totals = dict[tuple[str, int], float]()
@@ -470,11 +478,11 @@
                 if one.look_at is not None and self._clock(one) >= one.look_at:
                     self._refresh(one)
                 for number, portion in one.portions.items():
-                    exact = one.fleet.portion(number, self._clock(one)) if portion else 0.0
+                    exact = one.fleet.quota_fraction(number, self._clock(one)) if portion else 0.0
                     totals[one.zone, number] = totals.get((one.zone, number), 0.0) + exact
         self.totals.most_share = max(self.totals.most_share, max(totals.values(), default=0.0))
         if self.now < self.end + self.cls.deadline:
-            self.at(self.now + LOOK, self._look)
+            self.call_at(self.now + LOOK, self._look)
 
     # Failures.
 
@@ -484,32 +492,32 @@
         match fault.kind:
             case FaultKind.MACHINES:
                 chosen = self.rng.sample(self.hollows, fault.count)
-                self.at(begin, lambda: self._fail(chosen, None))
+                self.call_at(begin, lambda: self._fail(chosen, None))
             case FaultKind.RESTARTS:
                 chosen = self.rng.sample(self.hollows, fault.count)
                 for i, one in enumerate(chosen):
                     when = begin + (end - begin) * i // max(1, len(chosen))
-                    self.at(when, lambda one=one: self._restart(one))  # type: ignore[misc]
+                    self.call_at(when, lambda one=one: self._restart(one))  # type: ignore[misc]
             case FaultKind.RACK:
                 rack = [one for one in self.hollows if one.zone == first][: fault.count]
-                self.at(begin, lambda: self._fail(rack, end))
+                self.call_at(begin, lambda: self._fail(rack, end))
             case FaultKind.ZONE:
                 zone = [one for one in self.hollows if one.zone == first]
-                self.at(begin, lambda: self._fail(zone, end))
+                self.call_at(begin, lambda: self._fail(zone, end))
             case FaultKind.REGIONS_APART:
-                self.at(begin, lambda: self._part(True))
-                self.at(end, lambda: self._part(False))
+                self.call_at(begin, lambda: self._part(True))
+                self.call_at(end, lambda: self._part(False))
             case FaultKind.CONTROL:
-                self.at(begin, lambda: self._set_control(False))
-                self.at(end, lambda: self._set_control(True))
+                self.call_at(begin, lambda: self._set_control(False))
+                self.call_at(end, lambda: self._set_control(True))
 
     def _fail(self, chosen: list[Hollow], back: int | None) -> None:
         """Machines fall silent; the control machines notice a while later."""
         chosen = [one for one in chosen if one.alive]
         saved = {one.name: self._kill(one, back is not None) for one in chosen}
-        self.at(self.now + NOTICED, lambda: self._publish(chosen, "Terminating"))
+        self.call_at(self.now + NOTICED, lambda: self._publish(chosen, "Terminating"))
         if back is not None:
-            self.at(back, lambda: self._return(chosen, saved))
+            self.call_at(back, lambda: self._return(chosen, saved))
 
     def _return(self, chosen: list[Hollow], saved: dict[str, dict[str, Any] | None]) -> None:
         self._publish(chosen, "Ready")
@@ -521,7 +529,7 @@
             return
         self._publish([one], "Terminating")
         saved = {one.name: self._kill(one, True)}
-        self.at(self.now + RESTART, lambda: self._return([one], saved))
+        self.call_at(self.now + RESTART, lambda: self._return([one], saved))
 
     def _part(self, apart: bool) -> None:
         self.apart = apart
--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -39,7 +39,7 @@
 from honeyhitch.dead_letters.rules import Step, plan
 from honeyhitch.dead_letters.settings import Action, Rule, Terms
 from honeyhitch.dead_letters.store import Store
-from honeyhitch.journal.transactions import Try
+from honeyhitch.journal.transactions import Attempt
 from honeyhitch.service.service import run
 from tests.agent import Agent
 from tests.partner import Partner
@@ -226,7 +226,7 @@
         "deadline": now, "destination": 1, "cls": "standard", "effect": "keyed", "window": 5 * SECOND,
         "zoned": False, "tenant": "studio", "key": f"k{number}", "front": "resp", "came_again": False,
         "ending": "rejected", "reason": "refused", "come_back": 0, "first_ran": None, "first_zone": 0,
-        "tries": tuple(Try(i, "s-1", now, "refused", SECOND // 10, 0, "") for i in range(3)),
+        "tries": tuple(Attempt(i, "s-1", now, "refused", SECOND // 10, 0, "") for i in range(3)),
         "body": f"old-{number}".encode().ljust(size),
     }  # fmt: skip
     return Record(**{**told, **more})
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -27,7 +27,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 from benchmarks.start import cpu  # noqa: E402
-from honeyhitch.dispatcher.metrics import Figures  # noqa: E402
+from honeyhitch.dispatcher.metrics import Metrics  # noqa: E402
 from honeyhitch.journal.transactions import Ending, Transaction  # noqa: E402
 from tests.test_upgrade import Rig, loaded  # noqa: E402
 
@@ -123,11 +123,11 @@
         end = f"{last[name]} told, {seen_last[name]} seen at the end"
         print(f"{name:19} most {100 * max(far):.2f}% off under load; {end}")
     print(f"under load          {handed_in} messages handed in, {100 * used / seconds:.0f}% of a core")
-    transaction, counters = Transaction("id", 0, 1, 0, b""), Figures(("standard",))
+    transaction, counters = Transaction("id", 0, 1, 0, b""), Metrics(("standard",))
 
     def count() -> None:
-        counters.written((transaction,))
-        counters.ended(transaction, Ending.DELIVERED)
+        counters.call_written((transaction,))
+        counters.message_concluded(transaction, Ending.DELIVERED)
 
     rounds = 100_000
     print(f"counting            {1e6 * timeit.timeit(count, number=rounds) / rounds:.2f} us a message")
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -14,7 +14,7 @@
 import click
 
 from honeyhitch import config as configuration
-from honeyhitch.endpoints.pool import Pool, PoolError
+from honeyhitch.endpoints.pool import EndpointPool, PoolError
 from honeyhitch.policy import interface as api
 from honeyhitch.tls.settings import Partner, Scope, TlsSetup
 
@@ -24,12 +24,12 @@
 
 # For a look at files alone: what an instance would be told matters to neither trust nor names.
 BARE = api.Settings(
-    classes=(api.MessageClass(api.Effect.SAFE, aim=1, deadline=1),),
-    kinds=(api.Kind(),),
-    slots=1,
-    fall_multiple=1.0,
-    cold_share=1.0,
-    cold=1,
+    classes=(api.MessageClass(api.Idempotency.IDEMPOTENT, latency_objective=1, deadline=1),),
+    kinds=(api.DestinationKind(),),
+    max_concurrent_calls=1,
+    overload_factor=1.0,
+    slow_start_fraction=1.0,
+    slow_start_duration=1,
 )
 
 
@@ -83,13 +83,13 @@
 def _targets(config: configuration.Config | None, told: list[Partner]) -> list[tuple[Partner, str]]:
     if config is None:
         return []
-    pool, found = Pool(config.settings), []
+    pool, found = EndpointPool(config.settings), []
     try:
         pool.update(config.known)
     except PoolError as error:
         raise click.ClickException(f"known: {error}") from error
     setup = TlsSetup(tuple(told))
-    for member in pool.members.values():
+    for member in pool.endpoints.values():
         kind = config.settings.kind(member.kind).name
         partner = setup.partner_of(member.id, member.destination, kind)
         if partner is not None:
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -103,7 +103,9 @@
         raise ConfigError(
             f"limits.sockets: expected at least {FIXED_SOCKETS + LEAST_ROOM}, got {limits.sockets}"
         )
-    settings = replace(settings, slots=min(settings.slots, room // 2))  # a call is a descriptor
+    settings = replace(
+        settings, max_concurrent_calls=min(settings.max_concurrent_calls, room // 2)
+    )  # a call is a descriptor
     known = told.get("known") or {"revision": 0, "complete": True, "members": []}
     if not isinstance(known, dict):
         raise ConfigError("known: expected an object in discovery's form")
@@ -111,7 +113,7 @@
         operator or environ.get("ROUTER_OPERATOR", ""), str(values["name"]), settings, environ
     )
     if beside.fleet is not None:  # a destination has one owner a zone, and each has its part of the limit
-        settings = replace(settings, instances=len(beside.fleet.zones))
+        settings = replace(settings, instance_count=len(beside.fleet.zones))
     state = Path(str(values["state"]))
     if beside.control is not None and len(os.fsencode(beside.control.at(state))) > MOST_SOCKET_PATH:
         at = beside.control.at(state)
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -6,7 +6,30 @@
 from honeyhitch.config.values import decimal, pick, whole
 from honeyhitch.policy import interface as api
 
-EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
+EFFECTS = {
+    "pure": api.Idempotency.IDEMPOTENT,
+    "token": api.Idempotency.IDEMPOTENCY_KEY,
+    "side_effect": api.Idempotency.NON_IDEMPOTENT,
+}
+
+# How each field that the policy checks is named in an error about a deployment's settings.
+NAME_IN_ERRORS = {
+    "classes.latency_objective": "classes.aim",
+    "classes.priority_weight": "classes.worth",
+    "classes.late_weight_fraction": "classes.late_share",
+    "classes.deduplication_window": "classes.window",
+    "classes.objective_work_factor": "classes.aim_stretch",
+    "kinds.max_messages_per_call": "kinds.per_call",
+    "max_concurrent_calls": "slots",
+    "overload_factor": "fall_multiple",
+    "slow_start_fraction": "cold_share",
+    "slow_start_duration": "cold",
+    "ordering_pause": "order_pause",
+    "instance_count": "instances",
+    "max_messages": "max_open",
+    "connection_idle_timeout": "conn_idle",
+    "over_quota_weight": "over_share_worth",
+}
 
 
 def _flatten(value: object, path: str, into: dict[str, str]) -> None:
@@ -80,19 +103,21 @@
         """Class number i."""
         at = f"classes.{i}."
         return api.MessageClass(
-            effect=pick(EFFECTS, self.text(at + "semantics"), at + "semantics"),
-            aim=self.whole(at + "aim"),
+            idempotency=pick(EFFECTS, self.text(at + "semantics"), at + "semantics"),
+            latency_objective=self.whole(at + "aim"),
             deadline=self.whole(at + "deadline"),
-            worth=self.number(at + "worth", "1"),
-            late_share=self.number(at + "late-share", "0"),
-            group=api.Group.ALL if self.text(at + "group", "all") == "all" else api.Group.ZONE,
-            window=self.whole(at + "window", "0"),
-            in_order=self.flag(at + "by-arrival", "false"),
-            aim_stretch=self.number(at + "aim-stretch", "0"),
+            priority_weight=self.number(at + "worth", "1"),
+            late_weight_fraction=self.number(at + "late-share", "0"),
+            deduplication_scope=api.DeduplicationScope.ALL
+            if self.text(at + "group", "all") == "all"
+            else api.DeduplicationScope.ZONE,
+            deduplication_window=self.whole(at + "window", "0"),
+            ordered=self.flag(at + "by-arrival", "false"),
+            objective_work_factor=self.number(at + "aim-stretch", "0"),
             name=self.text(at + "name", ""),
         )
 
-    def kinds(self) -> tuple[api.Kind, ...]:
+    def kinds(self) -> tuple[api.DestinationKind, ...]:
         """The kinds of destination."""
         apart = [word in ("true", "1") for word in self.items("family-info.own-limits")]
         sizes = [whole(word, "family-info.per-call") for word in self.items("family-info.per-call")]
@@ -101,38 +126,47 @@
         names += [""] * (count - len(names))
         apart += [False] * (count - len(apart))
         sizes += [1] * (count - len(sizes))
-        return tuple(api.Kind(*row) for row in zip(apart, sizes, names, strict=True))
+        return tuple(api.DestinationKind(*row) for row in zip(apart, sizes, names, strict=True))
 
     def settings(self) -> api.Settings:
-        """All of it, in the module's terms."""
-        scales = {s.value: s for s in api.Scale} | {"live": api.Scale.ROUGH}
+        """All of it, in the policy's terms; ConfigError names what cannot be used."""
+        try:
+            return self._settings()
+        except api.SettingsError as error:
+            name = NAME_IN_ERRORS.get(error.field, error.field)
+            raise ConfigError(f"{name}: {error.reason}") from error
+
+    def _settings(self) -> api.Settings:
+        scales = {s.value: s for s in api.ListedRateMeaning} | {"live": api.ListedRateMeaning.ROUGH}
         tenants = range(self.whole("tenants.count", "0"))
         return api.Settings(
             classes=tuple(self.message_class(i) for i in range(self.whole("classes.count"))),
             kinds=self.kinds(),
-            slots=self.count("family-info.call-slots"),
-            fall_multiple=self.number("invariants.fall-multiple"),
-            cold_share=self.number("invariants.cold-share"),
-            cold=self.count("invariants.cold"),
-            order_pause=self.whole("invariants.order-pause", "0"),
-            instances=self.count("replicas-of-me", "1"),
+            max_concurrent_calls=self.count("family-info.call-slots"),
+            overload_factor=self.number("invariants.fall-multiple"),
+            slow_start_fraction=self.number("invariants.cold-share"),
+            slow_start_duration=self.count("invariants.cold"),
+            ordering_pause=self.whole("invariants.order-pause", "0"),
+            instance_count=self.count("replicas-of-me", "1"),
             zone=self.whole("zone", "0"),
             max_attempts=self.count("caps.most-tries", "5"),
-            cancel=self.flag("caps.cancel", "false"),
-            retry_after=self.flag("caps.retry-after", "true"),
+            can_cancel=self.flag("caps.cancel", "false"),
+            sends_retry_after=self.flag("caps.retry-after", "true"),
             max_retry_after=self.whole("caps.max-retry-after", "0"),
             connect_timeout=self.whole("caps.connect-timeout", "0"),
-            must_ask=self.text("discovery", "automatic") == "subscribe",
+            must_subscribe=self.text("discovery", "automatic") == "subscribe",
             resolution=self.whole("resolution", "0"),
-            decay=pick({d.value: d for d in api.Decay}, self.text("family-info.decay", "line"), "decay"),
-            scale=pick(scales, self.text("weights", "off"), "weights"),
-            price_cross_zone=self.number("prices.cross-zone", "0"),
+            late_decay=pick(
+                {d.value: d for d in api.LateDecay}, self.text("family-info.decay", "line"), "decay"
+            ),
+            listed_rate_meaning=pick(scales, self.text("weights", "off"), "weights"),
+            cross_zone_cost=self.number("prices.cross-zone", "0"),
             tenant_rates=tuple(self.number(f"tenants.{i}.quota-rps") for i in tenants),
-            over_share_worth=self.number("over-share-worth", "1"),
+            over_quota_weight=self.number("over-share-worth", "1"),
             tenant_names=tuple(self.text(f"tenants.{i}.name", "") for i in tenants),
             zone_names=tuple(self.items("zones")),
             report_fields=tuple(self.items("report.fields")),
-            max_open=self.count("caps.max-open", str(1 << 30)),
-            conn_idle=self.whole("caps.conn-idle", "0"),
+            max_messages=self.count("caps.max-open", str(1 << 30)),
+            connection_idle_timeout=self.whole("caps.conn-idle", "0"),
             drain_grace=self.whole("invariants.drain-grace", "2000000000"),
         )
--- a/honeyhitch/config/undelivered.py
+++ b/honeyhitch/config/undelivered.py
@@ -59,7 +59,9 @@
 
 def _terms(table: Table, settings: api.Settings) -> Terms:
     standard = Terms()
-    copies = table.choice("copies", ("here", "anywhere"), "here" if settings.instances == 1 else "anywhere")
+    copies = table.choice(
+        "copies", ("here", "anywhere"), "here" if settings.instance_count == 1 else "anywhere"
+    )
     share = table.get("share", float, standard.share)
     if not 0 < share <= 0.5:
         raise ConfigError(f"{table.at}.share: expected above 0 and at most 0.5, got {share:g}")
--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -11,7 +11,7 @@
 
 from honeyhitch.dead_letters.records import Standing
 from honeyhitch.dead_letters.resends import Known
-from honeyhitch.dispatcher.ports import Came
+from honeyhitch.dispatcher.ports import ArrivalDecision
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy import interface as api
 
@@ -87,7 +87,7 @@
         else:
             state = State.DONE if record.settled_by.startswith("resend:") else State.OVER
         first = (record.first_ran, record.first_zone) if record.first_ran is not None else None
-        keyed = record.effect == api.Effect.KEYED.value
+        keyed = record.effect == api.Idempotency.IDEMPOTENCY_KEY.value
         self.cases[key] = Case(state, record.ended_at, keyed, record.window, first, record.resends > 0)
 
     def case(self, transaction: Transaction, now: int) -> Case | None:
@@ -98,25 +98,25 @@
             return None
         return case
 
-    def came(self, transaction: Transaction, now: int) -> Came:
+    def came(self, transaction: Transaction, now: int) -> ArrivalDecision:
         """A client handed it in; what becomes of it. Where a resend may have run, `past` is set."""
         self.count(transaction)
         case = self.case(transaction, now)
         if case is None:
-            return Came.GO
+            return ArrivalDecision.DELIVER
         if case.resent and case.first is not None:
-            transaction.past = case.first
-        if transaction.attempts:  # it was on its way before a restart; no resend began meanwhile
-            return Came.GO
+            transaction.earlier_execution = case.first
+        if transaction.attempt_count:  # it was on its way before a restart; no resend began meanwhile
+            return ArrivalDecision.DELIVER
         if case.state is State.SENDING:
-            return Came.WAIT
+            return ArrivalDecision.WAIT
         if case.state is State.DONE:
             first = case.first[0] if case.first is not None else case.at
             if case.keyed and now >= first + case.window:  # the receiver has forgotten the key: a new message
-                transaction.past = None
-                return Came.GO
-            return Came.DONE
-        return Came.GO
+                transaction.earlier_execution = None
+                return ArrivalDecision.DELIVER
+            return ArrivalDecision.ALREADY_DELIVERED
+        return ArrivalDecision.DELIVER
 
     def count(self, transaction: Transaction) -> None:
         """A client's message is held, or waits for the store."""
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -52,7 +52,7 @@
         self.figures, self.failing = Figures(), ""
         self.after: list[Callable[[list[records.Record]], None]] = []  # told of what has come to the store
 
-    def keep(self, transaction: Transaction) -> None:
+    def store(self, transaction: Transaction) -> None:
         """Move it as soon as may be."""
         self.waiting[transaction.id, transaction.ended_at] = transaction
         self._let_go()
@@ -89,8 +89,8 @@
 
     def _failed(self, error: str) -> None:
         self.moving, self.paused, self.failing = [], True, error
-        log.error("undelivered.store-failed", error=error, waiting=len(self.waiting), key=error)
-        self.scheduler.at(self.scheduler.now() + self.pause, self._again)
+        log.error("undelivered.store-failed", error=error, waiting=len(self.waiting), ordering_key=error)
+        self.scheduler.call_at(self.scheduler.now() + self.pause, self._again)
         self.pause = min(2 * self.pause, MOST_PAUSE)
         self._let_go()
 
@@ -102,19 +102,21 @@
         """Live traffic needs the journal's room: what has waited for longest goes, and what may have run goes
         last.
         """
-        most = JOURNAL_SHARE * self.journal.disk
-        if self.journal.waiting <= most:
+        most = JOURNAL_SHARE * self.journal.max_bytes
+        if self.journal.dead_letter_bytes <= most:
             return
-        answered = [one for one in self.waiting.values() if one.id not in self.journal.held.by_id]
-        for transaction in sorted(answered, key=lambda one: one.first_ran() is not None):  # else as they came
-            if self.journal.waiting <= most:
+        answered = [one for one in self.waiting.values() if one.id not in self.journal.messages.by_id]
+        for transaction in sorted(
+            answered, key=lambda one: one.first_possible_execution() is not None
+        ):  # else as they came
+            if self.journal.dead_letter_bytes <= most:
                 return
             if transaction in self.moving:
                 continue
-            ran = transaction.first_ran() is not None
+            ran = transaction.first_possible_execution() is not None
             del self.waiting[transaction.id, transaction.ended_at]
             self.figures.let_go[ran] += 1
-            log.error("undelivered.let-go", message=transaction.id, may_have_run=ran, key=str(ran))
+            log.error("undelivered.let-go", message=transaction.id, may_have_run=ran, ordering_key=str(ran))
             self.kept(transaction)
 
 
@@ -123,10 +125,10 @@
     for one in dropped:
         log.warning(
             "undelivered.dropped",
-            why=one.why,
+            failure_reason=one.why,
             count=one.count,
             bytes=one.size,
             may_have_run=one.may_have_run,
             messages=",".join(one.ids),
-            key=f"{one.why} {one.may_have_run}",
+            ordering_key=f"{one.why} {one.may_have_run}",
         )
--- a/honeyhitch/dead_letters/pacing.py
+++ b/honeyhitch/dead_letters/pacing.py
@@ -38,13 +38,13 @@
         self.out = 0
         self.lanes: dict[int, Lane] = {}
 
-    def look(self, destination: int, condition: api.Condition, now: int) -> Lane:
+    def look(self, destination: int, condition: api.DestinationHealth, now: int) -> Lane:
         """Take note of how it stands."""
         lane = self.lanes.setdefault(destination, Lane(at=now))
-        rate = max(0.01, self.share * condition.part)
+        rate = max(0.01, self.share * condition.quota)
         lane.left = min(max(1.0, BURST), lane.left + rate * max(0, now - lane.at) / SECOND)
         lane.at = now
-        if condition.sick or not condition.listed:
+        if condition.unhealthy or not condition.listed:
             lane.since, lane.proved = None, False
         elif lane.since is None:
             lane.since = now
@@ -55,26 +55,31 @@
         since = self.lanes[destination].since if destination in self.lanes else None
         return max(0, now - since) if since is not None else 0
 
-    def room(self, destination: int, condition: api.Condition, now: int) -> int:
+    def room(self, destination: int, condition: api.DestinationHealth, now: int) -> int:
         """How many resends may start there now."""
         lane = self.look(destination, condition, now)
         left = self.most - self.out
-        if not condition.listed or condition.queued or condition.waits_until > now or left <= 0:
+        if (
+            not condition.listed
+            or condition.has_queued_messages
+            or condition.retry_after_until > now
+            or left <= 0
+        ):
             return 0
-        if condition.used >= max(1, self.slots - self.most):  # live traffic needs them
+        if condition.concurrent_calls >= max(1, self.slots - self.most):  # live traffic needs them
             return 0
-        if condition.sick:
+        if condition.unhealthy:
             return int(self.tries(destination, condition, now))
-        if condition.ramping:
+        if condition.in_slow_start:
             return 0
         most = left if lane.proved else 1 - lane.out
         return max(0, min(most, self.most - lane.out, int(lane.left)))
 
-    def tries(self, destination: int, condition: api.Condition, now: int) -> bool:
+    def tries(self, destination: int, condition: api.DestinationHealth, now: int) -> bool:
         """Whether a single resend may try a sick one that nothing else tries."""
         lane = self.lanes.get(destination) or Lane()
-        quiet = now - max(condition.last_send, lane.tried_at) >= lane.gap
-        return condition.listed and condition.sick and quiet and not lane.out
+        quiet = now - max(condition.last_sent_at, lane.tried_at) >= lane.gap
+        return condition.listed and condition.unhealthy and quiet and not lane.out
 
     def began(self, destination: int, now: int) -> None:
         """A resend is on its way."""
--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -7,10 +7,10 @@
 from enum import Enum
 from typing import Any
 
-from honeyhitch.journal.transactions import Ending, Transaction, Try
+from honeyhitch.journal.transactions import Attempt, Ending, Transaction
 from honeyhitch.policy import interface as api
 
-NEVER_RAN = frozenset(one.value for one in api.Outcome if one.never_ran)
+NEVER_RAN = frozenset(one.value for one in api.Outcome if one.proves_not_executed)
 NOT_TRIED, LOST = "not-tried", "lost"  # reasons that are no outcomes: nothing was sent, or nobody saw the end
 
 
@@ -49,7 +49,7 @@
     come_back: int  # told to the client, 0 if nothing was
     first_ran: int | None  # when it may first have run; None if it never ran
     first_zone: int
-    tries: tuple[Try, ...]
+    tries: tuple[Attempt, ...]
     body: bytes
     seq: int = 0  # its place in the store
     standing: Standing = Standing.KEPT
@@ -73,12 +73,12 @@
         told["attempts"] = [
             {
                 "number": one.number,
-                "member": one.member,
-                "at": one.at,
+                "member": one.endpoint,
+                "at": one.started_at,
                 "outcome": one.outcome or LOST,
-                "took": one.took,
-                "wait": one.wait,
-                "why": one.why,
+                "took": one.elapsed,
+                "wait": one.retry_after,
+                "why": one.failure_reason,
                 "may_have_run": one.outcome not in NEVER_RAN,
             }
             for one in self.tries
@@ -119,52 +119,63 @@
 
 def of(transaction: Transaction, settings: api.Settings) -> Record:
     """The record of a transaction that ended undelivered."""
-    cls = settings.classes[transaction.cls]
+    cls = settings.classes[transaction.class_index]
     tenants = settings.tenant_names
-    first = transaction.first_ran()
+    first = transaction.first_possible_execution()
     rejected = transaction.ending is Ending.REJECTED
     return Record(
         id=transaction.id,
         ended_at=transaction.ended_at,
-        came_at=transaction.came_at,
+        came_at=transaction.accepted_at,
         deadline=transaction.deadline,
         destination=transaction.destination,
-        cls=settings.class_names[transaction.cls],
-        effect=cls.effect.value,
-        window=cls.window,
-        zoned=cls.group is api.Group.ZONE,
+        cls=settings.class_names[transaction.class_index],
+        effect=cls.idempotency.value,
+        window=cls.deduplication_window,
+        zoned=cls.deduplication_scope is api.DeduplicationScope.ZONE,
         tenant=tenants[transaction.tenant] if transaction.tenant < len(tenants) else str(transaction.tenant),
         key=transaction.key,
-        front=transaction.front,
-        came_again=transaction.came_again,
+        front=transaction.frontend,
+        came_again=transaction.recovered_from_journal,
         ending=transaction.ending.value if transaction.ending else "",
         reason=reason(transaction),
-        come_back=transaction.come_back,
+        come_back=transaction.retry_after,
         first_ran=first[0] if first else None,
         first_zone=first[1] if first else 0,
-        tries=tuple(transaction.tries),
+        tries=tuple(transaction.attempt_history),
         body=transaction.body,
         changed_at=transaction.ended_at,
-        told_again=transaction.ended_at + transaction.come_back if rejected else None,
+        told_again=transaction.ended_at + transaction.retry_after if rejected else None,
     )
 
 
 def reason(transaction: Transaction) -> str:
     """Why it was not delivered, in a word."""
-    if not transaction.attempts:
+    if not transaction.attempt_count:
         return NOT_TRIED
-    return (transaction.tries[-1].outcome if transaction.tries else "") or LOST
+    return (transaction.attempt_history[-1].outcome if transaction.attempt_history else "") or LOST
 
 
-def pack_tries(tries: tuple[Try, ...]) -> str:
+def pack_tries(tries: tuple[Attempt, ...]) -> str:
     """The history as it is stored."""
-    rows = [[one.number, one.member, one.at, one.outcome, one.took, one.wait, one.why] for one in tries]
+    rows = [
+        [
+            one.number,
+            one.endpoint,
+            one.started_at,
+            one.outcome,
+            one.elapsed,
+            one.retry_after,
+            one.failure_reason,
+        ]
+        for one in tries
+    ]
     return json.dumps(rows, separators=(",", ":"))
 
 
-def unpack_tries(text: str) -> tuple[Try, ...]:
+def unpack_tries(text: str) -> tuple[Attempt, ...]:
     """The history from the store; ValueError or TypeError if it is none."""
-    return tuple(Try(*row) for row in json.loads(text))
+    return tuple(Attempt(*row) for row in json.loads(text))
 
 
 LATER = {"told_again": None, "asked": ""}  # columns of later versions, and what they hold in older records
--- a/honeyhitch/dead_letters/resending.py
+++ b/honeyhitch/dead_letters/resending.py
@@ -23,11 +23,11 @@
 from honeyhitch.dead_letters.settings import Rule, Undelivered
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dead_letters.worker import Done, Job
-from honeyhitch.dispatcher.dispatcher import BUSY, Dispatcher
-from honeyhitch.dispatcher.ports import Came, Scheduler
-from honeyhitch.journal.transactions import RESEND, Ending, Transaction
+from honeyhitch.dispatcher.dispatcher import BUSY_RETRY_AFTER, Dispatcher
+from honeyhitch.dispatcher.ports import ArrivalDecision, Scheduler
+from honeyhitch.journal.transactions import RESEND_FRONTEND, Ending, Transaction
 from honeyhitch.policy import interface as api
-from honeyhitch.policy.health import condition
+from honeyhitch.policy.health import destination_health
 
 log = logs.get()
 SECOND = 10**9  # ns
@@ -58,28 +58,31 @@
         self.dispatcher, self.scheduler, self.submit = dispatcher, scheduler, submit
         self.rules, self.terms = setup.rules, setup.terms
         self.most_records = setup.limits.count
-        settings = dispatcher.s
+        settings = dispatcher.settings
         self.longest = {
-            name: cls.aim for name, cls in zip(settings.class_names, settings.classes, strict=True)
+            name: cls.latency_objective
+            for name, cls in zip(settings.class_names, settings.classes, strict=True)
         }
         self.copies, self.rates = Copies(self.terms.memory), Rates()
-        self.pacing = Pacing(self.terms.share, settings.slots)
+        self.pacing = Pacing(self.terms.share, settings.max_concurrent_calls)
         self.under_way: dict[str, Transaction] = {}  # resends from the journal's record to the store's
         self.parked: dict[Key, list[Transaction]] = {}  # clients' copies that wait for one
         self.waiting: dict[int, int] = {}  # destinations with records, and when the first is due
         self.turn: list[int] = []  # destinations in the order in which they are looked at
         self.loaded = self.asking = False
         self.refresh_at, self.again = 0, AGAIN
-        dispatcher.fronts[RESEND] = self
-        dispatcher.guard = self
+        dispatcher.frontends[RESEND_FRONTEND] = self
+        dispatcher.resend_coordinator = self
 
     # The start, and new rules.
 
     def begin(self, ready: Callable[[], None]) -> None:
         """Learn what is kept; `ready` is called once that is known, or cannot be."""
-        held = self.dispatcher.held
-        for one in (*held.by_id.values(), *held.unmoved.values()):
-            if one.front != RESEND and (one.ending is None or (one.keep and not one.moved)):
+        held = self.dispatcher.messages
+        for one in (*held.by_id.values(), *held.pending_dead_letters.values()):
+            if one.frontend != RESEND_FRONTEND and (
+                one.ending is None or (one.is_dead_letter and not one.dead_letter_stored)
+            ):
                 self.copies.count(one)
         there, now = frozenset(held.by_id), self.scheduler.now()
 
@@ -91,8 +94,8 @@
 
         def done(result: Any) -> None:
             if isinstance(result, Exception):
-                log.error("undelivered.not-loaded", error=str(result), key=str(result))
-                self.scheduler.at(self.scheduler.now() + MOST_AGAIN, lambda: self.begin(lambda: None))
+                log.error("undelivered.not-loaded", error=str(result), ordering_key=str(result))
+                self.scheduler.call_at(self.scheduler.now() + MOST_AGAIN, lambda: self.begin(lambda: None))
             else:
                 known, self.waiting, count = result
                 self.copies.load(known)
@@ -118,13 +121,13 @@
 
     def _tick(self) -> None:
         now = self.scheduler.now()
-        self.scheduler.at(now + TICK, self._tick)
+        self.scheduler.call_at(now + TICK, self._tick)
         self.copies.forget(now, 2 * self.most_records)
         self._look()
 
     def _look(self) -> None:
         now = self.scheduler.now()
-        if not self.loaded or self.asking or self.dispatcher.leaving or not self.dispatcher.taking:
+        if not self.loaded or self.asking or self.dispatcher.draining or not self.dispatcher.accepting:
             return
         wanted = self._wanted(now)
         if not wanted and now < self.refresh_at:
@@ -147,10 +150,10 @@
         wanted: dict[int, tuple[int, int]] = {}
         left = self.pacing.most - self.pacing.out
         for destination in looked_at:
-            stands = condition(self.dispatcher.brain, destination, now)
+            stands = destination_health(self.dispatcher.policy, destination, now)
             room = min(left, self.pacing.room(destination, stands, now))
             if room > 0 and self.waiting.get(destination, ENDLESS) <= now:
-                healthy = ENDLESS if stands.sick else self.pacing.healthy(destination, now)
+                healthy = ENDLESS if stands.unhealthy else self.pacing.healthy(destination, now)
                 wanted[destination] = (room, healthy)
                 left -= room
         return wanted
@@ -158,7 +161,7 @@
     def _found(self, result: Any) -> None:
         self.asking = False
         if isinstance(result, Exception):
-            log.error("undelivered.store-failed", error=str(result), key=str(result))
+            log.error("undelivered.store-failed", error=str(result), ordering_key=str(result))
             return
         found, self.waiting = result
         now = self.scheduler.now()
@@ -169,15 +172,17 @@
         record, rule = candidate.record, candidate.rule
         if record.key and self.copies.blocked((record.destination, record.key)):
             return self._later(record, now + SECOND)
-        stands = condition(self.dispatcher.brain, record.destination, now)
+        stands = destination_health(self.dispatcher.policy, record.destination, now)
         if not self.pacing.room(record.destination, stands, now):
             return  # it has changed meanwhile; the record is still due
         if not self.rates.take(rule.name, rule.rate, now):
             return self._later(record, now + int(SECOND / rule.rate))
-        made = resends.transaction(candidate, self.dispatcher.s, now)
-        if not self.dispatcher.offer_resend(made):
+        made = resends.transaction(candidate, self.dispatcher.settings, now)
+        if not self.dispatcher.submit_resend(made):
             return self._later(record, now + SECOND)
-        log.info("undelivered.resend", message=record.id, resend=made.id, rule=rule.name, key=rule.name)
+        log.info(
+            "undelivered.resend", message=record.id, resend=made.id, rule=rule.name, ordering_key=rule.name
+        )
         self._under_way(made, now)
         self._claim(made)
 
@@ -196,15 +201,17 @@
             if made.ending is not None:  # called off meanwhile
                 return
             if isinstance(result, Record):
-                made.past = resends.past_of(result)
-                self.dispatcher.go_on(made)
+                made.earlier_execution = resends.past_of(result)
+                self.dispatcher.release(made)
                 return
             if isinstance(result, Exception):  # it may have been claimed all the same: its end is written
-                log.error("undelivered.claim-failed", resend=made.id, error=str(result), key=str(result))
+                log.error(
+                    "undelivered.claim-failed", resend=made.id, error=str(result), ordering_key=str(result)
+                )
             self.dispatcher.conclude(made, Ending.REJECTED)
 
         def job(store: Store) -> Record | None:
-            return resends.claim(store, int(made.reply), made.id, rules, longest, now)
+            return resends.claim(store, int(made.reply_context), made.id, rules, longest, now)
 
         if not self.submit(job, done):
             self.dispatcher.conclude(made, Ending.REJECTED)
@@ -218,8 +225,8 @@
 
         def done(result: Any) -> None:
             if isinstance(result, Exception):
-                log.error("undelivered.store-failed", error=str(result), key=str(result))
-                self.scheduler.at(self.scheduler.now() + self.again, lambda: self.answer(transaction))
+                log.error("undelivered.store-failed", error=str(result), ordering_key=str(result))
+                self.scheduler.call_at(self.scheduler.now() + self.again, lambda: self.answer(transaction))
                 self.again = min(2 * self.again, MOST_AGAIN)
                 return
             self.again = AGAIN
@@ -232,43 +239,43 @@
         del self.under_way[transaction.id]
         self.pacing.ended(transaction.destination)
         self.copies.sent(transaction, known_of(record) if record is not None else None)
-        self.dispatcher.answered(transaction)
+        self.dispatcher.answer_sent(transaction)
         if not self.under_way:  # the next ones need not wait for the tick
-            self.scheduler.at(self.scheduler.now(), self._look)
+            self.scheduler.call_at(self.scheduler.now(), self._look)
         key = self.copies.key(transaction)
         for copy in self.parked.pop(key, []) if key is not None else ():
             if transaction.ending is Ending.DELIVERED:
                 self.dispatcher.conclude(copy, Ending.DELIVERED)
             else:
                 case = self.copies.case(copy, self.scheduler.now())
-                copy.past = case.first if case is not None and case.resent else None
-                self.dispatcher.go_on(copy)
+                copy.earlier_execution = case.first if case is not None and case.resent else None
+                self.dispatcher.release(copy)
 
     # As the guard.
 
-    def came(self, transaction: Transaction) -> Came:
+    def decide_arrival(self, transaction: Transaction) -> ArrivalDecision:
         """A client handed it in; one that must wait for a resend is parked."""
         now = self.scheduler.now()
         came = self.copies.came(transaction, now)
         key = self.copies.key(transaction)
-        if came is Came.WAIT and key is not None:
+        if came is ArrivalDecision.WAIT and key is not None:
             self.parked.setdefault(key, []).append(transaction)
-            at = max(now, transaction.deadline - SOON - 2 * self.dispatcher.s.resolution)
-            self.scheduler.at(at, lambda: self._late(transaction))
+            at = max(now, transaction.deadline - SOON - 2 * self.dispatcher.settings.resolution)
+            self.scheduler.call_at(at, lambda: self._late(transaction))
             for made in list(self.under_way.values()):
                 if self.copies.key(made) == key:
                     self._call_off(made)
         return came
 
-    def came_back(self, transaction: Transaction) -> None:
+    def recover_resend(self, transaction: Transaction) -> None:
         """A resend that the journal still holds after a start: claimed or not, the store says."""
         self._under_way(transaction, self.scheduler.now())
         self._claim(transaction)
 
     def _call_off(self, made: Transaction) -> None:
         """A client brings it itself: that goes first, unless an attempt is out."""
-        if made.id not in self.dispatcher.out:
-            never = made.first_ran() is None
+        if made.id not in self.dispatcher.calls_in_flight:
+            never = made.first_possible_execution() is None
             self.dispatcher.conclude(made, Ending.REJECTED if never else Ending.FAILED)
 
     def _late(self, transaction: Transaction) -> None:
@@ -277,10 +284,13 @@
         if key is None or transaction not in self.parked.get(key, ()):
             return
         self.parked[key].remove(transaction)
-        cls = self.dispatcher.s.classes[transaction.cls]
-        keyed = cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL
-        if cls.effect is api.Effect.SAFE or keyed:
-            self.dispatcher.conclude(transaction, Ending.REJECTED, BUSY)
+        cls = self.dispatcher.settings.classes[transaction.class_index]
+        keyed = (
+            cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+            and cls.deduplication_scope is api.DeduplicationScope.ALL
+        )
+        if cls.idempotency is api.Idempotency.IDEMPOTENT or keyed:
+            self.dispatcher.conclude(transaction, Ending.REJECTED, BUSY_RETRY_AFTER)
         else:
             self.dispatcher.conclude(transaction, Ending.FAILED)
 
@@ -289,23 +299,25 @@
         if outcome is api.Outcome.DELIVERED:
             self.pacing.passed(transaction.destination)
         key = self.copies.key(transaction)
-        if transaction.front == RESEND and transaction.ending is None and key in self.parked:
+        if transaction.frontend == RESEND_FRONTEND and transaction.ending is None and key in self.parked:
             self._call_off(transaction)
 
-    def ended(self, transaction: Transaction) -> None:
+    def message_concluded(self, transaction: Transaction) -> None:
         """How it ends is decided; what the store gets counts until it is there."""
-        if transaction.front != RESEND and not (transaction.keep and not transaction.moved):
+        if transaction.frontend != RESEND_FRONTEND and not (
+            transaction.is_dead_letter and not transaction.dead_letter_stored
+        ):
             self.copies.gone(transaction)
             key = self.copies.key(transaction)
             if key is not None and transaction in self.parked.get(key, ()):  # withdrawn
                 self.parked[key].remove(transaction)
 
-    def moved(self, transaction: Transaction) -> None:
+    def dead_letter_stored(self, transaction: Transaction) -> None:
         """The store has it, or it was let go."""
         self.copies.gone(transaction)
         self.look_soon()
 
-    def settles(self, transaction: Transaction) -> bool:
+    def settles_dead_letter(self, transaction: Transaction) -> bool:
         """Whether the delivery of a client's message settles what is kept."""
         key = self.copies.key(transaction)
         others = key is not None and self.copies.live.get(key, 0) > 1  # one may wait for the store
--- a/honeyhitch/dead_letters/resends.py
+++ b/honeyhitch/dead_letters/resends.py
@@ -17,7 +17,7 @@
 from honeyhitch.dead_letters.rules import Plan, Step, plan
 from honeyhitch.dead_letters.settings import Rule
 from honeyhitch.dead_letters.store import Store
-from honeyhitch.journal.transactions import RESEND, Ending, Transaction
+from honeyhitch.journal.transactions import RESEND_FRONTEND, Ending, Transaction
 from honeyhitch.policy import interface as api
 
 WHO = "honeyhitch"
@@ -166,14 +166,14 @@
     none that is intact.
     """
     with store.at_once():
-        kept = store.get(int(ended.reply))
+        kept = store.get(int(ended.reply_context))
         if kept is None or kept.fault:
             return None
         record = kept.record
         if record.resend_id != ended.id or record.standing is not Standing.SENDING:
             return record  # never claimed; or written already, before a kill
-        first = ended.first_ran()
-        record.tries = (*record.tries, *ended.tries)
+        first = ended.first_possible_execution()
+        record.tries = (*record.tries, *ended.attempt_history)
         if first is not None:  # what was proved of earlier attempts says nothing of this one
             if record.first_ran is None or first[0] < record.first_ran or record.evidence:
                 record.first_ran, record.first_zone = first
@@ -184,7 +184,7 @@
             store.change(record, WHO, "settled", f"resend {ended.id} was delivered")
         else:
             record.standing = Standing.KEPT
-            if ended.attempts:
+            if ended.attempt_count:
                 record.reason = reason(ended)
             store.change(record, WHO, "resend-ended", f"resend {ended.id}: {reason(ended)}")
         return record
@@ -217,14 +217,14 @@
     tenants: tuple[Any, ...] = settings.tenant_names
     return Transaction(
         id=resend_id(record),
-        cls=number,
+        class_index=number,
         destination=record.destination,
         deadline=min(deadline, candidate.until) if candidate.until else deadline,
         body=record.body,
         key=record.key,
         tenant=tenants.index(record.tenant) if record.tenant in tenants else 0,
-        front=RESEND,
-        reply=str(record.seq),
+        frontend=RESEND_FRONTEND,
+        reply_context=str(record.seq),
     )
 
 
--- a/honeyhitch/dead_letters/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -52,7 +52,7 @@
     """
     possible = record.told_again is not None or record.came_again
     return Past(
-        effect=api.Effect(record.effect),
+        effect=api.Idempotency(record.effect),
         window=record.window,
         first_ran=record.first_ran,
         same_group=not record.zoned,
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -50,8 +50,14 @@
         self.reader = Worker(
             lambda: Store(folder, limits, clock=clock, writes=False, terms=terms), post, READS
         )
-        self.moving = Moving(dispatcher.s, dispatcher.journal, scheduler, self.writer.submit, dispatcher.kept)
-        dispatcher.keeper = self.moving
+        self.moving = Moving(
+            dispatcher.settings,
+            dispatcher.journal,
+            scheduler,
+            self.writer.submit,
+            dispatcher.dead_letter_stored,
+        )
+        dispatcher.dead_letter_sink = self.moving
         self.resending = Resending(setup, dispatcher, scheduler, self.writer.submit)
         self.moving.after.append(self.resending.kept)
 
@@ -104,7 +110,7 @@
                 tell_dropped(await self._done(self.writer, Store.make_room))
                 await self._done(self.writer, Store.tidy)
             except Exception as error:  # the store is opened again with the next job
-                log.error("undelivered.store-failed", error=str(error), key=str(error))
+                log.error("undelivered.store-failed", error=str(error), ordering_key=str(error))
             await asyncio.sleep(CARE)
 
     async def stop(self) -> None:
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -30,7 +30,7 @@
 )
 from honeyhitch.dead_letters.seal import Keys, SealError
 from honeyhitch.dead_letters.settings import Limits, Terms
-from honeyhitch.journal.transactions import Try
+from honeyhitch.journal.transactions import Attempt
 
 LEVEL = 3  # of compression
 LARGEST = 16 << 20  # bytes of a body when unpacked; nothing that was taken on is greater
@@ -337,7 +337,7 @@
         columns = dict(zip(COLUMNS, middle, strict=True))
         tries, packed, body, number, seal = row[1 + len(COLUMNS) :]
         fault, told = "", dict(columns)
-        plain, history = b"", tuple[Try, ...]()
+        plain, history = b"", tuple[Attempt, ...]()
         try:
             standing = Standing(told.pop("standing"))
             sealed = canonical({**columns, "seq": seq, "tries": tries, "packed": packed}, body)
--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from honeyhitch.endpoints.pool import PoolMember
+from honeyhitch.endpoints.pool import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy import interface as api
 
@@ -20,12 +20,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class DispatcherState:
     """The phase, how many transactions are held, and how many may be."""
 
     phase: Phase
-    held: int
-    most: int
+    message_count: int
+    max_messages: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,18 +37,20 @@
 
 
 @dataclass(slots=True)
-class Result:
+class CallResult:
     """How a call ended: an outcome for each of its transactions, and what the member told besides."""
 
     outcomes: list[tuple[api.Outcome, bool]]  # and whether nothing more is owed
-    wait: int = 0
-    told: dict[str, float] = field(default_factory=dict)
-    why: str = ""  # the name of a failure that outcomes do not tell apart
-    stale: bool = False  # a connection kept from an earlier call broke before any answer
-    crowded: bool = False  # a new connection was turned away, the member's table of them being full
+    retry_after: int = 0
+    reported: dict[str, float] = field(default_factory=dict)
+    failure_reason: str = ""  # the name of a failure that outcomes do not tell apart
+    connection_stale: bool = False  # a connection kept from an earlier call broke before any answer
+    connection_limited: bool = (
+        False  # a new connection was turned away, the member's table of them being full
+    )
 
     @classmethod
-    def same(cls, outcome: api.Outcome, count: int, over: bool = False) -> Result:
+    def uniform(cls, outcome: api.Outcome, count: int, over: bool = False) -> CallResult:
         """All of the call's transactions fared alike."""
         return cls([(outcome, over)] * count)
 
@@ -57,14 +59,14 @@
 class Call:
     """One call out: it has one slot and one fate, and carries one transaction or several."""
 
-    member: PoolMember
-    parts: list[Transaction]
-    numbers: list[int]  # of the attempts
+    endpoint: PoolEndpoint
+    messages: list[Transaction]
+    attempt_numbers: list[int]  # of the attempts
     timeouts: list[int]  # for each part, from `sent`
-    sent: int
-    open: list[bool]  # parts that have no outcome yet
-    begun: bool = False  # its first byte may have gone
-    late: bool = False  # since then the time of one of its parts has run out
+    sent_at: int
+    pending: list[bool]  # parts that have no outcome yet
+    started: bool = False  # its first byte may have gone
+    message_expired: bool = False  # since then the time of one of its parts has run out
 
     @property
     def timeout(self) -> int:
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -9,434 +9,474 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.dispatcher.delivery import Admission, Call, Phase, Result, State
-from honeyhitch.dispatcher.metrics import Figures
+from honeyhitch.dispatcher.delivery import Admission, Call, CallResult, DispatcherState, Phase
+from honeyhitch.dispatcher.metrics import Metrics
 from honeyhitch.dispatcher.ports import (
-    Came,
-    Carrier,
-    Front,
-    Guard,
-    Keeper,
-    Neighbour,
-    Opener,
+    ArrivalDecision,
+    ConnectionOpener,
+    DeadLetterSink,
+    Frontend,
+    PeerProcess,
+    QuotaSource,
+    ResendCoordinator,
     Scheduler,
-    Shares,
+    Transport,
 )
-from honeyhitch.endpoints.pool import Pool, PoolMember
-from honeyhitch.journal.journal import Journal, JournalFull
-from honeyhitch.journal.transactions import RESEND, Ending, Transaction, Try
+from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
+from honeyhitch.journal.journal import Journal, JournalFullError
+from honeyhitch.journal.transactions import RESEND_FRONTEND, Attempt, Ending, Transaction
 from honeyhitch.policy import interface as api
-from honeyhitch.policy.engine import Brain
-from honeyhitch.policy.health import avoided
+from honeyhitch.policy.engine import DeliveryPolicy
+from honeyhitch.policy.health import ejected_endpoints
 
 log = logs.get()
 MS = 1_000_000  # ns
 NEVER = 1 << 62  # ns
 SHARE_PAUSE = 250 * MS  # ns between looks whether a share of a limit is held again
-BUSY = 500 * MS  # ns; told to clients that are turned away before the module
+BUSY_RETRY_AFTER = 500 * MS  # ns; told to clients that are turned away before the module
 
 
 class Dispatcher:
     """One Brain, the transactions held, and the ports; all fronts share it."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, pool: Pool, journal: Journal, scheduler: Scheduler
+        self, settings: api.Settings, seed: int, pool: EndpointPool, journal: Journal, scheduler: Scheduler
     ) -> None:
-        self.s, self.pool, self.journal, self.scheduler = settings, pool, journal, scheduler
-        self.brain, self.held = Brain(settings, seed), journal.held
-        self.figures = Figures(cls.name for cls in settings.classes)
-        self.carriers: dict[str, Carrier] = {}
-        self.openers: dict[str, Opener] = {}
-        self.fronts: dict[str, Front] = {}
-        self.keeper: Keeper | None = None
-        self.guard: Guard | None = None
-        self.beside: Neighbour | None = None
-        self.shares: Shares | None = None
+        self.settings, self.pool, self.journal, self.scheduler = settings, pool, journal, scheduler
+        self.policy, self.messages = DeliveryPolicy(settings, seed), journal.messages
+        self.metrics = Metrics(cls.name for cls in settings.classes)
+        self.transports: dict[str, Transport] = {}
+        self.connection_openers: dict[str, ConnectionOpener] = {}
+        self.frontends: dict[str, Frontend] = {}
+        self.dead_letter_sink: DeadLetterSink | None = None
+        self.resend_coordinator: ResendCoordinator | None = None
+        self.peer_process: PeerProcess | None = None
+        self.quota_source: QuotaSource | None = None
         self.events: list[api.Event | Transaction] = []
-        self.live = False  # one of them is not behind others
-        self.out: dict[str, Call] = {}  # calls out, by the id of each transaction in them
-        self.tick_at, self.last_tick, self.last_live = NEVER, 0, 0  # the last: of a round with live events
-        self.taking, self.sending, self.leaving = True, True, False
+        self.has_normal_priority_event = False  # one of them is not behind others
+        self.calls_in_flight: dict[str, Call] = {}  # calls out, by the id of each transaction in them
+        self.next_round_at, self.last_round_at, self.last_normal_priority_round_at = (
+            NEVER,
+            0,
+            0,
+        )  # the last: of a round with live events
+        self.accepting, self.sending, self.draining = True, True, False
 
     # What comes in.
 
-    def resume(self) -> None:
+    def recover(self) -> None:
         """After a start: give the module each owed transaction with its attempts so far, and the keeper what
         it has not taken over yet.
         """
-        owed = [one for one in self.held.by_id.values() if one.id not in self.journal.passed]
-        self.take_up(owed, list(self.held.unmoved.values()))
+        owed = [one for one in self.messages.by_id.values() if one.id not in self.journal.handed_over]
+        self.take_over(owed, list(self.messages.pending_dead_letters.values()))
 
-    def take_up(self, owed: list[Transaction], unmoved: list[Transaction]) -> None:
+    def take_over(self, owed: list[Transaction], unmoved: list[Transaction]) -> None:
         """Go on with what a process left: it is in the journal, and nobody else goes on with it."""
-        if unmoved and self.keeper is None:
+        if unmoved and self.dead_letter_sink is None:
             log.warning("undelivered.off", waiting=len(unmoved))  # they stay for a start with a keeper
-        if self.keeper is not None:
+        if self.dead_letter_sink is not None:
             for transaction in unmoved:
-                self.keeper.keep(transaction)
+                self.dead_letter_sink.store(transaction)
         # Resends first: what came later may be a copy of one.
-        for transaction in sorted(owed, key=lambda one: one.front != RESEND):
+        for transaction in sorted(owed, key=lambda one: one.frontend != RESEND_FRONTEND):
             if transaction.ending is not None:  # decided already; only its answer may not have been sent
                 self._answer(transaction)
-                if transaction.keep and not transaction.moved and self.keeper is not None:
-                    self.keeper.keep(transaction)
-            elif transaction.front != RESEND:
-                transaction.came_again = True  # its age is not that of this process
+                if (
+                    transaction.is_dead_letter
+                    and not transaction.dead_letter_stored
+                    and self.dead_letter_sink is not None
+                ):
+                    self.dead_letter_sink.store(transaction)
+            elif transaction.frontend != RESEND_FRONTEND:
+                transaction.recovered_from_journal = True  # its age is not that of this process
                 self._admit(transaction)
-            elif self.guard is not None:
-                self.guard.came_back(transaction)
+            elif self.resend_coordinator is not None:
+                self.resend_coordinator.recover_resend(transaction)
             else:  # the store, where it is missed, will take it for one that may have run
                 log.warning("undelivered.off", resend=transaction.id)
-                self.journal.end(transaction, Ending.OVER)
+                self.journal.record_end(transaction, Ending.UNANSWERED)
 
-    def offer(self, transaction: Transaction) -> Admission:
+    def submit(self, transaction: Transaction) -> Admission:
         """Take a transaction on, or reject it at once; one that is held already is not taken twice."""
-        if self.journal.knows(transaction.id):
+        if self.journal.has_accepted(transaction.id):
             return Admission(True)
-        if self.beside is not None and self.beside.knows(transaction.id):
+        if self.peer_process is not None and self.peer_process.has_accepted(transaction.id):
             return Admission(True)
-        if not self.taking or len(self.held) >= self.s.max_open:
-            return self._turned_away(transaction)
-        transaction.came_at = self.scheduler.now()
+        if not self.accepting or len(self.messages) >= self.settings.max_messages:
+            return self._reject(transaction)
+        transaction.accepted_at = self.scheduler.now()
         try:
-            self.journal.taken(transaction)
-        except JournalFull as error:
+            self.journal.record_accepted(transaction)
+        except JournalFullError as error:
             log.warning("journal.full", what="message", error=str(error))
-            return self._turned_away(transaction)
+            return self._reject(transaction)
         now = self.scheduler.now()
-        if transaction.front != "resp" and self._keyed(transaction) and self.held.delivered(transaction, now):
-            self._delivered_before(transaction)  # as the receiver would say of a repeat
+        if (
+            transaction.frontend != "resp"
+            and self._has_idempotency_key(transaction)
+            and self.messages.first_execution_of_key(transaction, now)
+        ):
+            self._conclude_as_delivered(transaction)  # as the receiver would say of a repeat
         else:
             self._admit(transaction)
         return Admission(True)
 
-    def _turned_away(self, transaction: Transaction) -> Admission:
-        self.figures.turned_away(transaction)
-        return Admission(False, BUSY)
+    def _reject(self, transaction: Transaction) -> Admission:
+        self.metrics.message_rejected(transaction)
+        return Admission(False, BUSY_RETRY_AFTER)
 
-    def offer_resend(self, transaction: Transaction) -> bool:
+    def submit_resend(self, transaction: Transaction) -> bool:
         """Write a resend down; it goes to the module by `go_on` once the store has claimed it."""
-        full = len(self.held) >= self.s.max_open
-        if full or not self.taking or self.journal.knows(transaction.id):
+        full = len(self.messages) >= self.settings.max_messages
+        if full or not self.accepting or self.journal.has_accepted(transaction.id):
             return False
-        transaction.came_at = self.scheduler.now()
+        transaction.accepted_at = self.scheduler.now()
         try:
-            self.journal.taken(transaction)
-        except JournalFull:
+            self.journal.record_accepted(transaction)
+        except JournalFullError:
             return False
         return True
 
     def _admit(self, transaction: Transaction) -> None:
-        match self.guard.came(transaction) if self.guard is not None else Came.GO:
-            case Came.GO:
-                self._add(transaction)
-            case Came.DONE:
-                self._delivered_before(transaction)
-
-    def _delivered_before(self, transaction: Transaction) -> None:
+        match (
+            self.resend_coordinator.decide_arrival(transaction)
+            if self.resend_coordinator is not None
+            else ArrivalDecision.DELIVER
+        ):
+            case ArrivalDecision.DELIVER:
+                self._enqueue_event(transaction)
+            case ArrivalDecision.ALREADY_DELIVERED:
+                self._conclude_as_delivered(transaction)
+
+    def _conclude_as_delivered(self, transaction: Transaction) -> None:
         """It has been delivered already; the caller hears first that it was taken."""
         name = transaction.id
-        self.scheduler.at(self.scheduler.now(), lambda: self._final(name, Ending.DELIVERED, 0))
+        self.scheduler.call_at(
+            self.scheduler.now(), lambda: self._apply_final_answer(name, Ending.DELIVERED, 0)
+        )
 
-    def go_on(self, transaction: Transaction) -> None:
+    def release(self, transaction: Transaction) -> None:
         """It need not wait any longer."""
-        if self._owes(transaction.id):
-            self._add(transaction, behind=transaction.front == RESEND)
+        if self._undecided(transaction.id):
+            self._enqueue_event(transaction, low_priority=transaction.frontend == RESEND_FRONTEND)
 
-    def conclude(self, transaction: Transaction, ending: Ending, come_back: int = 0) -> None:
+    def conclude(self, transaction: Transaction, ending: Ending, retry_after: int = 0) -> None:
         """It ends so; whatever the module still had in mind for it is left out."""
-        if self._owes(transaction.id):
-            self._conclude(transaction, ending, come_back)
-            self._add(api.Withdrawn(transaction.id), behind=transaction.front == RESEND)
+        if self._undecided(transaction.id):
+            self._conclude(transaction, ending, retry_after)
+            self._enqueue_event(
+                api.MessageWithdrawn(transaction.id), low_priority=transaction.frontend == RESEND_FRONTEND
+            )
 
-    def _owes(self, name: str) -> Transaction | None:
+    def _undecided(self, name: str) -> Transaction | None:
         """The transaction of this name, if its end is still this process's to decide."""
-        found = self.held.by_id.get(name)
-        return found if found and found.ending is None and name not in self.journal.passed else None
-
-    def _keyed(self, transaction: Transaction) -> bool:
-        return bool(transaction.key) and self.s.classes[transaction.cls].effect is api.Effect.KEYED
-
-    def _taken(self, transaction: Transaction) -> api.NewMessage:
-        first = transaction.first_ran()
-        if first is None and self._keyed(transaction):  # a copy must keep to the window of the first
-            first = self.held.delivered(transaction, self.last_tick)
-        if transaction.past is not None:
-            first = min(first or transaction.past, transaction.past)
+        found = self.messages.by_id.get(name)
+        return found if found and found.ending is None and name not in self.journal.handed_over else None
+
+    def _has_idempotency_key(self, transaction: Transaction) -> bool:
+        return (
+            bool(transaction.key)
+            and self.settings.classes[transaction.class_index].idempotency is api.Idempotency.IDEMPOTENCY_KEY
+        )
+
+    def _new_message(self, transaction: Transaction) -> api.NewMessage:
+        first = transaction.first_possible_execution()
+        if first is None and self._has_idempotency_key(
+            transaction
+        ):  # a copy must keep to the window of the first
+            first = self.messages.first_execution_of_key(transaction, self.last_round_at)
+        if transaction.earlier_execution is not None:
+            first = min(first or transaction.earlier_execution, transaction.earlier_execution)
         return api.NewMessage(
             message=transaction.id,
-            cls=transaction.cls,
+            class_index=transaction.class_index,
             destination=transaction.destination,
-            time_left=transaction.deadline - self.last_tick,  # from the round's time, which the module adds
+            time_left=transaction.deadline
+            - self.last_round_at,  # from the round's time, which the module adds
             tenant=transaction.tenant,
-            came_again=transaction.came_again,
-            attempts=transaction.attempts,
-            ran_at=first[0] if first else None,
-            ran_zone=first[1] if first else 0,
-            behind=transaction.front == RESEND,
+            recovered_from_journal=transaction.recovered_from_journal,
+            attempts=transaction.attempt_count,
+            first_possible_execution=first[0] if first else None,
+            first_execution_zone=first[1] if first else 0,
+            low_priority=transaction.frontend == RESEND_FRONTEND,
         )
 
     def withdraw(self, name: str) -> None:
         """Nobody wants it any more: nothing further is tried, and no answer is sent."""
-        transaction = self._owes(name)
+        transaction = self._undecided(name)
         if transaction is not None:
-            self.journal.end(transaction, Ending.OVER)
-            self._add(api.Withdrawn(name))
-            if self.guard is not None:
-                self.guard.ended(transaction)
+            self.journal.record_end(transaction, Ending.UNANSWERED)
+            self._enqueue_event(api.MessageWithdrawn(name))
+            if self.resend_coordinator is not None:
+                self.resend_coordinator.message_concluded(transaction)
 
-    def state(self) -> State:
+    def state(self) -> DispatcherState:
         """How it stands to new work."""
-        if self.leaving or not self.sending:
+        if self.draining or not self.sending:
             phase = Phase.DRAINING if self.sending else Phase.DOWN
         else:
-            phase = Phase.READY if self.taking else Phase.STARTING
-        return State(phase, len(self.held), self.s.max_open)
+            phase = Phase.READY if self.accepting else Phase.STARTING
+        return DispatcherState(phase, len(self.messages), self.settings.max_messages)
 
-    def told(self) -> dict[str, Any]:
+    def metrics_snapshot(self) -> dict[str, Any]:
         """The figures as operators read them; those of messages and calls begin at 0 with the process."""
         return {
-            "responses": self.figures.told(),
-            "tries": sum(one.tries for one in self.figures.classes),
-            "active": len(self.held) - len(self.journal.passed),
-            "pool_size": len(self.pool.members),
-            "pool_ejected": avoided(self.brain, self.scheduler.now()),
+            "responses": self.metrics.snapshot(),
+            "tries": sum(one.tries for one in self.metrics.classes),
+            "active": len(self.messages) - len(self.journal.handed_over),
+            "pool_size": len(self.pool.endpoints),
+            "pool_ejected": ejected_endpoints(self.policy, self.scheduler.now()),
         }
 
-    def news(self, news: api.ListNews) -> None:
+    def apply_list_update(self, update: api.EndpointListUpdate) -> None:
         """The pool changed. Waits that its members told last, also over a member's coming back."""
-        self._add(news)
-        waits, now = self.journal.waits, self.scheduler.now()
+        self._enqueue_event(update)
+        waits, now = self.journal.retry_after_until, self.scheduler.now()
         for (destination, name), until in list(waits.items()):
             if until <= now:
                 del waits[destination, name]
-            elif name in self.pool.members:
-                self._add(api.Told(destination, name, until))
+            elif name in self.pool.endpoints:
+                self._enqueue_event(api.RetryAfterReceived(destination, name, until))
 
-    def told_elsewhere(self, events: list[api.Event]) -> None:
+    def apply_retry_after(self, events: list[api.Event]) -> None:
         """What another process of this dispatcher was told before it ended."""
         for event in events:
-            self._add(event)
+            self._enqueue_event(event)
 
-    def room(self, room: api.Room) -> None:
+    def apply_connection_capacity(self, capacity: api.ConnectionCapacity) -> None:
         """The connections to a gated member changed."""
-        self._add(room)
+        self._enqueue_event(capacity)
 
-    def begin(self, call: Call) -> bool:
+    def start_call(self, call: Call) -> bool:
         """The last look, right before the first byte of a call: whether any of it goes.
 
         What goes is written down, and what must not go any more leaves the call, with no attempt used up. A
         connection takes time to come up, and meanwhile a wait may have been told, the member may drain or be
         at another address, or the process may have been told to stop.
         """
-        now, listed = self.scheduler.now(), self.pool.members.get(call.member.id)
-        told = call.member
+        now, listed = self.scheduler.now(), self.pool.endpoints.get(call.endpoint.id)
+        told = call.endpoint
         there = listed is not None and (listed.address, listed.destination) == (
             told.address,
             told.destination,
         )
-        there = there and self._share_held(call.member, now)
-        for i, transaction in enumerate(call.parts):
-            if call.open[i] and not (self.sending and there and self.brain.goes(now, transaction.id)):
-                self._unused(call, i)
-            elif call.open[i]:
+        there = there and self._has_quota(call.endpoint, now)
+        for i, transaction in enumerate(call.messages):
+            if call.pending[i] and not (
+                self.sending and there and self.policy.may_start(now, transaction.id)
+            ):
+                self._message_not_started(call, i)
+            elif call.pending[i]:
                 try:
-                    self.journal.attempt(transaction, now, call.member.zone, call.member.id)
-                except JournalFull as error:  # what cannot be written down must not be sent
+                    self.journal.record_attempt(transaction, now, call.endpoint.zone, call.endpoint.id)
+                except JournalFullError as error:  # what cannot be written down must not be sent
                     log.warning("journal.full", what="attempt", error=str(error))
-                    self._outcome(call, i, api.Outcome.NOT_SENT, False, Result([]))
-        goes = [i for i, is_open in enumerate(call.open) if is_open]
-        call.parts = [call.parts[i] for i in goes]
-        call.numbers = [call.numbers[i] for i in goes]
+                    self._attempt_ended(call, i, api.Outcome.NOT_SENT, False, CallResult([]))
+        goes = [i for i, is_open in enumerate(call.pending) if is_open]
+        call.messages = [call.messages[i] for i in goes]
+        call.attempt_numbers = [call.attempt_numbers[i] for i in goes]
         call.timeouts = [call.timeouts[i] for i in goes]
-        call.open, call.begun = [True] * len(goes), True
+        call.pending, call.started = [True] * len(goes), True
         return bool(goes)
 
-    def _share_held(self, member: PoolMember, now: int) -> bool:
+    def _has_quota(self, member: PoolEndpoint, now: int) -> bool:
         """Whether this instance holds a share of the limit; where not, the module looks again soon."""
-        if self.shares is None or self.shares.portion(member.destination, now) > 0:
+        if self.quota_source is None or self.quota_source.quota_fraction(member.destination, now) > 0:
             return True
-        self._add(api.Told(member.destination, member.id, now + SHARE_PAUSE))
+        self._enqueue_event(api.RetryAfterReceived(member.destination, member.id, now + SHARE_PAUSE))
         return False
 
-    def hand_back(self, destination: int, retry_after: int) -> None:
+    def return_unattempted(self, destination: int, retry_after: int) -> None:
         """Another instance owns a destination now: what surely never ran is rejected, as handing it in again
         reaches that one. What may have run, and calls that are out, keep to the module.
         """
-        for transaction in list(self.held.by_id.values()):
-            untried = transaction.first_ran() is None and transaction.id not in self.out
-            if transaction.destination == destination and untried and transaction.front != RESEND:
+        for transaction in list(self.messages.by_id.values()):
+            untried = (
+                transaction.first_possible_execution() is None and transaction.id not in self.calls_in_flight
+            )
+            if transaction.destination == destination and untried and transaction.frontend != RESEND_FRONTEND:
                 self.conclude(transaction, Ending.REJECTED, retry_after)
 
-    def written(self, call: Call) -> None:
+    def call_written(self, call: Call) -> None:
         """The last byte of a call was handed to its connection."""
-        self.figures.written(call.parts)
+        self.metrics.call_written(call.messages)
 
-    def ended(self, call: Call, result: Result) -> None:
+    def call_ended(self, call: Call, result: CallResult) -> None:
         """A call ended; its slot is free.
 
         A call has one fate. Where its answer comes after one part's time, nobody can tell whether it counts
         for the others (docs/fleet-questions.md): they may have run, and that says nothing of health.
         """
-        self.told_wait(call.member, result.wait)
-        if call.late and api.Outcome.DELIVERED in (one for one, _ in result.outcomes):
+        self.retry_after_received(call.endpoint, result.retry_after)
+        if call.message_expired and api.Outcome.DELIVERED in (one for one, _ in result.outcomes):
             doubt = {(api.Outcome.DELIVERED, True): (api.Outcome.RESET, False)}
-            result.outcomes, result.stale = [doubt.get(one, one) for one in result.outcomes], True
+            result.outcomes, result.connection_stale = [doubt.get(one, one) for one in result.outcomes], True
         for i, (outcome, over) in enumerate(result.outcomes):
-            if call.open[i] and not call.begun and not self.sending:
-                self._unused(call, i)  # it was called off, as the process is about to end
-            elif call.open[i]:
-                self._outcome(call, i, outcome, over, result)
+            if call.pending[i] and not call.started and not self.sending:
+                self._message_not_started(call, i)  # it was called off, as the process is about to end
+            elif call.pending[i]:
+                self._attempt_ended(call, i, outcome, over, result)
         if not self.sending:
-            self.carriers[call.member.carrier].close_idle(call.member)
+            self.transports[call.endpoint.transport].close_idle(call.endpoint)
 
-    def told_wait(self, member: PoolMember, wait: int) -> None:
+    def retry_after_received(self, member: PoolEndpoint, wait: int) -> None:
         """A member told to wait so many nanoseconds, or not at 0. That binds its destination, whatever
         becomes of the messages of the call that brought it.
         """
         if wait:
             until = self.scheduler.now() + wait
-            self.journal.wait(member.destination, member.id, until)
-            self._add(api.Told(member.destination, member.id, until))
+            self.journal.record_retry_after(member.destination, member.id, until)
+            self._enqueue_event(api.RetryAfterReceived(member.destination, member.id, until))
 
-    def expired(self, call: Call, transaction: Transaction) -> None:
+    def message_expired(self, call: Call, transaction: Transaction) -> None:
         """One part of a call that is still out is out of time; one that has not begun is left out of it."""
-        for i, part in enumerate(call.parts):
-            if part is transaction and call.open[i]:
-                if call.begun:
-                    call.late = True
-                    self._outcome(call, i, api.Outcome.TIMEOUT, False, Result([]))
+        for i, part in enumerate(call.messages):
+            if part is transaction and call.pending[i]:
+                if call.started:
+                    call.message_expired = True
+                    self._attempt_ended(call, i, api.Outcome.TIMEOUT, False, CallResult([]))
                 else:
-                    self._unused(call, i)
-                if not any(call.open):  # nobody waits for its answer any more
-                    self.carriers[call.member.carrier].give_up(call)
+                    self._message_not_started(call, i)
+                if not any(call.pending):  # nobody waits for its answer any more
+                    self.transports[call.endpoint.transport].cancel(call)
 
-    def _unused(self, call: Call, i: int) -> None:
-        self._outcome(call, i, api.Outcome.NOT_SENT, False, Result([]), unused=True)
+    def _message_not_started(self, call: Call, i: int) -> None:
+        self._attempt_ended(call, i, api.Outcome.NOT_SENT, False, CallResult([]), unused=True)
 
-    def _outcome(
-        self, call: Call, i: int, outcome: api.Outcome, over: bool, result: Result, unused: bool = False
+    def _attempt_ended(
+        self, call: Call, i: int, outcome: api.Outcome, over: bool, result: CallResult, unused: bool = False
     ) -> None:
-        transaction, number = call.parts[i], call.numbers[i]
-        call.open[i] = False
-        self.out.pop(transaction.id, None)
-        if outcome.never_ran and not unused:
-            self.journal.never_ran(transaction, number)
-        if self.keeper is not None and outcome is not api.Outcome.DELIVERED and not unused:
-            took, wait = self.scheduler.now() - call.sent, result.wait
-            told = Try(number, call.member.id, call.sent, outcome.value, took, wait, result.why)
-            self.journal.outcome(transaction, told)
-        owed = self._owes(transaction.id) is not None
+        transaction, number = call.messages[i], call.attempt_numbers[i]
+        call.pending[i] = False
+        self.calls_in_flight.pop(transaction.id, None)
+        if outcome.proves_not_executed and not unused:
+            self.journal.record_not_executed(transaction, number)
+        if self.dead_letter_sink is not None and outcome is not api.Outcome.DELIVERED and not unused:
+            took, wait = self.scheduler.now() - call.sent_at, result.retry_after
+            told = Attempt(
+                number, call.endpoint.id, call.sent_at, outcome.value, took, wait, result.failure_reason
+            )
+            self.journal.record_outcome(transaction, told)
+        owed = self._undecided(transaction.id) is not None
         if over and owed:
             if outcome is api.Outcome.DELIVERED:
                 self._conclude(transaction, Ending.DELIVERED, 0)
             else:
-                self._conclude(transaction, Ending.OVER, 0)
-        self._add(
+                self._conclude(transaction, Ending.UNANSWERED, 0)
+        self._enqueue_event(
             api.AttemptEnded(
                 message=transaction.id,
                 attempt=number,
-                endpoint=call.member.id,
+                endpoint=call.endpoint.id,
                 outcome=outcome,
-                took=self.scheduler.now() - call.sent,
-                settled=over or not owed,
-                wait=result.wait,
-                allowance=result.told.get("x0", 1.0),
-                limit=result.told.get("x1", 0.0) * self._portion(call.member.destination),
-                stale=result.stale,
-                crowded=result.crowded,
-                unused=unused,
+                elapsed=self.scheduler.now() - call.sent_at,
+                message_concluded=over or not owed,
+                retry_after=result.retry_after,
+                limit_remaining=result.reported.get("x0", 1.0),
+                rate_limit=result.reported.get("x1", 0.0) * self._quota_fraction(call.endpoint.destination),
+                connection_stale=result.connection_stale,
+                connection_limited=result.connection_limited,
+                not_started=unused,
             ),
-            behind=transaction.front == RESEND,
+            low_priority=transaction.frontend == RESEND_FRONTEND,
         )
-        if self.guard is not None:
-            self.guard.attempt_ended(transaction, outcome)
+        if self.resend_coordinator is not None:
+            self.resend_coordinator.attempt_ended(transaction, outcome)
 
-    def _portion(self, destination: int) -> float:
+    def _quota_fraction(self, destination: int) -> float:
         """Of a limit that is told; of a share that has just run out, nothing is sent by it in any case."""
-        if self.shares is None:
+        if self.quota_source is None:
             return 1.0
-        return self.shares.portion(destination, self.scheduler.now()) or 1.0
+        return self.quota_source.quota_fraction(destination, self.scheduler.now()) or 1.0
 
-    def leave(self, gap: int) -> None:
+    def stop_deciding(self, pause: int) -> None:
         """The last round: what cannot outlive so many nanoseconds without decisions is given up, and all else
         that is owed is the next process's, by the journal.
         """
         if self.sending:
-            self._add(api.Leaving(gap))
-            self.tick_at = self.scheduler.now()
-            self._tick(self.tick_at)
-            self._send_no_more()
+            self._enqueue_event(api.ShutdownStarted(pause))
+            self.next_round_at = self.scheduler.now()
+            self._run_round(self.next_round_at)
+            self._stop_sending()
 
     def hand_over(self) -> None:
         """Begin nothing more: calls that are out end here, as do notices, and all else is passed on to the
         other process. Members have few places for connections: none is kept here. To be called till the end.
         """
         if self.sending:
-            self._send_no_more()
-            for member in self.pool.members.values():
-                self.carriers[member.carrier].close_idle(member)
-        passed, calls = self.journal.passed, {id(call) for call in self.out.values()}
+            self._stop_sending()
+            for member in self.pool.endpoints.values():
+                self.transports[member.transport].close_idle(member)
+        passed, calls = self.journal.handed_over, {id(call) for call in self.calls_in_flight.values()}
         waits = [
             one
-            for name, one in self.held.by_id.items()
-            if one.ending is None and one.front != RESEND and name not in passed and name not in self.out
+            for name, one in self.messages.by_id.items()
+            if one.ending is None
+            and one.frontend != RESEND_FRONTEND
+            and name not in passed
+            and name not in self.calls_in_flight
         ]
         try:
-            self.journal.pass_on(waits, len(calls))
-        except JournalFull as error:  # the other one finds them once this process is gone
+            self.journal.hand_over(waits, len(calls))
+        except JournalFullError as error:  # the other one finds them once this process is gone
             log.warning("journal.full", what="passed", error=str(error))
 
-    def _send_no_more(self) -> None:
+    def _stop_sending(self) -> None:
         """Calls whose connection is not up yet are called off: they are untried."""
         self.sending = False
-        for call in {id(call): call for call in self.out.values() if not call.begun}.values():
-            self.carriers[call.member.carrier].give_up(call)
+        for call in {id(call): call for call in self.calls_in_flight.values() if not call.started}.values():
+            self.transports[call.endpoint.transport].cancel(call)
 
     # Rounds: events that come within one resolution are handled together, as in the simulator.
 
-    def _add(self, event: api.Event | Transaction, behind: bool = False) -> None:
+    def _enqueue_event(self, event: api.Event | Transaction, low_priority: bool = False) -> None:
         """Handle it in the next round. What is behind others does not put off the round after its own."""
         self.events.append(event)
-        self.live = self.live or not behind
-        last = self.last_tick if behind else self.last_live
-        at = max(self.scheduler.now(), last + self.s.resolution)
-        if at < self.tick_at:
-            self.tick_at = at
-            self.scheduler.at(at, lambda: self._tick(at))
-
-    def _tick(self, at: int) -> None:
+        self.has_normal_priority_event = self.has_normal_priority_event or not low_priority
+        last = self.last_round_at if low_priority else self.last_normal_priority_round_at
+        at = max(self.scheduler.now(), last + self.settings.resolution)
+        if at < self.next_round_at:
+            self.next_round_at = at
+            self.scheduler.call_at(at, lambda: self._run_round(at))
+
+    def _run_round(self, at: int) -> None:
         now = self.scheduler.now()
-        if at != self.tick_at:  # an earlier round took the events that this one was to handle
+        if at != self.next_round_at:  # an earlier round took the events that this one was to handle
             return
-        self.tick_at, self.last_tick = NEVER, now
-        self.last_live, self.live = now if self.live else self.last_live, False
+        self.next_round_at, self.last_round_at = NEVER, now
+        self.last_normal_priority_round_at, self.has_normal_priority_event = (
+            now if self.has_normal_priority_event else self.last_normal_priority_round_at,
+            False,
+        )
         came, self.events = self.events, []
         if not self.sending:  # the process is about to end: what is owed is the next one's, by the journal
             return
         sends: list[api.Send] = []
-        events = [self._taken(event) if isinstance(event, Transaction) else event for event in came]
-        if self.beside is not None:
-            events += self.beside.news()  # after the list: a wait counts where its member is known
-        for action in self.brain.handle(self.last_tick, events):
+        events = [self._new_message(event) if isinstance(event, Transaction) else event for event in came]
+        if self.peer_process is not None:
+            events += (
+                self.peer_process.retry_after_events()
+            )  # after the list: a wait counts where its member is known
+        for action in self.policy.handle(self.last_round_at, events):
             match action:
                 case api.Send():
                     sends.append(action)
-                case api.Refuse(name, come_back):
-                    self._final(name, Ending.REJECTED, come_back)
+                case api.Reject(name, come_back):
+                    self._apply_final_answer(name, Ending.REJECTED, come_back)
                 case api.Fail(name):
-                    self._final(name, Ending.FAILED, 0)
+                    self._apply_final_answer(name, Ending.FAILED, 0)
                 case api.SetTimer(at):
-                    self.scheduler.at(at, lambda: self._add(api.TimerFired()))
+                    self.scheduler.call_at(at, lambda: self._enqueue_event(api.TimerFired()))
                 case api.Cancel(name, _):
-                    if (call := self.out.get(name)) is not None:
-                        self.carriers[call.member.carrier].give_up(call)
-                case api.Close(name):
-                    if (member := self.pool.members.get(name)) is not None:
-                        self.carriers[member.carrier].close_idle(member)
-                case api.Open(name, calls):
-                    if (member := self.pool.members.get(name)) is not None:
-                        self.openers[member.carrier].open(member, calls)
+                    if (call := self.calls_in_flight.get(name)) is not None:
+                        self.transports[call.endpoint.transport].cancel(call)
+                case api.CloseIdleConnections(name):
+                    if (member := self.pool.endpoints.get(name)) is not None:
+                        self.transports[member.transport].close_idle(member)
+                case api.OpenConnections(name, calls):
+                    if (member := self.pool.endpoints.get(name)) is not None:
+                        self.connection_openers[member.transport].open(member, calls)
                 case api.Subscribe():
                     pass  # the watch is always on
         self._send_all(sends)
@@ -447,67 +487,75 @@
         for send in sends:
             groups.setdefault(send.endpoint, []).append(send)
         for name, group in groups.items():
-            member = self.pool.members[name]
-            most = self.s.kind(member.kind).per_call
+            member = self.pool.endpoints[name]
+            most = self.settings.kind(member.kind).max_messages_per_call
             for at in range(0, len(group), most):
                 self._send(member, group[at : at + most])
 
-    def _send(self, member: PoolMember, sends: list[api.Send]) -> None:
+    def _send(self, member: PoolEndpoint, sends: list[api.Send]) -> None:
         now = self.scheduler.now()
         call = Call(member, [], [], [], now, [])
         for send in sends:
-            transaction = self.held.by_id[send.message]  # the module sends nothing that it ended
-            call.parts.append(transaction)
-            call.numbers.append(transaction.attempts)
+            transaction = self.messages.by_id[send.message]  # the module sends nothing that it ended
+            call.messages.append(transaction)
+            call.attempt_numbers.append(transaction.attempt_count)
             call.timeouts.append(send.timeout)
-            call.open.append(True)
-            self.out[transaction.id] = call
-        for part, timeout in zip(call.parts, call.timeouts, strict=True):
+            call.pending.append(True)
+            self.calls_in_flight[transaction.id] = call
+        for part, timeout in zip(call.messages, call.timeouts, strict=True):
             if timeout < call.timeout:  # cut to its own deadline: the others may wait longer
-                self.scheduler.at(now + timeout, lambda part=part: self.expired(call, part))  # type: ignore[misc]
-        self.carriers[member.carrier].start(call)
+                self.scheduler.call_at(now + timeout, lambda part=part: self.message_expired(call, part))  # type: ignore[misc]
+        self.transports[member.transport].start(call)
 
     # Final answers.
 
-    def _final(self, name: str, ending: Ending, come_back: int) -> None:
-        transaction = self._owes(name)
+    def _apply_final_answer(self, name: str, ending: Ending, come_back: int) -> None:
+        transaction = self._undecided(name)
         if transaction is not None:
             self._conclude(transaction, ending, come_back)
 
     def _conclude(self, transaction: Transaction, ending: Ending, come_back: int) -> None:
-        keep = transaction.front != RESEND and self.keeper is not None and ending is not Ending.OVER
+        keep = (
+            transaction.frontend != RESEND_FRONTEND
+            and self.dead_letter_sink is not None
+            and ending is not Ending.UNANSWERED
+        )
         if keep and ending is Ending.DELIVERED:
-            keep = self.guard is not None and self.guard.settles(transaction)
+            keep = self.resend_coordinator is not None and self.resend_coordinator.settles_dead_letter(
+                transaction
+            )
         elif keep and transaction.key:  # a copy that was delivered meanwhile leaves nothing to keep
-            keep = self.held.delivered(transaction, self.scheduler.now()) is None
-        silent = ending is Ending.OVER or (ending is Ending.DELIVERED and transaction.front == "resp")
-        self.figures.ended(transaction, ending)
+            keep = self.messages.first_execution_of_key(transaction, self.scheduler.now()) is None
+        silent = ending is Ending.UNANSWERED or (
+            ending is Ending.DELIVERED and transaction.frontend == "resp"
+        )
+        self.metrics.message_concluded(transaction, ending)
         if keep or not silent:
-            self.journal.decided(transaction, ending, come_back, keep)
+            self.journal.record_decision(transaction, ending, come_back, keep)
         if silent:
-            self.journal.end(transaction, ending)
+            self.journal.record_end(transaction, ending)
         else:
             self._answer(transaction)
-        if keep and self.keeper is not None:
-            self.keeper.keep(transaction)
-        if self.guard is not None:
-            self.guard.ended(transaction)
+        if keep and self.dead_letter_sink is not None:
+            self.dead_letter_sink.store(transaction)
+        if self.resend_coordinator is not None:
+            self.resend_coordinator.message_concluded(transaction)
 
-    def kept(self, transaction: Transaction) -> None:
+    def dead_letter_stored(self, transaction: Transaction) -> None:
         """The keeper has it, or has let it go."""
-        self.journal.kept(transaction)
-        if self.guard is not None:
-            self.guard.moved(transaction)
+        self.journal.record_dead_letter_stored(transaction)
+        if self.resend_coordinator is not None:
+            self.resend_coordinator.dead_letter_stored(transaction)
 
     def _answer(self, transaction: Transaction) -> None:
-        front = self.fronts.get(transaction.front)
+        front = self.frontends.get(transaction.frontend)
         if front is not None:
             front.answer(transaction)
         else:  # taken by a front that this process was started without: nobody can be told
-            log.warning("answer.no-front", message=transaction.id, front=transaction.front)
-            self.answered(transaction)
+            log.warning("answer.no-front", message=transaction.id, front=transaction.frontend)
+            self.answer_sent(transaction)
 
-    def answered(self, transaction: Transaction) -> None:
+    def answer_sent(self, transaction: Transaction) -> None:
         """The final answer was sent."""
         if transaction.ending is not None:
-            self.journal.end(transaction, transaction.ending)
+            self.journal.record_end(transaction, transaction.ending)
--- a/honeyhitch/dispatcher/metrics.py
+++ b/honeyhitch/dispatcher/metrics.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class ClassFigures:
+class ClassMetrics:
     """Of one class: messages by how they ended, and messages written whole to members."""
 
     ok: int = 0  # delivered
@@ -25,32 +25,32 @@
 COUNTED = {Ending.DELIVERED: "ok", Ending.REJECTED: "shed", Ending.FAILED: "errors"}
 
 
-class Figures:
+class Metrics:
     """Counters for each class, in the settings' order."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.names = tuple(classes)
-        self.classes = [ClassFigures() for _ in self.names]
+        self.classes = [ClassMetrics() for _ in self.names]
 
-    def turned_away(self, transaction: Transaction) -> None:
+    def message_rejected(self, transaction: Transaction) -> None:
         """It was not taken on."""
-        self.classes[transaction.cls].shed += 1
+        self.classes[transaction.class_index].shed += 1
 
-    def unusable(self, cls: int) -> None:
+    def message_invalid(self, cls: int) -> None:
         """It failed at the door, for a field that cannot be used."""
         self.classes[cls].errors += 1
 
-    def ended(self, transaction: Transaction, ending: Ending) -> None:
+    def message_concluded(self, transaction: Transaction, ending: Ending) -> None:
         """It was decided how it ends; one that nobody waits for any more counts under nothing."""
         if ending in COUNTED:
-            figures, name = self.classes[transaction.cls], COUNTED[ending]
+            figures, name = self.classes[transaction.class_index], COUNTED[ending]
             setattr(figures, name, getattr(figures, name) + 1)
 
-    def written(self, parts: Iterable[Transaction]) -> None:
+    def call_written(self, parts: Iterable[Transaction]) -> None:
         """A call with these was handed to its connection whole."""
         for transaction in parts:
-            self.classes[transaction.cls].tries += 1
+            self.classes[transaction.class_index].tries += 1
 
-    def told(self) -> dict[str, dict[str, Any]]:
+    def snapshot(self) -> dict[str, dict[str, Any]]:
         """The counters by the class's name."""
         return {name: asdict(figures) for name, figures in zip(self.names, self.classes, strict=True)}
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -9,12 +9,16 @@
 
 from honeyhitch.policy import interface as api
 
-GATED = "tls"  # the carrier whose members take calls on connections that are open already
-PHASES = {"Ready": api.Status.READY, "Terminating": api.Status.DRAINING, "Gone": api.Status.GONE}
+TLS_TRANSPORT = "tls"  # the carrier whose members take calls on connections that are open already
+PHASES = {
+    "Ready": api.EndpointStatus.READY,
+    "Terminating": api.EndpointStatus.DRAINING,
+    "Gone": api.EndpointStatus.GONE,
+}
 
 
 @dataclass(slots=True)
-class PoolMember:
+class PoolEndpoint:
     """One member; `carrier` names what carries calls to it."""
 
     id: str
@@ -22,14 +26,16 @@
     destination: int
     kind: int = 0
     zone: int = 0
-    scale: float = 1.0
-    status: api.Status = api.Status.READY
-    carrier: str = "http"
+    listed_rate: float = 1.0
+    status: api.EndpointStatus = api.EndpointStatus.READY
+    transport: str = "http"
 
-    def entry(self) -> api.Entry:
+    def listing(self) -> api.EndpointListing:
         """The member as the module sees it."""
-        gated = self.carrier == GATED
-        return api.Entry(self.id, self.destination, self.kind, self.zone, self.scale, self.status, gated)
+        gated = self.transport == TLS_TRANSPORT
+        return api.EndpointListing(
+            self.id, self.destination, self.kind, self.zone, self.listed_rate, self.status, gated
+        )
 
 
 class PoolError(ValueError):
@@ -44,102 +50,112 @@
     return names.index(value) if isinstance(value, str) and value in names else default
 
 
-class Pool:
+class EndpointPool:
     """Members by id. Those that are gone are forgotten; a call still out knows its own."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.kinds = tuple(kind.name for kind in settings.kinds)
         self.zones = settings.zone_names
-        self.members: dict[str, PoolMember] = {}
-        self.fixed: dict[str, PoolMember] = {}  # set up by the operator, never in discovery's list
+        self.endpoints: dict[str, PoolEndpoint] = {}
+        self.pinned: dict[str, PoolEndpoint] = {}  # set up by the operator, never in discovery's list
         self.revision = 0
-        self.carrier_of: Callable[[PoolMember], str] = lambda member: member.carrier
-        self.keeps: Callable[[int], bool] | None = None  # destinations whose members are kept, if not all
-        self.portion: Callable[[int], float] | None = None  # of a listed rate that this instance may use
+        self.transport_of: Callable[[PoolEndpoint], str] = lambda member: member.transport
+        self.keeps_destination: Callable[[int], bool] | None = (
+            None  # destinations whose members are kept, if not all
+        )
+        self.quota_fraction: Callable[[int], float] | None = (
+            None  # of a listed rate that this instance may use
+        )
         self.destinations: set[int] = set()  # each that was ever listed; one between two members still exists
 
-    def serves(self, destination: int) -> bool:
+    def has_destination(self, destination: int) -> bool:
         """Whether there is such a destination, as far as can be told."""
         return destination in self.destinations or not self.destinations
 
-    def fix(self, member: PoolMember) -> None:
+    def pin(self, member: PoolEndpoint) -> None:
         """Add a member that the operator set up; a whole list from discovery leaves it in place."""
-        self.fixed[member.id] = self.members[member.id] = member
+        self.pinned[member.id] = self.endpoints[member.id] = member
         self.destinations.add(member.destination)
 
-    def update(self, told: dict[str, Any], cached: bool = False) -> api.ListNews:
+    def update(self, told: dict[str, Any], cached: bool = False) -> api.EndpointListUpdate:
         """Enter one list or one change, in discovery's form, and say what is new."""
         try:
             rows, revision = told["members"], int(told["revision"])
             complete = bool(told.get("complete", False))
-            read = [self._member(row) for row in rows if self.wanted(row, complete)]
+            read = [self._parse_endpoint(row) for row in rows if self.keeps_row(row, complete)]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise PoolError(f"members: {type(error).__name__}: {error}") from error
         if revision < self.revision and not complete:
             # Late, it would bring back what went since; an agent that counts anew has to give its whole list.
             raise PoolError(f"revision: a change of {revision} after {self.revision}")
-        members = [one for one in read if one.status is not api.Status.GONE or one.id in self.members]
+        members = [
+            one for one in read if one.status is not api.EndpointStatus.GONE or one.id in self.endpoints
+        ]
         # One that is another destination's now has gone from the one it was of.
-        known = [(self.members.get(one.id, one), one) for one in members]
+        known = [(self.endpoints.get(one.id, one), one) for one in members]
         moved = [
-            replace(old, status=api.Status.GONE) for old, one in known if old.destination != one.destination
+            replace(old, status=api.EndpointStatus.GONE)
+            for old, one in known
+            if old.destination != one.destination
         ]
-        self.revision, news = revision, tuple(self._entry(member) for member in [*moved, *members])
+        self.revision, news = revision, tuple(self._listing(member) for member in [*moved, *members])
         if complete:  # what a whole list leaves out is gone as well
-            named = {entry.endpoint for entry in news} | self.fixed.keys()
-            self.members = {name: member for name, member in self.members.items() if name in named}
+            named = {entry.endpoint for entry in news} | self.pinned.keys()
+            self.endpoints = {name: member for name, member in self.endpoints.items() if name in named}
         for member in members:
-            if member.status is not api.Status.GONE:
-                self.members[member.id] = member
-            elif member.id not in self.fixed:
-                self.members.pop(member.id, None)
+            if member.status is not api.EndpointStatus.GONE:
+                self.endpoints[member.id] = member
+            elif member.id not in self.pinned:
+                self.endpoints.pop(member.id, None)
         self.destinations.update(entry.destination for entry in news)
         if not complete:
-            return api.ListNews(api.ListMode.CHANGES, news)
-        news += tuple(self._entry(member) for member in self.fixed.values())
-        return api.ListNews(api.ListMode.CACHED if cached else api.ListMode.FULL, news)
+            return api.EndpointListUpdate(api.UpdateMode.CHANGES, news)
+        news += tuple(self._listing(member) for member in self.pinned.values())
+        return api.EndpointListUpdate(api.UpdateMode.CACHED if cached else api.UpdateMode.FULL, news)
 
-    def wanted(self, row: dict[str, Any], complete: bool = False) -> bool:
+    def keeps_row(self, row: dict[str, Any], complete: bool = False) -> bool:
         """Whether an entry is kept: one of a destination that is, or a change of a member that was."""
-        if self.keeps is None:
+        if self.keeps_destination is None:
             return True
-        known, cell = row["id"] in self.members, row.get("cell")
-        return (isinstance(cell, int) and self.keeps(cell)) or (known and not complete)
+        known, cell = row["id"] in self.endpoints, row.get("cell")
+        return (isinstance(cell, int) and self.keeps_destination(cell)) or (known and not complete)
 
-    def _entry(self, member: PoolMember) -> api.Entry:
-        entry = member.entry()
-        if self.portion is None:
+    def _listing(self, member: PoolEndpoint) -> api.EndpointListing:
+        entry = member.listing()
+        if self.quota_fraction is None:
             return entry
-        return replace(entry, scale=entry.scale * self.portion(member.destination))
+        return replace(entry, listed_rate=entry.listed_rate * self.quota_fraction(member.destination))
 
-    def refreshed(self, changed: Callable[[int], bool]) -> api.ListNews:
+    def changed_listings(self, changed: Callable[[int], bool]) -> api.EndpointListUpdate:
         """The entries of destinations whose portion has changed, as a change of the list."""
-        members = [member for member in self.members.values() if changed(member.destination)]
-        return api.ListNews(api.ListMode.CHANGES, tuple(self._entry(member) for member in members))
+        members = [member for member in self.endpoints.values() if changed(member.destination)]
+        return api.EndpointListUpdate(
+            api.UpdateMode.CHANGES, tuple(self._listing(member) for member in members)
+        )
 
-    def _member(self, row: dict[str, Any]) -> PoolMember:
+    def _parse_endpoint(self, row: dict[str, Any]) -> PoolEndpoint:
         name = str(row["id"])
-        old = self.members.get(name)
-        status = PHASES.get(str(row.get("phase", "Ready")), api.Status.READY)
-        if status is api.Status.GONE and old is not None:
+        old = self.endpoints.get(name)
+        status = PHASES.get(str(row.get("phase", "Ready")), api.EndpointStatus.READY)
+        if status is api.EndpointStatus.GONE and old is not None:
             return replace(old, status=status)
         cell = row.get("cell")
         destination = int(cell) if cell is not None else old.destination if old else -1
         address = str(row.get("host_port") or (old.address if old else ""))
         host, _, port = address.rpartition(":")
-        if status is not api.Status.GONE and not (host and _is_port(port)):
+        if status is not api.EndpointStatus.GONE and not (host and _is_port(port)):
             raise PoolError(f"host_port: expected HOST:PORT, got {address!r}")
         size = float(row.get("size", 1.0))
         if not 0 <= size < inf:  # nor a NaN, which would spoil every pace computed from it
             raise PoolError(f"size: expected a number of 0 or more, got {size}")
-        member = PoolMember(
+        member = PoolEndpoint(
             id=name,
             address=address,
             destination=destination,
             kind=_index(self.kinds, row.get("flavor")),
             zone=_index(self.zones, row.get("locality")),
-            scale=size,
+            listed_rate=size,
             status=status,
         )
-        member.carrier = self.carrier_of(member)
+        member.transport = self.transport_of(member)
         return member
--- a/honeyhitch/journal/directory.py
+++ b/honeyhitch/journal/directory.py
@@ -12,29 +12,29 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-FIRST, SECOND = 1, 2
-NAMES = {FIRST: "journal", SECOND: "journal-2"}
+FIRST_SLOT, SECOND_SLOT = 1, 2
+JOURNAL_NAMES = {FIRST_SLOT: "journal", SECOND_SLOT: "journal-2"}
 
 
-class FolderHeld(Exception):
+class StateDirectoryInUseError(Exception):
     """Two processes hold the folder already."""
 
 
-class StateFolder:
+class StateDirectory:
     """One process's hold on the folder; `place` is the one that it has. OSError if it cannot be written."""
 
     def __init__(self, path: Path) -> None:
         path.mkdir(parents=True, exist_ok=True)
         self.path, self.locks = path, dict[int, int]()
-        with self.alone():
-            for place in NAMES:
-                if self.lock(place):
-                    self.place = place
+        with self.exclusive():
+            for place in JOURNAL_NAMES:
+                if self.lock_slot(place):
+                    self.slot = place
                     return
-        raise FolderHeld(f"two processes hold {path} already")
+        raise StateDirectoryInUseError(f"two processes hold {path} already")
 
     @contextmanager
-    def alone(self) -> Iterator[None]:
+    def exclusive(self) -> Iterator[None]:
         """Meanwhile nobody else takes a place or goes from one to the other: who takes over holds both for
         some milliseconds, and a start must not take that for two processes.
         """
@@ -45,33 +45,33 @@
         finally:
             os.close(fd)
 
-    def lock(self, place: int) -> bool:
+    def lock_slot(self, slot: int) -> bool:
         """Take this place too, unless a living process has it."""
-        if place in self.locks:
+        if slot in self.locks:
             return True
-        fd = os.open(self.path / f"place-{place}", os.O_RDWR | os.O_CREAT, 0o600)
+        fd = os.open(self.path / f"place-{slot}", os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(fd)
             return False
-        self.locks[place] = fd
+        self.locks[slot] = fd
         return True
 
-    def unlock(self, place: int) -> None:
+    def unlock_slot(self, slot: int) -> None:
         """Let go of it."""
-        os.close(self.locks.pop(place))
+        os.close(self.locks.pop(slot))
 
-    def journal(self, place: int) -> Path:
+    def journal_path(self, slot: int) -> Path:
         """The journal of a place."""
-        return self.path / NAMES[place]
+        return self.path / JOURNAL_NAMES[slot]
 
     @property
-    def other(self) -> int:
+    def other_slot(self) -> int:
         """The place that is not this process's."""
-        return FIRST + SECOND - self.place
+        return FIRST_SLOT + SECOND_SLOT - self.slot
 
     def close(self) -> None:
         """Let go of all."""
         for place in list(self.locks):
-            self.unlock(place)
+            self.unlock_slot(place)
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -12,8 +12,16 @@
 from pathlib import Path
 
 from honeyhitch import logs
-from honeyhitch.journal.state import LARGEST, Account, pack, unpack
-from honeyhitch.journal.transactions import Ending, Transaction, Try
+from honeyhitch.journal.state import (
+    LARGEST,
+    STORED_DETAIL,
+    STORED_FIELDS,
+    STORED_STATE,
+    JournalState,
+    pack,
+    unpack,
+)
+from honeyhitch.journal.transactions import Attempt, Ending, Transaction
 
 log = logs.get()
 DISK_A_NAME = 600  # bytes of the disk for each id or key that is remembered; it takes some 45 of them
@@ -25,38 +33,46 @@
 VERSION = 1  # of the records' form
 
 
-class JournalUnusable(Exception):
+def _stored(transaction: Transaction, names: dict[str, str]) -> dict[str, object]:
+    return {stored: getattr(transaction, field) for stored, field in names.items()}
+
+
+class JournalVersionError(Exception):
     """The journal is not this program's to go on with."""
 
 
-class JournalFull(Exception):
+class JournalFullError(Exception):
     """There is no room for the record, even after compaction."""
 
 
-class Journal(Account):
+class Journal(JournalState):
     """The file, and the account of what it holds: `held` is what a replay would give."""
 
     def __init__(
         self,
-        folder: Path,
-        disk: int,
+        directory: Path,
+        max_bytes: int,
         clock: Callable[[], int],
-        remember: Callable[[Transaction], int],
+        retention: Callable[[Transaction], int],
         detailed: bool = False,
-        file: str = "journal",
+        file_name: str = "journal",
     ) -> None:
-        self.path, self.spare, self.disk = folder / file, folder / f"{file}.new", disk
-        self.beside = 0  # bytes that another process uses of the same disk
-        self.rest = 0  # bytes of the last compaction's file beyond `live`
-        super().__init__(disk // DISK_A_NAME, remember)
+        self.path, self.new_path, self.max_bytes = (
+            directory / file_name,
+            directory / f"{file_name}.new",
+            max_bytes,
+        )
+        self.peer_bytes = 0  # bytes that another process uses of the same disk
+        self.compaction_overhead = 0  # bytes of the last compaction's file beyond `live`
+        super().__init__(max_bytes // DISK_A_NAME, retention)
         self.clock, self.detailed = clock, detailed  # members, outcomes and times are there for later readers
-        self.spare.unlink(missing_ok=True)  # a compaction that was cut short; the old file still holds all
+        self.new_path.unlink(missing_ok=True)  # a compaction that was cut short; the old file still holds all
         self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         self.size = 0
         self._replay()
         if self.version > VERSION:
             self.close()
-            raise JournalUnusable(
+            raise JournalVersionError(
                 f"{self.path} has form {self.version}, this program knows {VERSION} at most"
             )
 
@@ -66,39 +82,55 @@
 
     # What is written, each before the act that it covers.
 
-    def taken(self, transaction: Transaction) -> None:
+    def record_accepted(self, transaction: Transaction) -> None:
         """Before a client hears that it was taken on; refused for lack of room with JournalFull."""
-        self._write(self._whole(transaction), transaction.body, TAKE_SHARE)
-        self._hold(transaction)
+        self._write(self._accepted_record(transaction), transaction.body, TAKE_SHARE)
+        self._add_message(transaction)
 
-    def attempt(self, transaction: Transaction, at: int, zone: int, member: str = "") -> None:
+    def record_attempt(self, transaction: Transaction, at: int, zone: int, member: str = "") -> None:
         """Right before the first byte of a call."""
-        number = transaction.attempts
+        number = transaction.attempt_count
         fields: dict[str, object] = {"t": "attempt", "id": transaction.id, "n": number}
         fields |= {"at": at, "zone": zone}
         self._write(fields | ({"to": member} if self.detailed else {}))
-        transaction.attempts += 1
-        transaction.ran.append((number, at, zone))
+        transaction.attempt_count += 1
+        transaction.possible_executions.append((number, at, zone))
         if self.detailed:
-            transaction.tries.append(Try(number, member, at))
+            transaction.attempt_history.append(Attempt(number, member, at))
 
-    def outcome(self, transaction: Transaction, told: Try) -> None:
+    def record_outcome(self, transaction: Transaction, told: Attempt) -> None:
         """How an attempt ended, for those who read it later; nothing that is decided rests on it."""
         if self.detailed:
             fields: dict[str, object] = {"t": "outcome", "id": transaction.id, "n": told.number}
-            fields |= {"to": told.member, "at": told.at}  # of one that never began this is all there is
-            self._note(fields | {"as": told.outcome, "took": told.took, "wait": told.wait, "why": told.why})
-            transaction.tries = [*(one for one in transaction.tries if one.number != told.number), told]
+            fields |= {
+                "to": told.endpoint,
+                "at": told.started_at,
+            }  # of one that never began this is all there is
+            self._write_if_possible(
+                fields
+                | {
+                    "as": told.outcome,
+                    "took": told.elapsed,
+                    "wait": told.retry_after,
+                    "why": told.failure_reason,
+                }
+            )
+            transaction.attempt_history = [
+                *(one for one in transaction.attempt_history if one.number != told.number),
+                told,
+            ]
 
-    def never_ran(self, transaction: Transaction, number: int) -> None:
+    def record_not_executed(self, transaction: Transaction, number: int) -> None:
         """The outcome of an attempt proves that it never ran; other outcomes change nothing. It counts as an
         attempt, also where it never began.
         """
-        self._note({"t": "never", "id": transaction.id, "n": number})
-        transaction.attempts = max(transaction.attempts, number + 1)
-        transaction.ran = [ran for ran in transaction.ran if ran[0] != number]
+        self._write_if_possible({"t": "never", "id": transaction.id, "n": number})
+        transaction.attempt_count = max(transaction.attempt_count, number + 1)
+        transaction.possible_executions = [ran for ran in transaction.possible_executions if ran[0] != number]
 
-    def decided(self, transaction: Transaction, ending: Ending, come_back: int, keep: bool = False) -> None:
+    def record_decision(
+        self, transaction: Transaction, ending: Ending, come_back: int, keep: bool = False
+    ) -> None:
         """Before a final answer is sent: from now on it is this one and no other.
 
         With `keep` the message stays here, also after its answer was sent, until `kept`.
@@ -106,66 +138,66 @@
         fields: dict[str, object] = {"t": "decided", "id": transaction.id, "as": ending.value}
         fields["back"] = come_back
         if keep:
-            transaction.ended_at, transaction.keep = self.clock(), True
+            transaction.ended_at, transaction.is_dead_letter = self.clock(), True
             fields |= {"at": transaction.ended_at, "keep": True}
-        self._note(fields)
-        transaction.ending, transaction.come_back = ending, come_back
+        self._write_if_possible(fields)
+        transaction.ending, transaction.retry_after = ending, come_back
 
-    def kept(self, transaction: Transaction) -> None:
+    def record_dead_letter_stored(self, transaction: Transaction) -> None:
         """The store has it, or has let it go: it need not stay here for that any longer."""
-        self._note({"t": "kept", "id": transaction.id, "at": transaction.ended_at})
-        self._moved(transaction.id, transaction.ended_at)
+        self._write_if_possible({"t": "kept", "id": transaction.id, "at": transaction.ended_at})
+        self._remove_dead_letter(transaction.id, transaction.ended_at)
 
-    def end(self, transaction: Transaction, ending: Ending) -> None:
+    def record_end(self, transaction: Transaction, ending: Ending) -> None:
         """After the final answer was sent: nothing more is owed."""
-        self._note({"t": "end", "id": transaction.id, "as": ending.value, "at": self.clock()})
+        self._write_if_possible({"t": "end", "id": transaction.id, "as": ending.value, "at": self.clock()})
         self._end(transaction, ending, self.clock())
 
-    def begin(self, name: str) -> None:
+    def record_owner(self, name: str) -> None:
         """Write down whose it is and in which form, for a process that comes beside this one."""
         if (self.name, self.version) != (name, VERSION):
             self.name, self.version = name, VERSION
-            self._note(self._born())
+            self._write_if_possible(self._owner_record())
 
-    def wait(self, destination: int, member: str, until: int) -> None:
+    def record_retry_after(self, destination: int, member: str, until: int) -> None:
         """A member told to wait: the process beside this one heeds it, too."""
-        self.waits[destination, member] = until
-        self._note({"t": "wait", "dest": destination, "of": member, "until": until})
+        self.retry_after_until[destination, member] = until
+        self._write_if_possible({"t": "wait", "dest": destination, "of": member, "until": until})
 
-    def pass_on(self, transactions: list[Transaction], out: int) -> None:
+    def hand_over(self, transactions: list[Transaction], out: int) -> None:
         """The process beside this one goes on with these, from the moment of the record; so many calls are
         out here. JournalFull, and they stay, if there is no room.
 
         The file is compacted once, before; from then on it only grows, so that the other one need not leave
         room for a compaction here.
         """
-        if self.out is None:
+        if self.calls_in_flight is None:
             self.compact()
         for at in range(0, len(transactions), PIECE):
             part = {one.id: one for one in transactions[at : at + PIECE]}
             self._write({"t": "passed", "ids": list(part)})
-            self.passed |= part
-        self.calls_out(out)
+            self.handed_over |= part
+        self.record_calls_in_flight(out)
 
-    def calls_out(self, out: int | None) -> None:
+    def record_calls_in_flight(self, out: int | None) -> None:
         """So many calls are out of a process that passes on; None as long as it does not."""
-        if out != self.out:
-            self.out = out
-            self._note({"t": "out", "n": out})
+        if out != self.calls_in_flight:
+            self.calls_in_flight = out
+            self._write_if_possible({"t": "out", "n": out})
 
-    def take_back(self) -> None:
+    def reclaim(self) -> None:
         """Nobody is beside this process: what was passed on is its own."""
-        if self.passed or self.out is not None:
-            self.passed, self.out = {}, None
-            self._note({"t": "back"})
+        if self.handed_over or self.calls_in_flight is not None:
+            self.handed_over, self.calls_in_flight = {}, None
+            self._write_if_possible({"t": "back"})
 
-    def _born(self) -> dict[str, object]:
+    def _owner_record(self) -> dict[str, object]:
         return {"t": "born", "v": self.version, "name": self.name}
 
     # What another process left, once its lock is free.
 
     def take_over(
-        self, other: Account, path: Path, left: Path
+        self, other: JournalState, path: Path, left: Path
     ) -> tuple[list[Transaction], list[Transaction]]:
         """Hold what another journal holds as well, and what it remembers. Returned are those new here, and
         those that only wait for the store.
@@ -174,45 +206,56 @@
         One file with both takes the place of `path` at one stroke, and only then is `left` removed: after a
         kill in between, the one at `path` counts. JournalFull, with all as it was, if there is no room.
         """
-        known = self.held
-        before = dict(known.by_id), dict(known.ended), dict(known.keys), dict(known.unmoved)
-        sums = self.passed, self.out, self.live, self.waiting, dict(self.sizes)
-        theirs = {name for name in self.passed if other.knows(name)}
+        known = self.messages
+        before = (
+            dict(known.by_id),
+            dict(known.concluded),
+            dict(known.delivered_keys),
+            dict(known.pending_dead_letters),
+        )
+        sums = (
+            self.handed_over,
+            self.calls_in_flight,
+            self.live_bytes,
+            self.dead_letter_bytes,
+            dict(self.sizes),
+        )
+        theirs = {name for name in self.handed_over if other.has_accepted(name)}
         for name in theirs:
             del known.by_id[name]
-            self.live -= self.sizes.pop(name)
-        back = [one for name, one in self.passed.items() if name not in theirs]
-        self.passed, self.out = {}, None
-        ids = known.by_id.keys() | known.ended.keys()
-        new = [one for one in other.held.by_id.values() if one.id not in ids]
-        late = [one for key, one in other.held.unmoved.items() if key not in known.unmoved]
+            self.live_bytes -= self.sizes.pop(name)
+        back = [one for name, one in self.handed_over.items() if name not in theirs]
+        self.handed_over, self.calls_in_flight = {}, None
+        ids = known.by_id.keys() | known.concluded.keys()
+        new = [one for one in other.messages.by_id.values() if one.id not in ids]
+        late = [
+            one
+            for key, one in other.messages.pending_dead_letters.items()
+            if key not in known.pending_dead_letters
+        ]
         for transaction in new:
-            self._hold(transaction)
+            self._add_message(transaction)
         for transaction in late:
-            self._leave_to_store(transaction)
-        self.waits = other.waits | self.waits
-        known.ended = other.held.ended | known.ended
-        known.keys = other.held.keys | known.keys
+            self._add_pending_dead_letter(transaction)
+        self.retry_after_until = other.retry_after_until | self.retry_after_until
+        known.concluded = other.messages.concluded | known.concluded
+        known.delivered_keys = other.messages.delivered_keys | known.delivered_keys
         spare = path.with_name(f"{path.name}.new")
-        if not self._rewrite(self._all(), path, spare):
-            known.by_id, known.ended, known.keys, known.unmoved = before
-            self.passed, self.out, self.live, self.waiting, self.sizes = sums
-            raise JournalFull("no room for what another process left")
-        self.path, self.spare = path, spare
+        if not self._rewrite(self._snapshot(), path, spare):
+            known.by_id, known.concluded, known.delivered_keys, known.pending_dead_letters = before
+            self.handed_over, self.calls_in_flight, self.live_bytes, self.dead_letter_bytes, self.sizes = sums
+            raise JournalFullError("no room for what another process left")
+        self.path, self.new_path = path, spare
         left.unlink(missing_ok=True)
         return new + back, late
 
-    def _whole(self, transaction: Transaction) -> dict[str, object]:
-        fields: dict[str, object] = {
-            name: getattr(transaction, name)
-            for name in ("id", "cls", "destination", "deadline", "key", "tenant", "came_again", "front")
-        }
-        fields |= {"t": "taken", "reply": transaction.reply, "attempts": transaction.attempts}
-        fields |= {"ran": transaction.ran, "back": transaction.come_back}
-        if transaction.keep or self.detailed:
-            fields |= {"came_at": transaction.came_at, "ended_at": transaction.ended_at}
-            fields |= {"keep": transaction.keep, "moved": transaction.moved}
-            fields["tries"] = [astuple(one) for one in transaction.tries]
+    def _accepted_record(self, transaction: Transaction) -> dict[str, object]:
+        fields: dict[str, object] = _stored(transaction, STORED_FIELDS)
+        fields |= {"t": "taken"} | _stored(transaction, STORED_STATE)
+        fields |= {"ran": transaction.possible_executions, "back": transaction.retry_after}
+        if transaction.is_dead_letter or self.detailed:
+            fields |= _stored(transaction, STORED_DETAIL)
+            fields["tries"] = [astuple(one) for one in transaction.attempt_history]
         return fields | {"as": transaction.ending.value if transaction.ending else None}
 
     def _replay(self) -> None:
@@ -222,75 +265,77 @@
             self.size = end
         if self.size < len(data):  # the torn tail of a process that was killed in a write
             os.ftruncate(self.fd, self.size)
-        self.waits.clear()  # a restart ends them (protocol page)
-        self.held.forget(self.clock())
+        self.retry_after_until.clear()  # a restart ends them (protocol page)
+        self.messages.drop_expired(self.clock())
 
     # The file.
 
-    def _note(self, fields: dict[str, object]) -> None:
+    def _write_if_possible(self, fields: dict[str, object]) -> None:
         """A record that only lessens what is owed: left out for lack of room, a replay repeats harmlessly."""
         try:
             self._write(fields)
-        except JournalFull as error:
+        except JournalFullError as error:
             log.error("journal.failed", error=str(error))
 
     def _write(self, fields: dict[str, object], body: bytes = b"", share: float = WRITE_SHARE) -> None:
         record = pack(fields, body)
         if len(record) > LARGEST:
-            raise JournalFull("the record is too long")
-        if self.size > max(COMPACT_SHARE * self.disk, 2 * self.live):
-            self._tidy(0)
+            raise JournalFullError("the record is too long")
+        if self.size > max(COMPACT_SHARE * self.max_bytes, 2 * self.live_bytes):
+            self._compact_if_worthwhile(0)
         # Old and new file lie side by side while one is compacted, so both must always fit.
-        least = self.live + self.beside + 2 * len(record) + 4 * BLOCK - share * self.disk
+        least = self.live_bytes + self.peer_bytes + 2 * len(record) + 4 * BLOCK - share * self.max_bytes
         if self.size + least > 0:
-            self._tidy(self.size + least)
+            self._compact_if_worthwhile(self.size + least)
             if self.size + least > 0:
-                raise JournalFull("the disk's share is used up")
+                raise JournalFullError("the disk's share is used up")
         try:
             written = os.write(self.fd, record)
         except OSError as error:
-            raise JournalFull(str(error)) from error
+            raise JournalFullError(str(error)) from error
         if written < len(record):  # a disk that filled up midway: leave no torn record in the middle
             os.ftruncate(self.fd, self.size)
-            raise JournalFull("a write was cut short")
+            raise JournalFullError("a write was cut short")
         self.size += written
 
-    def _tidy(self, wanted: float) -> None:
+    def _compact_if_worthwhile(self, wanted: float) -> None:
         """Compact if that makes so much room, in bytes, and enough to be worth it: a full journal would be
         written anew for every message that it refuses otherwise.
         """
-        gain = self.size - self.live - self.rest
-        if self.out is None and gain >= max(wanted, WORTH * self.size):
+        gain = self.size - self.live_bytes - self.compaction_overhead
+        if self.calls_in_flight is None and gain >= max(wanted, WORTH * self.size):
             self.compact()
 
     def compact(self) -> None:
         """Write what is still of use to a new file and put it in the old one's place at one stroke."""
-        data = self._all()
-        self.rest = len(data) - self.live
+        data = self._snapshot()
+        self.compaction_overhead = len(data) - self.live_bytes
         if len(data) < self.size:
-            self._rewrite(data, self.path, self.spare)
+            self._rewrite(data, self.path, self.new_path)
 
-    def _all(self) -> bytes:
-        self.held.forget(self.clock())
-        self.waits = {key: until for key, until in self.waits.items() if until > self.clock()}
-        ended, keys = list(self.held.ended.items()), list(self.held.keys.items())
-        parts = [pack(self._born())] if self.version else []
+    def _snapshot(self) -> bytes:
+        self.messages.drop_expired(self.clock())
+        self.retry_after_until = {
+            key: until for key, until in self.retry_after_until.items() if until > self.clock()
+        }
+        ended, keys = list(self.messages.concluded.items()), list(self.messages.delivered_keys.items())
+        parts = [pack(self._owner_record())] if self.version else []
         parts += [  # in pieces, so that no record outgrows what a replay accepts
             pack({"t": "past", "ended": dict(ended[at : at + PIECE]), "keys": dict(keys[at : at + PIECE])})
             for at in range(0, max(len(ended), len(keys)), PIECE)
         ]
-        parts += [pack(self._whole(known), known.body) for known in self.held.by_id.values()]
-        late = self.held.unmoved.values()
-        parts += [pack(self._whole(known) | {"over": True}, known.body) for known in late]
-        names = list(self.passed)
+        parts += [pack(self._accepted_record(known), known.body) for known in self.messages.by_id.values()]
+        late = self.messages.pending_dead_letters.values()
+        parts += [pack(self._accepted_record(known) | {"over": True}, known.body) for known in late]
+        names = list(self.handed_over)
         parts += [pack({"t": "passed", "ids": names[at : at + PIECE]}) for at in range(0, len(names), PIECE)]
-        parts += [pack({"t": "out", "n": self.out})] if self.out is not None else []
-        for (destination, member), until in self.waits.items():
+        parts += [pack({"t": "out", "n": self.calls_in_flight})] if self.calls_in_flight is not None else []
+        for (destination, member), until in self.retry_after_until.items():
             parts.append(pack({"t": "wait", "dest": destination, "of": member, "until": until}))
         return b"".join(parts)
 
     def _rewrite(self, data: bytes, path: Path, spare: Path) -> bool:
-        if self.size + self.beside + len(data) + 4 * BLOCK > self.disk:
+        if self.size + self.peer_bytes + len(data) + 4 * BLOCK > self.max_bytes:
             return False
         try:
             fd = os.open(spare, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -40,7 +40,10 @@
     """The front of an application in the same process: it hands in and waits for final answers."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        self.dispatcher, self.fields = dispatcher, Fields(dispatcher.s, dispatcher.pool.serves)
+        self.dispatcher, self.fields = (
+            dispatcher,
+            Fields(dispatcher.settings, dispatcher.pool.has_destination),
+        )
         self.waiting: dict[str, asyncio.Future[Transaction]] = {}
 
     def answer(self, transaction: Transaction) -> None:
@@ -48,7 +51,7 @@
         waiter = self.waiting.pop(transaction.id, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(transaction)
-        self.dispatcher.answered(transaction)
+        self.dispatcher.answer_sent(transaction)
 
     def take(
         self,
@@ -64,7 +67,7 @@
 
         ValueError names a field that cannot be used.
         """
-        settings = self.dispatcher.s
+        settings = self.dispatcher.settings
         left = settings.classes[0].deadline / SECOND if time_left is None else time_left
         name = secrets.token_hex(8)
         told = {"c": settings.classes[0].name if cls is None else cls, "dest": str(destination)}
@@ -72,8 +75,8 @@
         told["t"] = tenant if tenant is not None else next(iter(settings.tenant_names), "")
         now = self.dispatcher.scheduler.now()
         transaction = self.fields.transaction(name.encode(), told, body, now)
-        transaction.front = "app"
-        admission: Admission = self.dispatcher.offer(transaction)
+        transaction.frontend = "app"
+        admission: Admission = self.dispatcher.submit(transaction)
         if not admission.accepted:
             raise Rejected(admission.retry_after / SECOND)
         return name
@@ -93,7 +96,7 @@
         finally:
             self.waiting.pop(name, None)
         if ended.ending is Ending.REJECTED:
-            raise Rejected(ended.come_back / SECOND)
+            raise Rejected(ended.retry_after / SECOND)
         if ended.ending is not Ending.DELIVERED:
             raise Undeliverable(name)
         return name
@@ -142,7 +145,7 @@
 
     async def _start(self) -> None:
         service = Service(self.config or configuration.read(os.environ), self.listen)
-        front = service.dispatcher.fronts["app"] = AppFront(service.dispatcher)
+        front = service.dispatcher.frontends["app"] = AppFront(service.dispatcher)
         try:
             service.start(self.listen)
         except BaseException:
--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -110,9 +110,9 @@
             return NOTHING
         return held_parts(self.settings, self.candidates(self.settings.zone, partition), now, self.heard)
 
-    def portion(self, destination: int, now: int) -> float:
+    def quota_fraction(self, destination: int, now: int) -> float:
         """The part of its zone's share of the destination's limit that this instance may use, 0 to 1."""
-        return self.held(self.partition(destination), now).portion(self.settings.reserve)
+        return self.held(self.partition(destination), now).quota_fraction(self.settings.reserve)
 
     def awaits(self, destination: int, now: int) -> bool:
         """Whether this instance is to own a destination, and only waits out the lease of another one."""
--- a/honeyhitch/partitioning/shares.py
+++ b/honeyhitch/partitioning/shares.py
@@ -27,7 +27,7 @@
     reserved: bool = False
     leased: bool = False
 
-    def portion(self, reserve: float) -> float:
+    def quota_fraction(self, reserve: float) -> float:
         """The part of the share, 0 to 1."""
         return reserve * self.reserved + (1 - reserve) * self.leased
 
--- a/honeyhitch/policy/health.py
+++ b/honeyhitch/policy/health.py
@@ -3,28 +3,29 @@
 from __future__ import annotations
 
 from honeyhitch.policy import interface as api
-from honeyhitch.policy.engine import RISKY_SHARE, Brain, Destination
+from honeyhitch.policy.engine import DeliveryPolicy
+from honeyhitch.policy.state import RISKY_SHARE, Destination
 
 
-def condition(brain: Brain, destination: int, now: int) -> api.Condition:
+def destination_health(brain: DeliveryPolicy, destination: int, now: int) -> api.DestinationHealth:
     """The destination's condition; one that nothing is known of is not listed. `now` in nanoseconds."""
     dest = brain.dests.get(destination) or Destination()
     lanes = list({endpoint.lane: None for endpoint in dest.endpoints.values() if endpoint.listed})
     well = [lane for lane in lanes if not lane.out and lane.tally.share(now) < RISKY_SHARE]
     queues = [queue for key, queue in dest.queues.items() if not key[2]]
-    return api.Condition(
+    return api.DestinationHealth(
         listed=bool(lanes),
-        sick=not well,
-        ramping=any(now - lane.back_at < brain.s.cold for lane in lanes),
-        waits_until=min((lane.wait_until for lane in well), default=0),
-        queued=any(queue.head(brain.now) is not None for queue in queues),
-        part=sum(lane.part() for lane in well),
-        last_send=max((lane.last_send for lane in lanes), default=0),
-        used=brain.used,
+        unhealthy=not well,
+        in_slow_start=any(now - lane.back_at < brain.s.slow_start_duration for lane in lanes),
+        retry_after_until=min((lane.wait_until for lane in well), default=0),
+        has_queued_messages=any(queue.head(brain.now) is not None for queue in queues),
+        quota=sum(lane.part() for lane in well),
+        last_sent_at=max((lane.last_send for lane in lanes), default=0),
+        concurrent_calls=brain.used,
     )
 
 
-def avoided(brain: Brain, now: int) -> int:
+def ejected_endpoints(brain: DeliveryPolicy, now: int) -> int:
     """Listed endpoints that nothing goes to at present. `now` in nanoseconds."""
     listed = (e for dest in brain.dests.values() for e in dest.endpoints.values() if e.listed)
     return sum(e.lane.out or max(e.lane.wait_until, e.shut) > now for e in listed)
--- a/honeyhitch/policy/interface.py
+++ b/honeyhitch/policy/interface.py
@@ -9,29 +9,29 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a message does at its destination."""
 
-    SAFE = "safe"  # may be repeated freely
-    KEYED = "keyed"  # a repeat is dropped inside a window
-    UNSAFE = "unsafe"  # must never run twice
+    IDEMPOTENT = "safe"  # may be repeated freely
+    IDEMPOTENCY_KEY = "keyed"  # a repeat is dropped inside a window
+    NON_IDEMPOTENT = "unsafe"  # must never run twice
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which endpoints of a destination remember the key of a keyed message."""
 
     ALL = "all"
     ZONE = "zone"
 
 
-class Decay(Enum):
+class LateDecay(Enum):
     """How worth falls between the aim and the deadline."""
 
-    LINE = "line"
-    HALVES = "halves"
+    LINEAR = "line"
+    HALVING = "halves"
 
 
-class Scale(Enum):
+class ListedRateMeaning(Enum):
     """What the figure beside an endpoint in the list means."""
 
     OFF = "off"
@@ -44,7 +44,7 @@
 
     DELIVERED = "delivered"
     ERROR = "error"  # may have run
-    REFUSED = "refused"  # never ran
+    REJECTED = "refused"  # never ran
     TIMEOUT = "timeout"  # may have run
     CONNECT_FAILED = "connect-failed"  # never ran
     RESET = "reset"  # may have run
@@ -52,12 +52,12 @@
     NOT_SENT = "not-sent"  # never ran, counts as an attempt
 
     @property
-    def never_ran(self) -> bool:
+    def proves_not_executed(self) -> bool:
         """It proves that the attempt did not run."""
-        return self in (Outcome.REFUSED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
-class Status(Enum):
+class EndpointStatus(Enum):
     """State of an endpoint in the list; it tells nothing of health."""
 
     READY = "ready"
@@ -65,7 +65,7 @@
     GONE = "gone"
 
 
-class ListMode(Enum):
+class UpdateMode(Enum):
     """What a list event carries."""
 
     CHANGES = "changes"
@@ -74,46 +74,62 @@
     FAILED = "failed"  # an ask failed or the subscription broke
 
 
-def _need(condition: bool, name: str, what: str) -> None:
+class SettingsError(ValueError):
+    """A setting has a value that cannot be used; `field` is its name here, `reason` says what is expected."""
+
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field}: {reason}")
+        self.field, self.reason = field, reason
+
+
+def _require(condition: bool, field: str, reason: str) -> None:
     if not condition:
-        raise ValueError(f"{name}: {what}")
+        raise SettingsError(field, reason)
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
     """One class of message."""
 
-    effect: Effect
-    aim: int
+    idempotency: Idempotency
+    latency_objective: int
     deadline: int
-    worth: float = 1.0
-    late_share: float = 0.0
-    group: Group = Group.ALL
-    window: int = 0
-    in_order: bool = False
-    aim_stretch: float = 0.0
+    priority_weight: float = 1.0
+    late_weight_fraction: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: int = 0
+    ordered: bool = False
+    objective_work_factor: float = 0.0
     name: str = ""
 
     def __post_init__(self) -> None:
-        _need(self.deadline > 0, "classes.deadline", "must be above 0")
-        _need(0 < self.aim <= self.deadline, "classes.aim", "must be above 0 and at most the deadline")
-        _need(self.worth >= 0, "classes.worth", "must not be negative")
-        _need(0 <= self.late_share <= 1, "classes.late_share", "must lie in 0 to 1")
-        _need(self.window >= 0, "classes.window", "must not be negative")
-        _need(self.effect is not Effect.KEYED or self.window > 0, "classes.window", "needed for keyed")
-        _need(self.aim_stretch >= 0, "classes.aim_stretch", "must not be negative")
+        _require(self.deadline > 0, "classes.deadline", "must be above 0")
+        _require(
+            0 < self.latency_objective <= self.deadline,
+            "classes.latency_objective",
+            "must be above 0 and at most the deadline",
+        )
+        _require(self.priority_weight >= 0, "classes.priority_weight", "must not be negative")
+        _require(0 <= self.late_weight_fraction <= 1, "classes.late_weight_fraction", "must lie in 0 to 1")
+        _require(self.deduplication_window >= 0, "classes.deduplication_window", "must not be negative")
+        _require(
+            self.idempotency is not Idempotency.IDEMPOTENCY_KEY or self.deduplication_window > 0,
+            "classes.deduplication_window",
+            "needed for keyed",
+        )
+        _require(self.objective_work_factor >= 0, "classes.objective_work_factor", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class DestinationKind:
     """One kind of destination."""
 
-    own_limits: bool = False  # each endpoint has its own limit, pace and outages
-    per_call: int = 1  # messages in one call at most
+    limits_per_endpoint: bool = False  # each endpoint has its own limit, pace and outages
+    max_messages_per_call: int = 1  # messages in one call at most
     name: str = ""
 
     def __post_init__(self) -> None:
-        _need(self.per_call >= 1, "kinds.per_call", "must be at least 1")
+        _require(self.max_messages_per_call >= 1, "kinds.max_messages_per_call", "must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,76 +137,88 @@
     """All that an instance is told at its start."""
 
     classes: tuple[MessageClass, ...]
-    kinds: tuple[Kind, ...]
-    slots: int  # calls out at once
-    fall_multiple: float  # a cold destination falls over above this multiple of its capacity
-    cold_share: float  # share of its capacity that a returning destination has at least
-    cold: int  # and all of it after this
-    order_pause: int = 0
-    instances: int = 1
+    kinds: tuple[DestinationKind, ...]
+    max_concurrent_calls: int  # calls out at once
+    overload_factor: float  # a cold destination falls over above this multiple of its capacity
+    slow_start_fraction: float  # share of its capacity that a returning destination has at least
+    slow_start_duration: int  # and all of it after this
+    ordering_pause: int = 0
+    instance_count: int = 1
     zone: int = 0
     max_attempts: int = 5
-    cancel: bool = False
-    retry_after: bool = True
+    can_cancel: bool = False
+    sends_retry_after: bool = True
     max_retry_after: int = 0
     connect_timeout: int = 0
-    must_ask: bool = False
+    must_subscribe: bool = False
     resolution: int = 0
-    decay: Decay = Decay.LINE
-    scale: Scale = Scale.OFF
-    price_cross_zone: float = 0.0
+    late_decay: LateDecay = LateDecay.LINEAR
+    listed_rate_meaning: ListedRateMeaning = ListedRateMeaning.OFF
+    cross_zone_cost: float = 0.0
     tenant_rates: tuple[float, ...] = ()
-    over_share_worth: float = 1.0
+    over_quota_weight: float = 1.0
     tenant_names: tuple[str, ...] = ()
     zone_names: tuple[str, ...] = ()
     report_fields: tuple[str, ...] = ()
-    max_open: int = 1 << 30  # transactions held at most
-    conn_idle: int = 0  # a member closes an idle connection after this; 0 if never
+    max_messages: int = 1 << 30  # transactions held at most
+    connection_idle_timeout: int = 0  # a member closes an idle connection after this; 0 if never
     drain_grace: int = 2_000_000_000  # for so long something new may go to a member told to drain
 
     def __post_init__(self) -> None:
-        _need(len(self.classes) > 0, "classes", "at least one is needed")
-        _need(len(self.kinds) > 0, "kinds", "at least one is needed")
-        for name in ("slots", "instances", "max_attempts", "cold", "max_open"):
-            _need(getattr(self, name) >= 1, name, "must be at least 1")
-        _need(self.fall_multiple > 0, "fall_multiple", "must be above 0")
-        _need(0 < self.cold_share <= 1, "cold_share", "must be above 0 and at most 1")
-        for name in ("order_pause", "zone"):
-            _need(getattr(self, name) >= 0, name, "must not be negative")
-        for name in ("max_retry_after", "connect_timeout", "resolution", "conn_idle", "drain_grace"):
-            _need(getattr(self, name) >= 0, name, "must not be negative")
-        _need(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie in 0 to 1")
-        _need(all(rate >= 0 for rate in self.tenant_rates), "tenant_rates", "must not be negative")
+        _require(len(self.classes) > 0, "classes", "at least one is needed")
+        _require(len(self.kinds) > 0, "kinds", "at least one is needed")
+        for name in (
+            "max_concurrent_calls",
+            "instance_count",
+            "max_attempts",
+            "slow_start_duration",
+            "max_messages",
+        ):
+            _require(getattr(self, name) >= 1, name, "must be at least 1")
+        _require(self.overload_factor > 0, "overload_factor", "must be above 0")
+        _require(0 < self.slow_start_fraction <= 1, "slow_start_fraction", "must be above 0 and at most 1")
+        for name in ("ordering_pause", "zone"):
+            _require(getattr(self, name) >= 0, name, "must not be negative")
+        for name in (
+            "max_retry_after",
+            "connect_timeout",
+            "resolution",
+            "connection_idle_timeout",
+            "drain_grace",
+        ):
+            _require(getattr(self, name) >= 0, name, "must not be negative")
+        _require(0 <= self.over_quota_weight <= 1, "over_quota_weight", "must lie in 0 to 1")
+        _require(all(rate >= 0 for rate in self.tenant_rates), "tenant_rates", "must not be negative")
 
     @property
     def class_names(self) -> tuple[str, ...]:
         """What people call each class; its number where it has no name."""
         return tuple(cls.name or str(number) for number, cls in enumerate(self.classes))
 
-    def kind(self, number: int) -> Kind:
+    def kind(self, number: int) -> DestinationKind:
         """The kind with this number; the last one for a number that is too high."""
         return self.kinds[min(number, len(self.kinds) - 1)]
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class EndpointListing:
     """One endpoint in the list."""
 
     endpoint: str
     destination: int
     kind: int = 0
     zone: int = 0
-    scale: float = 1.0
-    status: Status = Status.READY
-    gated: bool = False  # takes calls on open connections alone, of which `Room` tells
+    listed_rate: float = 1.0
+    status: EndpointStatus = EndpointStatus.READY
+    requires_open_connection: bool = False  # takes calls on open connections alone, of which `Room` tells
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
+class EndpointListUpdate:
     """News of the list of endpoints."""
 
-    mode: ListMode
-    entries: tuple[Entry, ...] = ()
+    mode: UpdateMode
+    listings: tuple[EndpointListing, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,17 +226,17 @@
     """A message was taken and is owed exactly one final answer."""
 
     message: str
-    cls: int
+    class_index: int
     destination: int
     time_left: int
-    key: int | None = None
+    ordering_key: int | None = None
     tenant: int = 0
-    work: int = 0  # guess of the call's time, 0 if none
-    came_again: bool = False
+    expected_work: int = 0  # guess of the call's time, 0 if none
+    recovered_from_journal: bool = False
     attempts: int = 0  # made before a restart of the process
-    ran_at: int | None = None  # when an earlier attempt may first have run, if one may have
-    ran_zone: int = 0  # and in which zone
-    behind: bool = False  # it goes only where nothing else wants to
+    first_possible_execution: int | None = None  # when an earlier attempt may first have run, if one may have
+    first_execution_zone: int = 0  # and in which zone
+    low_priority: bool = False  # it goes only where nothing else wants to
 
 
 @dataclass(frozen=True, slots=True)
@@ -219,45 +247,49 @@
     attempt: int
     endpoint: str
     outcome: Outcome
-    took: int
-    settled: bool  # the message is concluded, by this or earlier
-    wait: int = 0  # told wait, 0 if none
-    allowance: float = 1.0  # told share of the limit that is left
-    limit: float = 0.0  # told limit in calls a second, 0 if there is none
-    stale: bool = False  # a kept connection broke without a word: it tells of the connection alone
-    crowded: bool = False  # turned away as its connection came up: the member's table of them is full
-    unused: bool = False  # no byte of it went: no attempt was used up, and its number is given again
+    elapsed: int
+    message_concluded: bool  # the message is concluded, by this or earlier
+    retry_after: int = 0  # told wait, 0 if none
+    limit_remaining: float = 1.0  # told share of the limit that is left
+    rate_limit: float = 0.0  # told limit in calls a second, 0 if there is none
+    connection_stale: bool = False  # a kept connection broke without a word: it tells of the connection alone
+    connection_limited: bool = (
+        False  # turned away as its connection came up: the member's table of them is full
+    )
+    not_started: bool = False  # no byte of it went: no attempt was used up, and its number is given again
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class ConnectionCapacity:
     """How many calls a gated endpoint's connections take, and how the latest try to open one ended."""
 
     endpoint: str
     destination: int
-    calls: int  # out at once, until told otherwise
-    failed: bool = False  # none came up, as in an outage: nothing ran, and no message was tried
-    took: int = 0  # until it failed
-    shut: int = 0  # time from now for which none will be opened, 0 if one may be
-    why: str = ""  # the name of the failure, where the latest try failed; it tells people, not the module
+    capacity: int  # out at once, until told otherwise
+    connect_failed: bool = False  # none came up, as in an outage: nothing ran, and no message was tried
+    elapsed: int = 0  # until it failed
+    connect_blocked_for: int = 0  # time from now for which none will be opened, 0 if one may be
+    failure_reason: str = (
+        ""  # the name of the failure, where the latest try failed; it tells people, not the module
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class MessageWithdrawn:
     """Nobody wants the message any more."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ShutdownStarted:
     """The process is about to end, and nothing is decided for so long at the least."""
 
-    gap: int
+    pause: int
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RetryAfterReceived:
     """An endpoint told another process of this dispatcher to wait until then."""
 
     destination: int
@@ -270,7 +302,16 @@
     """A timer that was asked for has come."""
 
 
-Event = ListNews | NewMessage | AttemptEnded | Room | Withdrawn | Leaving | Told | TimerFired
+Event = (
+    EndpointListUpdate
+    | NewMessage
+    | AttemptEnded
+    | ConnectionCapacity
+    | MessageWithdrawn
+    | ShutdownStarted
+    | RetryAfterReceived
+    | TimerFired
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -291,11 +332,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, handing it in again after `come_back` is harmless."""
 
     message: str
-    come_back: int
+    retry_after: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -318,14 +359,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseIdleConnections:
     """Close this instance's idle connections to an endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenConnections:
     """Messages wait for a gated endpoint: connections for so many more calls are wanted."""
 
     endpoint: str
@@ -333,17 +374,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
+class DestinationHealth:
     """How a destination stands, as the module sees it."""
 
     listed: bool  # it has a member that may get something new
-    sick: bool  # no member is well: out, or many calls fail
-    ramping: bool  # a member came back and may be cold
-    waits_until: int  # told wait
-    queued: bool  # messages that are not behind others wait for it
-    part: float  # this instance's part of its capacity, in calls a second
-    last_send: int
-    used: int  # slots, of all destinations
+    unhealthy: bool  # no member is well: out, or many calls fail
+    in_slow_start: bool  # a member came back and may be cold
+    retry_after_until: int  # told wait
+    has_queued_messages: bool  # messages that are not behind others wait for it
+    quota: float  # this instance's part of its capacity, in calls a second
+    last_sent_at: int
+    concurrent_calls: int  # slots, of all destinations
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Subscribe | Close | Open
+Action = Send | Cancel | Reject | Fail | SetTimer | Subscribe | CloseIdleConnections | OpenConnections
--- a/honeyhitch/protocols/agent_check.py
+++ b/honeyhitch/protocols/agent_check.py
@@ -8,18 +8,18 @@
 
 import httptools
 
-from honeyhitch.dispatcher.delivery import Phase, State
+from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.protocols.buffer import Buffer
 
 MOST_REQUEST = 8192  # bytes
 
 
-def weight(state: State) -> int:
+def weight(state: DispatcherState) -> int:
     """Per cent of its room that is left; a ready one keeps at least 1, as 0 would mean drain."""
-    return max(1, 100 - 100 * state.held // max(1, state.most))
+    return max(1, 100 - 100 * state.message_count // max(1, state.max_messages))
 
 
-def agent_line(state: State) -> bytes:
+def agent_line(state: DispatcherState) -> bytes:
     """HAProxy's words for a state: `ready` ends an earlier drain, and the percentage sets the weight."""
     if state.phase is Phase.READY:
         return b"up ready %d%%\n" % weight(state)
@@ -31,7 +31,7 @@
 
     forward = None
 
-    def __init__(self, state: Callable[[], State]) -> None:
+    def __init__(self, state: Callable[[], DispatcherState]) -> None:
         self.opening, self.closing, self.more, self.half = agent_line(state()), True, False, False
 
     def receive(self, buffer: Buffer) -> bytes:
@@ -46,7 +46,7 @@
     opening = b""
     forward = None
 
-    def __init__(self, state: Callable[[], State]) -> None:
+    def __init__(self, state: Callable[[], DispatcherState]) -> None:
         self.state, self.closing, self.more, self.half, self.seen = state, False, False, False, 0
         self.parser = httptools.HttpRequestParser(self)
         self.path, self.replies = b"", list[bytes]()
@@ -82,7 +82,11 @@
         path, self.path, self.seen = self.path.partition(b"?")[0], b"", 0
         method, self.closing = self.parser.get_method(), not self.parser.should_keep_alive()
         state, wanted = self.state(), method != b"HEAD"
-        told: dict[str, object] = {"state": state.phase.value, "held": state.held, "most": state.most}
+        told: dict[str, object] = {
+            "state": state.phase.value,
+            "held": state.message_count,
+            "most": state.max_messages,
+        }
         if method not in (b"GET", b"HEAD"):
             self._reply(HTTPStatus.METHOD_NOT_ALLOWED, {})
         elif path == b"/live":
--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -4,7 +4,7 @@
 
 import re
 
-from honeyhitch.dispatcher.delivery import Result
+from honeyhitch.dispatcher.delivery import CallResult
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy import interface as api
 from honeyhitch.protocols import http1
@@ -14,15 +14,15 @@
 MOST_WAIT = 3600 * SECOND  # a longer told wait is cut to this
 SIMPLE = {
     200: api.Outcome.DELIVERED,
-    429: api.Outcome.REFUSED,
-    503: api.Outcome.REFUSED,
+    429: api.Outcome.REJECTED,
+    503: api.Outcome.REJECTED,
     504: api.Outcome.NOT_SENT,
     410: api.Outcome.NOT_SENT,
 }
 BATCH = {
     "accepted": (api.Outcome.DELIVERED, True),
     "fault": (api.Outcome.ERROR, False),
-    "deferred": (api.Outcome.REFUSED, False),
+    "deferred": (api.Outcome.REJECTED, False),
     "expired": (api.Outcome.NOT_SENT, True),
     "no_more": (api.Outcome.NOT_SENT, False),
 }
@@ -61,29 +61,31 @@
     return {name: float(value) for name, _, value in pairs if NUMBER.fullmatch(value)}
 
 
-def read(answer: http1.Answer, parts: list[Transaction], fresh: bool = False) -> Result:
+def read(answer: http1.Answer, parts: list[Transaction], fresh: bool = False) -> CallResult:
     """What an answer says of each of the call's transactions; `fresh` if it is its connection's first."""
     status, count = answer.status, len(parts)
     outcome = SIMPLE.get(status, api.Outcome.ERROR)
     over = status in (200, 410)
     if status == 503 and answer.headers.get("x-no-slot", "").strip() == "1":
         outcome = api.Outcome.NOT_SENT
-    result = Result.same(outcome, count, over)
+    result = CallResult.uniform(outcome, count, over)
     if status == 200 and count > 1:
         told = dict(line.split()[:2] for line in _lines(answer.body) if len(line.split()) >= 2)
         # A message that the answer passes over may have run: nobody said that it did not.
         result.outcomes = [BATCH.get(told.get(part.id, ""), (api.Outcome.ERROR, False)) for part in parts]
     if answer.more:  # a spoilt length looks like this, too: what says that nothing ran proves nothing
         result.outcomes = [
-            (api.Outcome.RESET, False) if outcome.never_ran else (outcome, over)
+            (api.Outcome.RESET, False) if outcome.proves_not_executed else (outcome, over)
             for outcome, over in result.outcomes
         ]
-    result.wait = wait(answer.headers)
-    result.told = report(answer.headers.get("x-pressure", ""))
-    if fresh and outcome is api.Outcome.REFUSED and not answer.more:
+    result.retry_after = wait(answer.headers)
+    result.reported = report(answer.headers.get("x-pressure", ""))
+    if fresh and outcome is api.Outcome.REJECTED and not answer.more:
         # Only a member that has no room for the connection itself closes it and has no load to tell.
         closes = answer.headers.get("connection", "").strip().lower() == "close"
-        result.crowded = status == 503 and closes and not result.wait and not result.told
+        result.connection_limited = (
+            status == 503 and closes and not result.retry_after and not result.reported
+        )
     return result
 
 
@@ -91,8 +93,8 @@
     return body.decode("latin-1").splitlines()
 
 
-def broken(status: int, parts: list[Transaction], outcome: api.Outcome) -> Result:
+def broken(status: int, parts: list[Transaction], outcome: api.Outcome) -> CallResult:
     """No whole answer came, whatever its first line says: the call may have run. Only a lone 200 is true."""
     if status == 200 and len(parts) == 1:
-        return Result.same(api.Outcome.DELIVERED, 1, True)
-    return Result.same(outcome, len(parts))
+        return CallResult.uniform(api.Outcome.DELIVERED, 1, True)
+    return CallResult.uniform(outcome, len(parts))
--- a/honeyhitch/protocols/forwarding.py
+++ b/honeyhitch/protocols/forwarding.py
@@ -52,13 +52,13 @@
     left = (transaction.deadline - now) // MS
     if left < 1:
         return None
-    fields = {"c": settings.classes[transaction.cls].name, "d": str(left)}
+    fields = {"c": settings.classes[transaction.class_index].name, "d": str(left)}
     fields["dest"] = str(transaction.destination)
     if settings.tenant_names:
         fields["t"] = settings.tenant_names[transaction.tenant]
     if transaction.key:
         fields["k"] = transaction.key
-    if transaction.came_again:
+    if transaction.recovered_from_journal:
         fields["again"] = "1"
     fields[FORWARDED] = instance
     text = ",".join(f"{name}={value}" for name, value in fields.items())
--- a/honeyhitch/protocols/management.py
+++ b/honeyhitch/protocols/management.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from honeyhitch.dispatcher.delivery import Phase, State
+from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.protocols.buffer import Buffer
 
 MOST_DIGITS = 15  # of a destination's number
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        state: Callable[[], State],
+        state: Callable[[], DispatcherState],
         figures: Callable[[], dict[str, Any]],
         fleet: FleetFigures | None = None,
     ) -> None:
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -5,7 +5,7 @@
 import base64
 import json
 
-from honeyhitch.dispatcher.delivery import Call, Result
+from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy import interface as api
 from honeyhitch.protocols.calls import batch_body, report, wait
@@ -35,7 +35,7 @@
     expiry = packet.properties.get("message_expiry")
     if isinstance(expiry, int):  # the server counts it down while it holds the publish
         taken.deadline = min(taken.deadline, now + expiry * SECOND)
-    taken.front, taken.reply = "mqtt", reply
+    taken.frontend, taken.reply_context = "mqtt", reply
     return taken
 
 
@@ -56,38 +56,38 @@
     """The final answer to a transaction that was taken on."""
     ending = ended.ending or Ending.FAILED
     more: dict[str, object] = {}
-    if ending is Ending.REJECTED and ended.come_back:
-        more["again_ms"] = max(1, ended.come_back // MS)
-    return final(ended.reply, ended.id, STATUS.get(ending, "undeliverable"), more)
+    if ending is Ending.REJECTED and ended.retry_after:
+        more["again_ms"] = max(1, ended.retry_after // MS)
+    return final(ended.reply_context, ended.id, STATUS.get(ending, "undeliverable"), more)
 
 
 def call(out: Call, left: int) -> Packet:
     """The publish that carries one call: a message, or several as the lines of a batch."""
     user = [("left-ms", str(max(1, left // MS)))]
-    packet = Packet(PacketKind.PUBLISH, topic=out.member.address, qos=1, user=user)
-    if len(out.parts) == 1:
-        (part,) = out.parts
+    packet = Packet(PacketKind.PUBLISH, topic=out.endpoint.address, qos=1, user=user)
+    if len(out.messages) == 1:
+        (part,) = out.messages
         user += [("id", part.id), ("key", part.key)] if part.key else [("id", part.id)]
         packet.payload = part.body
     else:
-        user.append(("batch", str(len(out.parts))))
-        packet.payload = batch_body(out.parts)
+        user.append(("batch", str(len(out.messages))))
+        packet.payload = batch_body(out.messages)
     return packet
 
 
-def outcome(out: Call, ack: Packet | None, left: bool) -> Result:
+def outcome(out: Call, ack: Packet | None, left: bool) -> CallResult:
     """What the acknowledgement of a call says, or the lack of one; `left`: it may have gone out."""
-    count = len(out.parts)
+    count = len(out.messages)
     if ack is None:
-        return Result.same(api.Outcome.RESET if left else api.Outcome.CONNECT_FAILED, count)
+        return CallResult.uniform(api.Outcome.RESET if left else api.Outcome.CONNECT_FAILED, count)
     if ack.reason == NO_SUBSCRIBERS:  # taken by the server, but nobody is there: it has not run
-        result = Result.same(api.Outcome.CONNECT_FAILED, count)
+        result = CallResult.uniform(api.Outcome.CONNECT_FAILED, count)
     elif ack.reason == QUOTA:
-        result = Result.same(api.Outcome.REFUSED, count)
+        result = CallResult.uniform(api.Outcome.REJECTED, count)
     elif ack.reason >= 0x80:
-        result = Result.same(api.Outcome.ERROR, count)
+        result = CallResult.uniform(api.Outcome.ERROR, count)
     else:
-        result = Result.same(api.Outcome.DELIVERED, count, True)
+        result = CallResult.uniform(api.Outcome.DELIVERED, count, True)
     told = {name.lower(): value for name, value in ack.user}
-    result.wait, result.told = wait(told), report(told.get("x-pressure", ""))
+    result.retry_after, result.reported = wait(told), report(told.get("x-pressure", ""))
     return result
--- a/honeyhitch/protocols/notices.py
+++ b/honeyhitch/protocols/notices.py
@@ -23,8 +23,8 @@
     """One notice."""
     if transaction.ending is Ending.REJECTED:
         fields: dict[str, object] = {"id": transaction.id, "status": "deferred"}
-        if transaction.come_back:
-            fields["again_ms"] = max(1, transaction.come_back // MS)
+        if transaction.retry_after:
+            fields["again_ms"] = max(1, transaction.retry_after // MS)
     else:
         fields = {"id": transaction.id, "status": "undeliverable"}
     return json.dumps(fields, separators=(",", ":"))
--- a/honeyhitch/protocols/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -135,7 +135,7 @@
             raise FieldError(f"body: longer than {MOST_BULK} bytes")
         cls = _pick(self.classes, fields, "c")
         key = fields.get("k", "")
-        if not key and self.settings.classes[cls].effect is api.Effect.KEYED:
+        if not key and self.settings.classes[cls].idempotency is api.Idempotency.IDEMPOTENCY_KEY:
             raise FieldError("k: needed in a keyed class")
         destination, left = _number(fields, "dest"), _number(fields, "d")
         if not self.served(destination):  # nothing could ever be done for it but to hold it to its end
@@ -145,13 +145,13 @@
             raise FieldError(f"d: expected 1 to {most} milliseconds in this class, got {left}")
         return Transaction(
             id=_word(name, "id"),
-            cls=cls,
+            class_index=cls,
             destination=destination,
             deadline=now + min(left, most) * MS,
             body=body,
             key=_word(key.encode(), "k") if key else "",
             tenant=_pick(self.tenants, fields, "t") if self.tenants else 0,
-            came_again="1" in (fields.get("r"), fields.get("again")),
+            recovered_from_journal="1" in (fields.get("r"), fields.get("again")),
         )
 
 
--- a/honeyhitch/service/descriptors.py
+++ b/honeyhitch/service/descriptors.py
@@ -29,7 +29,7 @@
     others += CONTROL_FILES if beside.control is not None else 0
     others += STORE_FILES if beside.undelivered is not None else 0
     others += beside.fleet.peer_connections + FLEET_FILES if beside.fleet is not None else 0
-    left = config.limits.sockets - config.settings.slots - processes * (FIXED_SOCKETS + others)
+    left = config.limits.sockets - config.settings.max_concurrent_calls - processes * (FIXED_SOCKETS + others)
     left //= processes
     most_idle = max(1, left // 4)
     return DescriptorBudget(max(1, left - most_idle), most_idle)
--- a/honeyhitch/service/features.py
+++ b/honeyhitch/service/features.py
@@ -12,7 +12,7 @@
 from honeyhitch.config import ConfigError
 from honeyhitch.config.deployment import MqttSetup
 from honeyhitch.dead_letters.settings import Undelivered
-from honeyhitch.endpoints.pool import GATED, PoolMember
+from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.partitioning.settings import FleetSettings
 from honeyhitch.tls.settings import TlsSetup
 
@@ -36,14 +36,18 @@
     rng = Random(service.config.seed ^ 0x715)
     partners = Partners(every, service.config.settings, os.environ, service.scheduler.now, rng)
     carrier = TlsCarrier(dispatcher, service.scheduler, service.tasks, most, partners)
-    dispatcher.carriers[GATED] = dispatcher.openers[GATED] = carrier
+    dispatcher.transports[TLS_TRANSPORT] = dispatcher.connection_openers[TLS_TRANSPORT] = carrier
     service.idling.append(carrier)
 
-    def carrier_of(member: PoolMember) -> str:
+    def carrier_of(member: PoolEndpoint) -> str:
         kind = service.config.settings.kind(member.kind).name
-        return GATED if partners.of(member.id, member.destination, kind) is not None else member.carrier
+        return (
+            TLS_TRANSPORT
+            if partners.of(member.id, member.destination, kind) is not None
+            else member.transport
+        )
 
-    dispatcher.pool.carrier_of = carrier_of
+    dispatcher.pool.transport_of = carrier_of
     service.works += [carrier.sweep, carrier.watch_files, carrier.watch_ends]
     service.look_at_files = carrier.look_at_files
     return TlsWay(service.loop, partners, partners.known[broker]) if broker is not None else None
@@ -55,13 +59,13 @@
 
     front = MqttFront(setup, service.dispatcher, service.scheduler, service.tasks, way)
     carrier = MqttCarrier(setup, service.dispatcher, service.scheduler, service.tasks, way)
-    service.dispatcher.fronts["mqtt"], service.dispatcher.carriers["mqtt"] = front, carrier
+    service.dispatcher.frontends["mqtt"], service.dispatcher.transports["mqtt"] = front, carrier
     pool = service.dispatcher.pool
     for told in setup.members:
         kind = pool.kinds.index(told.kind)
         zone = pool.zones.index(told.zone) if told.zone in pool.zones else 0
-        member = PoolMember(told.id, told.topic, told.destination, kind, zone, told.rate, carrier="mqtt")
-        pool.fix(member)
+        member = PoolEndpoint(told.id, told.topic, told.destination, kind, zone, told.rate, transport="mqtt")
+        pool.pin(member)
     service.works += [link.run for link in (*front.links, carrier.link)]
 
 
@@ -74,7 +78,7 @@
     set_aside = 2 * MOST_SAVED  # the view's file, and the one that takes its place
     if service.config.limits.disk < 2 * set_aside:
         raise ConfigError(f"limits.disk_mb: expected {2 * set_aside / 1e6:g} at least with [fleet]")
-    service.journal.disk -= set_aside
+    service.journal.max_bytes -= set_aside
     rng = Random(service.config.seed ^ 0xF1EE7)
     service.fleet = FleetService(
         settings,
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.dispatcher.dispatcher import BUSY, Dispatcher
+from honeyhitch.dispatcher.dispatcher import BUSY_RETRY_AFTER, Dispatcher
 from honeyhitch.dispatcher.ports import Scheduler
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.partitioning.fleet import ClockError, Fleet
@@ -26,13 +26,13 @@
 MOST_SAVED = 250_000  # bytes of it
 SAVE_EVERY = 60 * SECOND  # ns; a restart while control is silent counts its leases from the last one
 LOOK_EVERY = 0.25  # seconds between looks at what has changed with the time
-REFUSAL = b"-BUSY %d\r\n" % (BUSY // MS)
+REFUSAL = b"-BUSY %d\r\n" % (BUSY_RETRY_AFTER // MS)
 
 
 class FleetService:
     """Keeps the view, decides where transactions go, and tells the core what this instance may use."""
 
-    retry_after = BUSY
+    retry_after = BUSY_RETRY_AFTER
 
     def __init__(
         self,
@@ -50,16 +50,16 @@
         self.loop, self.path, self.rng, self.refetch = loop, state / FILE, rng, refetch
         self.connections = PeerConnections(loop, settings.peer_connections)
         self.forwarder = Forwarder(
-            dispatcher.s, settings.name, self._addresses, self.connections, scheduler.now, REFUSAL
+            dispatcher.settings, settings.name, self._addresses, self.connections, scheduler.now, REFUSAL
         )
         self._portions: dict[int, float] = {}  # by partition, as the module was told last
         self._lost = set[int]()  # partitions without a portion, of which messages are held
         self._saved_at = 0
         self._look_at: int | None = 0  # when a portion may change though nothing is heard
         self._lease_lasted = False  # at the last look
-        dispatcher.shares = self
-        dispatcher.pool.keeps = self.fleet.keeps
-        dispatcher.pool.portion = lambda destination: self.portion(destination, scheduler.now())
+        dispatcher.quota_source = self
+        dispatcher.pool.keeps_destination = self.fleet.keeps
+        dispatcher.pool.quota_fraction = lambda destination: self.quota_fraction(destination, scheduler.now())
 
     # What others ask.
 
@@ -68,18 +68,18 @@
         """Whether there is a view, of this process or of one before it."""
         return bool(self.fleet.view.instances)
 
-    def portion(self, destination: int, now: int) -> float:
+    def quota_fraction(self, destination: int, now: int) -> float:
         """The part of its zone's share of a limit that this instance may use."""
-        return self.fleet.portion(destination, now)
+        return self.fleet.quota_fraction(destination, now)
 
     def serves(self, destination: int) -> bool:
         """Whether there is such a destination, as far as can be told: of others their owners know."""
-        return not self.fleet.keeps(destination) or self.dispatcher.pool.serves(destination)
+        return not self.fleet.keeps(destination) or self.dispatcher.pool.has_destination(destination)
 
     def route(self, transaction: Transaction, forwarded: bool) -> Route:
         """Where a transaction goes. One that is held here already stays: it is answered as accepted."""
         now, destination = self.scheduler.now(), transaction.destination
-        if self.dispatcher.journal.knows(transaction.id) or self.portion(destination, now) > 0:
+        if self.dispatcher.journal.has_accepted(transaction.id) or self.quota_fraction(destination, now) > 0:
             return Route.LOCAL
         if forwarded or not self.ready:
             return Route.REFUSE
@@ -109,7 +109,7 @@
             zone: [f"{one.name} {one.phase.value}" for one in self.fleet.candidates(zone, partition)]
             for zone in self.settings.zones
         }
-        portion = self.portion(destination, self.scheduler.now())
+        portion = self.quota_fraction(destination, self.scheduler.now())
         return {"destination": destination, "partition": partition, "portion": portion, "zones": candidates}
 
     def _addresses(self, destination: int) -> list[str]:
@@ -142,9 +142,9 @@
         try:
             self.fleet.take(told, now)
         except ClockError as error:  # the view is good, the heartbeat is not
-            log.warning("fleet.clock", error=str(error), key=self.settings.view)
+            log.warning("fleet.clock", error=str(error), ordering_key=self.settings.view)
         if before.revision != self.fleet.view.revision:
-            log.info("fleet.view", revision=self.fleet.view.revision, key=self.settings.view)
+            log.info("fleet.view", revision=self.fleet.view.revision, ordering_key=self.settings.view)
         if not self.fleet.kept <= kept:
             self.refetch()
         if before.instances != self.fleet.view.instances or now - self._saved_at >= SAVE_EVERY:
@@ -169,26 +169,26 @@
         now, changed = self.scheduler.now(), set[int]()
         self._look_at, self._lease_lasted = self.fleet.next_change(now), self.fleet.lease_lasts(now)
         for partition in self.fleet.kept | self._portions.keys():
-            portion = self.fleet.held(partition, now).portion(self.settings.reserve)
+            portion = self.fleet.held(partition, now).quota_fraction(self.settings.reserve)
             if portion != self._portions.get(partition, 0.0):
                 changed.add(partition)
                 self._portions[partition] = portion
         self._lost = {one for one in self._lost | changed if not self._portions[one]}
         if changed:
             pool = self.dispatcher.pool
-            news = pool.refreshed(lambda destination: self.fleet.partition(destination) in changed)
-            if news.entries:
-                self.dispatcher.news(news)
+            news = pool.changed_listings(lambda destination: self.fleet.partition(destination) in changed)
+            if news.listings:
+                self.dispatcher.apply_list_update(news)
         if self._lost:
             self._hand_back(now)
 
     def _hand_back(self, now: int) -> None:
         """Of partitions that were lost; those of which nothing is held any more need no further look."""
-        held = {one.destination for one in self.dispatcher.held.by_id.values()}
+        held = {one.destination for one in self.dispatcher.messages.by_id.values()}
         held = {one for one in held if self.fleet.partition(one) in self._lost}
         for destination in held:
             if not self.fleet.awaits(destination, now):
-                self.dispatcher.hand_back(destination, BUSY)
+                self.dispatcher.return_unattempted(destination, BUSY_RETRY_AFTER)
         self._lost = {self.fleet.partition(destination) for destination in held}
 
     def _save(self, now: int) -> None:
