--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,18 +14,26 @@
 
 import pytest
 
-from honeyhitch.dispatcher.delivery import Call, Result
+from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy import interface as api
-from honeyhitch.policy.interface import Effect, Outcome
+from honeyhitch.policy.interface import Idempotency, Outcome
 
 from .rig import LIST, NAMED, Stand, VirtualTime
 from .world import MS, SECOND
 
 CLASSES = (
-    dataclasses.replace(NAMED, name="safe", effect=Effect.SAFE, window=0, deadline=8 * SECOND),
-    dataclasses.replace(NAMED, name="keyed", window=3 * SECOND, deadline=12 * SECOND),
-    dataclasses.replace(NAMED, name="unsafe", effect=Effect.UNSAFE, window=0, deadline=20 * SECOND),
+    dataclasses.replace(
+        NAMED, name="safe", idempotency=Idempotency.IDEMPOTENT, deduplication_window=0, deadline=8 * SECOND
+    ),
+    dataclasses.replace(NAMED, name="keyed", deduplication_window=3 * SECOND, deadline=12 * SECOND),
+    dataclasses.replace(
+        NAMED,
+        name="unsafe",
+        idempotency=Idempotency.NON_IDEMPOTENT,
+        deduplication_window=0,
+        deadline=20 * SECOND,
+    ),
 )
 TOOK = 40 * MS  # a call to a partner that is well
 LATE = 300 * MS  # an end may be late by
@@ -69,14 +77,14 @@
         name, time = f"m{number}", self.time.time
         left = int(CLASSES[cls].deadline * self.rng.uniform(0.85, 1.0))
         one = Transaction(name, cls, self.rng.choice((1, 2)), time + left, b"body", key=f"k-{name}")
-        if self.node.core.offer(one).accepted:
+        if self.node.core.submit(one).accepted:
             self.known[name] = Known(CLASSES[cls], time, one.deadline)
 
     def restart(self, how: str) -> None:
         """The process ends by SIGTERM or without one, and the next one starts on what it left."""
         if how == "term":  # as lifecycle.serve: decisions end, calls out have a moment
-            self.node.core.leaving, self.node.core.taking = True, False
-            self.node.core.leave(int(1.5 * SECOND))
+            self.node.core.draining, self.node.core.accepting = True, False
+            self.node.core.stop_deciding(int(1.5 * SECOND))
             self.time.run(0.5)
         self.node.kill()
         self.time.run(0.6)
@@ -90,7 +98,9 @@
         if self.listed != "known":
             late = self.rng.uniform(0.2, 2.0) if self.listed == "late" else 6.0
             node, when = self.node, self.started + int(late * SECOND)
-            self.time.at(when, lambda: node.dead or node.core.news(node.core.pool.update(WHOLE)))
+            self.time.call_at(
+                when, lambda: node.dead or node.core.apply_list_update(node.core.pool.update(WHOLE))
+            )
 
     def ends(self, name: str, delivered: bool) -> None:
         one = self.known[name]
@@ -103,7 +113,7 @@
 
     def __init__(self, world: World, known: dict[str, Any]) -> None:
         self.world, self.dead = world, False
-        settings: dict[str, Any] = {"classes": CLASSES, "max_open": 600, "slots": 12}
+        settings: dict[str, Any] = {"classes": CLASSES, "max_messages": 600, "max_concurrent_calls": 12}
         super().__init__(world.folder, world.time, known=known, **settings)
 
     def start(self, call: Call) -> None:
@@ -111,11 +121,11 @@
             return
         sick, state = self.world.sick(), self.world.state
         if sick and state == "out":
-            self.time.at(self.time.time + MS, lambda: self.over(call, Outcome.CONNECT_FAILED))
+            self.time.call_at(self.time.time + MS, lambda: self.over(call, Outcome.CONNECT_FAILED))
             return
         super().start(call)
         now = self.time.time
-        for part in call.parts:
+        for part in call.messages:
             one = self.world.known[part.id]
             one.calls, one.out = one.calls + 1, one.out + 1
             assert one.out == 1, "two attempts of one message out"
@@ -124,41 +134,46 @@
         took = TOOK
         outcome, wait = Outcome.DELIVERED, 0
         if sick and state == "waits":
-            outcome, wait = Outcome.REFUSED, int(self.world.rng.uniform(0.3, 2.0) * SECOND)
+            outcome, wait = Outcome.REJECTED, int(self.world.rng.uniform(0.3, 2.0) * SECOND)
         elif sick and state == "shut":
-            outcome = Outcome.REFUSED
+            outcome = Outcome.REJECTED
         elif sick and state == "slow":
             took = 700 * MS
         elif self.world.rng.random() < 0.05:
             outcome = Outcome.RESET
         if took >= call.timeout:
             took, outcome = call.timeout, Outcome.TIMEOUT
-        self.time.at(now + took, lambda: self.over(call, outcome, wait=wait))
+        self.time.call_at(now + took, lambda: self.over(call, outcome, retry_after=wait))
 
     def over(self, call: Call, outcome: Outcome, **told: Any) -> None:
-        if self.dead or not any(call.open):
+        if self.dead or not any(call.pending):
             return
-        self.books(call, Outcome.RESET if call.late else outcome)  # late for one: nobody can tell for others
+        self.books(
+            call, Outcome.RESET if call.message_expired else outcome
+        )  # late for one: nobody can tell for others
         self.end(call, outcome, **told)
 
     def books(self, call: Call, outcome: Outcome) -> None:
-        for part, is_open in zip(call.parts, call.open, strict=True):
+        for part, is_open in zip(call.messages, call.pending, strict=True):
             one = self.world.known[part.id]
-            one.out -= call.begun and is_open
-            if not call.begun:
+            one.out -= call.started and is_open
+            if not call.started:
                 continue
-            if outcome.never_ran:
+            if outcome.proves_not_executed:
                 one.first_ran = one.first_ran if one.ran else None
                 continue
             assert one.first_ran is not None
-            dropped = one.cls.effect is Effect.KEYED and self.time.time - one.first_ran <= one.cls.window
-            one.ran += one.cls.effect is not Effect.SAFE and not (one.ran and dropped)
+            dropped = (
+                one.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+                and self.time.time - one.first_ran <= one.cls.deduplication_window
+            )
+            one.ran += one.cls.idempotency is not Idempotency.IDEMPOTENT and not (one.ran and dropped)
             assert one.ran <= 1, f"{part.id}: took effect twice"
             if outcome is Outcome.DELIVERED:
                 self.world.ends(part.id, True)
 
-    def give_up(self, call: Call) -> None:
-        self.over(call, Outcome.CANCELLED) if call.begun else self.core.ended(call, Result([]))
+    def cancel(self, call: Call) -> None:
+        self.over(call, Outcome.CANCELLED) if call.started else self.core.call_ended(call, CallResult([]))
 
     def answer(self, transaction: Transaction) -> None:
         self.world.ends(transaction.id, transaction.ending is Ending.DELIVERED)
@@ -166,10 +181,10 @@
 
     def kill(self) -> None:
         """What is out may have run, and nobody hears of it."""
-        for call in {id(one): one for one in self.core.out.values()}.values():
+        for call in {id(one): one for one in self.core.calls_in_flight.values()}.values():
             self.books(call, Outcome.RESET)
         self.dead = True
-        self.core.taking = self.core.sending = False
+        self.core.accepting = self.core.sending = False
         self.journal.close()
 
 
@@ -177,7 +192,7 @@
     """400 messages in 2 s, most of them held back; then two restarts, and all that is owed ends."""
     world = World(folder, seed, state, listed)
     world.sick_until = world.time.time + 10 * SECOND if state != "well" else 0
-    world.node.core.brain.share(1)  # most wait for a slot
+    world.node.core.policy.limit_concurrent_calls(1)  # most wait for a slot
     for number in range(400):
         world.hand_in(number)
         world.time.run(0.005)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -3,16 +3,17 @@
 from __future__ import annotations
 
 from honeyhitch.policy import interface as api
-from honeyhitch.policy.engine import PROOF, Brain
+from honeyhitch.policy.engine import DeliveryPolicy
 from honeyhitch.policy.interface import Outcome
+from honeyhitch.policy.state import PROOF
 from tests.world import MS, SECOND, World, settings
 
-ONE = (api.Entry("a", 0, scale=20.0),)
-TWO = (api.Entry("a", 0, scale=20.0), api.Entry("b", 0, scale=20.0))
+ONE = (api.EndpointListing("a", 0, listed_rate=20.0),)
+TWO = (api.EndpointListing("a", 0, listed_rate=20.0), api.EndpointListing("b", 0, listed_rate=20.0))
 
 
 def closes(world: World) -> int:
-    return sum(isinstance(a, api.Close) for _, a in world.log)
+    return sum(isinstance(a, api.CloseIdleConnections) for _, a in world.log)
 
 
 def deliver(world: World, name: str, cls: int = 0, after: int = 100 * MS) -> str:
@@ -23,7 +24,7 @@
 
 
 def test_idle_connections_close_once_a_connect_of_the_kind_failed() -> None:
-    world = World(settings(instances=50), (*ONE, api.Entry("z", 1, scale=20.0)))
+    world = World(settings(instance_count=50), (*ONE, api.EndpointListing("z", 1, listed_rate=20.0)))
     for i in range(PROOF):
         deliver(world, f"m{i}")
     proof = closes(world)
@@ -39,7 +40,7 @@
 
 
 def test_a_few_instances_keep_their_connections() -> None:
-    world = World(settings(instances=3), ONE)
+    world = World(settings(instance_count=3), ONE)
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.CONNECT_FAILED)], at=10 * MS)
     world.run(2 * SECOND)
@@ -48,7 +49,7 @@
 
 
 def test_one_failure_is_enough_where_nothing_else_is_known() -> None:
-    world = World(settings(instances=200), ONE)
+    world = World(settings(instance_count=200), ONE)
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.ERROR)], at=50 * MS)
     world.batch([world.hand_in("n"), world.hand_in("o")], at=60 * MS)
@@ -68,7 +69,7 @@
 
 
 def test_one_failure_and_one_good_trial_bring_no_ramp() -> None:
-    world = World(settings(instances=200), (api.Entry("a", 0, scale=5.0),))
+    world = World(settings(instance_count=200), (api.EndpointListing("a", 0, listed_rate=5.0),))
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.ERROR)], at=50 * MS)
     world.run(SECOND)
@@ -81,8 +82,10 @@
 def test_trials_of_a_whole_fleet_stay_inside_the_budget_of_a_cold_destination() -> None:
     """Sixty instances that were all told of one long outage; the sum of what they send at its return."""
     capacity, back_at, count = 20.0, 12 * SECOND, 60
-    given = settings(instances=count)
-    fleet = [World(given, (api.Entry("a", 0, scale=capacity),), seed) for seed in range(count)]
+    given = settings(instance_count=count)
+    fleet = [
+        World(given, (api.EndpointListing("a", 0, listed_rate=capacity),), seed) for seed in range(count)
+    ]
     sent: list[int] = []
     for number, world in enumerate(fleet):
         world.batch([world.hand_in("m")])
@@ -99,8 +102,10 @@
             world.run(world.now + 50 * MS)
         sent += [at for at, _ in world.sends()]
     inside = sum(back_at <= at < back_at + 2 * SECOND for at in sent)
-    cold = given.cold_share + (1 - given.cold_share) * 2 * SECOND / given.cold
-    assert inside <= given.fall_multiple * cold * capacity * 2
+    cold = (
+        given.slow_start_fraction + (1 - given.slow_start_fraction) * 2 * SECOND / given.slow_start_duration
+    )
+    assert inside <= given.overload_factor * cold * capacity * 2
 
 
 def test_a_class_that_fails_at_one_endpoint_goes_to_another_and_the_rest_stay() -> None:
@@ -118,11 +123,11 @@
     assert deliver(world, "n", 1) == other
     for i in range(3):
         assert deliver(world, f"p{i}") in (where, other)
-    assert not any(isinstance(a, api.Refuse | api.Fail) for _, a in world.log)
+    assert not any(isinstance(a, api.Reject | api.Fail) for _, a in world.log)
 
 
 def test_one_hung_call_of_two_leaves_the_other_slot_to_others() -> None:
-    world = World(settings(slots=2), (*ONE, api.Entry("z", 1, scale=20.0)))
+    world = World(settings(max_concurrent_calls=2), (*ONE, api.EndpointListing("z", 1, listed_rate=20.0)))
     world.batch([world.hand_in("m"), world.hand_in("n")])
     assert len(world.sends()) == 1
     world.batch([world.hand_in("z", dest=1)], at=10 * MS)
@@ -130,9 +135,9 @@
 
 
 def test_a_paced_lane_under_a_call_a_second_is_not_starved() -> None:
-    world = World(settings(instances=200), (api.Entry("a", 0, scale=10.0),))
+    world = World(settings(instance_count=200), (api.EndpointListing("a", 0, listed_rate=10.0),))
     world.batch([world.hand_in("m")])
-    world.batch([world.end("m", Outcome.REFUSED)], at=50 * MS)
+    world.batch([world.end("m", Outcome.REJECTED)], at=50 * MS)
     world.run(15 * SECOND)
     world.batch([world.hand_in("n", 1)])
     world.run(world.now + 19 * SECOND)
@@ -140,9 +145,9 @@
 
 
 def test_looking_at_a_paced_destination_sets_no_timer_for_each_event() -> None:
-    world = World(settings(instances=20), (*ONE, api.Entry("z", 1, scale=20.0)))
+    world = World(settings(instance_count=20), (*ONE, api.EndpointListing("z", 1, listed_rate=20.0)))
     world.batch([world.hand_in("m")])
-    world.batch([world.end("m", Outcome.REFUSED), world.hand_in("w")], at=50 * MS)
+    world.batch([world.end("m", Outcome.REJECTED), world.hand_in("w")], at=50 * MS)
     before = len(world.log)
     for i in range(50):
         world.batch([world.hand_in(f"z{i}", dest=1)])
@@ -152,22 +157,28 @@
 
 
 def test_gone_endpoints_and_ended_keys_are_forgotten_over_a_long_run() -> None:
-    world = World(settings(), (api.Entry("e0", 0, scale=20.0),))
+    world = World(settings(), (api.EndpointListing("e0", 0, listed_rate=20.0),))
     for i in range(200):
-        gone = api.Entry(f"e{i}", 0, status=api.Status.GONE)
-        world.batch([api.ListNews(api.ListMode.CHANGES, (api.Entry(f"e{i + 1}", 0, scale=20.0), gone))])
-        world.batch([world.hand_in(f"k{i}", 4, key=i), world.hand_in(f"m{i}")])
+        gone = api.EndpointListing(f"e{i}", 0, status=api.EndpointStatus.GONE)
+        world.batch(
+            [
+                api.EndpointListUpdate(
+                    api.UpdateMode.CHANGES, (api.EndpointListing(f"e{i + 1}", 0, listed_rate=20.0), gone)
+                )
+            ]
+        )
+        world.batch([world.hand_in(f"k{i}", 4, ordering_key=i), world.hand_in(f"m{i}")])
         world.batch([world.end(f"k{i}", Outcome.DELIVERED), world.end(f"m{i}", Outcome.DELIVERED)])
         world.run(world.now + 500 * MS)
     world.run(world.now + 30 * SECOND)
-    brain: Brain = world.brain
+    brain: DeliveryPolicy = world.brain
     assert [len(d.endpoints) for d in brain.dests.values()] == [1]
     assert not brain.lines and not brain.messages and len(brain.wakes) <= 1
 
 
 def test_a_full_list_forgets_what_it_does_not_name() -> None:
     world = World(settings(), TWO)
-    world.batch([api.ListNews(api.ListMode.FULL, (TWO[1],))])
+    world.batch([api.EndpointListUpdate(api.UpdateMode.FULL, (TWO[1],))])
     assert list(world.brain.dests[0].endpoints) == ["b"]
 
 
@@ -175,7 +186,7 @@
     """Each instance was told of one failure at the same time; held messages must not leave together."""
     let_go = []
     for seed in range(20):
-        world = World(settings(instances=200), (api.Entry("a", 0, scale=5.0),), seed)
+        world = World(settings(instance_count=200), (api.EndpointListing("a", 0, listed_rate=5.0),), seed)
         world.batch([world.hand_in("m", 3)])
         world.batch([world.end("m", Outcome.CONNECT_FAILED)], at=50 * MS)
         world.run(20 * SECOND)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -54,16 +54,16 @@
 def test_what_a_start_finds_untried_is_tried(tmp_path: Path, how: str, seed: int) -> None:
     """Nothing was sent before the end; afterwards each message with time left gets its call."""
     rng = Random(seed)
-    more = {"max_open": 400, "slots": 12}
+    more = {"max_messages": 400, "max_concurrent_calls": 12}
     one = Stand(tmp_path, **more)
-    one.core.brain.used = one.s.slots  # as if all slots were taken by calls that hang
+    one.core.policy.used = one.s.max_concurrent_calls  # as if all slots were taken by calls that hang
     names = [f"m{i}" for i in range(300)]
     for name in names:
         dest = rng.choice((1, 2))
         assert one.hand_in(name, dest=dest, left=int(rng.uniform(8, 20) * SECOND), key=f"k-{name}")
         assert not one.run(0.001)
     if how == "leave":
-        one.core.leave(int(1.5 * SECOND))
+        one.core.stop_deciding(int(1.5 * SECOND))
     assert not one.answers, "none is given up early"
     one.time.time += int(rng.uniform(0.6, 2.0) * SECOND)
     again = Stand(tmp_path, one.time, **more)
@@ -71,9 +71,11 @@
     taken = 40 * MS
     for _ in range(int(20 * SECOND / taken)):
         for call in again.run(taken / SECOND):
-            tried |= {part.id for part in call.parts}
-            again.time.at(again.time.time + taken, lambda call=call: again.end(call, api.Outcome.DELIVERED))
-        if not again.core.held.by_id:
+            tried |= {part.id for part in call.messages}
+            again.time.call_at(
+                again.time.time + taken, lambda call=call: again.end(call, api.Outcome.DELIVERED)
+            )
+        if not again.core.messages.by_id:
             break
-    assert not again.core.held.by_id and not again.answers
+    assert not again.core.messages.by_id and not again.answers
     assert tried == set(names), f"{len(names) - len(tried)} of {len(names)} ended without a call"
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from honeyhitch.dispatcher.delivery import Call
-from honeyhitch.endpoints.pool import GATED, PoolMember
+from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.policy import interface as api
 from honeyhitch.tls import retirement
 from honeyhitch.tls.connection_gate import Door
@@ -158,19 +158,25 @@
         start = door.start(now)
         assert start is not None
         room = door.failed(start, now + MS, TlsError(Failure.EXPIRED))
-        assert not room.failed and room.shut == expected * SECOND and door.start(now + 2 * MS) is None
-        assert room.why == "expired", "the failure's name stands in the outcome"
-        now += MS + room.shut
+        assert (
+            not room.connect_failed
+            and room.connect_blocked_for == expected * SECOND
+            and door.start(now + 2 * MS) is None
+        )
+        assert room.failure_reason == "expired", "the failure's name stands in the outcome"
+        now += MS + room.connect_blocked_for
     start = door.start(now)
     assert start is not None
     down = door.failed(start, now + 5 * MS, TlsError(Failure.STALLED))
-    assert down.why == "stalled" and down.failed and down.took == 5 * MS, "an outage, as the module knows it"
+    assert down.failure_reason == "stalled" and down.connect_failed and down.elapsed == 5 * MS, (
+        "an outage, as the module knows it"
+    )
     door.bar(now)
     door.unbar()
     start = door.start(now + 3 * SECOND)
     assert start is not None
     up = door.opened(start, now + 4 * SECOND, False)
-    assert (up.calls, up.failed, door.failures) == (1, False, 0)
+    assert (up.capacity, up.connect_failed, door.failures) == (1, False, 0)
 
 
 class Gated(Stand):
@@ -179,15 +185,15 @@
     def __init__(self, folder: Path, time: VirtualTime | None = None, **more: object) -> None:
         self.asked: list[int] = []
         super().__init__(folder, time, **more)  # type: ignore[arg-type]
-        self.core.carriers[GATED] = self
-        self.core.openers[GATED] = self
-        self.core.pool.carrier_of = lambda member: GATED if member.destination == 1 else "http"
+        self.core.transports[TLS_TRANSPORT] = self
+        self.core.connection_openers[TLS_TRANSPORT] = self
+        self.core.pool.transport_of = lambda member: TLS_TRANSPORT if member.destination == 1 else "http"
 
-    def open(self, member: PoolMember, calls: int) -> None:
+    def open(self, member: PoolEndpoint, calls: int) -> None:
         self.asked.append(calls)
 
     def tell(self, calls: int, **more: int) -> list[Call]:
-        self.core.room(api.Room("s-1", 1, calls, **more))  # type: ignore[arg-type]
+        self.core.apply_connection_capacity(api.ConnectionCapacity("s-1", 1, calls, **more))  # type: ignore[arg-type]
         return self.run(0.05)
 
 
@@ -195,8 +201,10 @@
 def gated(tmp_path: Path) -> Gated:
     stand = Gated(tmp_path)
     # The list of the start was read before the partner's table was known: list it anew.
-    stand.core.news(stand.core.pool.update({"revision": 3, "complete": True, "members": [row("s-2", 2)]}))
-    stand.core.news(
+    stand.core.apply_list_update(
+        stand.core.pool.update({"revision": 3, "complete": True, "members": [row("s-2", 2)]})
+    )
+    stand.core.apply_list_update(
         stand.core.pool.update({"revision": 4, **{k: v for k, v in LIST.items() if k != "revision"}})
     )
     stand.run(0.1)
@@ -207,17 +215,17 @@
     for i in range(3):
         assert gated.hand_in(f"m{i}")
     assert gated.run(1) == [] and gated.asked and max(gated.asked) >= 1
-    assert gated.core.brain.used == 0, "no slot is held by a handshake"
+    assert gated.core.policy.used == 0, "no slot is held by a handshake"
     calls = gated.tell(2)
-    assert len(calls) == 2 and all(call.numbers == [0] for call in calls)
+    assert len(calls) == 2 and all(call.attempt_numbers == [0] for call in calls)
     assert gated.run(1) == [], "no more calls than connections"
     gated.end(calls[0], api.Outcome.DELIVERED)
     (third,) = gated.run(0.1)
-    assert third.numbers == [0]
+    assert third.attempt_numbers == [0]
     gated.end(third, api.Outcome.DELIVERED)
     gated.end(calls[1], api.Outcome.DELIVERED)
     gated.run(0.1)
-    assert not gated.core.held.by_id
+    assert not gated.core.messages.by_id
 
 
 def test_failed_handshakes_are_an_outage_with_trials_but_no_attempts(gated: Gated) -> None:
@@ -226,20 +234,20 @@
     asked = []
     for _ in range(6):
         asked.append(len(gated.asked))
-        gated.tell(0, failed=True, took=10 * MS)
+        gated.tell(0, connect_failed=True, elapsed=10 * MS)
         gated.run(1)
-    assert gated.core.held.by_id["m"].attempts == 0
+    assert gated.core.messages.by_id["m"].attempt_count == 0
     gaps = [b - a for a, b in itertools.pairwise(asked)]
     assert all(gap <= 2 for gap in gaps), "single trials, no storm"
     (call,) = gated.tell(1) or gated.run(5)
-    assert call.numbers == [0]
+    assert call.attempt_numbers == [0]
 
 
 def test_a_told_wait_is_not_overtaken_by_a_handshake(gated: Gated) -> None:
     gated.hand_in("m")
     gated.run(0.1)
     (call,) = gated.tell(1)
-    gated.end(call, api.Outcome.REFUSED, wait=2 * SECOND)
+    gated.end(call, api.Outcome.REJECTED, retry_after=2 * SECOND)
     gated.tell(0)
     before = len(gated.asked)
     gated.hand_in("n")
@@ -255,9 +263,9 @@
     gated.hand_in("short", left=5 * SECOND)
     gated.hand_in("long", left=20 * SECOND)
     gated.run(0.1)
-    gated.tell(0, shut=8 * SECOND)
+    gated.tell(0, connect_blocked_for=8 * SECOND)
     assert [one.id for one in gated.answers] == ["short"], "and not near its deadline"
-    assert gated.answers[0].come_back > 0
+    assert gated.answers[0].retry_after > 0
     gated.hand_in("new", left=5 * SECOND)
     gated.run(0.1)
     assert [one.id for one in gated.answers] == ["short", "new"]
@@ -271,7 +279,7 @@
     gated.hand_in("m")
     gated.run(0.1)
     (call,) = gated.tell(1)
-    gated.end(call, api.Outcome.CONNECT_FAILED, stale=True)
+    gated.end(call, api.Outcome.CONNECT_FAILED, connection_stale=True)
     gated.tell(0)
-    lane = gated.core.brain.dests[1].endpoints["s-1"].lane
+    lane = gated.core.policy.dests[1].endpoints["s-1"].lane
     assert not lane.out and lane.run == 0
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -383,7 +383,7 @@
 
 
 def test_the_settings_of_the_module_are_untouched() -> None:
-    assert api.Entry("e", 1).gated is False
+    assert api.EndpointListing("e", 1).requires_open_connection is False
 
 
 def test_key_updates_and_tickets_on_an_idle_connection_leave_it_at_rest(pki: Authority) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -7,15 +7,22 @@
 from typing import Any
 
 from honeyhitch.policy import interface as api
-from honeyhitch.policy.engine import Brain
+from honeyhitch.policy.engine import DeliveryPolicy
 
 MS = 1_000_000
 SECOND = 1000 * MS
-SAFE = api.MessageClass(api.Effect.SAFE, aim=2 * SECOND, deadline=16 * SECOND)
-KEYED = api.MessageClass(api.Effect.KEYED, aim=2 * SECOND, deadline=20 * SECOND, window=6 * SECOND)
-ZONED = dataclasses.replace(KEYED, group=api.Group.ZONE)
-UNSAFE = api.MessageClass(api.Effect.UNSAFE, aim=2 * SECOND, deadline=24 * SECOND, worth=3.0)
-ORDERED = dataclasses.replace(UNSAFE, in_order=True)
+SAFE = api.MessageClass(api.Idempotency.IDEMPOTENT, latency_objective=2 * SECOND, deadline=16 * SECOND)
+KEYED = api.MessageClass(
+    api.Idempotency.IDEMPOTENCY_KEY,
+    latency_objective=2 * SECOND,
+    deadline=20 * SECOND,
+    deduplication_window=6 * SECOND,
+)
+ZONED = dataclasses.replace(KEYED, deduplication_scope=api.DeduplicationScope.ZONE)
+UNSAFE = api.MessageClass(
+    api.Idempotency.NON_IDEMPOTENT, latency_objective=2 * SECOND, deadline=24 * SECOND, priority_weight=3.0
+)
+ORDERED = dataclasses.replace(UNSAFE, ordered=True)
 CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 DRAIN_GRACE, ANSWER_SLACK = 500 * MS, 20 * MS
 RAN = {api.Outcome.ERROR, api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED}
@@ -26,19 +33,19 @@
     """Plain settings for tests, with changes."""
     base: dict[str, Any] = {
         "classes": CLASSES,
-        "kinds": (api.Kind(),),
-        "slots": 12,
-        "fall_multiple": 2.0,
-        "cold_share": 0.2,
-        "cold": 10 * SECOND,
-        "order_pause": 100 * MS,
-        "instances": 1,
+        "kinds": (api.DestinationKind(),),
+        "max_concurrent_calls": 12,
+        "overload_factor": 2.0,
+        "slow_start_fraction": 0.2,
+        "slow_start_duration": 10 * SECOND,
+        "ordering_pause": 100 * MS,
+        "instance_count": 1,
         "max_attempts": 8,
-        "cancel": True,
+        "can_cancel": True,
         "max_retry_after": 3 * SECOND,
         "connect_timeout": SECOND,
         "resolution": 5 * MS,
-        "scale": api.Scale.NOMINAL,
+        "listed_rate_meaning": api.ListedRateMeaning.NOMINAL,
     }
     return api.Settings(**{**base, **changes})
 
@@ -74,8 +81,8 @@
 class World:
     """Feeds one instance and raises AssertionError where an action breaks a rule."""
 
-    def __init__(self, given: api.Settings, entries: tuple[api.Entry, ...], seed: int = 7) -> None:
-        self.s, self.brain, self.now = given, Brain(given, seed), 0
+    def __init__(self, given: api.Settings, entries: tuple[api.EndpointListing, ...], seed: int = 7) -> None:
+        self.s, self.brain, self.now = given, DeliveryPolicy(given, seed), 0
         self.entries = {e.endpoint: e for e in entries}
         self.stopped: dict[str, int] = {}
         self.waits: dict[object, int] = {}
@@ -83,12 +90,12 @@
         self.order: list[str] = []
         self.timer: int | None = None
         self.log: list[tuple[int, api.Action]] = []
-        self.batch([api.ListNews(api.ListMode.CACHED, entries)])
+        self.batch([api.EndpointListUpdate(api.UpdateMode.CACHED, entries)])
 
     def bound(self, endpoint: str) -> object:
         """What a told wait at this endpoint binds."""
         entry = self.entries[endpoint]
-        return endpoint if self.s.kinds[entry.kind].own_limits else entry.destination
+        return endpoint if self.s.kinds[entry.kind].limits_per_endpoint else entry.destination
 
     def batch(self, events: list[api.Event], at: int | None = None) -> list[api.Action]:
         """Move the clock and let the instance act; `at` may not lie before the present."""
@@ -109,7 +116,7 @@
         """Enter an event in the account."""
         match event:
             case api.NewMessage():
-                self.messages[event.message] = Known(event, self.s.classes[event.cls], self.now)
+                self.messages[event.message] = Known(event, self.s.classes[event.class_index], self.now)
                 self.order.append(event.message)
             case api.AttemptEnded():
                 known = self.messages[event.message]
@@ -117,15 +124,15 @@
                 attempt.outcome, attempt.ended = event.outcome, self.now
                 if event.outcome is api.Outcome.DELIVERED and not known.over:
                     known.answers.append((self.now, "delivered"))
-                if event.wait:
+                if event.retry_after:
                     bound = self.bound(event.endpoint)
-                    self.waits[bound] = max(self.waits.get(bound, 0), self.now + event.wait)
-            case api.Withdrawn():
+                    self.waits[bound] = max(self.waits.get(bound, 0), self.now + event.retry_after)
+            case api.MessageWithdrawn():
                 self.messages[event.message].withdrawn_at = self.now
-            case api.ListNews():
-                for entry in event.entries:
+            case api.EndpointListUpdate():
+                for entry in event.listings:
                     self.entries[entry.endpoint] = entry
-                    if entry.status is not api.Status.READY:
+                    if entry.status is not api.EndpointStatus.READY:
                         self.stopped.setdefault(entry.endpoint, self.now)
 
     def check(self, action: api.Action, waits: dict[object, int]) -> None:
@@ -135,23 +142,28 @@
                 self.check_send(self.messages[name], endpoint, waits)
                 known = self.messages[name]
                 known.attempts.append(Attempt(len(known.attempts), endpoint, self.now, timeout))
-            case api.Refuse(name, _) | api.Fail(name):
+            case api.Reject(name, _) | api.Fail(name):
                 known = self.messages[name]
                 # An earlier event of the batch that withdraws it may have ended it already.
                 assert not known.answers, "two final answers"
                 assert known.withdrawn_at in (None, self.now), "answered though withdrawn"
                 left = known.taken + known.event.time_left + ANSWER_SLACK
                 assert self.now <= max(left, known.taken), "answered too late"
-                if isinstance(action, api.Refuse):
+                if isinstance(action, api.Reject):
                     ran = [a for a in known.attempts if a.outcome is None or a.outcome in RAN]
-                    assert known.cls.effect is not api.Effect.UNSAFE or not ran, "unsafe refused"
-                    zoned = known.cls.effect is api.Effect.KEYED and known.cls.group is api.Group.ZONE
+                    assert known.cls.idempotency is not api.Idempotency.NON_IDEMPOTENT or not ran, (
+                        "unsafe refused"
+                    )
+                    zoned = (
+                        known.cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+                        and known.cls.deduplication_scope is api.DeduplicationScope.ZONE
+                    )
                     assert not (zoned and ran), "keyed by zone refused"
                 known.answers.append((self.now, type(action).__name__))
             case api.SetTimer(at):
                 self.timer = at if self.timer is None else min(self.timer, at)
             case api.Cancel():
-                assert self.s.cancel
+                assert self.s.can_cancel
 
     def check_send(self, known: Known, endpoint: str, waits: dict[object, int]) -> None:
         """Rules 1, 2, 3, 5 and 6 and the slots for one send."""
@@ -161,15 +173,15 @@
         assert all(a.outcome is not None for a in known.attempts), "two attempts out"
         assert len(known.attempts) < self.s.max_attempts, "too many attempts"
         ran = [a for a in known.attempts if a.outcome in RAN]
-        assert not (ran and known.cls.effect is api.Effect.UNSAFE), "unsafe repeated"
-        if ran and known.cls.effect is api.Effect.KEYED:
-            assert self.now <= ran[0].sent + known.cls.window, "keyed outside its window"
-            if known.cls.group is api.Group.ZONE:
+        assert not (ran and known.cls.idempotency is api.Idempotency.NON_IDEMPOTENT), "unsafe repeated"
+        if ran and known.cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+            assert self.now <= ran[0].sent + known.cls.deduplication_window, "keyed outside its window"
+            if known.cls.deduplication_scope is api.DeduplicationScope.ZONE:
                 assert entry.zone == self.entries[ran[0].endpoint].zone, "keyed outside its zone"
         assert self.now <= self.stopped.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent past a drain"
         assert self.now >= waits.get(self.bound(endpoint), 0), "sent inside a told wait"
-        assert self.calls_out(endpoint) <= self.s.slots, "sent without a slot"
-        if known.cls.in_order and known.event.key is not None:
+        assert self.calls_out(endpoint) <= self.s.max_concurrent_calls, "sent without a slot"
+        if known.cls.ordered and known.event.ordering_key is not None:
             self.check_order(known)
 
     def calls_out(self, endpoint: str) -> int:
@@ -177,18 +189,18 @@
         groups = collections.Counter({(endpoint, self.now): 1})
         for known in self.messages.values():
             groups.update((a.endpoint, a.sent) for a in known.attempts if a.outcome is None)
-        most = {name: self.s.kinds[entry.kind].per_call for name, entry in self.entries.items()}
+        most = {name: self.s.kinds[entry.kind].max_messages_per_call for name, entry in self.entries.items()}
         return sum(-(-count // most[name]) for (name, _), count in groups.items())
 
     def check_order(self, known: Known) -> None:
         for name in self.order[: self.order.index(known.event.message)]:
             earlier = self.messages[name]
-            if not earlier.cls.in_order or earlier.event.key != known.event.key:
+            if not earlier.cls.ordered or earlier.event.ordering_key != known.event.ordering_key:
                 continue
             assert earlier.over, "sent before an earlier one was over"
             assert all(a.outcome is not None for a in earlier.attempts), "an earlier attempt is out"
             rests = [a.ended for a in earlier.attempts if a.outcome in RESTS]
-            assert all(self.now >= ended + self.s.order_pause for ended in rests), "the key rests"
+            assert all(self.now >= ended + self.s.ordering_pause for ended in rests), "the key rests"
 
     def hand_in(self, name: str, cls: int = 0, dest: int = 0, **more: Any) -> api.NewMessage:
         """A fresh message with its class's full time."""
