--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -24,9 +24,21 @@
 from honeyhitch.partitioning.fleet import Fleet  # noqa: E402
 from honeyhitch.partitioning.ownership import ZoneCandidates  # noqa: E402
 from honeyhitch.partitioning.settings import FleetSettings, Region  # noqa: E402
-from honeyhitch.policy import interface as api  # noqa: E402
+from honeyhitch.policy.actions import CloseIdleConnections, Fail, Reject, Send, SetTimer  # noqa: E402
 from honeyhitch.policy.engine import DeliveryPolicy  # noqa: E402
-from honeyhitch.policy.interface import Outcome  # noqa: E402
+from honeyhitch.policy.events import (  # noqa: E402
+    AttemptEnded,
+    EndpointListing,
+    EndpointListUpdate,
+    Event,
+    MessageWithdrawn,
+    NewMessage,
+    Outcome,
+    RetryAfterReceived,
+    TimerFired,
+    UpdateMode,
+)
+from honeyhitch.policy.settings import ListedRateMeaning  # noqa: E402
 from tests.fleet import HANDSHAKE, ROUND_TRIP, Partner  # noqa: E402
 from tests.world import MS, SECOND, settings  # noqa: E402
 
@@ -146,7 +158,7 @@
             instance_count=instances,
             max_concurrent_calls=6,
             resolution=MS,
-            listed_rate_meaning=api.ListedRateMeaning.ROUGH,
+            listed_rate_meaning=ListedRateMeaning.ROUGH,
             **COLD,
         )
         self.cls = self.s.classes[CLASS]
@@ -239,7 +251,7 @@
             return
         message = self.messages[name] = Message(number, self.now, self.now + self.cls.deadline)
         taker.held.add(name)
-        self._feed(taker, api.NewMessage(name, CLASS, number, message.deadline - self.now))
+        self._feed(taker, NewMessage(name, CLASS, number, message.deadline - self.now))
 
     def _owner(self, first: Hollow, number: int) -> Hollow | None:
         assert first.fleet is not None
@@ -276,12 +288,12 @@
                 one.fleet.restore(saved, self._clock(one))
             self._connect(one)
         else:
-            entries = tuple(api.EndpointListing(f"e{n}", n, listed_rate=LIMIT) for n in self.partners)
-            self._feed(one, api.EndpointListUpdate(api.UpdateMode.CACHED, entries))
+            entries = tuple(EndpointListing(f"e{n}", n, listed_rate=LIMIT) for n in self.partners)
+            self._feed(one, EndpointListUpdate(UpdateMode.CACHED, entries))
         for name in sorted(one.held):
             message = self.messages[name]
             left, ran_at = message.deadline - self.now, message.ran_at
-            event = api.NewMessage(
+            event = NewMessage(
                 name,
                 CLASS,
                 message.destination,
@@ -302,25 +314,25 @@
             one.held.clear()
         return one.fleet.saved() if one.fleet is not None and with_folder else None
 
-    def _feed(self, one: Hollow, *events: api.Event) -> None:
+    def _feed(self, one: Hollow, *events: Event) -> None:
         incarnation, sends = one.incarnation, dict[str, list[str]]()
         for action in one.brain.handle(self.now, list(events)):
             match action:
-                case api.SetTimer(when):
+                case SetTimer(when):
                     self.call_at(
-                        max(when, self.now + MS), lambda: self._later(one, incarnation, api.TimerFired())
+                        max(when, self.now + MS), lambda: self._later(one, incarnation, TimerFired())
                     )
-                case api.Send(name, endpoint, _):
+                case Send(name, endpoint, _):
                     sends.setdefault(endpoint, []).append(name)
-                case api.Reject(name, _) | api.Fail(name):
+                case Reject(name, _) | Fail(name):
                     one.held.discard(name)
                     self.totals.returned += 1
-                case api.CloseIdleConnections(endpoint):
+                case CloseIdleConnections(endpoint):
                     one.idle[int(endpoint[1:])] = 0
         for endpoint, names in sends.items():
             self._send(one, int(endpoint[1:]), names)
 
-    def _later(self, one: Hollow, incarnation: int, *events: api.Event) -> None:
+    def _later(self, one: Hollow, incarnation: int, *events: Event) -> None:
         if one.alive and one.incarnation == incarnation:
             self._feed(one, *events)
 
@@ -339,8 +351,8 @@
             self._call(one, number, name, attempt)
 
     def _not_sent(self, one: Hollow, number: int, name: str, attempt: int) -> None:
-        told = api.RetryAfterReceived(number, f"e{number}", self.now + LOOK)
-        unused = api.AttemptEnded(name, attempt, f"e{number}", Outcome.NOT_SENT, 0, False, not_started=True)
+        told = RetryAfterReceived(number, f"e{number}", self.now + LOOK)
+        unused = AttemptEnded(name, attempt, f"e{number}", Outcome.NOT_SENT, 0, False, not_started=True)
         incarnation = one.incarnation
         self.call_at(self.now, lambda: self._later(one, incarnation, told, unused))
 
@@ -393,7 +405,7 @@
         if delivered:
             one.held.discard(name)
             self.totals.delivered += 1
-        event = api.AttemptEnded(
+        event = AttemptEnded(
             name, attempt, f"e{number}", outcome, took, delivered, limit_remaining=allowance, rate_limit=limit
         )
         self._feed(one, event)
@@ -452,7 +464,7 @@
     def _refresh(self, one: Hollow) -> None:
         """As the service does: the module is told of parts that changed, and what is lost is handed back."""
         assert one.fleet is not None
-        now, entries, lost = self._clock(one), list[api.EndpointListing](), set[int]()
+        now, entries, lost = self._clock(one), list[EndpointListing](), set[int]()
         one.look_at, one.lease_lasted = one.fleet.next_change(now), one.fleet.lease_lasts(now)
         for number in self.partners:
             if not one.fleet.keeps(number):
@@ -460,16 +472,16 @@
             portion = one.fleet.quota_fraction(number, now)
             if portion != one.portions.get(number, 0.0):
                 one.portions[number] = portion
-                entries.append(api.EndpointListing(f"e{number}", number, listed_rate=LIMIT * portion))
+                entries.append(EndpointListing(f"e{number}", number, listed_rate=LIMIT * portion))
             if not portion and not one.fleet.awaits(number, now):
                 lost.add(number)
         if entries:
-            self._feed(one, api.EndpointListUpdate(api.UpdateMode.CHANGES, tuple(entries)))
+            self._feed(one, EndpointListUpdate(UpdateMode.CHANGES, tuple(entries)))
         for name in [name for name in one.held if self.messages[name].destination in lost]:
             if not self.messages[name].out and self.messages[name].ran_at is None:
                 one.held.discard(name)
                 self.totals.returned += 1
-                self._feed(one, api.MessageWithdrawn(name))
+                self._feed(one, MessageWithdrawn(name))
 
     def _look(self) -> None:
         totals = dict[tuple[str, int], float]()
--- a/honeyhitch/__init__.py
+++ b/honeyhitch/__init__.py
@@ -1,7 +1,7 @@
 """honeyhitch: the decisions of a dispatcher of notifications to outside receivers."""
 
 from honeyhitch.policy.engine import DeliveryPolicy
-from honeyhitch.policy.interface import Settings
+from honeyhitch.policy.settings import Settings
 
 __all__ = ["DeliveryPolicy", "Settings", "__version__"]
 __version__ = "0.1.0"
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -15,7 +15,7 @@
 
 from honeyhitch import config as configuration
 from honeyhitch.endpoints.pool import EndpointPool, PoolError
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import DestinationKind, Idempotency, MessageClass, Settings
 from honeyhitch.tls.settings import Partner, Scope, TlsSetup
 
 if TYPE_CHECKING:
@@ -23,9 +23,9 @@
     from honeyhitch.tls.partners import Partners
 
 # For a look at files alone: what an instance would be told matters to neither trust nor names.
-BARE = api.Settings(
-    classes=(api.MessageClass(api.Idempotency.IDEMPOTENT, latency_objective=1, deadline=1),),
-    kinds=(api.DestinationKind(),),
+BARE = Settings(
+    classes=(MessageClass(Idempotency.IDEMPOTENT, latency_objective=1, deadline=1),),
+    kinds=(DestinationKind(),),
     max_concurrent_calls=1,
     overload_factor=1.0,
     slow_start_fraction=1.0,
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -12,7 +12,7 @@
 from honeyhitch.config.deployment import Address, ConfigError, Limits, Operator
 from honeyhitch.config.instance import Pairs
 from honeyhitch.config.operator import read as read_operator
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 
 KEYS = ("name", "listen", "discovery", "management", "state")
 OFF_IF_MISSING = ("management",)
@@ -33,7 +33,7 @@
     seed: int
     limits: Limits
     known: dict[str, Any]
-    settings: api.Settings
+    settings: Settings
     operator: Operator
     words: dict[str, Any]  # the file's own words at the start, for what a variable can say too
 
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -4,12 +4,21 @@
 
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.values import decimal, pick, whole
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import (
+    DeduplicationScope,
+    DestinationKind,
+    Idempotency,
+    LateDecay,
+    ListedRateMeaning,
+    MessageClass,
+    Settings,
+    SettingsError,
+)
 
 EFFECTS = {
-    "pure": api.Idempotency.IDEMPOTENT,
-    "token": api.Idempotency.IDEMPOTENCY_KEY,
-    "side_effect": api.Idempotency.NON_IDEMPOTENT,
+    "pure": Idempotency.IDEMPOTENT,
+    "token": Idempotency.IDEMPOTENCY_KEY,
+    "side_effect": Idempotency.NON_IDEMPOTENT,
 }
 
 # How each field that the policy checks is named in an error about a deployment's settings.
@@ -99,25 +108,25 @@
         text = self.text(path, "")
         return text.split(",") if text else []
 
-    def message_class(self, i: int) -> api.MessageClass:
+    def message_class(self, i: int) -> MessageClass:
         """Class number i."""
         at = f"classes.{i}."
-        return api.MessageClass(
+        return MessageClass(
             idempotency=pick(EFFECTS, self.text(at + "semantics"), at + "semantics"),
             latency_objective=self.whole(at + "aim"),
             deadline=self.whole(at + "deadline"),
             priority_weight=self.number(at + "worth", "1"),
             late_weight_fraction=self.number(at + "late-share", "0"),
-            deduplication_scope=api.DeduplicationScope.ALL
+            deduplication_scope=DeduplicationScope.ALL
             if self.text(at + "group", "all") == "all"
-            else api.DeduplicationScope.ZONE,
+            else DeduplicationScope.ZONE,
             deduplication_window=self.whole(at + "window", "0"),
             ordered=self.flag(at + "by-arrival", "false"),
             objective_work_factor=self.number(at + "aim-stretch", "0"),
             name=self.text(at + "name", ""),
         )
 
-    def kinds(self) -> tuple[api.DestinationKind, ...]:
+    def kinds(self) -> tuple[DestinationKind, ...]:
         """The kinds of destination."""
         apart = [word in ("true", "1") for word in self.items("family-info.own-limits")]
         sizes = [whole(word, "family-info.per-call") for word in self.items("family-info.per-call")]
@@ -126,20 +135,20 @@
         names += [""] * (count - len(names))
         apart += [False] * (count - len(apart))
         sizes += [1] * (count - len(sizes))
-        return tuple(api.DestinationKind(*row) for row in zip(apart, sizes, names, strict=True))
+        return tuple(DestinationKind(*row) for row in zip(apart, sizes, names, strict=True))
 
-    def settings(self) -> api.Settings:
+    def settings(self) -> Settings:
         """All of it, in the policy's terms; ConfigError names what cannot be used."""
         try:
             return self._settings()
-        except api.SettingsError as error:
+        except SettingsError as error:
             name = NAME_IN_ERRORS.get(error.field, error.field)
             raise ConfigError(f"{name}: {error.reason}") from error
 
-    def _settings(self) -> api.Settings:
-        scales = {s.value: s for s in api.ListedRateMeaning} | {"live": api.ListedRateMeaning.ROUGH}
+    def _settings(self) -> Settings:
+        scales = {s.value: s for s in ListedRateMeaning} | {"live": ListedRateMeaning.ROUGH}
         tenants = range(self.whole("tenants.count", "0"))
-        return api.Settings(
+        return Settings(
             classes=tuple(self.message_class(i) for i in range(self.whole("classes.count"))),
             kinds=self.kinds(),
             max_concurrent_calls=self.count("family-info.call-slots"),
@@ -156,9 +165,7 @@
             connect_timeout=self.whole("caps.connect-timeout", "0"),
             must_subscribe=self.text("discovery", "automatic") == "subscribe",
             resolution=self.whole("resolution", "0"),
-            late_decay=pick(
-                {d.value: d for d in api.LateDecay}, self.text("family-info.decay", "line"), "decay"
-            ),
+            late_decay=pick({d.value: d for d in LateDecay}, self.text("family-info.decay", "line"), "decay"),
             listed_rate_meaning=pick(scales, self.text("weights", "off"), "weights"),
             cross_zone_cost=self.number("prices.cross-zone", "0"),
             tenant_rates=tuple(self.number(f"tenants.{i}.quota-rps") for i in tenants),
--- a/honeyhitch/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -7,7 +7,7 @@
 from honeyhitch.config import tls
 from honeyhitch.config.deployment import Address, ConfigError, MqttMember, MqttSetup
 from honeyhitch.config.values import Table
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 
 
 def _topic(text: str, name: str, wild: bool) -> str:
@@ -16,7 +16,7 @@
     return text
 
 
-def setup(told: object, name: str, settings: api.Settings, environ: Mapping[str, str]) -> MqttSetup:
+def setup(told: object, name: str, settings: Settings, environ: Mapping[str, str]) -> MqttSetup:
     """The front, its session and the members behind the broker."""
     table = Table(told, "mqtt")
     members = []
--- a/honeyhitch/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -11,7 +11,7 @@
 from honeyhitch.config import fleet, mqtt, tls, undelivered
 from honeyhitch.config.deployment import Address, ConfigError, Control, Operator
 from honeyhitch.config.values import Table
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 from honeyhitch.tls.settings import Partner
 
 
@@ -34,7 +34,7 @@
         raise ConfigError(f"ROUTER_OPERATOR: {path} is not TOML: {error}") from error
 
 
-def read(path: str, name: str, settings: api.Settings, environ: Mapping[str, str]) -> Operator:
+def read(path: str, name: str, settings: Settings, environ: Mapping[str, str]) -> Operator:
     """The file at this path, or nothing where there is none."""
     if not path:
         return Operator()
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -11,7 +11,7 @@
 
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.values import Table
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSetup
 
 SECOND = 10**9  # ns
@@ -22,7 +22,7 @@
 SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
 
 
-def setup(told: object, settings: api.Settings | None, environ: Mapping[str, str]) -> TlsSetup:
+def setup(told: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSetup:
     """`[tls]` with its partners; the defaults stand in `[tls]` itself. Without settings no kind is known to
     be wrong.
     """
@@ -66,7 +66,7 @@
         raise ConfigError(f"{at}.{error}") from error
 
 
-def _scope(table: Table, settings: api.Settings | None) -> tuple[Scope, str]:
+def _scope(table: Table, settings: Settings | None) -> tuple[Scope, str]:
     named = [scope for scope in SCOPES if scope.value in table.left]
     if len(named) != 1:
         raise ConfigError(f"{table.at}: expected exactly one of member, dest and kind")
--- a/honeyhitch/config/undelivered.py
+++ b/honeyhitch/config/undelivered.py
@@ -9,18 +9,19 @@
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.values import Table
 from honeyhitch.dead_letters.settings import DAY, SECOND, Action, Limits, Rule, Terms, Undelivered
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.settings import Settings
 
 MB = 1_000_000
 MOST_DAYS = 3650
 MOST_SPAN = 365 * 86400  # seconds
 FRONTS = ("resp", "mqtt", "app")
 ENDINGS = ("failed", "rejected")
-OUTCOMES = [outcome.value for outcome in api.Outcome if outcome is not api.Outcome.DELIVERED]
+OUTCOMES = [outcome.value for outcome in Outcome if outcome is not Outcome.DELIVERED]
 REASONS = (*OUTCOMES, "not-tried", "lost")
 
 
-def setup(told: object, settings: api.Settings) -> Undelivered:
+def setup(told: object, settings: Settings) -> Undelivered:
     """`[undelivered]`; there being such a table turns it on."""
     table, standard = Table(told, "undelivered"), Undelivered()
     limits = standard.limits
@@ -57,7 +58,7 @@
     return int(seconds * SECOND)
 
 
-def _terms(table: Table, settings: api.Settings) -> Terms:
+def _terms(table: Table, settings: Settings) -> Terms:
     standard = Terms()
     copies = table.choice(
         "copies", ("here", "anywhere"), "here" if settings.instance_count == 1 else "anywhere"
@@ -73,7 +74,7 @@
     )
 
 
-def _rules(rows: list[Any], settings: api.Settings) -> tuple[Rule, ...]:
+def _rules(rows: list[Any], settings: Settings) -> tuple[Rule, ...]:
     """The rules in the order of the file. One that no record could reach is a mistake."""
     rules: list[Rule] = []
     for i, row in enumerate(rows):
@@ -88,7 +89,7 @@
     return tuple(rules)
 
 
-def _rule(table: Table, name: str, settings: api.Settings) -> Rule:
+def _rule(table: Table, name: str, settings: Settings) -> Rule:
     standard = Rule("", Action.HOLD)
     action = Action(table.choice("action", [one.value for one in Action], ""))
     rule = Rule(
--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -13,7 +13,7 @@
 from honeyhitch.dead_letters.resends import Known
 from honeyhitch.dispatcher.ports import ArrivalDecision
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Idempotency
 
 FEW = 50  # looked at in one go, so that the loop is not stalled
 Key = tuple[int, str]  # destination and idempotency key
@@ -87,7 +87,7 @@
         else:
             state = State.DONE if record.settled_by.startswith("resend:") else State.OVER
         first = (record.first_ran, record.first_zone) if record.first_ran is not None else None
-        keyed = record.effect == api.Idempotency.IDEMPOTENCY_KEY.value
+        keyed = record.effect == Idempotency.IDEMPOTENCY_KEY.value
         self.cases[key] = Case(state, record.ended_at, keyed, record.window, first, record.resends > 0)
 
     def case(self, transaction: Transaction, now: int) -> Case | None:
--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Idempotency
 
 
 class Verdict(Enum):
@@ -25,7 +25,7 @@
 class Past:
     """What is known of an undelivered message. Times are Unix times in nanoseconds."""
 
-    effect: api.Idempotency
+    effect: Idempotency
     window: int = 0  # in which a keyed repeat is dropped, from the first attempt
     first_ran: int | None = None  # when an attempt may first have run, None if none may have
     same_group: bool = True  # the resend would reach those who remember the key
@@ -59,9 +59,9 @@
         first = past.came_at if first is None else min(first, past.came_at)
     if first is None:
         return Decision(Verdict.RESEND, "never-ran")
-    if past.effect is api.Idempotency.IDEMPOTENT:
+    if past.effect is Idempotency.IDEMPOTENT:
         return Decision(Verdict.RESEND, "safe")
-    if past.effect is api.Idempotency.NON_IDEMPOTENT:
+    if past.effect is Idempotency.NON_IDEMPOTENT:
         return Decision(Verdict.HOLD, "unsafe-may-have-run" if past.first_ran is not None else "copy-unseen")
     if now < first:  # the clock has stepped back: how old the window is cannot be told
         return Decision(Verdict.HOLD, "clock-stepped")
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -17,7 +17,7 @@
 from honeyhitch.dispatcher.ports import Scheduler
 from honeyhitch.journal.journal import Journal
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 
 log = logs.get()
 TOGETHER = 64  # messages in one transaction
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         journal: Journal,
         scheduler: Scheduler,
         submit: Callable[[Job, Done], bool],
--- a/honeyhitch/dead_letters/pacing.py
+++ b/honeyhitch/dead_letters/pacing.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.health import DestinationHealth
 
 SECOND = 10**9  # ns
 QUIET, MOST_GAP = 30 * SECOND, 600 * SECOND  # ns without a call after which a sick one is tried, and at most
@@ -38,7 +38,7 @@
         self.out = 0
         self.lanes: dict[int, Lane] = {}
 
-    def look(self, destination: int, condition: api.DestinationHealth, now: int) -> Lane:
+    def look(self, destination: int, condition: DestinationHealth, now: int) -> Lane:
         """Take note of how it stands."""
         lane = self.lanes.setdefault(destination, Lane(at=now))
         rate = max(0.01, self.share * condition.quota)
@@ -55,7 +55,7 @@
         since = self.lanes[destination].since if destination in self.lanes else None
         return max(0, now - since) if since is not None else 0
 
-    def room(self, destination: int, condition: api.DestinationHealth, now: int) -> int:
+    def room(self, destination: int, condition: DestinationHealth, now: int) -> int:
         """How many resends may start there now."""
         lane = self.look(destination, condition, now)
         left = self.most - self.out
@@ -75,7 +75,7 @@
         most = left if lane.proved else 1 - lane.out
         return max(0, min(most, self.most - lane.out, int(lane.left)))
 
-    def tries(self, destination: int, condition: api.DestinationHealth, now: int) -> bool:
+    def tries(self, destination: int, condition: DestinationHealth, now: int) -> bool:
         """Whether a single resend may try a sick one that nothing else tries."""
         lane = self.lanes.get(destination) or Lane()
         quiet = now - max(condition.last_sent_at, lane.tried_at) >= lane.gap
--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -8,9 +8,10 @@
 from typing import Any
 
 from honeyhitch.journal.transactions import Attempt, Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.settings import DeduplicationScope, Settings
 
-NEVER_RAN = frozenset(one.value for one in api.Outcome if one.proves_not_executed)
+NEVER_RAN = frozenset(one.value for one in Outcome if one.proves_not_executed)
 NOT_TRIED, LOST = "not-tried", "lost"  # reasons that are no outcomes: nothing was sent, or nobody saw the end
 
 
@@ -117,7 +118,7 @@
 )  # fmt: skip
 
 
-def of(transaction: Transaction, settings: api.Settings) -> Record:
+def of(transaction: Transaction, settings: Settings) -> Record:
     """The record of a transaction that ended undelivered."""
     cls = settings.classes[transaction.class_index]
     tenants = settings.tenant_names
@@ -132,7 +133,7 @@
         cls=settings.class_names[transaction.class_index],
         effect=cls.idempotency.value,
         window=cls.deduplication_window,
-        zoned=cls.deduplication_scope is api.DeduplicationScope.ZONE,
+        zoned=cls.deduplication_scope is DeduplicationScope.ZONE,
         tenant=tenants[transaction.tenant] if transaction.tenant < len(tenants) else str(transaction.tenant),
         key=transaction.key,
         front=transaction.frontend,
--- a/honeyhitch/dead_letters/resending.py
+++ b/honeyhitch/dead_letters/resending.py
@@ -26,8 +26,9 @@
 from honeyhitch.dispatcher.dispatcher import BUSY_RETRY_AFTER, Dispatcher
 from honeyhitch.dispatcher.ports import ArrivalDecision, Scheduler
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.health import destination_health
+from honeyhitch.policy.settings import DeduplicationScope, Idempotency
 
 log = logs.get()
 SECOND = 10**9  # ns
@@ -286,17 +287,17 @@
         self.parked[key].remove(transaction)
         cls = self.dispatcher.settings.classes[transaction.class_index]
         keyed = (
-            cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
-            and cls.deduplication_scope is api.DeduplicationScope.ALL
+            cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and cls.deduplication_scope is DeduplicationScope.ALL
         )
-        if cls.idempotency is api.Idempotency.IDEMPOTENT or keyed:
+        if cls.idempotency is Idempotency.IDEMPOTENT or keyed:
             self.dispatcher.conclude(transaction, Ending.REJECTED, BUSY_RETRY_AFTER)
         else:
             self.dispatcher.conclude(transaction, Ending.FAILED)
 
-    def attempt_ended(self, transaction: Transaction, outcome: api.Outcome) -> None:
+    def attempt_ended(self, transaction: Transaction, outcome: Outcome) -> None:
         """One attempt of whatever message is over."""
-        if outcome is api.Outcome.DELIVERED:
+        if outcome is Outcome.DELIVERED:
             self.pacing.passed(transaction.destination)
         key = self.copies.key(transaction)
         if transaction.frontend == RESEND_FRONTEND and transaction.ending is None and key in self.parked:
--- a/honeyhitch/dead_letters/resends.py
+++ b/honeyhitch/dead_letters/resends.py
@@ -18,7 +18,7 @@
 from honeyhitch.dead_letters.settings import Rule
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 
 WHO = "honeyhitch"
 LOOKED_AT = 64  # records of a destination looked at for each one that may be sent
@@ -209,7 +209,7 @@
     return count
 
 
-def transaction(candidate: Candidate, settings: api.Settings, now: int) -> Transaction:
+def transaction(candidate: Candidate, settings: Settings, now: int) -> Transaction:
     """The fresh request that a resend is: a new id and a new deadline, the same key."""
     record = candidate.record
     number = settings.class_names.index(record.cls)
--- a/honeyhitch/dead_letters/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -8,7 +8,7 @@
 from honeyhitch.dead_letters.eligibility import Decision, Past, Verdict, decide
 from honeyhitch.dead_letters.records import Record, Standing
 from honeyhitch.dead_letters.settings import SETS, Action, Rule, Terms
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Idempotency
 
 ASKED = Rule(name="asked", action=Action.RESEND, healthy=0, rate=10.0)  # a person's word stands for a rule
 COLUMN = {
@@ -52,7 +52,7 @@
     """
     possible = record.told_again is not None or record.came_again
     return Past(
-        effect=api.Idempotency(record.effect),
+        effect=Idempotency(record.effect),
         window=record.window,
         first_ran=record.first_ran,
         same_group=not record.zoned,
--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -7,7 +7,7 @@
 
 from honeyhitch.endpoints.pool import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 
 
 class Phase(Enum):
@@ -40,7 +40,7 @@
 class CallResult:
     """How a call ended: an outcome for each of its transactions, and what the member told besides."""
 
-    outcomes: list[tuple[api.Outcome, bool]]  # and whether nothing more is owed
+    outcomes: list[tuple[Outcome, bool]]  # and whether nothing more is owed
     retry_after: int = 0
     reported: dict[str, float] = field(default_factory=dict)
     failure_reason: str = ""  # the name of a failure that outcomes do not tell apart
@@ -50,7 +50,7 @@
     )
 
     @classmethod
-    def uniform(cls, outcome: api.Outcome, count: int, over: bool = False) -> CallResult:
+    def uniform(cls, outcome: Outcome, count: int, over: bool = False) -> CallResult:
         """All of the call's transactions fared alike."""
         return cls([(outcome, over)] * count)
 
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -25,9 +25,31 @@
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.journal.journal import Journal, JournalFullError
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Attempt, Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.actions import (
+    Cancel,
+    CloseIdleConnections,
+    Fail,
+    OpenConnections,
+    Reject,
+    Send,
+    SetTimer,
+    Subscribe,
+)
 from honeyhitch.policy.engine import DeliveryPolicy
+from honeyhitch.policy.events import (
+    AttemptEnded,
+    ConnectionCapacity,
+    EndpointListUpdate,
+    Event,
+    MessageWithdrawn,
+    NewMessage,
+    Outcome,
+    RetryAfterReceived,
+    ShutdownStarted,
+    TimerFired,
+)
 from honeyhitch.policy.health import ejected_endpoints
+from honeyhitch.policy.settings import Idempotency, Settings
 
 log = logs.get()
 MS = 1_000_000  # ns
@@ -40,7 +62,7 @@
     """One Brain, the transactions held, and the ports; all fronts share it."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, pool: EndpointPool, journal: Journal, scheduler: Scheduler
+        self, settings: Settings, seed: int, pool: EndpointPool, journal: Journal, scheduler: Scheduler
     ) -> None:
         self.settings, self.pool, self.journal, self.scheduler = settings, pool, journal, scheduler
         self.policy, self.messages = DeliveryPolicy(settings, seed), journal.messages
@@ -52,7 +74,7 @@
         self.resend_coordinator: ResendCoordinator | None = None
         self.peer_process: PeerProcess | None = None
         self.quota_source: QuotaSource | None = None
-        self.events: list[api.Event | Transaction] = []
+        self.events: list[Event | Transaction] = []
         self.has_normal_priority_event = False  # one of them is not behind others
         self.calls_in_flight: dict[str, Call] = {}  # calls out, by the id of each transaction in them
         self.next_round_at, self.last_round_at, self.last_normal_priority_round_at = (
@@ -166,7 +188,7 @@
         if self._undecided(transaction.id):
             self._conclude(transaction, ending, retry_after)
             self._enqueue_event(
-                api.MessageWithdrawn(transaction.id), low_priority=transaction.frontend == RESEND_FRONTEND
+                MessageWithdrawn(transaction.id), low_priority=transaction.frontend == RESEND_FRONTEND
             )
 
     def _undecided(self, name: str) -> Transaction | None:
@@ -177,10 +199,10 @@
     def _has_idempotency_key(self, transaction: Transaction) -> bool:
         return (
             bool(transaction.key)
-            and self.settings.classes[transaction.class_index].idempotency is api.Idempotency.IDEMPOTENCY_KEY
+            and self.settings.classes[transaction.class_index].idempotency is Idempotency.IDEMPOTENCY_KEY
         )
 
-    def _new_message(self, transaction: Transaction) -> api.NewMessage:
+    def _new_message(self, transaction: Transaction) -> NewMessage:
         first = transaction.first_possible_execution()
         if first is None and self._has_idempotency_key(
             transaction
@@ -188,7 +210,7 @@
             first = self.messages.first_execution_of_key(transaction, self.last_round_at)
         if transaction.earlier_execution is not None:
             first = min(first or transaction.earlier_execution, transaction.earlier_execution)
-        return api.NewMessage(
+        return NewMessage(
             message=transaction.id,
             class_index=transaction.class_index,
             destination=transaction.destination,
@@ -207,7 +229,7 @@
         transaction = self._undecided(name)
         if transaction is not None:
             self.journal.record_end(transaction, Ending.UNANSWERED)
-            self._enqueue_event(api.MessageWithdrawn(name))
+            self._enqueue_event(MessageWithdrawn(name))
             if self.resend_coordinator is not None:
                 self.resend_coordinator.message_concluded(transaction)
 
@@ -229,7 +251,7 @@
             "pool_ejected": ejected_endpoints(self.policy, self.scheduler.now()),
         }
 
-    def apply_list_update(self, update: api.EndpointListUpdate) -> None:
+    def apply_list_update(self, update: EndpointListUpdate) -> None:
         """The pool changed. Waits that its members told last, also over a member's coming back."""
         self._enqueue_event(update)
         waits, now = self.journal.retry_after_until, self.scheduler.now()
@@ -237,14 +259,14 @@
             if until <= now:
                 del waits[destination, name]
             elif name in self.pool.endpoints:
-                self._enqueue_event(api.RetryAfterReceived(destination, name, until))
+                self._enqueue_event(RetryAfterReceived(destination, name, until))
 
-    def apply_retry_after(self, events: list[api.Event]) -> None:
+    def apply_retry_after(self, events: list[Event]) -> None:
         """What another process of this dispatcher was told before it ended."""
         for event in events:
             self._enqueue_event(event)
 
-    def apply_connection_capacity(self, capacity: api.ConnectionCapacity) -> None:
+    def apply_connection_capacity(self, capacity: ConnectionCapacity) -> None:
         """The connections to a gated member changed."""
         self._enqueue_event(capacity)
 
@@ -272,7 +294,7 @@
                     self.journal.record_attempt(transaction, now, call.endpoint.zone, call.endpoint.id)
                 except JournalFullError as error:  # what cannot be written down must not be sent
                     log.warning("journal.full", what="attempt", error=str(error))
-                    self._attempt_ended(call, i, api.Outcome.NOT_SENT, False, CallResult([]))
+                    self._attempt_ended(call, i, Outcome.NOT_SENT, False, CallResult([]))
         goes = [i for i, is_open in enumerate(call.pending) if is_open]
         call.messages = [call.messages[i] for i in goes]
         call.attempt_numbers = [call.attempt_numbers[i] for i in goes]
@@ -284,7 +306,7 @@
         """Whether this instance holds a share of the limit; where not, the module looks again soon."""
         if self.quota_source is None or self.quota_source.quota_fraction(member.destination, now) > 0:
             return True
-        self._enqueue_event(api.RetryAfterReceived(member.destination, member.id, now + SHARE_PAUSE))
+        self._enqueue_event(RetryAfterReceived(member.destination, member.id, now + SHARE_PAUSE))
         return False
 
     def return_unattempted(self, destination: int, retry_after: int) -> None:
@@ -309,8 +331,8 @@
         for the others (docs/fleet-questions.md): they may have run, and that says nothing of health.
         """
         self.retry_after_received(call.endpoint, result.retry_after)
-        if call.message_expired and api.Outcome.DELIVERED in (one for one, _ in result.outcomes):
-            doubt = {(api.Outcome.DELIVERED, True): (api.Outcome.RESET, False)}
+        if call.message_expired and Outcome.DELIVERED in (one for one, _ in result.outcomes):
+            doubt = {(Outcome.DELIVERED, True): (Outcome.RESET, False)}
             result.outcomes, result.connection_stale = [doubt.get(one, one) for one in result.outcomes], True
         for i, (outcome, over) in enumerate(result.outcomes):
             if call.pending[i] and not call.started and not self.sending:
@@ -327,7 +349,7 @@
         if wait:
             until = self.scheduler.now() + wait
             self.journal.record_retry_after(member.destination, member.id, until)
-            self._enqueue_event(api.RetryAfterReceived(member.destination, member.id, until))
+            self._enqueue_event(RetryAfterReceived(member.destination, member.id, until))
 
     def message_expired(self, call: Call, transaction: Transaction) -> None:
         """One part of a call that is still out is out of time; one that has not begun is left out of it."""
@@ -335,24 +357,24 @@
             if part is transaction and call.pending[i]:
                 if call.started:
                     call.message_expired = True
-                    self._attempt_ended(call, i, api.Outcome.TIMEOUT, False, CallResult([]))
+                    self._attempt_ended(call, i, Outcome.TIMEOUT, False, CallResult([]))
                 else:
                     self._message_not_started(call, i)
                 if not any(call.pending):  # nobody waits for its answer any more
                     self.transports[call.endpoint.transport].cancel(call)
 
     def _message_not_started(self, call: Call, i: int) -> None:
-        self._attempt_ended(call, i, api.Outcome.NOT_SENT, False, CallResult([]), unused=True)
+        self._attempt_ended(call, i, Outcome.NOT_SENT, False, CallResult([]), unused=True)
 
     def _attempt_ended(
-        self, call: Call, i: int, outcome: api.Outcome, over: bool, result: CallResult, unused: bool = False
+        self, call: Call, i: int, outcome: Outcome, over: bool, result: CallResult, unused: bool = False
     ) -> None:
         transaction, number = call.messages[i], call.attempt_numbers[i]
         call.pending[i] = False
         self.calls_in_flight.pop(transaction.id, None)
         if outcome.proves_not_executed and not unused:
             self.journal.record_not_executed(transaction, number)
-        if self.dead_letter_sink is not None and outcome is not api.Outcome.DELIVERED and not unused:
+        if self.dead_letter_sink is not None and outcome is not Outcome.DELIVERED and not unused:
             took, wait = self.scheduler.now() - call.sent_at, result.retry_after
             told = Attempt(
                 number, call.endpoint.id, call.sent_at, outcome.value, took, wait, result.failure_reason
@@ -360,12 +382,12 @@
             self.journal.record_outcome(transaction, told)
         owed = self._undecided(transaction.id) is not None
         if over and owed:
-            if outcome is api.Outcome.DELIVERED:
+            if outcome is Outcome.DELIVERED:
                 self._conclude(transaction, Ending.DELIVERED, 0)
             else:
                 self._conclude(transaction, Ending.UNANSWERED, 0)
         self._enqueue_event(
-            api.AttemptEnded(
+            AttemptEnded(
                 message=transaction.id,
                 attempt=number,
                 endpoint=call.endpoint.id,
@@ -395,7 +417,7 @@
         that is owed is the next process's, by the journal.
         """
         if self.sending:
-            self._enqueue_event(api.ShutdownStarted(pause))
+            self._enqueue_event(ShutdownStarted(pause))
             self.next_round_at = self.scheduler.now()
             self._run_round(self.next_round_at)
             self._stop_sending()
@@ -430,7 +452,7 @@
 
     # Rounds: events that come within one resolution are handled together, as in the simulator.
 
-    def _enqueue_event(self, event: api.Event | Transaction, low_priority: bool = False) -> None:
+    def _enqueue_event(self, event: Event | Transaction, low_priority: bool = False) -> None:
         """Handle it in the next round. What is behind others does not put off the round after its own."""
         self.events.append(event)
         self.has_normal_priority_event = self.has_normal_priority_event or not low_priority
@@ -452,7 +474,7 @@
         came, self.events = self.events, []
         if not self.sending:  # the process is about to end: what is owed is the next one's, by the journal
             return
-        sends: list[api.Send] = []
+        sends: list[Send] = []
         events = [self._new_message(event) if isinstance(event, Transaction) else event for event in came]
         if self.peer_process is not None:
             events += (
@@ -460,30 +482,30 @@
             )  # after the list: a wait counts where its member is known
         for action in self.policy.handle(self.last_round_at, events):
             match action:
-                case api.Send():
+                case Send():
                     sends.append(action)
-                case api.Reject(name, come_back):
+                case Reject(name, come_back):
                     self._apply_final_answer(name, Ending.REJECTED, come_back)
-                case api.Fail(name):
+                case Fail(name):
                     self._apply_final_answer(name, Ending.FAILED, 0)
-                case api.SetTimer(at):
-                    self.scheduler.call_at(at, lambda: self._enqueue_event(api.TimerFired()))
-                case api.Cancel(name, _):
+                case SetTimer(at):
+                    self.scheduler.call_at(at, lambda: self._enqueue_event(TimerFired()))
+                case Cancel(name, _):
                     if (call := self.calls_in_flight.get(name)) is not None:
                         self.transports[call.endpoint.transport].cancel(call)
-                case api.CloseIdleConnections(name):
+                case CloseIdleConnections(name):
                     if (member := self.pool.endpoints.get(name)) is not None:
                         self.transports[member.transport].close_idle(member)
-                case api.OpenConnections(name, calls):
+                case OpenConnections(name, calls):
                     if (member := self.pool.endpoints.get(name)) is not None:
                         self.connection_openers[member.transport].open(member, calls)
-                case api.Subscribe():
+                case Subscribe():
                     pass  # the watch is always on
         self._send_all(sends)
 
-    def _send_all(self, sends: list[api.Send]) -> None:
+    def _send_all(self, sends: list[Send]) -> None:
         """Sends of one round to one member travel together, as far as its kind allows."""
-        groups: dict[str, list[api.Send]] = {}
+        groups: dict[str, list[Send]] = {}
         for send in sends:
             groups.setdefault(send.endpoint, []).append(send)
         for name, group in groups.items():
@@ -492,7 +514,7 @@
             for at in range(0, len(group), most):
                 self._send(member, group[at : at + most])
 
-    def _send(self, member: PoolEndpoint, sends: list[api.Send]) -> None:
+    def _send(self, member: PoolEndpoint, sends: list[Send]) -> None:
         now = self.scheduler.now()
         call = Call(member, [], [], [], now, [])
         for send in sends:
--- a/honeyhitch/dispatcher/ports.py
+++ b/honeyhitch/dispatcher/ports.py
@@ -9,7 +9,7 @@
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.endpoints.pool import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Event, Outcome
 
 
 class Scheduler(Protocol):
@@ -59,7 +59,7 @@
 class PeerProcess(Protocol):
     """Another process of the same dispatcher, while an upgrade lasts."""
 
-    def retry_after_events(self) -> list[api.Event]:
+    def retry_after_events(self) -> list[Event]:
         """What the module must know of what that process was told."""
 
     def has_accepted(self, name: str) -> bool:
@@ -83,7 +83,7 @@
     def recover_resend(self, transaction: Transaction) -> None:
         """A resend is in the journal after a start."""
 
-    def attempt_ended(self, transaction: Transaction, outcome: api.Outcome) -> None:
+    def attempt_ended(self, transaction: Transaction, outcome: Outcome) -> None:
         """One attempt of a transaction is over."""
 
     def message_concluded(self, transaction: Transaction) -> None:
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -7,13 +7,14 @@
 from math import inf
 from typing import Any
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import EndpointListing, EndpointListUpdate, EndpointStatus, UpdateMode
+from honeyhitch.policy.settings import Settings
 
 TLS_TRANSPORT = "tls"  # the carrier whose members take calls on connections that are open already
 PHASES = {
-    "Ready": api.EndpointStatus.READY,
-    "Terminating": api.EndpointStatus.DRAINING,
-    "Gone": api.EndpointStatus.GONE,
+    "Ready": EndpointStatus.READY,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.GONE,
 }
 
 
@@ -27,13 +28,13 @@
     kind: int = 0
     zone: int = 0
     listed_rate: float = 1.0
-    status: api.EndpointStatus = api.EndpointStatus.READY
+    status: EndpointStatus = EndpointStatus.READY
     transport: str = "http"
 
-    def listing(self) -> api.EndpointListing:
+    def listing(self) -> EndpointListing:
         """The member as the module sees it."""
         gated = self.transport == TLS_TRANSPORT
-        return api.EndpointListing(
+        return EndpointListing(
             self.id, self.destination, self.kind, self.zone, self.listed_rate, self.status, gated
         )
 
@@ -53,7 +54,7 @@
 class EndpointPool:
     """Members by id. Those that are gone are forgotten; a call still out knows its own."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.kinds = tuple(kind.name for kind in settings.kinds)
         self.zones = settings.zone_names
         self.endpoints: dict[str, PoolEndpoint] = {}
@@ -77,7 +78,7 @@
         self.pinned[member.id] = self.endpoints[member.id] = member
         self.destinations.add(member.destination)
 
-    def update(self, told: dict[str, Any], cached: bool = False) -> api.EndpointListUpdate:
+    def update(self, told: dict[str, Any], cached: bool = False) -> EndpointListUpdate:
         """Enter one list or one change, in discovery's form, and say what is new."""
         try:
             rows, revision = told["members"], int(told["revision"])
@@ -88,13 +89,11 @@
         if revision < self.revision and not complete:
             # Late, it would bring back what went since; an agent that counts anew has to give its whole list.
             raise PoolError(f"revision: a change of {revision} after {self.revision}")
-        members = [
-            one for one in read if one.status is not api.EndpointStatus.GONE or one.id in self.endpoints
-        ]
+        members = [one for one in read if one.status is not EndpointStatus.GONE or one.id in self.endpoints]
         # One that is another destination's now has gone from the one it was of.
         known = [(self.endpoints.get(one.id, one), one) for one in members]
         moved = [
-            replace(old, status=api.EndpointStatus.GONE)
+            replace(old, status=EndpointStatus.GONE)
             for old, one in known
             if old.destination != one.destination
         ]
@@ -103,15 +102,15 @@
             named = {entry.endpoint for entry in news} | self.pinned.keys()
             self.endpoints = {name: member for name, member in self.endpoints.items() if name in named}
         for member in members:
-            if member.status is not api.EndpointStatus.GONE:
+            if member.status is not EndpointStatus.GONE:
                 self.endpoints[member.id] = member
             elif member.id not in self.pinned:
                 self.endpoints.pop(member.id, None)
         self.destinations.update(entry.destination for entry in news)
         if not complete:
-            return api.EndpointListUpdate(api.UpdateMode.CHANGES, news)
+            return EndpointListUpdate(UpdateMode.CHANGES, news)
         news += tuple(self._listing(member) for member in self.pinned.values())
-        return api.EndpointListUpdate(api.UpdateMode.CACHED if cached else api.UpdateMode.FULL, news)
+        return EndpointListUpdate(UpdateMode.CACHED if cached else UpdateMode.FULL, news)
 
     def keeps_row(self, row: dict[str, Any], complete: bool = False) -> bool:
         """Whether an entry is kept: one of a destination that is, or a change of a member that was."""
@@ -120,30 +119,28 @@
         known, cell = row["id"] in self.endpoints, row.get("cell")
         return (isinstance(cell, int) and self.keeps_destination(cell)) or (known and not complete)
 
-    def _listing(self, member: PoolEndpoint) -> api.EndpointListing:
+    def _listing(self, member: PoolEndpoint) -> EndpointListing:
         entry = member.listing()
         if self.quota_fraction is None:
             return entry
         return replace(entry, listed_rate=entry.listed_rate * self.quota_fraction(member.destination))
 
-    def changed_listings(self, changed: Callable[[int], bool]) -> api.EndpointListUpdate:
+    def changed_listings(self, changed: Callable[[int], bool]) -> EndpointListUpdate:
         """The entries of destinations whose portion has changed, as a change of the list."""
         members = [member for member in self.endpoints.values() if changed(member.destination)]
-        return api.EndpointListUpdate(
-            api.UpdateMode.CHANGES, tuple(self._listing(member) for member in members)
-        )
+        return EndpointListUpdate(UpdateMode.CHANGES, tuple(self._listing(member) for member in members))
 
     def _parse_endpoint(self, row: dict[str, Any]) -> PoolEndpoint:
         name = str(row["id"])
         old = self.endpoints.get(name)
-        status = PHASES.get(str(row.get("phase", "Ready")), api.EndpointStatus.READY)
-        if status is api.EndpointStatus.GONE and old is not None:
+        status = PHASES.get(str(row.get("phase", "Ready")), EndpointStatus.READY)
+        if status is EndpointStatus.GONE and old is not None:
             return replace(old, status=status)
         cell = row.get("cell")
         destination = int(cell) if cell is not None else old.destination if old else -1
         address = str(row.get("host_port") or (old.address if old else ""))
         host, _, port = address.rpartition(":")
-        if status is not api.EndpointStatus.GONE and not (host and _is_port(port)):
+        if status is not EndpointStatus.GONE and not (host and _is_port(port)):
             raise PoolError(f"host_port: expected HOST:PORT, got {address!r}")
         size = float(row.get("size", 1.0))
         if not 0 <= size < inf:  # nor a NaN, which would spoil every pace computed from it
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -1,4 +1,4 @@
-"""Every decision of honeyhitch. Its settings, events and actions are in `interface.py` beside it."""
+"""Every decision of honeyhitch. See `settings`, `events` and `actions` for its interface."""
 
 from __future__ import annotations
 
@@ -9,10 +9,34 @@
 from math import inf
 from random import Random
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.actions import (
+    Action,
+    Cancel,
+    CloseIdleConnections,
+    Fail,
+    OpenConnections,
+    Reject,
+    Send,
+    SetTimer,
+    Subscribe,
+)
 from honeyhitch.policy.decaying_counter import DecayingTally
-from honeyhitch.policy.interface import Outcome
+from honeyhitch.policy.events import (
+    AttemptEnded,
+    ConnectionCapacity,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    MessageWithdrawn,
+    NewMessage,
+    Outcome,
+    RetryAfterReceived,
+    ShutdownStarted,
+    TimerFired,
+    UpdateMode,
+)
 from honeyhitch.policy.message_queue import MessageQueue
+from honeyhitch.policy.settings import Settings
 from honeyhitch.policy.state import (
     ASK_GAP,
     ASK_MOST,
@@ -47,7 +71,7 @@
 
 
 class DeliveryPolicy:
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.s, self.rng, self.now = settings, Random(seed), 0
         self.most, self.margin = min(ATTEMPTS, settings.max_attempts), 2 * settings.resolution
         self.messages: dict[str, Message] = {}
@@ -61,22 +85,22 @@
         self.wakes: list[tuple[int, int, Callable[..., object], object]] = []
         self.seq, self.used, self.timer_at, self.ask_gap = 0, 0, NEVER, ASK_GAP
         self.tenants = [(0.0, 0)] * len(settings.tenant_rates)
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.on: dict[type, Callable[..., object]] = {
-            api.NewMessage: self._taken,
-            api.EndpointListUpdate: self._news,
+            NewMessage: self._taken,
+            EndpointListUpdate: self._news,
         }
         self.on |= {
-            api.AttemptEnded: self._outcome,
-            api.MessageWithdrawn: self._drop,
-            api.TimerFired: self._rang,
+            AttemptEnded: self._outcome,
+            MessageWithdrawn: self._drop,
+            TimerFired: self._rang,
         }
-        self.on |= {api.ConnectionCapacity: self._room, api.RetryAfterReceived: self._told}
-        self.on[api.ShutdownStarted] = lambda event: self._bar(self.now + event.pause)
+        self.on |= {ConnectionCapacity: self._room, RetryAfterReceived: self._told}
+        self.on[ShutdownStarted] = lambda event: self._bar(self.now + event.pause)
         if settings.must_subscribe:
-            self._wake(0, self._act, api.Subscribe())
+            self._wake(0, self._act, Subscribe())
 
-    def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
         self.now, self.actions = now, []
         for event in events:
             self.on[type(event)](event)
@@ -88,11 +112,11 @@
             lane, scarce = endpoint.lane, self.s.instance_count > TABLE and not endpoint.calls
             full = lane.tight.share(now) > TIGHT or lane.answered < PROOF or self.rng.random() < YIELD
             if scarce and full:
-                self.actions.append(api.CloseIdleConnections(endpoint.name))
+                self.actions.append(CloseIdleConnections(endpoint.name))
         self.rested.clear()
         if self.wakes and self.wakes[0][0] < self.timer_at:
             self.timer_at = self.wakes[0][0]
-            self.actions.append(api.SetTimer(self.timer_at))
+            self.actions.append(SetTimer(self.timer_at))
         return self.actions
 
     def may_start(self, now: int, name: str) -> bool:
@@ -111,19 +135,19 @@
     def _rang(self, _: object) -> None:  # also a timer that rang a moment early: it is set again
         self.timer_at = NEVER
 
-    def _act(self, action: api.Action) -> None:
+    def _act(self, action: Action) -> None:
         self.actions.append(action)
 
     def _wake(self, at: int, what: Callable[..., object], subject: object) -> None:
         self.seq += 1
         heappush(self.wakes, (at, self.seq, what, subject))
 
-    def _news(self, event: api.EndpointListUpdate) -> None:
+    def _news(self, event: EndpointListUpdate) -> None:
         """A stale or missing list never stops delivery; what drains or is gone gets nothing new (rule 3)."""
-        failed, whole = event.mode is api.UpdateMode.FAILED, (api.UpdateMode.FULL, api.UpdateMode.CACHED)
+        failed, whole = event.mode is UpdateMode.FAILED, (UpdateMode.FULL, UpdateMode.CACHED)
         if failed:
             pause = int(self.ask_gap * self.rng.uniform(1 - JITTER, 1))
-            self._wake(self.now + pause, self._act, api.Subscribe())
+            self._wake(self.now + pause, self._act, Subscribe())
         self.ask_gap = min(2 * self.ask_gap, ASK_MOST) if failed else ASK_GAP
         named = {entry.endpoint for entry in event.listings}
         for dest in self.dests.values() if event.mode in whole else ():
@@ -136,12 +160,12 @@
                     dest.lane = Lane(self.s, self.rng, tight)
                 dest.endpoints[entry.endpoint] = Endpoint(entry, dest.lane)
             endpoint, dest.per_call = dest.endpoints[entry.endpoint], kind.max_messages_per_call
-            endpoint.listed, endpoint.lane.scale = entry.status is api.EndpointStatus.READY, entry.listed_rate
+            endpoint.listed, endpoint.lane.scale = entry.status is EndpointStatus.READY, entry.listed_rate
             self.hot[dest] = None
-            if entry.status is api.EndpointStatus.GONE:  # forgotten; its calls out still know it
+            if entry.status is EndpointStatus.GONE:  # forgotten; its calls out still know it
                 del dest.endpoints[entry.endpoint]
 
-    def _room(self, event: api.ConnectionCapacity) -> None:
+    def _room(self, event: ConnectionCapacity) -> None:
         """Handshakes are no attempts: one that fails tells of the lane."""
         dest = self.dests.get(event.destination, Destination())
         if (endpoint := dest.endpoints.get(event.endpoint)) is None:
@@ -169,7 +193,7 @@
             if not message.ended and until >= self._last(message):
                 self._finish(message)
 
-    def _taken(self, event: api.NewMessage) -> None:
+    def _taken(self, event: NewMessage) -> None:
         dest = self.dests.setdefault(event.destination, Destination())
         message = Message(event, self.s.classes[event.class_index], dest, self.now)
         message.worth *= self._share(event.tenant) if self.s.tenant_rates and not event.low_priority else 1.0
@@ -227,7 +251,7 @@
     def _finish(self, message: Message) -> None:  # at once: a refusal where that is true
         wait = max(LADDER[0], self._opens(message.dest, guess=True) - self.now)
         wait = min(wait, self.s.max_retry_after) if self.s.sends_retry_after else 0
-        self.actions.append(api.Reject(message.id, wait) if message.may_refuse() else api.Fail(message.id))
+        self.actions.append(Reject(message.id, wait) if message.may_refuse() else Fail(message.id))
         self._end(message)
 
     def _end(self, message: Message) -> None:
@@ -237,21 +261,21 @@
             del self.messages[message.id]
             self._advance(message.key)
 
-    def _told(self, event: api.RetryAfterReceived) -> None:
+    def _told(self, event: RetryAfterReceived) -> None:
         dest = self.dests.get(event.destination, Destination())
         told = dest.endpoints.get(event.endpoint)  # one that has gone told it for all that are left
         for endpoint in [told] if told else dest.endpoints.values():
             endpoint.lane.wait_until = max(endpoint.lane.wait_until, event.until)
         self.hot[dest] = None
 
-    def _drop(self, event: api.MessageWithdrawn) -> None:
+    def _drop(self, event: MessageWithdrawn) -> None:
         message = self.messages.get(event.message)
         if message is not None and not message.ended:
             if message.call is not None and self.s.can_cancel:
-                self.actions.append(api.Cancel(message.id, message.attempts - 1))
+                self.actions.append(Cancel(message.id, message.attempts - 1))
             self._end(message)
 
-    def _outcome(self, event: api.AttemptEnded) -> None:
+    def _outcome(self, event: AttemptEnded) -> None:
         message = self.messages.get(event.message)
         if message is None or message.call is None or event.attempt != message.attempts - 1:
             return
@@ -279,7 +303,7 @@
         self.hot[message.dest] = self.rested[call.endpoint] = None
         self._end(message) if message.ended or event.message_concluded else self._retry(message, event, lane)
 
-    def _learn(self, event: api.AttemptEnded, call: Call, message: Message) -> None:
+    def _learn(self, event: AttemptEnded, call: Call, message: Message) -> None:
         endpoint, lane = call.endpoint, call.endpoint.lane
         if event.connection_limited or event.outcome is Outcome.CONNECT_FAILED:
             lane.tight.note(self.now, True)
@@ -307,7 +331,7 @@
             for other in list(message.dest.waiting):  # back: the ladder need not run out
                 self._queue(other)
 
-    def _retry(self, message: Message, event: api.AttemptEnded, lane: Lane) -> None:
+    def _retry(self, message: Message, event: AttemptEnded, lane: Lane) -> None:
         """The ladder: a told wait is used, an untold refusal doubles the step, the time left cuts it."""
         if event.not_started:  # it is where it was before
             return self._queue(message)
@@ -377,7 +401,7 @@
             paced = wanted.lane.out or wanted.lane.pace(self.now) < inf
             queued = sum(map(len, dest.queues.values()))
             self.actions.append(
-                api.OpenConnections(wanted.name, 1 if paced else min(queued, self.s.max_concurrent_calls))
+                OpenConnections(wanted.name, 1 if paced else min(queued, self.s.max_concurrent_calls))
             )
         return (min(ready, key=lambda e: self._rank(e, message)) if ready else None), soonest
 
@@ -409,7 +433,7 @@
         if message.unsafe:  # a time-out ends it; yet a hang must not eat the slots
             timeout = max(UNSAFE_ROOM * timeout, message.span)
         timeout = max(1, min(timeout, message.deadline - self.margin - self.now))
-        self.actions.append(api.Send(message.id, call.endpoint.name, timeout))
+        self.actions.append(Send(message.id, call.endpoint.name, timeout))
         message.ran.append((self.now, call.endpoint.zone))
         message.call, message.queued, message.last = call, False, call.endpoint.name
         message.attempts += 1
--- /dev/null
+++ b/honeyhitch/policy/settings.py
@@ -0,0 +1,165 @@
+"""Settings of the policy: all that one instance is told at its start.
+
+Durations are integer nanoseconds. A value that cannot be used raises SettingsError.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class Idempotency(Enum):
+    """What a repeat of a message does at its destination."""
+
+    IDEMPOTENT = "safe"  # may be repeated freely
+    IDEMPOTENCY_KEY = "keyed"  # a repeat is dropped inside a window
+    NON_IDEMPOTENT = "unsafe"  # must never run twice
+
+
+class DeduplicationScope(Enum):
+    """Which endpoints of a destination remember the key of a keyed message."""
+
+    ALL = "all"
+    ZONE = "zone"
+
+
+class LateDecay(Enum):
+    """How worth falls between the aim and the deadline."""
+
+    LINEAR = "line"
+    HALVING = "halves"
+
+
+class ListedRateMeaning(Enum):
+    """What the figure beside an endpoint in the list means."""
+
+    OFF = "off"
+    NOMINAL = "nominal"
+    ROUGH = "rough"
+
+
+class SettingsError(ValueError):
+    """A setting has a value that cannot be used; `field` is its name here, `reason` says what is expected."""
+
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field}: {reason}")
+        self.field, self.reason = field, reason
+
+
+def _require(condition: bool, field: str, reason: str) -> None:
+    if not condition:
+        raise SettingsError(field, reason)
+
+
+@dataclass(frozen=True, slots=True)
+class MessageClass:
+    """One class of message."""
+
+    idempotency: Idempotency
+    latency_objective: int
+    deadline: int
+    priority_weight: float = 1.0
+    late_weight_fraction: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: int = 0
+    ordered: bool = False
+    objective_work_factor: float = 0.0
+    name: str = ""
+
+    def __post_init__(self) -> None:
+        _require(self.deadline > 0, "classes.deadline", "must be above 0")
+        _require(
+            0 < self.latency_objective <= self.deadline,
+            "classes.latency_objective",
+            "must be above 0 and at most the deadline",
+        )
+        _require(self.priority_weight >= 0, "classes.priority_weight", "must not be negative")
+        _require(0 <= self.late_weight_fraction <= 1, "classes.late_weight_fraction", "must lie in 0 to 1")
+        _require(self.deduplication_window >= 0, "classes.deduplication_window", "must not be negative")
+        _require(
+            self.idempotency is not Idempotency.IDEMPOTENCY_KEY or self.deduplication_window > 0,
+            "classes.deduplication_window",
+            "needed for keyed",
+        )
+        _require(self.objective_work_factor >= 0, "classes.objective_work_factor", "must not be negative")
+
+
+@dataclass(frozen=True, slots=True)
+class DestinationKind:
+    """One kind of destination."""
+
+    limits_per_endpoint: bool = False  # each endpoint has its own limit, pace and outages
+    max_messages_per_call: int = 1  # messages in one call at most
+    name: str = ""
+
+    def __post_init__(self) -> None:
+        _require(self.max_messages_per_call >= 1, "kinds.max_messages_per_call", "must be at least 1")
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    """All that an instance is told at its start."""
+
+    classes: tuple[MessageClass, ...]
+    kinds: tuple[DestinationKind, ...]
+    max_concurrent_calls: int  # calls out at once
+    overload_factor: float  # a cold destination falls over above this multiple of its capacity
+    slow_start_fraction: float  # share of its capacity that a returning destination has at least
+    slow_start_duration: int  # and all of it after this
+    ordering_pause: int = 0
+    instance_count: int = 1
+    zone: int = 0
+    max_attempts: int = 5
+    can_cancel: bool = False
+    sends_retry_after: bool = True
+    max_retry_after: int = 0
+    connect_timeout: int = 0
+    must_subscribe: bool = False
+    resolution: int = 0
+    late_decay: LateDecay = LateDecay.LINEAR
+    listed_rate_meaning: ListedRateMeaning = ListedRateMeaning.OFF
+    cross_zone_cost: float = 0.0
+    tenant_rates: tuple[float, ...] = ()
+    over_quota_weight: float = 1.0
+    tenant_names: tuple[str, ...] = ()
+    zone_names: tuple[str, ...] = ()
+    report_fields: tuple[str, ...] = ()
+    max_messages: int = 1 << 30  # transactions held at most
+    connection_idle_timeout: int = 0  # a member closes an idle connection after this; 0 if never
+    drain_grace: int = 2_000_000_000  # for so long something new may go to a member told to drain
+
+    def __post_init__(self) -> None:
+        _require(len(self.classes) > 0, "classes", "at least one is needed")
+        _require(len(self.kinds) > 0, "kinds", "at least one is needed")
+        for name in (
+            "max_concurrent_calls",
+            "instance_count",
+            "max_attempts",
+            "slow_start_duration",
+            "max_messages",
+        ):
+            _require(getattr(self, name) >= 1, name, "must be at least 1")
+        _require(self.overload_factor > 0, "overload_factor", "must be above 0")
+        _require(0 < self.slow_start_fraction <= 1, "slow_start_fraction", "must be above 0 and at most 1")
+        for name in ("ordering_pause", "zone"):
+            _require(getattr(self, name) >= 0, name, "must not be negative")
+        for name in (
+            "max_retry_after",
+            "connect_timeout",
+            "resolution",
+            "connection_idle_timeout",
+            "drain_grace",
+        ):
+            _require(getattr(self, name) >= 0, name, "must not be negative")
+        _require(0 <= self.over_quota_weight <= 1, "over_quota_weight", "must lie in 0 to 1")
+        _require(all(rate >= 0 for rate in self.tenant_rates), "tenant_rates", "must not be negative")
+
+    @property
+    def class_names(self) -> tuple[str, ...]:
+        """What people call each class; its number where it has no name."""
+        return tuple(cls.name or str(number) for number, cls in enumerate(self.classes))
+
+    def kind(self, number: int) -> DestinationKind:
+        """The kind with this number; the last one for a number that is too high."""
+        return self.kinds[min(number, len(self.kinds) - 1)]
--- a/honeyhitch/policy/state.py
+++ b/honeyhitch/policy/state.py
@@ -6,10 +6,17 @@
 from math import exp, inf
 from random import Random
 
-from honeyhitch.policy import interface as api
 from honeyhitch.policy.decaying_counter import DecayingTally
-from honeyhitch.policy.interface import Idempotency, Outcome
+from honeyhitch.policy.events import EndpointListing, NewMessage, Outcome
 from honeyhitch.policy.message_queue import MessageQueue
+from honeyhitch.policy.settings import (
+    DeduplicationScope,
+    Idempotency,
+    LateDecay,
+    ListedRateMeaning,
+    MessageClass,
+    Settings,
+)
 
 MS, SECOND, NEVER = 10**6, 10**9, 1 << 62  # ns
 LADDER = (250 * MS, SECOND, 4 * SECOND, 16 * SECOND)  # ns; the design's pauses between tries
@@ -41,14 +48,14 @@
 class Message:
     """One message taken, with all that the rules need to know of it."""
 
-    def __init__(self, event: api.NewMessage, cls: api.MessageClass, dest: Destination, now: int) -> None:
+    def __init__(self, event: NewMessage, cls: MessageClass, dest: Destination, now: int) -> None:
         self.id, self.cls, self.number, self.dest = event.message, cls, event.class_index, dest
         self.key = event.ordering_key if cls.ordered else None
         self.keyed, self.unsafe = (
             cls.idempotency is Idempotency.IDEMPOTENCY_KEY,
             cls.idempotency is Idempotency.NON_IDEMPOTENT,
         )
-        self.zoned = self.keyed and cls.deduplication_scope is api.DeduplicationScope.ZONE
+        self.zoned = self.keyed and cls.deduplication_scope is DeduplicationScope.ZONE
         self.deadline, self.worth = (
             now + event.time_left,
             cls.priority_weight * (BEHIND if event.low_priority else 1),
@@ -91,9 +98,9 @@
     def zone(self) -> int | None:
         return self.ran[0][1] if self.zoned and self.ran else None
 
-    def value(self, at: int, decay: api.LateDecay) -> float:
+    def value(self, at: int, decay: LateDecay) -> float:
         late, share = max(0, at - self.aim), self.cls.late_weight_fraction
-        if decay is api.LateDecay.HALVING:
+        if decay is LateDecay.HALVING:
             return self.worth * max(share, exp(-0.6931 * late / self.span))
         return self.worth * max(0.0, 1 - (1 - share) * late / max(1, self.deadline - self.aim))
 
@@ -106,7 +113,7 @@
 
 
 class Endpoint:
-    def __init__(self, entry: api.EndpointListing, lane: Lane) -> None:
+    def __init__(self, entry: EndpointListing, lane: Lane) -> None:
         self.name, self.zone, self.lane, self.listed = entry.endpoint, entry.zone, lane, True
         self.calls, self.used_at = 0, -NEVER
         self.room, self.shut = (
@@ -121,7 +128,7 @@
 class Lane:
     """One limit and its health: a destination, or one endpoint where endpoints are routes apart."""
 
-    def __init__(self, settings: api.Settings, rng: Random, tight: DecayingTally) -> None:
+    def __init__(self, settings: Settings, rng: Random, tight: DecayingTally) -> None:
         self.s, self.rng, self.latency = settings, rng, float(START_LATENCY)
         self.tight = tight  # failed connects of all its kind
         self.tally = DecayingTally(FADE)  # failed calls here
@@ -134,10 +141,10 @@
         self.out, self.flow_at, self.spread = False, 0, SPREAD if settings.instance_count > TABLE else JITTER
 
     def part(self) -> float:  # its part of the capacity in calls a second; a rough figure is distrusted
-        rough = ROUGH_ERROR if self.s.listed_rate_meaning is api.ListedRateMeaning.ROUGH else 1
+        rough = ROUGH_ERROR if self.s.listed_rate_meaning is ListedRateMeaning.ROUGH else 1
         unlisted = (
             0.0
-            if self.s.listed_rate_meaning is not api.ListedRateMeaning.OFF
+            if self.s.listed_rate_meaning is not ListedRateMeaning.OFF
             else max(0.5, self.flow * SECOND / FLOW_SPAN)
         )
         return unlisted or max(LEAST_PART, (self.limit or self.scale / rough) / self.s.instance_count)
--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -6,25 +6,25 @@
 
 from honeyhitch.dispatcher.delivery import CallResult
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import http1
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
 MOST_WAIT = 3600 * SECOND  # a longer told wait is cut to this
 SIMPLE = {
-    200: api.Outcome.DELIVERED,
-    429: api.Outcome.REJECTED,
-    503: api.Outcome.REJECTED,
-    504: api.Outcome.NOT_SENT,
-    410: api.Outcome.NOT_SENT,
+    200: Outcome.DELIVERED,
+    429: Outcome.REJECTED,
+    503: Outcome.REJECTED,
+    504: Outcome.NOT_SENT,
+    410: Outcome.NOT_SENT,
 }
 BATCH = {
-    "accepted": (api.Outcome.DELIVERED, True),
-    "fault": (api.Outcome.ERROR, False),
-    "deferred": (api.Outcome.REJECTED, False),
-    "expired": (api.Outcome.NOT_SENT, True),
-    "no_more": (api.Outcome.NOT_SENT, False),
+    "accepted": (Outcome.DELIVERED, True),
+    "fault": (Outcome.ERROR, False),
+    "deferred": (Outcome.REJECTED, False),
+    "expired": (Outcome.NOT_SENT, True),
+    "no_more": (Outcome.NOT_SENT, False),
 }
 # Decimals without a bound: a float written out may have 17 of them, and more.
 NUMBER = re.compile(r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII)  # of a report: a figure beyond is no figure
@@ -64,23 +64,23 @@
 def read(answer: http1.Answer, parts: list[Transaction], fresh: bool = False) -> CallResult:
     """What an answer says of each of the call's transactions; `fresh` if it is its connection's first."""
     status, count = answer.status, len(parts)
-    outcome = SIMPLE.get(status, api.Outcome.ERROR)
+    outcome = SIMPLE.get(status, Outcome.ERROR)
     over = status in (200, 410)
     if status == 503 and answer.headers.get("x-no-slot", "").strip() == "1":
-        outcome = api.Outcome.NOT_SENT
+        outcome = Outcome.NOT_SENT
     result = CallResult.uniform(outcome, count, over)
     if status == 200 and count > 1:
         told = dict(line.split()[:2] for line in _lines(answer.body) if len(line.split()) >= 2)
         # A message that the answer passes over may have run: nobody said that it did not.
-        result.outcomes = [BATCH.get(told.get(part.id, ""), (api.Outcome.ERROR, False)) for part in parts]
+        result.outcomes = [BATCH.get(told.get(part.id, ""), (Outcome.ERROR, False)) for part in parts]
     if answer.more:  # a spoilt length looks like this, too: what says that nothing ran proves nothing
         result.outcomes = [
-            (api.Outcome.RESET, False) if outcome.proves_not_executed else (outcome, over)
+            (Outcome.RESET, False) if outcome.proves_not_executed else (outcome, over)
             for outcome, over in result.outcomes
         ]
     result.retry_after = wait(answer.headers)
     result.reported = report(answer.headers.get("x-pressure", ""))
-    if fresh and outcome is api.Outcome.REJECTED and not answer.more:
+    if fresh and outcome is Outcome.REJECTED and not answer.more:
         # Only a member that has no room for the connection itself closes it and has no load to tell.
         closes = answer.headers.get("connection", "").strip().lower() == "close"
         result.connection_limited = (
@@ -93,8 +93,8 @@
     return body.decode("latin-1").splitlines()
 
 
-def broken(status: int, parts: list[Transaction], outcome: api.Outcome) -> CallResult:
+def broken(status: int, parts: list[Transaction], outcome: Outcome) -> CallResult:
     """No whole answer came, whatever its first line says: the call may have run. Only a lone 200 is true."""
     if status == 200 and len(parts) == 1:
-        return CallResult.uniform(api.Outcome.DELIVERED, 1, True)
+        return CallResult.uniform(Outcome.DELIVERED, 1, True)
     return CallResult.uniform(outcome, len(parts))
--- a/honeyhitch/protocols/forwarding.py
+++ b/honeyhitch/protocols/forwarding.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 from honeyhitch.protocols.resp import FORWARDED, MOST_LINE, MS
 
 KEY = b"0" * 16  # the first argument, which means nothing
@@ -45,7 +45,7 @@
 ForwardOutcome = Relayed | NothingWritten | Unanswered | ConnectionEnded
 
 
-def request(settings: api.Settings, transaction: Transaction, instance: str, now: int) -> bytes | None:
+def request(settings: Settings, transaction: Transaction, instance: str, now: int) -> bytes | None:
     """The request as it is passed on by `instance`, or None where no time is left. `now` is a Unix time in
     nanoseconds; the time passed since the client sent it counts against `d`.
     """
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -7,7 +7,7 @@
 
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols.calls import batch_body, report, wait
 from honeyhitch.protocols.mqtt_packets import Kind as PacketKind
 from honeyhitch.protocols.mqtt_packets import Packet, Properties
@@ -79,15 +79,15 @@
     """What the acknowledgement of a call says, or the lack of one; `left`: it may have gone out."""
     count = len(out.messages)
     if ack is None:
-        return CallResult.uniform(api.Outcome.RESET if left else api.Outcome.CONNECT_FAILED, count)
+        return CallResult.uniform(Outcome.RESET if left else Outcome.CONNECT_FAILED, count)
     if ack.reason == NO_SUBSCRIBERS:  # taken by the server, but nobody is there: it has not run
-        result = CallResult.uniform(api.Outcome.CONNECT_FAILED, count)
+        result = CallResult.uniform(Outcome.CONNECT_FAILED, count)
     elif ack.reason == QUOTA:
-        result = CallResult.uniform(api.Outcome.REJECTED, count)
+        result = CallResult.uniform(Outcome.REJECTED, count)
     elif ack.reason >= 0x80:
-        result = CallResult.uniform(api.Outcome.ERROR, count)
+        result = CallResult.uniform(Outcome.ERROR, count)
     else:
-        result = CallResult.uniform(api.Outcome.DELIVERED, count, True)
+        result = CallResult.uniform(Outcome.DELIVERED, count, True)
     told = {name.lower(): value for name, value in ack.user}
     result.retry_after, result.reported = wait(told), report(told.get("x-pressure", ""))
     return result
--- a/honeyhitch/protocols/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -8,7 +8,7 @@
 
 from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Idempotency, Settings
 from honeyhitch.protocols.buffer import Buffer
 
 MOST_ARGS = 64
@@ -113,7 +113,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         served: Callable[[int], bool],
         unusable: Callable[[int], None] = lambda cls: None,
     ) -> None:
@@ -135,7 +135,7 @@
             raise FieldError(f"body: longer than {MOST_BULK} bytes")
         cls = _pick(self.classes, fields, "c")
         key = fields.get("k", "")
-        if not key and self.settings.classes[cls].idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+        if not key and self.settings.classes[cls].idempotency is Idempotency.IDEMPOTENCY_KEY:
             raise FieldError("k: needed in a keyed class")
         destination, left = _number(fields, "dest"), _number(fields, "d")
         if not self.served(destination):  # nothing could ever be done for it but to hold it to its end
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -13,7 +13,7 @@
 from honeyhitch.journal.directory import FIRST_SLOT, SECOND_SLOT, StateDirectory
 from honeyhitch.journal.follower import JournalFollower
 from honeyhitch.journal.journal import Journal, JournalFullError
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Event, RetryAfterReceived
 
 log = logs.get()
 LOOK, REST = 0.02, 0.25  # seconds between looks while another process is there, and while none is
@@ -135,7 +135,7 @@
 
     # What the dispatcher asks while another process is there.
 
-    def retry_after_events(self) -> list[api.Event]:
+    def retry_after_events(self) -> list[Event]:
         """The waits that the other process was told, all that last: a member may be listed here only now."""
         self._read()
         return self._waits()
@@ -144,11 +144,11 @@
         self.follower.read()
         self.journal.peer_bytes = self.follower.reserved_bytes()
 
-    def _waits(self) -> list[api.Event]:
+    def _waits(self) -> list[Event]:
         now = self.journal.clock()
         waits = self.follower.retry_after_until.items()
         return [
-            api.RetryAfterReceived(destination, name, until)
+            RetryAfterReceived(destination, name, until)
             for (destination, name), until in waits
             if until > now
         ]
--- a/honeyhitch/simulator_host.py
+++ b/honeyhitch/simulator_host.py
@@ -13,27 +13,49 @@
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.instance import Pairs
 from honeyhitch.config.values import decimal, pick, whole
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.actions import (
+    Action,
+    Cancel,
+    CloseIdleConnections,
+    Fail,
+    OpenConnections,
+    Reject,
+    Send,
+    SetTimer,
+    Subscribe,
+)
 from honeyhitch.policy.engine import DeliveryPolicy
+from honeyhitch.policy.events import (
+    AttemptEnded,
+    EndpointListing,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    MessageWithdrawn,
+    NewMessage,
+    Outcome,
+    TimerFired,
+    UpdateMode,
+)
 
 log = logs.get()
 OUTCOMES = {
-    "pass": api.Outcome.DELIVERED,
-    "fault": api.Outcome.ERROR,
-    "no_room": api.Outcome.REJECTED,
-    "too_slow": api.Outcome.TIMEOUT,
-    "no_route": api.Outcome.CONNECT_FAILED,
-    "cut": api.Outcome.RESET,
-    "undone": api.Outcome.CANCELLED,
-    "stale_send": api.Outcome.NOT_SENT,
+    "pass": Outcome.DELIVERED,
+    "fault": Outcome.ERROR,
+    "no_room": Outcome.REJECTED,
+    "too_slow": Outcome.TIMEOUT,
+    "no_route": Outcome.CONNECT_FAILED,
+    "cut": Outcome.RESET,
+    "undone": Outcome.CANCELLED,
+    "stale_send": Outcome.NOT_SENT,
 }
 MODES = {
-    "delta": api.UpdateMode.CHANGES,
-    "full": api.UpdateMode.FULL,
-    "cached": api.UpdateMode.CACHED,
-    "failed": api.UpdateMode.FAILED,
+    "delta": UpdateMode.CHANGES,
+    "full": UpdateMode.FULL,
+    "cached": UpdateMode.CACHED,
+    "failed": UpdateMode.FAILED,
 }
-STATUSES = {s.value: s for s in api.EndpointStatus}
+STATUSES = {s.value: s for s in EndpointStatus}
 CAME_AGAIN = 2 | 16  # bits of `marks`
 WORK_VALID = 1
 PAGES = 16
@@ -54,7 +76,7 @@
     def __init__(self, brain: DeliveryPolicy, report_fields: tuple[str, ...]) -> None:
         self.brain = brain
         self.report_fields = report_fields
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
 
 
 class Host:
@@ -63,8 +85,8 @@
     def __init__(self, out: TextIO) -> None:
         self.out = out
         self.instances: dict[str, Instance] = {}
-        self.pages: dict[int, tuple[api.EndpointListing, ...]] = {}
-        self.filling: tuple[int, int, list[api.EndpointListing]] | None = None
+        self.pages: dict[int, tuple[EndpointListing, ...]] = {}
+        self.filling: tuple[int, int, list[EndpointListing]] | None = None
         self.tick: tuple[int, str] | None = None
         self.clock = 0
         self.touched: dict[str, None] = {}
@@ -76,8 +98,8 @@
             "membership": (4, self._membership),
             "arrival": (9, self._arrival),
             "returned": (9, self._returned),
-            "abandoned": (2, lambda p: self._add(p[0], api.MessageWithdrawn(p[1]))),
-            "fired": (2, lambda p: self._add(p[0], api.TimerFired())),
+            "abandoned": (2, lambda p: self._add(p[0], MessageWithdrawn(p[1]))),
+            "fired": (2, lambda p: self._add(p[0], TimerFired())),
             "accepted": (5, lambda p: self._known(p[0])),
             "health_result": (5, self._health_result),
             "note_from": (3, lambda p: self._known(p[0])),
@@ -120,7 +142,7 @@
         self.touched[name] = None
         return instance
 
-    def _add(self, name: str, event: api.Event) -> None:
+    def _add(self, name: str, event: Event) -> None:
         self._known(name).events.append(event)
 
     def _power_on(self, parts: list[str]) -> None:
@@ -151,7 +173,7 @@
             raise WireError("endpoint: expected only inside a ledger")
         page, left, entries = self.filling
         entries.append(
-            api.EndpointListing(
+            EndpointListing(
                 endpoint=parts[0],
                 listed_rate=decimal(parts[1], "scale"),
                 zone=_opt(parts[2], "az"),
@@ -166,17 +188,17 @@
 
     def _membership(self, parts: list[str]) -> None:
         mode = pick(MODES, parts[1], "mode")
-        if mode is api.UpdateMode.FAILED:
-            self._add(parts[0], api.EndpointListUpdate(mode))
+        if mode is UpdateMode.FAILED:
+            self._add(parts[0], EndpointListUpdate(mode))
             return
         page = whole(parts[2], "page")
         if page not in self.pages:
             raise WireError(f"membership: expected the page of an earlier ledger, got {page}")
-        self._add(parts[0], api.EndpointListUpdate(mode, self.pages[page]))
+        self._add(parts[0], EndpointListUpdate(mode, self.pages[page]))
 
     def _arrival(self, parts: list[str]) -> None:
         marks = _opt(parts[8], "marks")
-        event = api.NewMessage(
+        event = NewMessage(
             message=parts[1],
             tenant=_opt(parts[2], "team"),
             ordering_key=None if parts[3] == "-" else whole(parts[3], "target-key"),
@@ -190,9 +212,9 @@
 
     def _returned(self, parts: list[str]) -> None:
         outcome = pick(OUTCOMES, parts[4], "outcome")
-        wait = _opt(parts[7], "wait-ms") * NS_PER_MS if outcome is api.Outcome.REJECTED else 0
+        wait = _opt(parts[7], "wait-ms") * NS_PER_MS if outcome is Outcome.REJECTED else 0
         told = dict(zip(self._known(parts[0]).report_fields, self._row(parts[8]), strict=False))
-        event = api.AttemptEnded(
+        event = AttemptEnded(
             message=parts[1],
             attempt=whole(parts[2], "shot"),
             endpoint=parts[3],
@@ -234,23 +256,23 @@
         self.tick, self.touched = None, {}
 
     @staticmethod
-    def _action(name: str, action: api.Action) -> str:
+    def _action(name: str, action: Action) -> str:
         match action:
-            case api.Send(message, endpoint, timeout):
+            case Send(message, endpoint, timeout):
                 return f"route {name} {message} {timeout} {endpoint}"
-            case api.Cancel(message, attempt):
+            case Cancel(message, attempt):
                 return f"undo_send {name} {message} {attempt}"
-            case api.Reject(message, come_back):
+            case Reject(message, come_back):
                 return f"push_back {name} {message} {come_back}"
-            case api.Fail(message):
+            case Fail(message):
                 return f"respond_error {name} {message}"
-            case api.SetTimer(at):
+            case SetTimer(at):
                 return f"timer {name} {at} wake"
-            case api.Subscribe():
+            case Subscribe():
                 return f"keep_informed {name} 1"
-            case api.OpenConnections(endpoint, _):
+            case OpenConnections(endpoint, _):
                 raise WireError(f"no endpoint of the wire is gated, yet {endpoint} is")
-            case api.CloseIdleConnections(endpoint):
+            case CloseIdleConnections(endpoint):
                 return f"drop_conns {name} {endpoint}"
 
 
--- a/honeyhitch/tls/connection_gate.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import ConnectionCapacity
 from honeyhitch.tls.failures import TlsError
 from honeyhitch.tls.handshake_budget import HandshakeBudget, Start
 
@@ -41,14 +41,14 @@
         self.opening += 1
         return self.budget.start(now)
 
-    def opened(self, start: Start, now: int, resumed: bool) -> api.ConnectionCapacity:
+    def opened(self, start: Start, now: int, resumed: bool) -> ConnectionCapacity:
         """It came up, and its connection is ready."""
         self.opening, self.ready = self.opening - 1, self.ready + 1
         self.failures = self.barred_until = 0
         self.budget.ended(start, now, resumed)
         return self.room(now)
 
-    def failed(self, start: Start, now: int, error: TlsError) -> api.ConnectionCapacity:
+    def failed(self, start: Start, now: int, error: TlsError) -> ConnectionCapacity:
         """It did not. A lasting failure bars the member; any other is an outage as the module knows it."""
         self.opening -= 1
         lasting = error.failure.lasting
@@ -74,7 +74,7 @@
         """What connections are made with has changed: try at once."""
         self.failures = self.barred_until = 0
 
-    def room(self, now: int) -> api.ConnectionCapacity:
+    def room(self, now: int) -> ConnectionCapacity:
         """What the module is told."""
         shut = max(0, self.shut_until(now) - now)
-        return api.ConnectionCapacity(self.member, self.destination, self.open, connect_blocked_for=shut)
+        return ConnectionCapacity(self.member, self.destination, self.open, connect_blocked_for=shut)
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from honeyhitch import logs
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 from honeyhitch.tls import material
 from honeyhitch.tls.certificates import Facts, of_der
 from honeyhitch.tls.failures import Failure, TlsError
@@ -55,7 +55,7 @@
     def __init__(
         self,
         setup: TlsSetup,
-        settings: api.Settings,
+        settings: Settings,
         environ: Mapping[str, str],
         now: Callable[[], int],
         rng: Random,
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -9,7 +9,7 @@
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import PoolEndpoint
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import calls, http1
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.tls.failures import Failure, TlsError
@@ -111,16 +111,16 @@
             async with asyncio.timeout(call.timeout / NS):
                 result = await self._exchange(call, progress)
         except TimeoutError:
-            result = self._last_word(call, progress) or self._cut(call, progress, api.Outcome.TIMEOUT)
+            result = self._last_word(call, progress) or self._cut(call, progress, Outcome.TIMEOUT)
         except asyncio.CancelledError:
             if call not in self.running:  # the process ends; what is owed stays in the journal
                 raise
-            result = self._last_word(call, progress) or self._cut(call, progress, api.Outcome.CANCELLED)
+            result = self._last_word(call, progress) or self._cut(call, progress, Outcome.CANCELLED)
         except (OSError, http1.HttpError) as error:
-            result = self._cut(call, progress, api.Outcome.RESET, error)
+            result = self._cut(call, progress, Outcome.RESET, error)
         except Exception:  # a fault of ours must not keep the slot for ever
             log.exception("call.fault", member=call.endpoint.id, ordering_key=call.endpoint.id)
-            result = self._cut(call, progress, api.Outcome.RESET)
+            result = self._cut(call, progress, Outcome.RESET)
         finally:
             # Only once the connection is closed or free is the slot free, whatever happened.
             connection = progress.connection
@@ -145,15 +145,13 @@
         return None if answer is None else calls.read(answer, call.messages, fresh=progress.fresh)
 
     @staticmethod
-    def _cut(
-        call: Call, progress: Progress, outcome: api.Outcome, error: Exception | None = None
-    ) -> CallResult:
+    def _cut(call: Call, progress: Progress, outcome: Outcome, error: Exception | None = None) -> CallResult:
         """No whole answer came. Before the last byte was written the call cannot have run, nor can it where
         the partner refused our certificate (see `tls.failures`)."""
         connection = progress.connection
         refused = isinstance(error, TlsError) and error.failure is Failure.OUR_CERTIFICATE_REFUSED
         if not progress.written or refused:
-            outcome = api.Outcome.CONNECT_FAILED
+            outcome = Outcome.CONNECT_FAILED
             result = CallResult.uniform(outcome, len(call.messages))
         else:
             machine = connection.machine if connection else http1.AnswerMachine()
@@ -161,7 +159,7 @@
             result.retry_after = calls.wait(machine.answer.headers)  # asked for, whatever became of the rest
         # Members drop kept connections, some without a word. That says nothing of their health: a new
         # connection will tell, and one that is down refuses it.
-        broke = outcome in (api.Outcome.RESET, api.Outcome.CONNECT_FAILED)
+        broke = outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
         result.connection_stale = broke and connection is not None and connection.untold
         if isinstance(error, TlsError):
             result.failure_reason = error.failure.label
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -15,7 +15,7 @@
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import mqtt_messages as messages
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.mqtt import Outgoing, Session
@@ -210,7 +210,7 @@
         """Publish it; without a connection it cannot have run."""
         self.running[call] = None
         if not self.session.up:
-            result = CallResult.uniform(api.Outcome.CONNECT_FAILED, len(call.messages))
+            result = CallResult.uniform(Outcome.CONNECT_FAILED, len(call.messages))
             self.scheduler.call_at(self.scheduler.now(), lambda: self._finish(call, result))
             return
 
@@ -227,7 +227,7 @@
         if call in self.running:  # it may have ended by now
             self.running[call] = one
         self.link.wake.set()
-        self.scheduler.call_at(call.sent_at + call.timeout, lambda: self._stop(call, api.Outcome.TIMEOUT))
+        self.scheduler.call_at(call.sent_at + call.timeout, lambda: self._stop(call, Outcome.TIMEOUT))
 
     def _finish(self, call: Call, result: CallResult) -> None:
         if call in self.running:
@@ -236,7 +236,7 @@
                 self.dispatcher.call_written(call)
             self.dispatcher.call_ended(call, result)
 
-    def _stop(self, call: Call, outcome: api.Outcome) -> None:
+    def _stop(self, call: Call, outcome: Outcome) -> None:
         one = self.running.get(call)
         if one is not None:
 
@@ -248,12 +248,12 @@
             self.session.withdraw(one, late)
             never = not one.sent  # it still waited for the broker's receive maximum
             self._finish(
-                call, CallResult.uniform(api.Outcome.CONNECT_FAILED if never else outcome, len(call.messages))
+                call, CallResult.uniform(Outcome.CONNECT_FAILED if never else outcome, len(call.messages))
             )
 
     def cancel(self, call: Call) -> None:
         """Stop waiting for it. A publish cannot be called back: it may have run."""
-        self._stop(call, api.Outcome.CANCELLED)
+        self._stop(call, Outcome.CANCELLED)
 
     def close_idle(self, member: PoolEndpoint) -> None:
         """All members share one connection, which is never idle in this sense."""
--- a/honeyhitch/transports/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -10,7 +10,7 @@
 
 from honeyhitch import logs
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Settings
 from honeyhitch.protocols import forwarding
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.forwarding import (
@@ -100,7 +100,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         instance: str,
         owners: Callable[[int], Sequence[str]],
         connections: PeerConnections,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,9 +16,19 @@
 from random import Random
 from typing import Any
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.actions import CloseIdleConnections, Send, SetTimer
 from honeyhitch.policy.engine import DeliveryPolicy
-from honeyhitch.policy.interface import Outcome
+from honeyhitch.policy.events import (
+    AttemptEnded,
+    EndpointListing,
+    EndpointListUpdate,
+    Event,
+    NewMessage,
+    Outcome,
+    TimerFired,
+    UpdateMode,
+)
+from honeyhitch.policy.settings import ListedRateMeaning, Settings
 
 from .world import MS, SECOND, settings
 
@@ -48,7 +58,7 @@
         """Whether it is down."""
         return self.down[0] <= now < self.down[1]
 
-    def pushed(self, s: api.Settings, span: int, capacity: float) -> float:
+    def pushed(self, s: Settings, span: int, capacity: float) -> float:
         """Most calls in a window after the return from instances that knew of the outage, as a share of what
         a cold destination bears in it.
         """
@@ -66,7 +76,7 @@
             most = max(most, (bisect.bisect(came, start + span) - i) / bears)
         return most
 
-    def above_chance(self, s: api.Settings, span: int, capacity: float) -> float:
+    def above_chance(self, s: Settings, span: int, capacity: float) -> float:
         """Most calls of all instances in a window after the return, less N + 2 x root of N + 2, where N is
         what a cold destination bears in it: above 0 it falls over.
         """
@@ -121,7 +131,7 @@
             "instance_count": count,
             "max_concurrent_calls": 6,
             "resolution": MS,
-            "listed_rate_meaning": api.ListedRateMeaning.ROUGH,
+            "listed_rate_meaning": ListedRateMeaning.ROUGH,
             **more,
         }
         self.s = settings(**given)
@@ -129,17 +139,17 @@
         self.rng, self.partner, self.sum = Random(seed), partner, Sum()
         self.brains = [DeliveryPolicy(self.s, seed * 1000 + i) for i in range(count)]
         self.weights = [self.rng.expovariate(1.0) for _ in range(count)] if uneven else None
-        self.heap: list[tuple[int, int, int, tuple[api.Event, ...]]] = []
+        self.heap: list[tuple[int, int, int, tuple[Event, ...]]] = []
         self.number = itertools.count()
         self.idle: Counter[int] = Counter()
         self.open = 0
         self.attempts: dict[tuple[int, str], int] = {}
         self.came: dict[str, int] = {}
-        entry = api.EndpointListing("a", 0, listed_rate=scale)
+        entry = EndpointListing("a", 0, listed_rate=scale)
         for i in range(count):
-            self.at(0, i, api.EndpointListUpdate(api.UpdateMode.CACHED, (entry,)))
+            self.at(0, i, EndpointListUpdate(UpdateMode.CACHED, (entry,)))
 
-    def at(self, when: int, i: int, *events: api.Event) -> None:
+    def at(self, when: int, i: int, *events: Event) -> None:
         """Hand events to one instance then, in one round."""
         heapq.heappush(self.heap, (when, next(self.number), i, events))
 
@@ -150,7 +160,7 @@
             name = f"m{next(self.number)}"
             self.came[name] = now
             self.sum.handed_in += 1
-            event = api.NewMessage(name, CLASS, 0, self.cls.deadline)
+            event = NewMessage(name, CLASS, 0, self.cls.deadline)
             every = range(len(self.brains))
             i = self.rng.choices(every, self.weights)[0] if self.weights else self.rng.choice(every)
             self.at(now, i, event)
@@ -159,16 +169,16 @@
         """Play on."""
         while self.heap and self.heap[0][0] <= until:
             now, _, i, events = heapq.heappop(self.heap)
-            if isinstance(events[0], api.AttemptEnded):
-                self.finish(now, i, [event for event in events if isinstance(event, api.AttemptEnded)])
+            if isinstance(events[0], AttemptEnded):
+                self.finish(now, i, [event for event in events if isinstance(event, AttemptEnded)])
             names: list[str] = []
             for action in self.brains[i].handle(now, list(events)):
                 match action:
-                    case api.SetTimer(when):
-                        self.at(max(when, now + MS), i, api.TimerFired())
-                    case api.CloseIdleConnections():
+                    case SetTimer(when):
+                        self.at(max(when, now + MS), i, TimerFired())
+                    case CloseIdleConnections():
                         self.open -= self.idle.pop(i, 0)
-                    case api.Send(name, _, _):
+                    case Send(name, _, _):
                         names.append(name)
             most = self.s.kinds[0].max_messages_per_call
             for k in range(0, len(names), most):
@@ -204,7 +214,7 @@
             now + took,
             i,
             *(
-                api.AttemptEnded(
+                AttemptEnded(
                     message=name,
                     attempt=self.attempt(i, name),
                     endpoint="a",
@@ -225,7 +235,7 @@
         self.attempts[i, name] = self.attempts.get((i, name), -1) + 1
         return self.attempts[i, name]
 
-    def finish(self, now: int, i: int, events: list[api.AttemptEnded]) -> None:
+    def finish(self, now: int, i: int, events: list[AttemptEnded]) -> None:
         """Account for the end of a call; the connection rests until it is used or closed."""
         outcome, crowded = events[0].outcome, events[0].connection_limited
         if outcome is Outcome.DELIVERED:
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -20,7 +20,8 @@
 from honeyhitch.dead_letters.settings import Action, Rule, Terms, Undelivered
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.settings import Idempotency
 
 from .keeping_rig import KeepingStand, Killed, Points
 from .rig import NAMED, VirtualTime
@@ -30,7 +31,7 @@
     dataclasses.replace(
         NAMED,
         name="safe",
-        idempotency=api.Idempotency.IDEMPOTENT,
+        idempotency=Idempotency.IDEMPOTENT,
         deadline=6 * SECOND,
         deduplication_window=0,
     ),
@@ -38,7 +39,7 @@
     dataclasses.replace(
         NAMED,
         name="unsafe",
-        idempotency=api.Idempotency.NON_IDEMPOTENT,
+        idempotency=Idempotency.NON_IDEMPOTENT,
         deadline=6 * SECOND,
         deduplication_window=0,
     ),
@@ -116,27 +117,27 @@
         took = int(rng.uniform(0.01, 0.4) * SECOND)
         applied = mode in ("deliver", "reset-after", "500-after", "spoilt")
         outcome = {
-            "deliver": api.Outcome.DELIVERED, "refuse": api.Outcome.REJECTED, "late": api.Outcome.TIMEOUT,
-            "late-lost": api.Outcome.TIMEOUT, "reset-before": api.Outcome.RESET,
-            "reset-after": api.Outcome.RESET,
-        }.get(mode, api.Outcome.ERROR)  # fmt: skip
+            "deliver": Outcome.DELIVERED, "refuse": Outcome.REJECTED, "late": Outcome.TIMEOUT,
+            "late-lost": Outcome.TIMEOUT, "reset-before": Outcome.RESET,
+            "reset-after": Outcome.RESET,
+        }.get(mode, Outcome.ERROR)  # fmt: skip
         if mode == "late":
             for part in call.messages:
                 self.partner.apply_at(now + int(rng.uniform(0, 9) * SECOND), part)
-        if outcome is api.Outcome.TIMEOUT:
+        if outcome is Outcome.TIMEOUT:
             took = call.timeout
         results = [outcome] * len(call.messages)
         for i, part in enumerate(call.messages):
             if applied or (mode == "part" and i % 2 == 0):
                 self.partner.apply_at(now + took // 2, part)
             if mode == "part" and i % 2 == 0:
-                results[i] = api.Outcome.DELIVERED
+                results[i] = Outcome.DELIVERED
         self.time.call_at(now + took, lambda: self.over(call, results))
 
-    def over(self, call: Call, results: list[api.Outcome]) -> None:
+    def over(self, call: Call, results: list[Outcome]) -> None:
         from honeyhitch.dispatcher.delivery import CallResult
 
-        told = [(one, one is api.Outcome.DELIVERED) for one in results]
+        told = [(one, one is Outcome.DELIVERED) for one in results]
         self.core.call_ended(call, CallResult(told))
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -13,7 +13,8 @@
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.journal.journal import Journal
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.settings import DestinationKind
 
 from .world import SECOND, settings
 
@@ -23,7 +24,7 @@
 )  # keyed, a repeat is dropped inside the window
 SETTINGS: dict[str, Any] = {
     "classes": (NAMED,),
-    "kinds": (api.DestinationKind(max_messages_per_call=3, name="large"), api.DestinationKind(name="small")),
+    "kinds": (DestinationKind(max_messages_per_call=3, name="large"), DestinationKind(name="small")),
     "tenant_names": ("studio",),
     "zone_names": ("hq",),
     "report_fields": ("x0", "x1"),
@@ -100,7 +101,7 @@
             self.core.call_ended(call, CallResult([]))
 
     def cancel(self, call: Call) -> None:
-        self.end(call, api.Outcome.CANCELLED)
+        self.end(call, Outcome.CANCELLED)
 
     def close_idle(self, member: PoolEndpoint) -> None:
         self.closed.append(member.id)
@@ -115,8 +116,8 @@
         transaction = Transaction(name, 0, dest, self.time.time + left, b"body", **more)
         return self.core.submit(transaction).accepted
 
-    def end(self, call: Call, outcome: api.Outcome, **more: Any) -> None:
-        result = CallResult.uniform(outcome, len(call.messages), outcome is api.Outcome.DELIVERED)
+    def end(self, call: Call, outcome: Outcome, **more: Any) -> None:
+        result = CallResult.uniform(outcome, len(call.messages), outcome is Outcome.DELIVERED)
         for name, value in more.items():
             setattr(result, name, value)
         self.core.call_ended(call, result)
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from honeyhitch.dead_letters.eligibility import Past, Verdict, decide
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.settings import Idempotency
 
 from .world import SECOND
 
 NOW, GRACE, LONGEST, WINDOW = 1000 * SECOND, 2 * SECOND, SECOND, 5 * SECOND
 SAFE, KEYED, UNSAFE = (
-    api.Idempotency.IDEMPOTENT,
-    api.Idempotency.IDEMPOTENCY_KEY,
-    api.Idempotency.NON_IDEMPOTENT,
+    Idempotency.IDEMPOTENT,
+    Idempotency.IDEMPOTENCY_KEY,
+    Idempotency.NON_IDEMPOTENT,
 )
 
 
@@ -43,12 +43,12 @@
 
 
 @given(
-    effect=st.sampled_from(list(api.Idempotency)),
+    effect=st.sampled_from(list(Idempotency)),
     ran_ago=st.none() | st.integers(0, 20 * SECOND),
     takes=st.integers(0, LONGEST),
 )
 def test_no_resend_that_is_allowed_is_applied_twice(
-    effect: api.Idempotency, ran_ago: int | None, takes: int
+    effect: Idempotency, ran_ago: int | None, takes: int
 ) -> None:
     """The partner applied the first attempt, if it ran, and drops a repeat inside the window only."""
     first = None if ran_ago is None else NOW - ran_ago
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -20,8 +20,7 @@
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dispatcher.ports import ArrivalDecision
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
-from honeyhitch.policy.health import destination_health
+from honeyhitch.policy.health import DestinationHealth, destination_health
 
 from .resend_world import KEYED, RULE, SAFE, TERMS, UNSAFE, Partner, ResendStand, day, records
 from .rig import VirtualTime, row
@@ -410,7 +409,7 @@
     one.stand.core.apply_list_update(one.stand.core.pool.update(told))
     one.run(100)
     assert one.record("m").resends == 0 and one.record("m").standing is Standing.KEPT
-    assert destination_health(one.stand.core.policy, 1, one.stand.time.now()) == api.DestinationHealth(
+    assert destination_health(one.stand.core.policy, 1, one.stand.time.now()) == DestinationHealth(
         False, True, False, 0, False, 0, 0, 0
     )
 
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -13,7 +13,7 @@
 from honeyhitch.dead_letters.records import Record, Standing
 from honeyhitch.dead_letters.rules import Step, plan
 from honeyhitch.dead_letters.settings import Action, Rule, Terms, Undelivered
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.health import DestinationHealth
 
 from .program import write
 from .rig import START
@@ -182,10 +182,10 @@
 
 # How fast they may go.
 
-WELL = api.DestinationHealth(True, False, False, 0, False, 10.0, 0, 0)
+WELL = DestinationHealth(True, False, False, 0, False, 10.0, 0, 0)
 
 
-def changed(**more: Any) -> api.DestinationHealth:
+def changed(**more: Any) -> DestinationHealth:
     return dataclasses.replace(WELL, **more)
 
 
@@ -223,7 +223,7 @@
         changed(unhealthy=True, last_sent_at=NOW),
     ],
 )
-def test_when_none_may_start(condition: api.DestinationHealth) -> None:
+def test_when_none_may_start(condition: DestinationHealth) -> None:
     assert Pacing(0.1, 40).room(1, condition, NOW) == 0
 
 
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -11,13 +11,13 @@
 from honeyhitch.dead_letters.filters import Filter
 from honeyhitch.dead_letters.records import Record
 from honeyhitch.journal.transactions import Ending
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 
 from .keeping_rig import KeepingStand, Killed, Points
 from .rig import VirtualTime
 from .world import SECOND
 
-OUTCOMES = (api.Outcome.REJECTED, api.Outcome.ERROR, api.Outcome.TIMEOUT, api.Outcome.RESET)
+OUTCOMES = (Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
 
 
 def kept(stand: KeepingStand) -> list[Record]:
@@ -26,7 +26,7 @@
     return [one.record for one in found]
 
 
-def failed(stand: KeepingStand, name: str, outcome: api.Outcome = api.Outcome.ERROR, **more: object) -> None:
+def failed(stand: KeepingStand, name: str, outcome: Outcome = Outcome.ERROR, **more: object) -> None:
     """A message that fails with this outcome till it is given up."""
     assert stand.hand_in(name, **more)  # type: ignore[arg-type]
     for _ in range(60):
@@ -37,7 +37,7 @@
 def test_a_message_that_failed_is_kept_whole_with_its_history(tmp_path: Path) -> None:
     stand = KeepingStand(tmp_path)
     began = stand.time.now()
-    failed(stand, "a", api.Outcome.TIMEOUT, tenant=0, key="invoice-7")
+    failed(stand, "a", Outcome.TIMEOUT, tenant=0, key="invoice-7")
     (record,) = kept(stand)
     assert (record.id, record.key, record.cls, record.tenant) == ("a", "invoice-7", "standard", "studio")
     assert (record.destination, record.front, record.body) == (1, "resp", b"body")
@@ -63,7 +63,7 @@
     stand.hand_in("a")
     stand.hand_in("b")
     for call in stand.run(1):
-        stand.end(call, api.Outcome.DELIVERED)
+        stand.end(call, Outcome.DELIVERED)
     stand.hand_in("c", dest=2)
     stand.core.withdraw("c")
     stand.run(30)
@@ -74,10 +74,10 @@
     stand = KeepingStand(tmp_path)
     stand.hand_in("a")
     (call,) = stand.run(0.1)
-    stand.end(call, api.Outcome.REJECTED, retry_after=2 * SECOND, failure_reason="")
+    stand.end(call, Outcome.REJECTED, retry_after=2 * SECOND, failure_reason="")
     while not stand.answers:
         for call in stand.run(0.5):
-            stand.end(call, api.Outcome.REJECTED)
+            stand.end(call, Outcome.REJECTED)
     stand.run(0.1)
     (record,) = kept(stand)
     assert not record.may_have_run and record.tries[0].retry_after == 2 * SECOND
@@ -99,11 +99,11 @@
     """Messages that only wait for the store take a share of the journal; the never-run ones go first."""
     stand = KeepingStand(tmp_path, disk=100_000)
     stand.worker.broken = sqlite3.OperationalError("database or disk is full")
-    failed(stand, "ran", api.Outcome.ERROR)
+    failed(stand, "ran", Outcome.ERROR)
     for i in range(60):
         assert stand.hand_in(f"m{i}", left=SECOND // 2), "a live message was turned away"
         for call in stand.run(1):
-            stand.end(call, api.Outcome.REJECTED)
+            stand.end(call, Outcome.REJECTED)
     assert stand.journal.dead_letter_bytes <= 0.25 * 100_000
     assert stand.moving.figures.let_go[False] > 0 and stand.moving.figures.let_go[True] == 0
     assert "ran" in {one.id for one in stand.journal.messages.pending_dead_letters.values()}
@@ -129,7 +129,7 @@
 def test_compaction_keeps_what_waits_for_the_store(tmp_path: Path) -> None:
     stand = KeepingStand(tmp_path)
     stand.worker.broken = sqlite3.OperationalError("locked")
-    failed(stand, "a", api.Outcome.TIMEOUT)
+    failed(stand, "a", Outcome.TIMEOUT)
     before = next(iter(stand.journal.messages.pending_dead_letters.values()))
     stand.journal.compact()
     stand.gone()
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.actions import Subscribe
+from honeyhitch.policy.events import EndpointListUpdate, UpdateMode
 from honeyhitch.protocols import notices
 from honeyhitch.protocols.discovery import Watch, WatchError
 from honeyhitch.protocols.discovery_backoff import CALM, FEW, FIRST, MOST, SILENCE, TOLD, UNASKED, Asking
@@ -137,10 +138,10 @@
     """The same term where the module itself asks: after each failed ask, however many there were."""
     world = World(settings(must_subscribe=True), ())
     for _ in range(12):
-        world.batch([api.EndpointListUpdate(api.UpdateMode.FAILED)])
+        world.batch([EndpointListUpdate(UpdateMode.FAILED)])
         failed, before = world.now, len(world.log)
         world.run(world.now + int(TOLD * SECOND))
-        asked = [at for at, action in world.log[before:] if isinstance(action, api.Subscribe)]
+        asked = [at for at, action in world.log[before:] if isinstance(action, Subscribe)]
         assert asked and asked[0] - failed < TOLD * SECOND
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -9,13 +9,12 @@
 
 from honeyhitch.endpoints.pool import PoolEndpoint
 from honeyhitch.journal.transactions import Ending
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.settings import DestinationKind
 
 from .rig import LIST, NAMED, Stand, VirtualTime, row
 from .world import MS, SECOND
 
-Outcome = api.Outcome
-
 
 def test_a_message_is_sent_at_once_and_its_delivery_ends_it(tmp_path: Path) -> None:
     stand = Stand(tmp_path)
@@ -69,7 +68,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT])
-def test_a_keyed_message_is_not_sent_again_outside_its_window(tmp_path: Path, outcome: api.Outcome) -> None:
+def test_a_keyed_message_is_not_sent_again_outside_its_window(tmp_path: Path, outcome: Outcome) -> None:
     stand = Stand(tmp_path)
     stand.hand_in("a")
     (first,) = stand.run(0.1)
@@ -233,8 +232,8 @@
 @pytest.mark.parametrize("apart", [True, False])
 def test_a_told_wait_outlasts_a_member_that_goes_and_comes_back(tmp_path: Path, apart: bool) -> None:
     kinds = (
-        api.DestinationKind(max_messages_per_call=3, name="large"),
-        api.DestinationKind(limits_per_endpoint=apart, name="small"),
+        DestinationKind(max_messages_per_call=3, name="large"),
+        DestinationKind(limits_per_endpoint=apart, name="small"),
     )
     stand = Stand(tmp_path, kinds=kinds)
     stand.hand_in("a")
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -11,7 +11,7 @@
 
 from honeyhitch import config
 from honeyhitch.endpoints.pool import EndpointPool, PoolError
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import EndpointStatus
 
 from .program import SETTINGS, write
 from .rig import row
@@ -35,7 +35,7 @@
     with pytest.raises(PoolError, match="revision"):  # the watch breaks, and the whole list is asked for
         one.update(change(4, row("a", 1), row("b", 1)))
     assert one.revision == 7
-    assert one.endpoints["a"].status is api.EndpointStatus.DRAINING and "b" not in one.endpoints
+    assert one.endpoints["a"].status is EndpointStatus.DRAINING and "b" not in one.endpoints
 
 
 def test_a_repeated_change_is_harmless_and_a_whole_list_of_any_revision_holds() -> None:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -16,7 +16,7 @@
 from honeyhitch.dispatcher.delivery import Admission, Call, DispatcherState, Phase
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint, PoolError
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import (
     agent_check,
     calls,
@@ -101,7 +101,7 @@
         ended = self.answer is None
         answer = None if self.spoilt else self.answer or self.machine.ended()
         if answer is None:
-            result = calls.broken(self.machine.status, self.parts, api.Outcome.RESET)
+            result = calls.broken(self.machine.status, self.parts, Outcome.RESET)
             yield f"broken: {' '.join(outcome.value for outcome, _ in result.outcomes)}\n".encode()
         else:
             yield self.show(answer)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from honeyhitch.policy import interface as api
-from honeyhitch.policy.interface import Outcome
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.settings import DestinationKind
 from honeyhitch.protocols import calls, http1
 
 from .fleet import Fleet, Partner
@@ -59,7 +59,7 @@
         Partner(limit=lambda now: 53.0),
         seed,
         scale=53.0,
-        kinds=(api.DestinationKind(max_messages_per_call=20),),
+        kinds=(DestinationKind(max_messages_per_call=20),),
     )
     fleet.offer(0, 21 * SECOND, 82.0)
     for start in (2, 8, 14):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,7 +19,7 @@
 from honeyhitch.journal.follower import JournalFollower
 from honeyhitch.journal.journal import Journal, JournalVersionError
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.service.handover import Beside
 from honeyhitch.service.service import run
 from honeyhitch.transports import sockets
@@ -107,7 +107,7 @@
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
     assert new.core.peer_process is not None and not new.held() and not new.run(0.5)
-    old.end(call, api.Outcome.CONNECT_FAILED)
+    old.end(call, Outcome.CONNECT_FAILED)
     old.core.hand_over()
     assert old.hand_in("b") and not old.run(0.5), "nothing new goes out"
     old.kill()
@@ -129,7 +129,7 @@
     assert sorted(old.closed) == ["s-1", "s-2"]
     old.core.hand_over()
     assert len(old.closed) == 2, "once"
-    old.end(call, api.Outcome.DELIVERED)
+    old.end(call, Outcome.DELIVERED)
     assert old.closed[2:] == ["s-1"], "and each that its last call leaves"
 
 
@@ -148,7 +148,7 @@
     assert [part.id for call in new.run(0.5) for part in call.messages] == ["b"]
     assert old.core.metrics_snapshot()["active"] == new.core.metrics_snapshot()["active"] == 1
     old.hand_in("c")
-    old.end(call, api.Outcome.CONNECT_FAILED)  # no end of its own: on it goes in the new one
+    old.end(call, Outcome.CONNECT_FAILED)  # no end of its own: on it goes in the new one
     old.core.hand_over()
     new.beside.look()
     assert (old.held(), new.held()) == (set(), {"a", "b", "c"}) and new.shares == [None, 1, 0]
@@ -157,7 +157,7 @@
     old.core.conclude(old.core.messages.by_id["c"], Ending.FAILED)
     assert not old.answers, "and answers none of them"
     for call in new.calls:
-        new.end(call, api.Outcome.DELIVERED)
+        new.end(call, Outcome.DELIVERED)
     old.kill()
     new.beside.look()
     assert "b" in new.core.messages.concluded and "b" not in new.held() and new.shares[-1] is None
@@ -273,7 +273,7 @@
     old.hand_in("a")
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
-    old.end(call, api.Outcome.REJECTED, retry_after=2 * S)
+    old.end(call, Outcome.REJECTED, retry_after=2 * S)
     told = time.time
     new.hand_in("b")
     assert not new.run(1)
@@ -289,7 +289,7 @@
     old = Process(tmp_path, time)
     old.hand_in("a")
     (call,) = old.run(0.1)
-    old.end(call, api.Outcome.REJECTED, retry_after=2 * S)
+    old.end(call, Outcome.REJECTED, retry_after=2 * S)
     old.journal.compact()
     new = Process(tmp_path, time)
     new.hand_in("b")
@@ -305,7 +305,7 @@
     new.core.apply_list_update(
         new.core.pool.update({"revision": 2, "complete": True, "members": [row("s-9", 1)]})
     )
-    old.end(call, api.Outcome.REJECTED, retry_after=2 * S)
+    old.end(call, Outcome.REJECTED, retry_after=2 * S)
     told = time.time
     new.hand_in("b")
     assert not new.run(1.9)
@@ -319,7 +319,7 @@
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
     assert new.hand_in("a") and not new.held(), "the other one owes it"
-    old.end(call, api.Outcome.DELIVERED)
+    old.end(call, Outcome.DELIVERED)
     assert new.hand_in("a") and not new.held() and not new.run(1), "also once it ended"
 
 
--- a/tests/test_http_transport.py
+++ b/tests/test_http_transport.py
@@ -9,7 +9,7 @@
 
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.endpoints.pool import PoolEndpoint
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.transports.channel import PlainChannel
@@ -18,8 +18,6 @@
 from .rig import START
 from .test_exchanges import parts
 
-Outcome = api.Outcome
-
 
 @pytest.mark.parametrize(
     ("kept", "written", "came", "outcome", "told", "stale"),
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -19,14 +19,14 @@
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.endpoints.pool import PoolEndpoint, PoolError
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.service.service import run
 
 from .program import free_port, play, write
 from .rig import LIST, Stand, VirtualTime, row
 from .world import SECOND
 
-OUTCOMES = (api.Outcome.DELIVERED, api.Outcome.ERROR, api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED)
+OUTCOMES = (Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED)
 SHARES = (50, 2, 1, 1)
 LEFT_OUT = (type, ModuleType, FunctionType, BuiltinFunctionType, random.Random)
 
@@ -74,7 +74,7 @@
                 if any(call.pending):
                     sick = call.endpoint.destination == 3  # messages always wait there
                     outcome = chance.choices(OUTCOMES, (1, 1, 1, 1) if sick else SHARES)[0]
-                    stand.end(call, api.Outcome.TIMEOUT if call in late else outcome)
+                    stand.end(call, Outcome.TIMEOUT if call in late else outcome)
             open_calls = [call for call in open_calls if any(call.pending)]
         stand.calls.clear()
         stand.answers.clear()
@@ -110,9 +110,9 @@
             return
         for part in call.messages:
             self.books.ends(part.id)
-        outcome = api.Outcome.TIMEOUT if late else self.books.chance.choices(OUTCOMES, SHARES)[0]
+        outcome = Outcome.TIMEOUT if late else self.books.chance.choices(OUTCOMES, SHARES)[0]
         self.end(call, outcome)
-        for part in call.messages if outcome is api.Outcome.DELIVERED else ():
+        for part in call.messages if outcome is Outcome.DELIVERED else ():
             self.books.ended(part.id, self.time.time)
 
     def cancel(self, call: Call) -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -17,7 +17,7 @@
 from honeyhitch.cli.main import main
 from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.journal.transactions import Ending
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.management import MOST_LINE, ManagementSession
@@ -28,8 +28,6 @@
 from .rig import Stand, row
 from .world import SECOND
 
-Outcome = api.Outcome
-
 
 def test_each_end_is_counted_once_where_it_belongs(tmp_path: Path) -> None:
     stand = Stand(tmp_path, max_messages=4)
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -10,7 +10,7 @@
 import pytest
 
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import forwarding, resp
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.resp import Route
@@ -139,7 +139,7 @@
     one.hear(2, False, [])
     assert one.hand_in("sent", number)
     (call,) = one.run(0.1)
-    one.end(call, api.Outcome.DELIVERED)
+    one.end(call, Outcome.DELIVERED)
     lease_ends = one.fleet.fleet.heard + LEASE - SKEW  # type: ignore[operator]
     one.time.run((lease_ends - one.now) / SECOND + 0.001)
     assert one.hand_in("late", number)
@@ -156,14 +156,14 @@
     one.hear()
     assert one.hand_in("out", number) and one.hand_in("ran", number)
     calls = one.run(0.1)
-    one.end(calls[-1], api.Outcome.ERROR)
+    one.end(calls[-1], Outcome.ERROR)
     gone_from = next(row for row in ROWS if row["id"] == NAME)
     one.hear(2, False, [{**gone_from, "phase": "Gone"}])
     assert one.fleet.quota_fraction(number, one.now) == 0
     names = {part.id for call in calls for part in call.messages}
     assert names <= set(one.core.messages.by_id), "neither is answered for it"
     assert not one.run(2), "and neither is sent again"
-    one.end(calls[0], api.Outcome.DELIVERED)
+    one.end(calls[0], Outcome.DELIVERED)
     assert calls[0].messages[0].id not in one.core.messages.by_id
 
 
@@ -178,7 +178,7 @@
     one.time.run(1)
     one.fleet.look_if_due()
     assert "out" in one.core.messages.by_id, "its call is out"
-    one.end(call, api.Outcome.REJECTED)
+    one.end(call, Outcome.REJECTED)
     one.time.run(0.2)
     one.fleet.look_if_due()
     assert [answer.ending for answer in one.answers] == [Ending.REJECTED]
@@ -194,7 +194,7 @@
     assert (lane is not None and lane.part() == 40.0 / 1.0 / 4 / 1) or lane.part() == 10.0
     assert one.hand_in("a", number)
     (call,) = one.run(0.1)
-    one.end(call, api.Outcome.DELIVERED, reported={"x1": 20.0})
+    one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
     assert lane.part() == 5.0
     one.time.run(LEASE / SECOND)
@@ -202,7 +202,7 @@
     one.run(0.1)
     assert one.hand_in("b", number)
     (call,) = one.run(0.1)
-    one.end(call, api.Outcome.DELIVERED, reported={"x1": 20.0})
+    one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
     assert lane.part() == 3.75, "three quarters of it while control is silent"
 
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -7,13 +7,24 @@
 
 import pytest
 
-from honeyhitch.policy import interface as api
-from honeyhitch.policy.interface import Outcome
+from honeyhitch.policy.actions import Fail, Reject, Send, SetTimer, Subscribe
+from honeyhitch.policy.events import (
+    EndpointListing,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    MessageWithdrawn,
+    Outcome,
+    RetryAfterReceived,
+    TimerFired,
+    UpdateMode,
+)
+from honeyhitch.policy.settings import DestinationKind
 from tests.world import MS, SECOND, World, settings
 
 FALL = 2 * SECOND
-ONE = (api.EndpointListing("a", 0, listed_rate=20.0),)
-TWO = (api.EndpointListing("a", 0, listed_rate=20.0), api.EndpointListing("b", 0, listed_rate=20.0))
+ONE = (EndpointListing("a", 0, listed_rate=20.0),)
+TWO = (EndpointListing("a", 0, listed_rate=20.0), EndpointListing("b", 0, listed_rate=20.0))
 
 
 def fail_all(name: str, outcome: Outcome, world: World, cls: int = 0) -> list[int]:
@@ -33,7 +44,7 @@
 
 def test_first_try_leaves_at_once() -> None:
     world = World(settings(), ONE)
-    assert any(isinstance(a, api.Send) for a in world.batch([world.hand_in("m")]))
+    assert any(isinstance(a, Send) for a in world.batch([world.hand_in("m")]))
 
 
 def test_ladder_grows_with_jitter_and_ends_after_five() -> None:
@@ -94,14 +105,14 @@
     world.batch([world.hand_in("out"), world.hand_in("queued", time_left=4 * SECOND)])
     world.batch([world.hand_in("long")], at=20 * MS)
     if other:
-        world.batch([api.RetryAfterReceived(0, "a", 9 * SECOND)], at=40 * MS)
+        world.batch([RetryAfterReceived(0, "a", 9 * SECOND)], at=40 * MS)
         world.waits[world.bound("a")] = 9 * SECOND
         world.batch([world.end("out", Outcome.ERROR)], at=50 * MS)
     else:
         world.batch([world.end("out", Outcome.REJECTED, wait=9 * SECOND)], at=50 * MS)
     world.batch([world.hand_in("late", time_left=5 * SECOND)], at=60 * MS)
     refused = {
-        action.message: (at, action.retry_after) for at, action in world.log if isinstance(action, api.Reject)
+        action.message: (at, action.retry_after) for at, action in world.log if isinstance(action, Reject)
     }
     assert refused == {"queued": (50 * MS, 3 * SECOND), "late": (60 * MS, 3 * SECOND)}
     world.run(10 * SECOND)
@@ -109,7 +120,7 @@
 
 
 def test_told_wait_binds_one_route_where_routes_are_apart() -> None:
-    world = World(settings(kinds=(api.DestinationKind(limits_per_endpoint=True),)), TWO)
+    world = World(settings(kinds=(DestinationKind(limits_per_endpoint=True),)), TWO)
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.REJECTED, wait=2 * SECOND), world.hand_in("n")], at=50 * MS)
     assert world.sends("n")[0][1].endpoint != world.sends("m")[0][1].endpoint
@@ -122,7 +133,7 @@
 
 
 def test_hang_is_met_by_single_trials_and_slots_stay_free() -> None:
-    world = World(settings(max_concurrent_calls=12), (*ONE, api.EndpointListing("z", 1, listed_rate=20.0)))
+    world = World(settings(max_concurrent_calls=12), (*ONE, EndpointListing("z", 1, listed_rate=20.0)))
     for i in range(60):
         world.batch([world.hand_in(f"m{i}")])
         world.run(world.now + 100 * MS)
@@ -134,10 +145,10 @@
 
 def test_return_is_ramped_within_the_fall_budget() -> None:
     given = settings()
-    world = World(given, (api.EndpointListing("a", 0, listed_rate=10.0),))
+    world = World(given, (EndpointListing("a", 0, listed_rate=10.0),))
     back_at, count = 8 * SECOND, 0
     while world.now < 16 * SECOND:
-        events: list[api.Event] = []
+        events: list[Event] = []
         for name, known in world.messages.items():
             if known.attempts and known.attempts[-1].outcome is None:
                 up = world.now >= back_at
@@ -163,7 +174,7 @@
     world = World(settings(), TWO)
     world.batch([world.hand_in("m", 3), world.hand_in("n", 3)])
     actions = world.batch([world.end("m", Outcome.ERROR), world.end("n", Outcome.CONNECT_FAILED)], at=MS)
-    assert api.Fail("m") in actions
+    assert Fail("m") in actions
     world.run(23 * SECOND)  # an unsafe message waits until the failures have faded
     assert len(world.sends("n")) == 2
 
@@ -179,7 +190,7 @@
 
 
 def test_keyed_by_zone_stays_in_its_zone() -> None:
-    world = World(settings(), (api.EndpointListing("a", 0, zone=0), api.EndpointListing("b", 0, zone=1)))
+    world = World(settings(), (EndpointListing("a", 0, zone=0), EndpointListing("b", 0, zone=1)))
     world.batch([world.hand_in("m", 2)])
     first = world.sends("m")[0][1].endpoint
     world.batch([world.end("m", Outcome.ERROR)], at=10 * MS)
@@ -192,10 +203,10 @@
     world.batch([world.hand_in("m")])
     first = world.timer
     assert first is not None
-    world.brain.handle(first - 500, [api.TimerFired()])
+    world.brain.handle(first - 500, [TimerFired()])
     world.now = first - 500
-    again = world.brain.handle(first - 400, [api.TimerFired()])
-    assert api.SetTimer(first) in again
+    again = world.brain.handle(first - 400, [TimerFired()])
+    assert SetTimer(first) in again
 
 
 def test_order_key_waits_for_the_head_and_then_rests() -> None:
@@ -213,7 +224,7 @@
 def test_order_moves_on_when_the_head_is_withdrawn_in_flight() -> None:
     world = World(settings(), TWO)
     world.batch([world.hand_in("m", 4, ordering_key=9), world.hand_in("n", 4, ordering_key=9)])
-    world.batch([api.MessageWithdrawn("m")], at=50 * MS)
+    world.batch([MessageWithdrawn("m")], at=50 * MS)
     assert not world.sends("n")
     world.batch([world.end("m", Outcome.CANCELLED)], at=80 * MS)
     world.run(SECOND)
@@ -222,9 +233,7 @@
 
 def test_drain_is_obeyed_on_hearing() -> None:
     world = World(settings(), ONE)
-    drain = api.EndpointListUpdate(
-        api.UpdateMode.CHANGES, (api.EndpointListing("a", 0, status=api.EndpointStatus.DRAINING),)
-    )
+    drain = EndpointListUpdate(UpdateMode.CHANGES, (EndpointListing("a", 0, status=EndpointStatus.DRAINING),))
     world.batch([drain, world.hand_in("m")])
     world.run(17 * SECOND)
     assert not world.sends("m") and world.messages["m"].answers[0][1] == "Reject"
@@ -232,7 +241,7 @@
 
 def test_full_list_drops_what_it_does_not_name() -> None:
     world = World(settings(), TWO)
-    world.batch([api.EndpointListUpdate(api.UpdateMode.FULL, (TWO[1],))])
+    world.batch([EndpointListUpdate(UpdateMode.FULL, (TWO[1],))])
     world.batch([world.hand_in(f"m{i}") for i in range(4)])
     assert {a.endpoint for _, a in world.sends()} == {"b"}
 
@@ -241,7 +250,7 @@
     world = World(settings(), ONE)
     world.batch([world.hand_in("m", dest=5)])
     assert not world.messages["m"].over
-    world.batch([api.EndpointListUpdate(api.UpdateMode.CHANGES, (api.EndpointListing("x", 5),))], at=SECOND)
+    world.batch([EndpointListUpdate(UpdateMode.CHANGES, (EndpointListing("x", 5),))], at=SECOND)
     assert world.sends("m")
 
 
@@ -253,26 +262,24 @@
 
 def test_asks_again_with_growing_pauses_where_discovery_must_be_asked() -> None:
     world = World(settings(must_subscribe=True), ONE)
-    asks = [at for at, a in world.log if isinstance(a, api.Subscribe)]
+    asks = [at for at, a in world.log if isinstance(a, Subscribe)]
     assert asks == [0]
     for _ in range(5):
         before = len(asks)
-        world.batch([api.EndpointListUpdate(api.UpdateMode.FAILED)])
+        world.batch([EndpointListUpdate(UpdateMode.FAILED)])
         while len(asks) == before:
             world.run(world.now + 5 * MS)
-            asks = [at for at, a in world.log if isinstance(a, api.Subscribe)]
+            asks = [at for at, a in world.log if isinstance(a, Subscribe)]
     gaps = [b - a for a, b in itertools.pairwise(asks)]
     assert gaps == sorted(gaps) and gaps[-1] <= 10 * SECOND
 
 
 def test_one_call_takes_several_messages_and_one_slot() -> None:
-    world = World(
-        settings(kinds=(api.DestinationKind(max_messages_per_call=3),), max_concurrent_calls=2), ONE
-    )
-    events: list[api.Event] = [world.hand_in(f"m{i}") for i in range(5)]
+    world = World(settings(kinds=(DestinationKind(max_messages_per_call=3),), max_concurrent_calls=2), ONE)
+    events: list[Event] = [world.hand_in(f"m{i}") for i in range(5)]
     for event in events:
         world.take(event)
-    sends = [a for a in world.brain.handle(0, events) if isinstance(a, api.Send)]
+    sends = [a for a in world.brain.handle(0, events) if isinstance(a, Send)]
     assert len(sends) == 3 and world.brain.used == 1
 
 
@@ -293,7 +300,7 @@
 
 
 def test_a_clump_at_a_quiet_destination_is_paced_at_its_part_not_at_its_flow() -> None:
-    world = World(settings(), (api.EndpointListing("a", 0, listed_rate=4.0),))
+    world = World(settings(), (EndpointListing("a", 0, listed_rate=4.0),))
     world.batch([world.hand_in(f"m{i}") for i in range(6)], at=20 * SECOND)
     told = [world.end(f"m{i}", Outcome.REJECTED) for i in range(6)]
     world.batch(told, at=20 * SECOND + 50 * MS)
@@ -309,7 +316,7 @@
     world.batch([world.hand_in("m")])
     done = world.end("m", Outcome.DELIVERED)
     world.batch([done])
-    assert world.brain.handle(MS, [done, api.MessageWithdrawn("m"), api.MessageWithdrawn("x")]) == []
+    assert world.brain.handle(MS, [done, MessageWithdrawn("m"), MessageWithdrawn("x")]) == []
 
 
 def test_an_event_outside_the_interface_raises() -> None:
@@ -355,7 +362,7 @@
 
 
 def test_a_batch_that_breaks_goes_again_in_smaller_ones_and_counts_once() -> None:
-    world = World(settings(kinds=(api.DestinationKind(max_messages_per_call=16),)), ONE)
+    world = World(settings(kinds=(DestinationKind(max_messages_per_call=16),)), ONE)
     names = [f"m{i}" for i in range(16)]
     world.batch([world.hand_in("first")])
     world.batch([world.end("first", Outcome.DELIVERED)], at=50 * MS)
@@ -371,7 +378,7 @@
 
 
 def test_a_faulty_part_of_a_batch_that_passed_leaves_its_size() -> None:
-    world = World(settings(kinds=(api.DestinationKind(max_messages_per_call=8),)), ONE)
+    world = World(settings(kinds=(DestinationKind(max_messages_per_call=8),)), ONE)
     names = [f"m{i}" for i in range(8)]
     world.batch([world.hand_in(name) for name in names])
     ends = [world.end(name, Outcome.ERROR if name == "m7" else Outcome.DELIVERED) for name in names]
@@ -397,7 +404,7 @@
         before = len(world.sends())
         for i in range(100):
             name = f"{limit}-{i}"
-            events: list[api.Event] = [
+            events: list[Event] = [
                 world.end(one, Outcome.DELIVERED if limit > 2 else Outcome.REJECTED, rate_limit=limit)
                 for one, known in world.messages.items()
                 if known.attempts and known.attempts[-1].outcome is None
@@ -414,7 +421,7 @@
     world.batch([world.hand_in("hasty", time_left=300 * MS)], at=10 * MS)
     world.run(280 * MS)  # a first answer is taken to need 200 ms, and half of that is out of reach
     assert [(type(a), at) for at, a in world.log if getattr(a, "message", "") == "hasty"] == [
-        (api.Reject, 200 * MS)
+        (Reject, 200 * MS)
     ]
 
 
@@ -438,7 +445,7 @@
 def test_what_ends_soon_does_not_ride_with_others_where_a_time_out_is_the_end(
     cls: int, together: bool
 ) -> None:
-    world = World(settings(kinds=(api.DestinationKind(max_messages_per_call=16),)), ONE)
+    world = World(settings(kinds=(DestinationKind(max_messages_per_call=16),)), ONE)
     world.batch([world.hand_in("brief", cls=cls, time_left=SECOND), world.hand_in("long", cls=cls)])
     assert len({at for at, _ in world.sends()}) == 1, "first tries go at once"
     calls = {id(world.brain.messages[name].call) for name in ("brief", "long")}
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,8 +16,8 @@
 
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.policy import interface as api
-from honeyhitch.policy.interface import Idempotency, Outcome
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.settings import Idempotency, MessageClass
 
 from .rig import LIST, NAMED, Stand, VirtualTime
 from .world import MS, SECOND
@@ -48,7 +48,7 @@
 class Known:
     """One message as the world knows it."""
 
-    cls: api.MessageClass
+    cls: MessageClass
     taken: int
     deadline: int
     calls: int = 0
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -2,18 +2,25 @@
 
 from __future__ import annotations
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.actions import CloseIdleConnections, Fail, Reject, SetTimer
 from honeyhitch.policy.engine import DeliveryPolicy
-from honeyhitch.policy.interface import Outcome
+from honeyhitch.policy.events import (
+    EndpointListing,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    Outcome,
+    UpdateMode,
+)
 from honeyhitch.policy.state import PROOF
 from tests.world import MS, SECOND, World, settings
 
-ONE = (api.EndpointListing("a", 0, listed_rate=20.0),)
-TWO = (api.EndpointListing("a", 0, listed_rate=20.0), api.EndpointListing("b", 0, listed_rate=20.0))
+ONE = (EndpointListing("a", 0, listed_rate=20.0),)
+TWO = (EndpointListing("a", 0, listed_rate=20.0), EndpointListing("b", 0, listed_rate=20.0))
 
 
 def closes(world: World) -> int:
-    return sum(isinstance(a, api.CloseIdleConnections) for _, a in world.log)
+    return sum(isinstance(a, CloseIdleConnections) for _, a in world.log)
 
 
 def deliver(world: World, name: str, cls: int = 0, after: int = 100 * MS) -> str:
@@ -24,7 +31,7 @@
 
 
 def test_idle_connections_close_once_a_connect_of_the_kind_failed() -> None:
-    world = World(settings(instance_count=50), (*ONE, api.EndpointListing("z", 1, listed_rate=20.0)))
+    world = World(settings(instance_count=50), (*ONE, EndpointListing("z", 1, listed_rate=20.0)))
     for i in range(PROOF):
         deliver(world, f"m{i}")
     proof = closes(world)
@@ -69,7 +76,7 @@
 
 
 def test_one_failure_and_one_good_trial_bring_no_ramp() -> None:
-    world = World(settings(instance_count=200), (api.EndpointListing("a", 0, listed_rate=5.0),))
+    world = World(settings(instance_count=200), (EndpointListing("a", 0, listed_rate=5.0),))
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.ERROR)], at=50 * MS)
     world.run(SECOND)
@@ -83,9 +90,7 @@
     """Sixty instances that were all told of one long outage; the sum of what they send at its return."""
     capacity, back_at, count = 20.0, 12 * SECOND, 60
     given = settings(instance_count=count)
-    fleet = [
-        World(given, (api.EndpointListing("a", 0, listed_rate=capacity),), seed) for seed in range(count)
-    ]
+    fleet = [World(given, (EndpointListing("a", 0, listed_rate=capacity),), seed) for seed in range(count)]
     sent: list[int] = []
     for number, world in enumerate(fleet):
         world.batch([world.hand_in("m")])
@@ -93,7 +98,7 @@
         while world.now < back_at + 2 * SECOND:
             out = [n for n, k in world.messages.items() if k.attempts and k.attempts[-1].outcome is None]
             told = Outcome.DELIVERED if world.now >= back_at else Outcome.CONNECT_FAILED
-            events: list[api.Event] = [world.end(name, told) for name in out]
+            events: list[Event] = [world.end(name, told) for name in out]
             if (world.now + shift) // (4 * SECOND) > handed:  # a quarter of a message a second
                 handed += 1
                 events.append(world.hand_in(f"n{handed}"))
@@ -123,11 +128,11 @@
     assert deliver(world, "n", 1) == other
     for i in range(3):
         assert deliver(world, f"p{i}") in (where, other)
-    assert not any(isinstance(a, api.Reject | api.Fail) for _, a in world.log)
+    assert not any(isinstance(a, Reject | Fail) for _, a in world.log)
 
 
 def test_one_hung_call_of_two_leaves_the_other_slot_to_others() -> None:
-    world = World(settings(max_concurrent_calls=2), (*ONE, api.EndpointListing("z", 1, listed_rate=20.0)))
+    world = World(settings(max_concurrent_calls=2), (*ONE, EndpointListing("z", 1, listed_rate=20.0)))
     world.batch([world.hand_in("m"), world.hand_in("n")])
     assert len(world.sends()) == 1
     world.batch([world.hand_in("z", dest=1)], at=10 * MS)
@@ -135,7 +140,7 @@
 
 
 def test_a_paced_lane_under_a_call_a_second_is_not_starved() -> None:
-    world = World(settings(instance_count=200), (api.EndpointListing("a", 0, listed_rate=10.0),))
+    world = World(settings(instance_count=200), (EndpointListing("a", 0, listed_rate=10.0),))
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.REJECTED)], at=50 * MS)
     world.run(15 * SECOND)
@@ -145,25 +150,25 @@
 
 
 def test_looking_at_a_paced_destination_sets_no_timer_for_each_event() -> None:
-    world = World(settings(instance_count=20), (*ONE, api.EndpointListing("z", 1, listed_rate=20.0)))
+    world = World(settings(instance_count=20), (*ONE, EndpointListing("z", 1, listed_rate=20.0)))
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.REJECTED), world.hand_in("w")], at=50 * MS)
     before = len(world.log)
     for i in range(50):
         world.batch([world.hand_in(f"z{i}", dest=1)])
         world.batch([world.end(f"z{i}", Outcome.DELIVERED)], at=world.now + 5 * MS)
-    timers = sum(isinstance(a, api.SetTimer) for _, a in world.log[before:])
+    timers = sum(isinstance(a, SetTimer) for _, a in world.log[before:])
     assert timers <= 10
 
 
 def test_gone_endpoints_and_ended_keys_are_forgotten_over_a_long_run() -> None:
-    world = World(settings(), (api.EndpointListing("e0", 0, listed_rate=20.0),))
+    world = World(settings(), (EndpointListing("e0", 0, listed_rate=20.0),))
     for i in range(200):
-        gone = api.EndpointListing(f"e{i}", 0, status=api.EndpointStatus.GONE)
+        gone = EndpointListing(f"e{i}", 0, status=EndpointStatus.GONE)
         world.batch(
             [
-                api.EndpointListUpdate(
-                    api.UpdateMode.CHANGES, (api.EndpointListing(f"e{i + 1}", 0, listed_rate=20.0), gone)
+                EndpointListUpdate(
+                    UpdateMode.CHANGES, (EndpointListing(f"e{i + 1}", 0, listed_rate=20.0), gone)
                 )
             ]
         )
@@ -178,7 +183,7 @@
 
 def test_a_full_list_forgets_what_it_does_not_name() -> None:
     world = World(settings(), TWO)
-    world.batch([api.EndpointListUpdate(api.UpdateMode.FULL, (TWO[1],))])
+    world.batch([EndpointListUpdate(UpdateMode.FULL, (TWO[1],))])
     assert list(world.brain.dests[0].endpoints) == ["b"]
 
 
@@ -186,7 +191,7 @@
     """Each instance was told of one failure at the same time; held messages must not leave together."""
     let_go = []
     for seed in range(20):
-        world = World(settings(instance_count=200), (api.EndpointListing("a", 0, listed_rate=5.0),), seed)
+        world = World(settings(instance_count=200), (EndpointListing("a", 0, listed_rate=5.0),), seed)
         world.batch([world.hand_in("m", 3)])
         world.batch([world.end("m", Outcome.CONNECT_FAILED)], at=50 * MS)
         world.run(20 * SECOND)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import Outcome
 from honeyhitch.service import shutdown
 
 from .agent import Agent
@@ -72,9 +72,7 @@
     for _ in range(int(20 * SECOND / taken)):
         for call in again.run(taken / SECOND):
             tried |= {part.id for part in call.messages}
-            again.time.call_at(
-                again.time.time + taken, lambda call=call: again.end(call, api.Outcome.DELIVERED)
-            )
+            again.time.call_at(again.time.time + taken, lambda call=call: again.end(call, Outcome.DELIVERED))
         if not again.core.messages.by_id:
             break
     assert not again.core.messages.by_id and not again.answers
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -13,7 +13,7 @@
 
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import ConnectionCapacity, Outcome
 from honeyhitch.tls import retirement
 from honeyhitch.tls.connection_gate import Door
 from honeyhitch.tls.failures import Failure, TlsError
@@ -193,7 +193,7 @@
         self.asked.append(calls)
 
     def tell(self, calls: int, **more: int) -> list[Call]:
-        self.core.apply_connection_capacity(api.ConnectionCapacity("s-1", 1, calls, **more))  # type: ignore[arg-type]
+        self.core.apply_connection_capacity(ConnectionCapacity("s-1", 1, calls, **more))  # type: ignore[arg-type]
         return self.run(0.05)
 
 
@@ -219,11 +219,11 @@
     calls = gated.tell(2)
     assert len(calls) == 2 and all(call.attempt_numbers == [0] for call in calls)
     assert gated.run(1) == [], "no more calls than connections"
-    gated.end(calls[0], api.Outcome.DELIVERED)
+    gated.end(calls[0], Outcome.DELIVERED)
     (third,) = gated.run(0.1)
     assert third.attempt_numbers == [0]
-    gated.end(third, api.Outcome.DELIVERED)
-    gated.end(calls[1], api.Outcome.DELIVERED)
+    gated.end(third, Outcome.DELIVERED)
+    gated.end(calls[1], Outcome.DELIVERED)
     gated.run(0.1)
     assert not gated.core.messages.by_id
 
@@ -247,7 +247,7 @@
     gated.hand_in("m")
     gated.run(0.1)
     (call,) = gated.tell(1)
-    gated.end(call, api.Outcome.REJECTED, retry_after=2 * SECOND)
+    gated.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
     gated.tell(0)
     before = len(gated.asked)
     gated.hand_in("n")
@@ -272,14 +272,14 @@
     gated.run(8)
     assert gated.asked, "asked again once it may be"
     (call,) = gated.tell(1)
-    gated.end(call, api.Outcome.DELIVERED)
+    gated.end(call, Outcome.DELIVERED)
 
 
 def test_a_connection_that_went_unnoticed_costs_no_lesson(gated: Gated) -> None:
     gated.hand_in("m")
     gated.run(0.1)
     (call,) = gated.tell(1)
-    gated.end(call, api.Outcome.CONNECT_FAILED, connection_stale=True)
+    gated.end(call, Outcome.CONNECT_FAILED, connection_stale=True)
     gated.tell(0)
     lane = gated.core.policy.dests[1].endpoints["s-1"].lane
     assert not lane.out and lane.run == 0
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.events import EndpointListing
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.machine import Phase, Records, TlsMachine
 from honeyhitch.tls.material import load
@@ -383,7 +383,7 @@
 
 
 def test_the_settings_of_the_module_are_untouched() -> None:
-    assert api.EndpointListing("e", 1).requires_open_connection is False
+    assert EndpointListing("e", 1).requires_open_connection is False
 
 
 def test_key_updates_and_tickets_on_an_idle_connection_leave_it_at_rest(pki: Authority) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -6,34 +6,54 @@
 import dataclasses
 from typing import Any
 
-from honeyhitch.policy import interface as api
+from honeyhitch.policy.actions import Action, Cancel, Fail, Reject, Send, SetTimer
 from honeyhitch.policy.engine import DeliveryPolicy
+from honeyhitch.policy.events import (
+    AttemptEnded,
+    EndpointListing,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    MessageWithdrawn,
+    NewMessage,
+    Outcome,
+    TimerFired,
+    UpdateMode,
+)
+from honeyhitch.policy.settings import (
+    DeduplicationScope,
+    DestinationKind,
+    Idempotency,
+    ListedRateMeaning,
+    MessageClass,
+    Settings,
+)
 
 MS = 1_000_000
 SECOND = 1000 * MS
-SAFE = api.MessageClass(api.Idempotency.IDEMPOTENT, latency_objective=2 * SECOND, deadline=16 * SECOND)
-KEYED = api.MessageClass(
-    api.Idempotency.IDEMPOTENCY_KEY,
+SAFE = MessageClass(Idempotency.IDEMPOTENT, latency_objective=2 * SECOND, deadline=16 * SECOND)
+KEYED = MessageClass(
+    Idempotency.IDEMPOTENCY_KEY,
     latency_objective=2 * SECOND,
     deadline=20 * SECOND,
     deduplication_window=6 * SECOND,
 )
-ZONED = dataclasses.replace(KEYED, deduplication_scope=api.DeduplicationScope.ZONE)
-UNSAFE = api.MessageClass(
-    api.Idempotency.NON_IDEMPOTENT, latency_objective=2 * SECOND, deadline=24 * SECOND, priority_weight=3.0
+ZONED = dataclasses.replace(KEYED, deduplication_scope=DeduplicationScope.ZONE)
+UNSAFE = MessageClass(
+    Idempotency.NON_IDEMPOTENT, latency_objective=2 * SECOND, deadline=24 * SECOND, priority_weight=3.0
 )
 ORDERED = dataclasses.replace(UNSAFE, ordered=True)
 CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 DRAIN_GRACE, ANSWER_SLACK = 500 * MS, 20 * MS
-RAN = {api.Outcome.ERROR, api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED}
-RESTS = {api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED}
+RAN = {Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
+RESTS = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
 
 
-def settings(**changes: Any) -> api.Settings:
+def settings(**changes: Any) -> Settings:
     """Plain settings for tests, with changes."""
     base: dict[str, Any] = {
         "classes": CLASSES,
-        "kinds": (api.DestinationKind(),),
+        "kinds": (DestinationKind(),),
         "max_concurrent_calls": 12,
         "overload_factor": 2.0,
         "slow_start_fraction": 0.2,
@@ -45,9 +65,9 @@
         "max_retry_after": 3 * SECOND,
         "connect_timeout": SECOND,
         "resolution": 5 * MS,
-        "listed_rate_meaning": api.ListedRateMeaning.NOMINAL,
+        "listed_rate_meaning": ListedRateMeaning.NOMINAL,
     }
-    return api.Settings(**{**base, **changes})
+    return Settings(**{**base, **changes})
 
 
 @dataclasses.dataclass
@@ -58,7 +78,7 @@
     endpoint: str
     sent: int
     timeout: int
-    outcome: api.Outcome | None = None
+    outcome: Outcome | None = None
     ended: int = 0
 
 
@@ -66,8 +86,8 @@
 class Known:
     """One message as the world handed it in."""
 
-    event: api.NewMessage
-    cls: api.MessageClass
+    event: NewMessage
+    cls: MessageClass
     taken: int
     attempts: list[Attempt] = dataclasses.field(default_factory=list)
     answers: list[tuple[int, str]] = dataclasses.field(default_factory=list)
@@ -81,7 +101,7 @@
 class World:
     """Feeds one instance and raises AssertionError where an action breaks a rule."""
 
-    def __init__(self, given: api.Settings, entries: tuple[api.EndpointListing, ...], seed: int = 7) -> None:
+    def __init__(self, given: Settings, entries: tuple[EndpointListing, ...], seed: int = 7) -> None:
         self.s, self.brain, self.now = given, DeliveryPolicy(given, seed), 0
         self.entries = {e.endpoint: e for e in entries}
         self.stopped: dict[str, int] = {}
@@ -89,15 +109,15 @@
         self.messages: dict[str, Known] = {}
         self.order: list[str] = []
         self.timer: int | None = None
-        self.log: list[tuple[int, api.Action]] = []
-        self.batch([api.EndpointListUpdate(api.UpdateMode.CACHED, entries)])
+        self.log: list[tuple[int, Action]] = []
+        self.batch([EndpointListUpdate(UpdateMode.CACHED, entries)])
 
     def bound(self, endpoint: str) -> object:
         """What a told wait at this endpoint binds."""
         entry = self.entries[endpoint]
         return endpoint if self.s.kinds[entry.kind].limits_per_endpoint else entry.destination
 
-    def batch(self, events: list[api.Event], at: int | None = None) -> list[api.Action]:
+    def batch(self, events: list[Event], at: int | None = None) -> list[Action]:
         """Move the clock and let the instance act; `at` may not lie before the present."""
         self.now = self.now if at is None else at
         waits_before = dict(self.waits)
@@ -105,64 +125,64 @@
             self.take(event)
         if self.timer is not None and self.timer <= self.now:
             self.timer = None
-            events = [*events, api.TimerFired()]
+            events = [*events, TimerFired()]
         actions = self.brain.handle(self.now, events)
         for action in actions:
             self.check(action, waits_before)
         self.log += [(self.now, action) for action in actions]
         return actions
 
-    def take(self, event: api.Event) -> None:
+    def take(self, event: Event) -> None:
         """Enter an event in the account."""
         match event:
-            case api.NewMessage():
+            case NewMessage():
                 self.messages[event.message] = Known(event, self.s.classes[event.class_index], self.now)
                 self.order.append(event.message)
-            case api.AttemptEnded():
+            case AttemptEnded():
                 known = self.messages[event.message]
                 attempt = known.attempts[event.attempt]
                 attempt.outcome, attempt.ended = event.outcome, self.now
-                if event.outcome is api.Outcome.DELIVERED and not known.over:
+                if event.outcome is Outcome.DELIVERED and not known.over:
                     known.answers.append((self.now, "delivered"))
                 if event.retry_after:
                     bound = self.bound(event.endpoint)
                     self.waits[bound] = max(self.waits.get(bound, 0), self.now + event.retry_after)
-            case api.MessageWithdrawn():
+            case MessageWithdrawn():
                 self.messages[event.message].withdrawn_at = self.now
-            case api.EndpointListUpdate():
+            case EndpointListUpdate():
                 for entry in event.listings:
                     self.entries[entry.endpoint] = entry
-                    if entry.status is not api.EndpointStatus.READY:
+                    if entry.status is not EndpointStatus.READY:
                         self.stopped.setdefault(entry.endpoint, self.now)
 
-    def check(self, action: api.Action, waits: dict[object, int]) -> None:
+    def check(self, action: Action, waits: dict[object, int]) -> None:
         """One action against the rules."""
         match action:
-            case api.Send(name, endpoint, timeout):
+            case Send(name, endpoint, timeout):
                 self.check_send(self.messages[name], endpoint, waits)
                 known = self.messages[name]
                 known.attempts.append(Attempt(len(known.attempts), endpoint, self.now, timeout))
-            case api.Reject(name, _) | api.Fail(name):
+            case Reject(name, _) | Fail(name):
                 known = self.messages[name]
                 # An earlier event of the batch that withdraws it may have ended it already.
                 assert not known.answers, "two final answers"
                 assert known.withdrawn_at in (None, self.now), "answered though withdrawn"
                 left = known.taken + known.event.time_left + ANSWER_SLACK
                 assert self.now <= max(left, known.taken), "answered too late"
-                if isinstance(action, api.Reject):
+                if isinstance(action, Reject):
                     ran = [a for a in known.attempts if a.outcome is None or a.outcome in RAN]
-                    assert known.cls.idempotency is not api.Idempotency.NON_IDEMPOTENT or not ran, (
+                    assert known.cls.idempotency is not Idempotency.NON_IDEMPOTENT or not ran, (
                         "unsafe refused"
                     )
                     zoned = (
-                        known.cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
-                        and known.cls.deduplication_scope is api.DeduplicationScope.ZONE
+                        known.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+                        and known.cls.deduplication_scope is DeduplicationScope.ZONE
                     )
                     assert not (zoned and ran), "keyed by zone refused"
                 known.answers.append((self.now, type(action).__name__))
-            case api.SetTimer(at):
+            case SetTimer(at):
                 self.timer = at if self.timer is None else min(self.timer, at)
-            case api.Cancel():
+            case Cancel():
                 assert self.s.can_cancel
 
     def check_send(self, known: Known, endpoint: str, waits: dict[object, int]) -> None:
@@ -173,10 +193,10 @@
         assert all(a.outcome is not None for a in known.attempts), "two attempts out"
         assert len(known.attempts) < self.s.max_attempts, "too many attempts"
         ran = [a for a in known.attempts if a.outcome in RAN]
-        assert not (ran and known.cls.idempotency is api.Idempotency.NON_IDEMPOTENT), "unsafe repeated"
-        if ran and known.cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+        assert not (ran and known.cls.idempotency is Idempotency.NON_IDEMPOTENT), "unsafe repeated"
+        if ran and known.cls.idempotency is Idempotency.IDEMPOTENCY_KEY:
             assert self.now <= ran[0].sent + known.cls.deduplication_window, "keyed outside its window"
-            if known.cls.deduplication_scope is api.DeduplicationScope.ZONE:
+            if known.cls.deduplication_scope is DeduplicationScope.ZONE:
                 assert entry.zone == self.entries[ran[0].endpoint].zone, "keyed outside its zone"
         assert self.now <= self.stopped.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent past a drain"
         assert self.now >= waits.get(self.bound(endpoint), 0), "sent inside a told wait"
@@ -202,24 +222,24 @@
             rests = [a.ended for a in earlier.attempts if a.outcome in RESTS]
             assert all(self.now >= ended + self.s.ordering_pause for ended in rests), "the key rests"
 
-    def hand_in(self, name: str, cls: int = 0, dest: int = 0, **more: Any) -> api.NewMessage:
+    def hand_in(self, name: str, cls: int = 0, dest: int = 0, **more: Any) -> NewMessage:
         """A fresh message with its class's full time."""
         more.setdefault("time_left", self.s.classes[cls].deadline)
-        return api.NewMessage(name, cls, dest, **more)
+        return NewMessage(name, cls, dest, **more)
 
-    def end(self, name: str, outcome: api.Outcome, wait: int = 0, **told: float) -> api.AttemptEnded:
+    def end(self, name: str, outcome: Outcome, wait: int = 0, **told: float) -> AttemptEnded:
         """The outcome of a message's latest attempt."""
         attempt = self.messages[name].attempts[-1]
-        settled = outcome is api.Outcome.DELIVERED or self.messages[name].over
+        settled = outcome is Outcome.DELIVERED or self.messages[name].over
         took = self.now - attempt.sent
-        return api.AttemptEnded(name, attempt.number, attempt.endpoint, outcome, took, settled, wait, **told)
+        return AttemptEnded(name, attempt.number, attempt.endpoint, outcome, took, settled, wait, **told)
 
     def run(self, until: int) -> None:
         """Let timers fire and attempts time out till then, tick by tick."""
         while self.now < until:
             self.now += self.s.resolution or 5 * MS
-            events: list[api.Event] = [
-                self.end(name, api.Outcome.TIMEOUT)
+            events: list[Event] = [
+                self.end(name, Outcome.TIMEOUT)
                 for name, known in self.messages.items()
                 for a in known.attempts[-1:]
                 if a.outcome is None and self.now >= a.sent + a.timeout
@@ -227,7 +247,7 @@
             if events or (self.timer is not None and self.timer <= self.now):
                 self.batch(events)
 
-    def sends(self, name: str | None = None) -> list[tuple[int, api.Send]]:
+    def sends(self, name: str | None = None) -> list[tuple[int, Send]]:
         """The sends so far."""
-        found = [(at, a) for at, a in self.log if isinstance(a, api.Send)]
+        found = [(at, a) for at, a in self.log if isinstance(a, Send)]
         return [(at, a) for at, a in found if name is None or a.message == name]
