--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -132,7 +132,7 @@
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
             for _ in range(self.plays):
                 began = time.process_time()
-                machine = http1.AnswerMachine(most=2 * len(body) + 4096)
+                machine = http1.ResponseParser(most=2 * len(body) + 4096)
                 answer = machine.feed(head + body)
                 assert answer is not None
                 pool = EndpointPool(settings(kinds=settings().kinds))
--- a/benchmarks/fleet_watchers.py
+++ b/benchmarks/fleet_watchers.py
@@ -21,7 +21,7 @@
 from honeyhitch.partitioning.fleet import Fleet  # noqa: E402
 from honeyhitch.partitioning.ownership import ZoneCandidates  # noqa: E402
 from honeyhitch.partitioning.settings import FleetSettings  # noqa: E402
-from honeyhitch.protocols.discovery_backoff import Asking  # noqa: E402
+from honeyhitch.protocols.discovery_backoff import WatchBackoff  # noqa: E402
 from honeyhitch.transports.list_watch import ListWatch  # noqa: E402
 
 LOOK_SECONDS = 0.05
@@ -55,7 +55,7 @@
 
     async def run(self) -> None:
         """Watch for ever."""
-        asking = Asking(Random(self.fleet.settings.name), 1, False, False, 3.0)
+        asking = WatchBackoff(Random(self.fleet.settings.name), 1, False, False, 3.0)
         loop, address = asyncio.get_running_loop(), self.fleet.settings.view
         await ListWatch(address, loop, asking, lambda: self.fleet.view.revision, self.take).run()
 
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -35,7 +35,7 @@
 from honeyhitch.tls.machine import Phase, TlsMachine
 from honeyhitch.tls.material import load
 from honeyhitch.tls.partners import Partners
-from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSetup
+from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 from tests.agent import Agent
 from tests.authority import Authority
 from tests.program import SETTINGS, free_port, started, write
@@ -100,7 +100,7 @@
             context = server_context(issued, version, version)
             for resume in (False, True):
                 terms = Terms(ca=pki.file, server_name="localhost", resume=resume)
-                setup = TlsSetup((Partner(Scope.DEST, "1", terms),))
+                setup = TlsSettings((Partner(Scope.DEST, "1", terms),))
                 told = Partners(setup, settings(), {}, time.time_ns, random.Random(1))
                 one_handshake(told, context)
                 cases[name, version, "resumed" if resume else "full"] = told, context, []
@@ -339,7 +339,7 @@
 def memory(folder: Path, count: int) -> tuple[float, float]:
     """Kilobytes for an open connection with its buffers, and for a cached session."""
     from honeyhitch.protocols.buffer import Buffer
-    from honeyhitch.protocols.http1 import AnswerMachine
+    from honeyhitch.protocols.http1 import ResponseParser
     from honeyhitch.tls.sessions import Key, SessionCache
     from honeyhitch.transports.tls_channel import TlsChannel, open_tls
 
@@ -353,7 +353,7 @@
 
     async def work() -> tuple[float, float]:
         loop = asyncio.get_running_loop()
-        kept: list[tuple[TlsChannel, Buffer, AnswerMachine]] = []
+        kept: list[tuple[TlsChannel, Buffer, ResponseParser]] = []
 
         async def open_some(some: int) -> None:
             for _ in range(some):
@@ -362,7 +362,7 @@
                 await channel.send(b"POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody")
                 buffer = Buffer()
                 await channel.read(buffer)
-                kept.append((channel, buffer, AnswerMachine()))
+                kept.append((channel, buffer, ResponseParser()))
 
         await open_some(20)
         before = rss()
--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -35,7 +35,7 @@
 from honeyhitch import logs
 from honeyhitch.dead_letters import operations
 from honeyhitch.dead_letters.filters import Filter
-from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.records import Record, RecordStatus
 from honeyhitch.dead_letters.rules import Step, plan
 from honeyhitch.dead_letters.settings import Action, Rule, Terms
 from honeyhitch.dead_letters.store import Store
@@ -510,7 +510,7 @@
 def resendable(one: Record) -> bool:
     """Whether a rule would still have it resent."""
     step = plan(one, (Rule("r", Action.RESEND),), Terms(elsewhere=False), time.time_ns(), SECOND).step
-    return one.standing is Standing.SENDING or step in (Step.RESEND, Step.LATER)
+    return one.standing is RecordStatus.SENDING or step in (Step.RESEND, Step.LATER)
 
 
 async def measured_kills(folder: Path, quick: bool) -> list[str]:
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -16,7 +16,7 @@
 from honeyhitch import config as configuration
 from honeyhitch.endpoints.pool import EndpointPool, PoolError
 from honeyhitch.policy.settings import DestinationKind, Idempotency, MessageClass, Settings
-from honeyhitch.tls.settings import Partner, Scope, TlsSetup
+from honeyhitch.tls.settings import Partner, Scope, TlsSettings
 
 if TYPE_CHECKING:
     from honeyhitch.tls.certificates import Facts
@@ -68,7 +68,7 @@
     from honeyhitch.tls.partners import Partners  # the files could be read, so the extra is there
 
     settings = config.settings if config is not None else BARE
-    partners = Partners(TlsSetup(tuple(told)), settings, os.environ, time.time_ns, Random())
+    partners = Partners(TlsSettings(tuple(told)), settings, os.environ, time.time_ns, Random())
     reports = [_files(partners, partner, warn_days) for partner in told]
     if connect:
         targets = _targets(config, told) + [(partner, one) for partner in told for one in addresses]
@@ -88,7 +88,7 @@
         pool.update(config.known)
     except PoolError as error:
         raise click.ClickException(f"known: {error}") from error
-    setup = TlsSetup(tuple(told))
+    setup = TlsSettings(tuple(told))
     for member in pool.endpoints.values():
         kind = config.settings.kind(member.kind).name
         partner = setup.partner_of(member.id, member.destination, kind)
--- a/honeyhitch/cli/undelivered/access.py
+++ b/honeyhitch/cli/undelivered/access.py
@@ -14,7 +14,7 @@
 
 from honeyhitch import config as configuration
 from honeyhitch.dead_letters.settings import Limits, Terms
-from honeyhitch.transports.control_client import ControlClient, ControlRefused
+from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
 
 
 class Access:
@@ -43,7 +43,7 @@
         if self.client is not None:
             try:
                 return self.client.ask("POST", f"/undelivered/{name}", told)
-            except ControlRefused as error:
+            except ControlRefusedError as error:
                 raise click.ClickException(str(error)) from error
             except OSError:
                 self.client = None  # no dispatcher runs: the store is there all the same
@@ -55,7 +55,7 @@
             raise click.ClickException("state: name the configuration of a running dispatcher")
         try:
             return self.client.ask("GET", "/state")
-        except (ControlRefused, OSError) as error:
+        except (ControlRefusedError, OSError) as error:
             raise click.ClickException(f"state: no dispatcher answers: {error}") from error
 
     def _directly(self, name: str, told: dict[str, Any]) -> dict[str, Any]:
--- a/honeyhitch/config/__init__.py
+++ b/honeyhitch/config/__init__.py
@@ -2,8 +2,17 @@
 
 from honeyhitch.config.deployment import Address, ConfigError
 from honeyhitch.config.file import FIXED_SOCKETS, Config, read
-from honeyhitch.config.instance import Pairs
+from honeyhitch.config.instance import SettingsReader
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.config.operator import read_tls
 
-__all__ = ["FIXED_SOCKETS", "Address", "Config", "ConfigError", "Pairs", "read", "read_operator", "read_tls"]
+__all__ = [
+    "FIXED_SOCKETS",
+    "Address",
+    "Config",
+    "ConfigError",
+    "SettingsReader",
+    "read",
+    "read_operator",
+    "read_tls",
+]
--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from honeyhitch.dead_letters.settings import Undelivered
+from honeyhitch.dead_letters.settings import DeadLetterSettings
 from honeyhitch.partitioning.settings import FleetSettings
-from honeyhitch.tls.settings import Partner, TlsSetup
+from honeyhitch.tls.settings import Partner, TlsSettings
 
 
 class ConfigError(Exception):
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MqttMember:
+class MqttEndpoint:
     """A pool member behind the broker."""
 
     id: str
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MqttSetup:
+class MqttSettings:
     """The MQTT front, as the operator's file sets it up."""
 
     broker: str
@@ -67,12 +67,12 @@
     session_expiry: int = 3600  # seconds
     username: str | None = None
     password: bytes | None = None
-    members: tuple[MqttMember, ...] = ()
+    members: tuple[MqttEndpoint, ...] = ()
     tls: Partner | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Control:
+class ControlSettings:
     """The control socket."""
 
     path: Path | None = None  # in the state folder where it is not set
@@ -83,15 +83,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorSettings:
     """What an operator's file adds; nothing of it is on by itself."""
 
-    mqtt: MqttSetup | None = None
+    mqtt: MqttSettings | None = None
     agent_check: Address | None = None
     health: Address | None = None
     log_format: str = "console"
     log_level: str = "info"
-    tls: TlsSetup | None = None
-    undelivered: Undelivered | None = None
-    control: Control | None = None
+    tls: TlsSettings | None = None
+    undelivered: DeadLetterSettings | None = None
+    control: ControlSettings | None = None
     fleet: FleetSettings | None = None
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch.config.deployment import Address, ConfigError, Limits, Operator
-from honeyhitch.config.instance import Pairs
+from honeyhitch.config.deployment import Address, ConfigError, Limits, OperatorSettings
+from honeyhitch.config.instance import SettingsReader
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.policy.settings import Settings
 
@@ -34,7 +34,7 @@
     limits: Limits
     known: dict[str, Any]
     settings: Settings
-    operator: Operator
+    operator: OperatorSettings
     words: dict[str, Any]  # the file's own words at the start, for what a variable can say too
 
 
@@ -94,7 +94,7 @@
     if not isinstance(told.get("settings"), dict):
         raise ConfigError("settings: expected an object")
     try:
-        settings = Pairs.of_nested(told["settings"]).settings()
+        settings = SettingsReader.of_nested(told["settings"]).settings()
     except (ConfigError, ValueError) as error:
         raise ConfigError(f"settings.{error}") from error
     limits = _limits(told.get("limits"))
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -59,19 +59,19 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-class Pairs:
+class SettingsReader:
     """The path=value pairs of an instance's settings; unknown paths are never looked at."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
 
     @classmethod
-    def of_words(cls, words: list[str]) -> Pairs:
+    def of_words(cls, words: list[str]) -> SettingsReader:
         """From the words of a line, each path=value."""
         return cls(dict(word.partition("=")[::2] for word in words))
 
     @classmethod
-    def of_nested(cls, value: object) -> Pairs:
+    def of_nested(cls, value: object) -> SettingsReader:
         """From nested JSON: paths are joined by dots, plain lists by commas, lists of objects get a count."""
         values: dict[str, str] = {}
         _flatten(value, "", values)
--- a/honeyhitch/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from honeyhitch.config import tls
-from honeyhitch.config.deployment import Address, ConfigError, MqttMember, MqttSetup
+from honeyhitch.config.deployment import Address, ConfigError, MqttEndpoint, MqttSettings
 from honeyhitch.config.values import Table
 from honeyhitch.policy.settings import Settings
 
@@ -16,13 +16,13 @@
     return text
 
 
-def setup(told: object, name: str, settings: Settings, environ: Mapping[str, str]) -> MqttSetup:
+def setup(told: object, name: str, settings: Settings, environ: Mapping[str, str]) -> MqttSettings:
     """The front, its session and the members behind the broker."""
     table = Table(told, "mqtt")
     members = []
     for i, row in enumerate(table.get("member", list, [])):
         inner = Table(row, f"mqtt.member.{i}")
-        member = MqttMember(
+        member = MqttEndpoint(
             id=inner.get("id", str),
             topic=_topic(inner.get("topic", str), f"{inner.at}.topic", False),
             destination=inner.get("dest", int),
@@ -35,7 +35,7 @@
         inner.done()
         members.append(member)
     password, secure = table.maybe("password", str), table.maybe("tls", dict)
-    setup = MqttSetup(
+    setup = MqttSettings(
         broker=str(Address.parse(table.get("broker", str), "mqtt.broker")),
         intake=_topic(table.get("intake", str, "honeyhitch/intake"), "mqtt.intake", True),
         client_id=table.get("client-id", str, name),
--- a/honeyhitch/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -9,7 +9,7 @@
 
 from honeyhitch import logs
 from honeyhitch.config import fleet, mqtt, tls, undelivered
-from honeyhitch.config.deployment import Address, ConfigError, Control, Operator
+from honeyhitch.config.deployment import Address, ConfigError, ControlSettings, OperatorSettings
 from honeyhitch.config.values import Table
 from honeyhitch.policy.settings import Settings
 from honeyhitch.tls.settings import Partner
@@ -34,10 +34,10 @@
         raise ConfigError(f"ROUTER_OPERATOR: {path} is not TOML: {error}") from error
 
 
-def read(path: str, name: str, settings: Settings, environ: Mapping[str, str]) -> Operator:
+def read(path: str, name: str, settings: Settings, environ: Mapping[str, str]) -> OperatorSettings:
     """The file at this path, or nothing where there is none."""
     if not path:
-        return Operator()
+        return OperatorSettings()
     table = Table(_toml(path), path)
     beside = Table(table.get("beside", dict, {}), "beside")
     addresses = {key: beside.maybe(key, str) for key in ("agent-check", "health")}
@@ -59,14 +59,14 @@
     partners = tls.setup(told_tls, settings, environ) if told_tls is not None else None
     kept = undelivered.setup(told_undelivered, settings) if told_undelivered is not None else None
     if kept is not None:  # it is looked at and cared for through the control socket
-        control = control or Control()
+        control = control or ControlSettings()
     shared = fleet.setup(told_fleet, name) if told_fleet is not None else None
-    return Operator(
+    return OperatorSettings(
         setup, parsed["agent-check"], parsed["health"], form, level, partners, kept, control, shared
     )
 
 
-def _control(told: object) -> Control | None:
+def _control(told: object) -> ControlSettings | None:
     if told is None:
         return None
     table = Table(told, "control")
@@ -74,4 +74,4 @@
     table.done()
     if path is not None and not Path(path).is_absolute():
         raise ConfigError(f"control.path: expected an absolute path, got {path!r}")
-    return Control(Path(path) if path is not None else None)
+    return ControlSettings(Path(path) if path is not None else None)
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -12,7 +12,7 @@
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.values import Table
 from honeyhitch.policy.settings import Settings
-from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSetup
+from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
 SECOND = 10**9  # ns
 KEYS = (
@@ -22,7 +22,7 @@
 SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
 
 
-def setup(told: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSetup:
+def setup(told: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
     """`[tls]` with its partners; the defaults stand in `[tls]` itself. Without settings no kind is known to
     be wrong.
     """
@@ -44,7 +44,7 @@
         raise ConfigError("tls.partner: at least one is needed; [tls] alone turns nothing on")
     for i, partner in enumerate(partners):
         check_files(partner, f"tls.partner.{i}", environ)
-    return TlsSetup(tuple(partners))
+    return TlsSettings(tuple(partners))
 
 
 def broker(told: object, environ: Mapping[str, str]) -> Partner:
--- a/honeyhitch/config/undelivered.py
+++ b/honeyhitch/config/undelivered.py
@@ -8,7 +8,7 @@
 
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.values import Table
-from honeyhitch.dead_letters.settings import DAY, SECOND, Action, Limits, Rule, Terms, Undelivered
+from honeyhitch.dead_letters.settings import DAY, SECOND, Action, DeadLetterSettings, Limits, Rule, Terms
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.settings import Settings
 
@@ -21,9 +21,9 @@
 REASONS = (*OUTCOMES, "not-tried", "lost")
 
 
-def setup(told: object, settings: Settings) -> Undelivered:
+def setup(told: object, settings: Settings) -> DeadLetterSettings:
     """`[undelivered]`; there being such a table turns it on."""
-    table, standard = Table(told, "undelivered"), Undelivered()
+    table, standard = Table(told, "undelivered"), DeadLetterSettings()
     limits = standard.limits
     folder = table.maybe("folder", str)
     size = table.get("max-mb", float, limits.size / MB)
@@ -46,7 +46,9 @@
     rules = _rules(rows, settings)
     _libraries()
     path = Path(folder) if folder is not None else None
-    return Undelivered(path, Limits(int(size * MB), count, int(days * DAY)), compress_from, rules, terms)
+    return DeadLetterSettings(
+        path, Limits(int(size * MB), count, int(days * DAY)), compress_from, rules, terms
+    )
 
 
 def _span(table: Table, key: str, default: int, least: float = 0.0) -> int:
--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from itertools import islice
 
-from honeyhitch.dead_letters.records import Standing
+from honeyhitch.dead_letters.records import RecordStatus
 from honeyhitch.dead_letters.resends import Known
 from honeyhitch.dispatcher.ports import ArrivalDecision
 from honeyhitch.journal.transactions import Transaction
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Case:
+class DuplicateCase:
     """One kept message. Times are Unix times in nanoseconds."""
 
     state: State
@@ -40,11 +40,11 @@
     resent: bool = False  # and a resend was among what ran
 
 
-class Copies:
+class DuplicateIndex:
     """All kept messages by key, and how many of the clients' messages with each key are held."""
 
     def __init__(self, memory: int) -> None:
-        self.memory, self.cases, self.live = memory, dict[Key, Case](), dict[Key, int]()
+        self.memory, self.cases, self.live = memory, dict[Key, DuplicateCase](), dict[Key, int]()
         self.counted: set[str] = set()  # ids of the clients' messages that are counted in `live`
 
     @staticmethod
@@ -53,14 +53,14 @@
         return (transaction.destination, transaction.key) if transaction.key else None
 
     @classmethod
-    def of(cls, records: list[Known], memory: int) -> Copies:
+    def of(cls, records: list[Known], memory: int) -> DuplicateIndex:
         """What the store knows; for many records this takes a while, and is done beside the event loop."""
         copies = cls(memory)
         for record in records:  # in the order in which they came: the latest counts
             copies.note(record)
         return copies
 
-    def load(self, told: Copies) -> None:
+    def load(self, told: DuplicateIndex) -> None:
         """Take over what the store knows; what has come here since is known better here."""
         since, self.cases = self.cases, told.cases
         self.cases.update(since)
@@ -78,19 +78,21 @@
         key = record.destination, record.key
         known = self.cases.get(key)
         sending = known is not None and known.state is State.SENDING
-        if not record.key or (sending and record.standing != Standing.SENDING.value):
+        if not record.key or (sending and record.standing != RecordStatus.SENDING.value):
             return  # a resend's end is told by `sent`
-        if record.standing == Standing.KEPT.value:
+        if record.standing == RecordStatus.KEPT.value:
             state = State.OPEN
-        elif record.standing == Standing.SENDING.value:
+        elif record.standing == RecordStatus.SENDING.value:
             state = State.SENDING
         else:
             state = State.DONE if record.settled_by.startswith("resend:") else State.OVER
         first = (record.first_ran, record.first_zone) if record.first_ran is not None else None
         keyed = record.effect == Idempotency.IDEMPOTENCY_KEY.value
-        self.cases[key] = Case(state, record.ended_at, keyed, record.window, first, record.resends > 0)
+        self.cases[key] = DuplicateCase(
+            state, record.ended_at, keyed, record.window, first, record.resends > 0
+        )
 
-    def case(self, transaction: Transaction, now: int) -> Case | None:
+    def case(self, transaction: Transaction, now: int) -> DuplicateCase | None:
         """The kept message that this one is a copy of, if there is one."""
         key = self.key(transaction)
         case = self.cases.get(key) if key is not None else None
@@ -145,7 +147,7 @@
         """A resend of it begins."""
         key = self.key(transaction)
         if key is not None:
-            case = self.cases.get(key) or Case(State.OPEN, now, False, 0)
+            case = self.cases.get(key) or DuplicateCase(State.OPEN, now, False, 0)
             case.state, case.at = State.SENDING, max(case.at, now)
             self.cases[key] = case
 
--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
+class ExecutionHistory:
     """What is known of an undelivered message. Times are Unix times in nanoseconds."""
 
     effect: Idempotency
@@ -44,7 +44,7 @@
     until: int | None = None  # a resend must have ended by then; a wait ends then
 
 
-def decide(past: Past, now: int, grace: int, longest: int) -> Decision:
+def decide(past: ExecutionHistory, now: int, grace: int, longest: int) -> Decision:
     """Whether it may be resent now.
 
     `grace` is how long after the told time a client's copy is still looked for; `longest` is what a resend
--- a/honeyhitch/dead_letters/filters.py
+++ b/honeyhitch/dead_letters/filters.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from honeyhitch.dead_letters.records import Standing
+from honeyhitch.dead_letters.records import RecordStatus
 
 MOST = (1 << 63) - 1  # as great a number as the store holds
 ENDINGS = ("failed", "rejected")
@@ -68,7 +68,7 @@
                 values[name] = text == "yes"
             else:
                 values[name] = text
-        for name, among in (("ending", ENDINGS), ("standing", [one.value for one in Standing])):
+        for name, among in (("ending", ENDINGS), ("standing", [one.value for one in RecordStatus])):
             if values.get(name, among[0]) not in among:
                 raise FilterError(f"{name}: expected one of {', '.join(among)}, got {values[name]!r}")
         return cls(**values)
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -33,7 +33,7 @@
     let_go: dict[bool, int] = field(default_factory=lambda: {False: 0, True: 0})  # by whether it may have run
 
 
-class Moving:
+class JournalTransfer:
     """The dispatcher's keeper: one transaction of the store at a time, with all that has come meanwhile."""
 
     def __init__(
@@ -89,7 +89,7 @@
 
     def _failed(self, error: str) -> None:
         self.moving, self.paused, self.failing = [], True, error
-        log.error("undelivered.store-failed", error=error, waiting=len(self.waiting), ordering_key=error)
+        log.error("undelivered.store-failed", error=error, waiting=len(self.waiting), key=error)
         self.scheduler.call_at(self.scheduler.now() + self.pause, self._again)
         self.pause = min(2 * self.pause, MOST_PAUSE)
         self._let_go()
@@ -116,7 +116,7 @@
             ran = transaction.first_possible_execution() is not None
             del self.waiting[transaction.id, transaction.ended_at]
             self.figures.let_go[ran] += 1
-            log.error("undelivered.let-go", message=transaction.id, may_have_run=ran, ordering_key=str(ran))
+            log.error("undelivered.let-go", message=transaction.id, may_have_run=ran, key=str(ran))
             self.kept(transaction)
 
 
@@ -125,10 +125,10 @@
     for one in dropped:
         log.warning(
             "undelivered.dropped",
-            failure_reason=one.why,
+            why=one.why,
             count=one.count,
             bytes=one.size,
             may_have_run=one.may_have_run,
             messages=",".join(one.ids),
-            ordering_key=f"{one.why} {one.may_have_run}",
+            key=f"{one.why} {one.may_have_run}",
         )
--- a/honeyhitch/dead_letters/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -12,7 +12,7 @@
 
 from honeyhitch.dead_letters.eligibility import Verdict
 from honeyhitch.dead_letters.filters import Filter, FilterError
-from honeyhitch.dead_letters.records import Kept, Record, Standing
+from honeyhitch.dead_letters.records import Record, RecordStatus, StoredRecord
 from honeyhitch.dead_letters.rules import verdict
 from honeyhitch.dead_letters.store import STEP, Store
 
@@ -55,7 +55,7 @@
         raise OperationError(f"filter.{error}") from error
 
 
-def _public(kept: Kept, body: bool = False) -> dict[str, Any]:
+def _public(kept: StoredRecord, body: bool = False) -> dict[str, Any]:
     return kept.record.public(body and not kept.fault) | {"intact": not kept.fault, "fault": kept.fault}
 
 
@@ -108,11 +108,11 @@
 
 
 def _why_not_discard(record: Record) -> str:
-    return "" if record.standing is Standing.KEPT else f"it is {record.standing.value}"
+    return "" if record.standing is RecordStatus.KEPT else f"it is {record.standing.value}"
 
 
 def _why_not_release(record: Record) -> str:
-    if record.standing is not Standing.KEPT:
+    if record.standing is not RecordStatus.KEPT:
         return f"it is {record.standing.value}"
     if not record.may_have_run and record.told_again is None and not record.came_again:
         return "it never ran: nothing has to be proved before it is sent"
@@ -120,11 +120,11 @@
 
 
 def _discard(record: Record, who: str, why: str) -> None:
-    record.standing = Standing.DISCARDED
+    record.standing = RecordStatus.DISCARDED
 
 
 def _settle(record: Record, who: str, why: str) -> None:
-    record.standing, record.settled_by = Standing.SETTLED, f"person:{who}"
+    record.standing, record.settled_by = RecordStatus.SETTLED, f"person:{who}"
 
 
 def _release(record: Record, who: str, why: str) -> None:
--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -15,7 +15,7 @@
 NOT_TRIED, LOST = "not-tried", "lost"  # reasons that are no outcomes: nothing was sent, or nobody saw the end
 
 
-class Standing(Enum):
+class RecordStatus(Enum):
     """What has become of a record."""
 
     KEPT = "kept"
@@ -25,7 +25,7 @@
     DISCARDED = "discarded"
 
 
-OPEN = (Standing.KEPT, Standing.SENDING)  # those that still ask for something
+OPEN = (RecordStatus.KEPT, RecordStatus.SENDING)  # those that still ask for something
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     tries: tuple[Attempt, ...]
     body: bytes
     seq: int = 0  # its place in the store
-    standing: Standing = Standing.KEPT
+    standing: RecordStatus = RecordStatus.KEPT
     settled_by: str = ""
     evidence: str = ""  # the partner's word that it was not applied, by which a person released it
     resends: int = 0
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class StoredRecord:
     """A record as it was read; `fault` says how it was altered on disk, if it was."""
 
     record: Record
--- a/honeyhitch/dead_letters/report.py
+++ b/honeyhitch/dead_letters/report.py
@@ -15,7 +15,7 @@
 import jinja2
 
 from honeyhitch.dead_letters.eligibility import Verdict
-from honeyhitch.dead_letters.records import Kept, Record, Standing
+from honeyhitch.dead_letters.records import Record, RecordStatus, StoredRecord
 from honeyhitch.dead_letters.rules import verdict
 from honeyhitch.dead_letters.settings import Terms
 
@@ -66,11 +66,11 @@
     total: dict[Fate, Cell] = field(default_factory=dict)
     replaced: int = 0  # copies that stand under another record
 
-    def add(self, records: Iterable[Kept]) -> None:
+    def add(self, records: Iterable[StoredRecord]) -> None:
         """Count these, too."""
         for kept in records:
             record = kept.record
-            if not kept.fault and record.standing is Standing.REPLACED:
+            if not kept.fault and record.standing is RecordStatus.REPLACED:
                 self.replaced += 1
                 continue
             fate = Fate.ALTERED if kept.fault else fate_of(record, self.terms, self.now)
@@ -103,12 +103,12 @@
 
 def fate_of(record: Record, terms: Terms, now: int) -> Fate:
     """What became of an intact record."""
-    if record.standing is Standing.KEPT:
+    if record.standing is RecordStatus.KEPT:
         held = verdict(record, terms, now, 0).verdict is Verdict.HOLD
         return Fate.NOT_SAFE if held else Fate.SAFE
-    if record.standing is Standing.SETTLED:
+    if record.standing is RecordStatus.SETTLED:
         return Fate.RESENT if record.settled_by.startswith("resend:") else Fate.SETTLED
-    return Fate.SENDING if record.standing is Standing.SENDING else Fate.DISCARDED
+    return Fate.SENDING if record.standing is RecordStatus.SENDING else Fate.DISCARDED
 
 
 def amount_of(body: bytes, path: str) -> Decimal | None:
--- a/honeyhitch/dead_letters/resending.py
+++ b/honeyhitch/dead_letters/resending.py
@@ -16,11 +16,11 @@
 
 from honeyhitch import logs
 from honeyhitch.dead_letters import resends
-from honeyhitch.dead_letters.duplicate_index import Copies, Key
+from honeyhitch.dead_letters.duplicate_index import DuplicateIndex, Key
 from honeyhitch.dead_letters.pacing import Pacing, Rates
 from honeyhitch.dead_letters.records import Record
 from honeyhitch.dead_letters.resends import Candidate, Known
-from honeyhitch.dead_letters.settings import Rule, Undelivered
+from honeyhitch.dead_letters.settings import DeadLetterSettings, Rule
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dead_letters.worker import Done, Job
 from honeyhitch.dispatcher.dispatcher import BUSY_RETRY_AFTER, Dispatcher
@@ -46,12 +46,12 @@
     return Known(**{**told, "standing": record.standing.value})
 
 
-class Resending:
+class ResendScheduler:
     """The front that hands resends in, and the guard between them and the clients' copies."""
 
     def __init__(
         self,
-        setup: Undelivered,
+        setup: DeadLetterSettings,
         dispatcher: Dispatcher,
         scheduler: Scheduler,
         submit: Callable[[Job, Done], bool],
@@ -64,7 +64,7 @@
             name: cls.latency_objective
             for name, cls in zip(settings.class_names, settings.classes, strict=True)
         }
-        self.copies, self.rates = Copies(self.terms.memory), Rates()
+        self.copies, self.rates = DuplicateIndex(self.terms.memory), Rates()
         self.pacing = Pacing(self.terms.share, settings.max_concurrent_calls)
         self.under_way: dict[str, Transaction] = {}  # resends from the journal's record to the store's
         self.parked: dict[Key, list[Transaction]] = {}  # clients' copies that wait for one
@@ -87,15 +87,15 @@
                 self.copies.count(one)
         there, now = frozenset(held.by_id), self.scheduler.now()
 
-        def job(store: Store) -> tuple[Copies, dict[int, int], int]:
+        def job(store: Store) -> tuple[DuplicateIndex, dict[int, int], int]:
             count = resends.lost(store, there, now)
             resends.replan_all(store)
-            known = Copies.of(resends.known(store, now), store.terms.memory)
+            known = DuplicateIndex.of(resends.known(store, now), store.terms.memory)
             return known, resends.waiting(store), count
 
         def done(result: Any) -> None:
             if isinstance(result, Exception):
-                log.error("undelivered.not-loaded", error=str(result), ordering_key=str(result))
+                log.error("undelivered.not-loaded", error=str(result), key=str(result))
                 self.scheduler.call_at(self.scheduler.now() + MOST_AGAIN, lambda: self.begin(lambda: None))
             else:
                 known, self.waiting, count = result
@@ -109,7 +109,7 @@
         if not self.submit(job, done):
             done(RuntimeError("the queue to the store is full"))
 
-    def swap(self, rules: tuple[Rule, ...]) -> None:
+    def replace_rules(self, rules: tuple[Rule, ...]) -> None:
         """New rules: they hold for what begins from now on; what is on its way comes to its end."""
         self.rules = rules
         self.submit(resends.replan_all, lambda _: self.look_soon())
@@ -162,7 +162,7 @@
     def _found(self, result: Any) -> None:
         self.asking = False
         if isinstance(result, Exception):
-            log.error("undelivered.store-failed", error=str(result), ordering_key=str(result))
+            log.error("undelivered.store-failed", error=str(result), key=str(result))
             return
         found, self.waiting = result
         now = self.scheduler.now()
@@ -181,9 +181,7 @@
         made = resends.transaction(candidate, self.dispatcher.settings, now)
         if not self.dispatcher.submit_resend(made):
             return self._later(record, now + SECOND)
-        log.info(
-            "undelivered.resend", message=record.id, resend=made.id, rule=rule.name, ordering_key=rule.name
-        )
+        log.info("undelivered.resend", message=record.id, resend=made.id, rule=rule.name, key=rule.name)
         self._under_way(made, now)
         self._claim(made)
 
@@ -206,9 +204,7 @@
                 self.dispatcher.release(made)
                 return
             if isinstance(result, Exception):  # it may have been claimed all the same: its end is written
-                log.error(
-                    "undelivered.claim-failed", resend=made.id, error=str(result), ordering_key=str(result)
-                )
+                log.error("undelivered.claim-failed", resend=made.id, error=str(result), key=str(result))
             self.dispatcher.conclude(made, Ending.REJECTED)
 
         def job(store: Store) -> Record | None:
@@ -226,7 +222,7 @@
 
         def done(result: Any) -> None:
             if isinstance(result, Exception):
-                log.error("undelivered.store-failed", error=str(result), ordering_key=str(result))
+                log.error("undelivered.store-failed", error=str(result), key=str(result))
                 self.scheduler.call_at(self.scheduler.now() + self.again, lambda: self.answer(transaction))
                 self.again = min(2 * self.again, MOST_AGAIN)
                 return
--- a/honeyhitch/dead_letters/resends.py
+++ b/honeyhitch/dead_letters/resends.py
@@ -13,7 +13,7 @@
 
 from blake3 import blake3
 
-from honeyhitch.dead_letters.records import Record, Standing, reason
+from honeyhitch.dead_letters.records import Record, RecordStatus, reason
 from honeyhitch.dead_letters.rules import Plan, Step, plan
 from honeyhitch.dead_letters.settings import Rule
 from honeyhitch.dead_letters.store import Store
@@ -115,7 +115,7 @@
     record = kept.record
     told = plan(record, rules, store.terms, now, longest[record.cls])
     if told.step is Step.DISCARD and told.rule is not None:
-        record.standing = Standing.DISCARDED
+        record.standing = RecordStatus.DISCARDED
         store.change(record, WHO, "discard", f"rule {told.rule.name}")
     elif told.step is Step.LATER:
         store.replan(record, max(told.at, now + 1))
@@ -150,13 +150,13 @@
             return None
         record = kept.record
         if record.resend_id == name:
-            return record if record.standing is Standing.SENDING else None
+            return record if record.standing is RecordStatus.SENDING else None
         if resend_id(record) != name or record.cls not in longest:
             return None
         told: Plan = plan(record, rules, store.terms, now, longest[record.cls])
         if told.step is not Step.RESEND or told.rule is None:
             return None
-        record.standing, record.resend_id, record.resends = Standing.SENDING, name, record.resends + 1
+        record.standing, record.resend_id, record.resends = RecordStatus.SENDING, name, record.resends + 1
         store.change(record, WHO, "resend", f"rule {told.rule.name}, {told.reason}: {name}")
         return record
 
@@ -170,7 +170,7 @@
         if kept is None or kept.fault:
             return None
         record = kept.record
-        if record.resend_id != ended.id or record.standing is not Standing.SENDING:
+        if record.resend_id != ended.id or record.standing is not RecordStatus.SENDING:
             return record  # never claimed; or written already, before a kill
         first = ended.first_possible_execution()
         record.tries = (*record.tries, *ended.attempt_history)
@@ -180,10 +180,10 @@
             record.evidence = ""
         record.asked = ""
         if ended.ending is Ending.DELIVERED:
-            record.standing, record.settled_by = Standing.SETTLED, f"resend:{ended.id}"
+            record.standing, record.settled_by = RecordStatus.SETTLED, f"resend:{ended.id}"
             store.change(record, WHO, "settled", f"resend {ended.id} was delivered")
         else:
-            record.standing = Standing.KEPT
+            record.standing = RecordStatus.KEPT
             if ended.attempt_count:
                 record.reason = reason(ended)
             store.change(record, WHO, "resend-ended", f"resend {ended.id}: {reason(ended)}")
@@ -203,7 +203,7 @@
                 continue
             record = kept.record
             record.first_ran = min(record.first_ran or record.changed_at, record.changed_at)
-            record.standing, record.evidence, record.asked = Standing.KEPT, "", ""
+            record.standing, record.evidence, record.asked = RecordStatus.KEPT, "", ""
             store.change(record, WHO, "resend-lost", f"resend {record.resend_id} is not in the journal")
             count += 1
     return count
--- a/honeyhitch/dead_letters/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from honeyhitch.dead_letters.eligibility import Decision, Past, Verdict, decide
-from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.eligibility import Decision, ExecutionHistory, Verdict, decide
+from honeyhitch.dead_letters.records import Record, RecordStatus
 from honeyhitch.dead_letters.settings import SETS, Action, Rule, Terms
 from honeyhitch.policy.settings import Idempotency
 
@@ -45,13 +45,13 @@
     )
 
 
-def past(record: Record, terms: Terms) -> Past:
+def past(record: Record, terms: Terms) -> ExecutionHistory:
     """What is known of it, for the question whether a resend could apply it twice.
 
     A copy is not seen where it may go to another dispatcher, or has no key to be known by.
     """
     possible = record.told_again is not None or record.came_again
-    return Past(
+    return ExecutionHistory(
         effect=Idempotency(record.effect),
         window=record.window,
         first_ran=record.first_ran,
@@ -70,7 +70,7 @@
 
 def plan(record: Record, rules: tuple[Rule, ...], terms: Terms, now: int, longest: int) -> Plan:
     """What is to be done with a record; `longest` is how much time a resend needs at least."""
-    if record.standing is not Standing.KEPT:
+    if record.standing is not RecordStatus.KEPT:
         return Plan(Step.NOTHING, record.standing.value)
     later = 0  # a rule that speaks of older records will match then
     rule: Rule | None = ASKED if record.asked else None
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -10,9 +10,9 @@
 
 from honeyhitch import logs
 from honeyhitch.dead_letters import operations
-from honeyhitch.dead_letters.journal_transfer import Moving, tell_dropped
-from honeyhitch.dead_letters.resending import Resending
-from honeyhitch.dead_letters.settings import Undelivered
+from honeyhitch.dead_letters.journal_transfer import JournalTransfer, tell_dropped
+from honeyhitch.dead_letters.resending import ResendScheduler
+from honeyhitch.dead_letters.settings import DeadLetterSettings
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dead_letters.worker import Job, Worker
 from honeyhitch.dispatcher.dispatcher import Dispatcher
@@ -25,16 +25,16 @@
 READS = 64  # questions waiting at most
 
 
-class Busy(Exception):
+class StoreBusyError(Exception):
     """The queue to the store is full."""
 
 
-class Keeping:
+class DeadLetterService:
     """One store under a running dispatcher; a second thread reads, so that no question delays a write."""
 
     def __init__(
         self,
-        setup: Undelivered,
+        setup: DeadLetterSettings,
         state: Path,
         dispatcher: Dispatcher,
         scheduler: Scheduler,
@@ -50,7 +50,7 @@
         self.reader = Worker(
             lambda: Store(folder, limits, clock=clock, writes=False, terms=terms), post, READS
         )
-        self.moving = Moving(
+        self.moving = JournalTransfer(
             dispatcher.settings,
             dispatcher.journal,
             scheduler,
@@ -58,7 +58,7 @@
             dispatcher.dead_letter_stored,
         )
         dispatcher.dead_letter_sink = self.moving
-        self.resending = Resending(setup, dispatcher, scheduler, self.writer.submit)
+        self.resending = ResendScheduler(setup, dispatcher, scheduler, self.writer.submit)
         self.moving.after.append(self.resending.kept)
 
     def begin(self, ready: Callable[[], None]) -> None:
@@ -73,7 +73,7 @@
         self.resending.begin(once)
         self.loop.call_later(PATIENCE, once)
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         """How it stands, for people."""
         moving = self.moving
         let_go = {"never_ran": moving.figures.let_go[False], "may_have_run": moving.figures.let_go[True]}
@@ -100,17 +100,17 @@
                 waiter.set_result(result)
 
         if not worker.submit(job, done):
-            raise Busy("the queue to the store is full")
+            raise StoreBusyError("the queue to the store is full")
         return await waiter
 
-    async def care(self) -> None:
+    async def maintain(self) -> None:
         """Drop from time to time what is over age, also where nothing new comes."""
         while True:
             try:
                 tell_dropped(await self._done(self.writer, Store.make_room))
                 await self._done(self.writer, Store.tidy)
             except Exception as error:  # the store is opened again with the next job
-                log.error("undelivered.store-failed", error=str(error), ordering_key=str(error))
+                log.error("undelivered.store-failed", error=str(error), key=str(error))
             await asyncio.sleep(CARE)
 
     async def stop(self) -> None:
--- a/honeyhitch/dead_letters/settings.py
+++ b/honeyhitch/dead_letters/settings.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Undelivered:
+class DeadLetterSettings:
     """The table `[undelivered]`."""
 
     folder: Path | None = None  # `undelivered` in the state folder where it is not set
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -21,9 +21,9 @@
 from honeyhitch.dead_letters.records import (
     OPEN,
     Dropped,
-    Kept,
     Record,
-    Standing,
+    RecordStatus,
+    StoredRecord,
     canonical,
     pack_tries,
     unpack_tries,
@@ -48,9 +48,15 @@
 DELIVERED = "delivered"  # the ending of a client's copy that settles a record
 AUDIT = ("at", "seq", "id", "who", "what", "why")
 DROP_ORDER = (  # whoever may have been applied, with nobody to say so yet, goes last
-    (Standing.REPLACED, 0), (Standing.REPLACED, 1), (Standing.SETTLED, 0), (Standing.SETTLED, 1),
-    (Standing.DISCARDED, 0), (Standing.DISCARDED, 1), (Standing.KEPT, 0), (Standing.KEPT, 1),
-)  # fmt: skip
+    (RecordStatus.REPLACED, 0),
+    (RecordStatus.REPLACED, 1),
+    (RecordStatus.SETTLED, 0),
+    (RecordStatus.SETTLED, 1),
+    (RecordStatus.DISCARDED, 0),
+    (RecordStatus.DISCARDED, 1),
+    (RecordStatus.KEPT, 0),
+    (RecordStatus.KEPT, 1),
+)
 
 
 class Store:
@@ -142,9 +148,9 @@
                     self._settle_by(record)
                 elif self._known(record) is None:
                     open_ones = self._same_key(record)
-                    under_way = [one for one in open_ones if one.standing is Standing.SENDING]
+                    under_way = [one for one in open_ones if one.standing is RecordStatus.SENDING]
                     if under_way:  # it waited for a resend, and ended before that did
-                        record.standing = Standing.REPLACED
+                        record.standing = RecordStatus.REPLACED
                         record.settled_by = f"record:{under_way[0].seq}"
                     self._insert(record)
                     for one in open_ones:
@@ -170,11 +176,11 @@
         """A copy of a kept message ended undelivered: one record stands for both, with what either may have
         done.
         """
-        if new.standing is Standing.REPLACED:
+        if new.standing is RecordStatus.REPLACED:
             old.told_again = max(old.told_again or 0, new.told_again or 0) or None
             self.change(old, "honeyhitch", "copy-ended", f"message {new.id} waited for it")
             return
-        old.standing, old.settled_by = Standing.REPLACED, f"record:{new.seq}"
+        old.standing, old.settled_by = RecordStatus.REPLACED, f"record:{new.seq}"
         self.change(old, "honeyhitch", "replaced", f"message {new.id} has its key")
         if old.first_ran is not None and (new.first_ran is None or old.first_ran < new.first_ran):
             new.first_ran, new.first_zone = old.first_ran, old.first_zone
@@ -188,7 +194,7 @@
         """
         for one in self._same_key(copy):
             if one.body == copy.body:
-                one.standing, one.settled_by = Standing.SETTLED, f"copy:{copy.id}"
+                one.standing, one.settled_by = RecordStatus.SETTLED, f"copy:{copy.id}"
                 self.change(one, "honeyhitch", "settled", f"message {copy.id} was delivered with its key")
             else:
                 one.first_ran = min(one.first_ran or copy.ended_at, copy.first_ran or copy.ended_at)
@@ -209,7 +215,7 @@
         """When the record is to be looked at next for a resend; never by itself if that is None. The plan is
         under no seal: whatever it says, the record and the rules decide.
         """
-        if at is None or record.standing is not Standing.KEPT:
+        if at is None or record.standing is not RecordStatus.KEPT:
             self.db.execute("DELETE FROM plan WHERE seq = ?", (record.seq,))
         else:
             row = (record.seq, record.destination, at)
@@ -331,7 +337,7 @@
 
     # What is read.
 
-    def _kept(self, row: tuple[Any, ...]) -> Kept:
+    def _kept(self, row: tuple[Any, ...]) -> StoredRecord:
         """The record in a row of WHOLE, its seal looked at; whatever stands there, this does not fail."""
         seq, *middle = row[: 1 + len(COLUMNS)]
         columns = dict(zip(COLUMNS, middle, strict=True))
@@ -339,7 +345,7 @@
         fault, told = "", dict(columns)
         plain, history = b"", tuple[Attempt, ...]()
         try:
-            standing = Standing(told.pop("standing"))
+            standing = RecordStatus(told.pop("standing"))
             sealed = canonical({**columns, "seq": seq, "tries": tries, "packed": packed}, body)
             if number not in self.keys.keys:
                 fault = f"sealed with key {number}, which is not there"
@@ -349,18 +355,20 @@
                 history = unpack_tries(tries)
                 plain = self.unpacker.decompress(body, max_output_size=LARGEST) if packed else body
         except (TypeError, ValueError, KeyError, zstandard.ZstdError) as error:
-            standing, fault = Standing.KEPT, f"altered: {error}"
+            standing, fault = RecordStatus.KEPT, f"altered: {error}"
         told.pop("standing", None), told.pop("plain"), told.pop("size")
         told["zoned"], told["came_again"] = bool(told["zoned"]), bool(told["came_again"])
-        return Kept(Record(seq=seq, standing=standing, tries=history, body=plain, **told), fault)
+        return StoredRecord(Record(seq=seq, standing=standing, tries=history, body=plain, **told), fault)
 
-    def get(self, seq: int) -> Kept | None:
+    def get(self, seq: int) -> StoredRecord | None:
         """One record."""
         self._fresh_keys()
         row = self.db.execute(f"{WHOLE} WHERE record.seq = ?", (seq,)).fetchone()
         return self._kept(row) if row is not None else None
 
-    def page(self, chosen: Filter, after: int = 0, most: int = 50, newest_first: bool = False) -> list[Kept]:
+    def page(
+        self, chosen: Filter, after: int = 0, most: int = 50, newest_first: bool = False
+    ) -> list[StoredRecord]:
         """The next records after this place, in the order in which they came or the reverse."""
         self._fresh_keys()
         beyond, order = "<" if newest_first and after else ">", "DESC" if newest_first else "ASC"
@@ -368,7 +376,7 @@
         text = f"{WHOLE} WHERE record.seq {beyond} ? AND {where} ORDER BY record.seq {order} LIMIT ?"
         return [self._kept(row) for row in self.db.execute(text, (after, *values, most))]
 
-    def all(self, chosen: Filter) -> Iterator[Kept]:
+    def all(self, chosen: Filter) -> Iterator[StoredRecord]:
         """Each of them, read a page at a time; the store may change meanwhile."""
         after = 0
         while some := self.page(chosen, after, STEP):
--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -115,7 +115,7 @@
 def flush(everything: bool = False) -> None:
     """Say of each name and key whose span has passed how many events were left out; at the end, of all."""
     for name, key, count in _limiter.overdue(everything):
-        get().info(name, ordering_key=key, left_out=count)
+        get().info(name, key=key, left_out=count)
 
 
 setup()
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -13,7 +13,7 @@
 from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.protocols.resp import Fields
+from honeyhitch.protocols.resp import MessageFields
 from honeyhitch.service import shutdown
 from honeyhitch.service.service import Service
 
@@ -24,25 +24,25 @@
 App = Callable[[Message, Receive, Send], Awaitable[None]]
 
 
-class Rejected(Exception):
+class RejectedError(Exception):
     """The message was not done; handing it in again after `come_back` seconds is harmless."""
 
     def __init__(self, come_back: float) -> None:
         super().__init__(f"rejected; come back after {come_back:g} s")
-        self.come_back = come_back
+        self.retry_after = come_back
 
 
-class Undeliverable(Exception):
+class UndeliverableError(Exception):
     """The message failed for good."""
 
 
-class AppFront:
+class AppFrontend:
     """The front of an application in the same process: it hands in and waits for final answers."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher, self.fields = (
             dispatcher,
-            Fields(dispatcher.settings, dispatcher.pool.has_destination),
+            MessageFields(dispatcher.settings, dispatcher.pool.has_destination),
         )
         self.waiting: dict[str, asyncio.Future[Transaction]] = {}
 
@@ -53,7 +53,7 @@
             waiter.set_result(transaction)
         self.dispatcher.answer_sent(transaction)
 
-    def take(
+    def submit(
         self,
         destination: int,
         body: bytes,
@@ -78,7 +78,7 @@
         transaction.frontend = "app"
         admission: Admission = self.dispatcher.submit(transaction)
         if not admission.accepted:
-            raise Rejected(admission.retry_after / SECOND)
+            raise RejectedError(admission.retry_after / SECOND)
         return name
 
     async def deliver(self, destination: int, body: bytes, **more: Any) -> str:
@@ -86,7 +86,7 @@
 
         A caller that is cancelled withdraws the message: nothing more is tried for it.
         """
-        name = self.take(destination, body, **more)
+        name = self.submit(destination, body, **more)
         waiter = self.waiting[name] = asyncio.get_running_loop().create_future()
         try:
             ended = await waiter
@@ -96,9 +96,9 @@
         finally:
             self.waiting.pop(name, None)
         if ended.ending is Ending.REJECTED:
-            raise Rejected(ended.retry_after / SECOND)
+            raise RejectedError(ended.retry_after / SECOND)
         if ended.ending is not Ending.DELIVERED:
-            raise Undeliverable(name)
+            raise UndeliverableError(name)
         return name
 
 
@@ -113,7 +113,7 @@
     def __init__(self, app: App, config: configuration.Config | None = None, listen: bool = False) -> None:
         self.app, self.config, self.listen = app, config, listen
         self.service: Service | None = None
-        self.front: AppFront | None = None
+        self.front: AppFrontend | None = None
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
         """One ASGI scope."""
@@ -135,17 +135,17 @@
 
         try:
             await self.app(scope, receive, watched)
-        except Rejected as reject:
+        except RejectedError as reject:
             if begun:
                 raise
-            wait = str(max(1, math.ceil(reject.come_back))).encode()
+            wait = str(max(1, math.ceil(reject.retry_after))).encode()
             headers = [(b"retry-after", wait), (b"content-type", b"text/plain"), (b"content-length", b"0")]
             await send({"type": "http.response.start", "status": 503, "headers": headers})
             await send({"type": "http.response.body", "body": b""})
 
     async def _start(self) -> None:
         service = Service(self.config or configuration.read(os.environ), self.listen)
-        front = service.dispatcher.frontends["app"] = AppFront(service.dispatcher)
+        front = service.dispatcher.frontends["app"] = AppFrontend(service.dispatcher)
         try:
             service.start(self.listen)
         except BaseException:
@@ -156,7 +156,7 @@
     async def _stop(self) -> None:
         service, self.service, self.front = self.service, None, None
         if service is not None:
-            await shutdown.leave(service)
+            await shutdown.drain_and_stop(service)
             await service.close()
 
     async def _lifespan(self, scope: Message, receive: Receive, send: Send) -> None:
--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -11,7 +11,7 @@
 
 from honeyhitch.partitioning.ownership import ZoneCandidates, partition_of
 from honeyhitch.partitioning.settings import FleetSettings
-from honeyhitch.partitioning.shares import NOTHING, HeldParts, first_ready, held_parts, likely_holder
+from honeyhitch.partitioning.shares import NOTHING, HeldQuota, first_ready, held_quota, likely_holder
 from honeyhitch.partitioning.view import MS, FleetView, FleetViewError, Instance
 
 SAVED_FORM = 1  # of `Fleet.saved`
@@ -104,11 +104,11 @@
         """Whether this instance keeps the destination's entries of lists."""
         return self.partition(destination) in self.kept
 
-    def held(self, partition: int, now: int) -> HeldParts:
+    def held(self, partition: int, now: int) -> HeldQuota:
         """What this instance holds of its zone's share."""
         if partition not in self.kept:
             return NOTHING
-        return held_parts(self.settings, self.candidates(self.settings.zone, partition), now, self.heard)
+        return held_quota(self.settings, self.candidates(self.settings.zone, partition), now, self.heard)
 
     def quota_fraction(self, destination: int, now: int) -> float:
         """The part of its zone's share of the destination's limit that this instance may use, 0 to 1."""
--- a/honeyhitch/partitioning/shares.py
+++ b/honeyhitch/partitioning/shares.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldParts:
+class HeldQuota:
     """What one instance holds of its zone's share of a partition's limits."""
 
     reserved: bool = False
@@ -32,12 +32,12 @@
         return reserve * self.reserved + (1 - reserve) * self.leased
 
 
-NOTHING = HeldParts()
+NOTHING = HeldQuota()
 
 
-def held_parts(
+def held_quota(
     settings: FleetSettings, candidates: Sequence[Instance], now: int, heard: int | None
-) -> HeldParts:
+) -> HeldQuota:
     """What `settings.name` holds now, with the partition's candidates in its zone, best first, and the time
     at which the last heartbeat that it heard was issued. Times are Unix times in nanoseconds.
     """
@@ -45,7 +45,7 @@
         return NOTHING
     reserve_lasts = now < heard + settings.reserve_lease - settings.clock_skew
     lease_lasts = now < heard + settings.lease - settings.clock_skew
-    return HeldParts(
+    return HeldQuota(
         reserved=reserve_lasts and _is_home(settings, candidates, now),
         leased=lease_lasts and _is_owner(settings, candidates, now),
     )
--- a/honeyhitch/protocols/buffer.py
+++ b/honeyhitch/protocols/buffer.py
@@ -6,7 +6,7 @@
 ROOM = 2048  # bytes a read is offered at least
 
 
-class Overflow(Exception):
+class BufferOverflowError(Exception):
     """More bytes were kept unread than the connection may hold."""
 
 
@@ -29,7 +29,7 @@
             self.start, self.end = 0, held
         if len(self.data) - self.end < ROOM:
             if len(self.data) >= self.limit:
-                raise Overflow(f"over {self.limit} bytes are unread")
+                raise BufferOverflowError(f"over {self.limit} bytes are unread")
             self.data.extend(bytes(min(len(self.data), self.limit - len(self.data))))
         return memoryview(self.data)[self.end :]
 
--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -61,7 +61,7 @@
     return {name: float(value) for name, _, value in pairs if NUMBER.fullmatch(value)}
 
 
-def read(answer: http1.Answer, parts: list[Transaction], fresh: bool = False) -> CallResult:
+def read(answer: http1.Response, parts: list[Transaction], fresh: bool = False) -> CallResult:
     """What an answer says of each of the call's transactions; `fresh` if it is its connection's first."""
     status, count = answer.status, len(parts)
     outcome = SIMPLE.get(status, Outcome.ERROR)
--- a/honeyhitch/protocols/control.py
+++ b/honeyhitch/protocols/control.py
@@ -23,23 +23,23 @@
 
     def __init__(self, status: HTTPStatus, why: str) -> None:
         super().__init__(why)
-        self.status, self.why = status, why
+        self.status, self.reason = status, why
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ControlRequest:
     """One request: what is wanted, with which values, and by whom."""
 
     method: str
     path: str
-    told: dict[str, Any]
-    who: str = ""
+    arguments: dict[str, Any]
+    actor: str = ""
 
 
-Handler = Callable[[Asked], Awaitable[dict[str, Any]]]
+Handler = Callable[[ControlRequest], Awaitable[dict[str, Any]]]
 
 
-class Verbs:
+class CommandRegistry:
     """What the control socket can do, by method and path."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
             raise ValueError(f"{method} {path}: is there already")
         known[method] = handler
 
-    async def do(self, asked: Asked) -> dict[str, Any]:
+    async def execute(self, asked: ControlRequest) -> dict[str, Any]:
         """Have it done. Raises ControlError, and whatever the handler raises."""
         known = self.handlers.get(asked.path)
         if known is None:
@@ -75,7 +75,7 @@
     """Reads one connection's requests; `asked` holds those that are whole, oldest first."""
 
     def __init__(self, who: str) -> None:
-        self.who, self.asked, self.closing = who, list[Asked](), False
+        self.who, self.asked, self.closing = who, list[ControlRequest](), False
         self.parser = httptools.HttpRequestParser(self)
         self._fresh()
 
@@ -132,4 +132,4 @@
             raise self._broken(HTTPStatus.BAD_REQUEST, f"body: is not JSON: {error}") from error
         if not isinstance(told, dict):
             raise self._broken(HTTPStatus.BAD_REQUEST, "body: expected an object")
-        self.asked.append(Asked(method, path, told, self.who))
+        self.asked.append(ControlRequest(method, path, told, self.who))
--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from honeyhitch.protocols import http1
-from honeyhitch.protocols.list_parser import ListError, MemberReader
+from honeyhitch.protocols.list_parser import ListError, ListParser
 
 MOST_LINE = 4 << 20  # bytes of one list
 TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # what tells where an object ends: strings and brackets
@@ -27,7 +27,7 @@
     return http1.request("GET", "/api/targets", host, {"Accept": "application/json"})
 
 
-def whole_list(answer: http1.Answer) -> dict[str, Any]:
+def whole_list(answer: http1.Response) -> dict[str, Any]:
     """The list that an answer holds, in discovery's form."""
     if answer.status != 200:
         raise WatchError(f"list: answered {answer.status}", answer.status)
@@ -59,12 +59,12 @@
     """
 
     def __init__(self, wanted: Callable[[dict[str, Any]], bool] | None = None) -> None:
-        self.reader = MemberReader(wanted) if wanted is not None else None
+        self.reader = ListParser(wanted) if wanted is not None else None
         self.line = bytearray()
         self.object, self.depth = bytearray(), 0  # one that has begun, and its brackets open
         self.news: list[dict[str, Any]] = []
         self.ended = False  # the answer is whole, and its last object was given
-        self.machine = http1.AnswerMachine(self._piece)
+        self.machine = http1.ResponseParser(self._piece)
 
     def _piece(self, data: bytes) -> None:
         if self.reader is not None:
--- a/honeyhitch/protocols/discovery_backoff.py
+++ b/honeyhitch/protocols/discovery_backoff.py
@@ -21,7 +21,7 @@
 ASKS = 3  # equal parts of what is left then: pause, an ask that is silent as well, pause
 
 
-class Patience:
+class ResponseTimeout:
     """How long to wait for the agent, which answers at once: a silent connection is a dead one. Each failure
     in a row doubles it up to a bound, for an agent that only is slow. Times are seconds.
     """
@@ -48,7 +48,7 @@
         self.failures = 0
 
 
-class Asking:
+class WatchBackoff:
     """The state of one watch's attempts at one address."""
 
     def __init__(self, rng: Random, instances: int, known: bool, moved: bool, grace: float) -> None:
@@ -56,29 +56,29 @@
         seconds for which something new may go to a member whose drain was told.
         """
         self.rng, self.instances, self.grace, self.bound = rng, instances, grace, FIRST
-        self.whole, self.hears = moved or not known, False
+        self.full_list, self.receiving = moved or not known, False
         # One that fell silent and a silent one after it have to be over, with the pauses between, before
         # something new may no longer go to a member whose drain the first one missed.
-        self.patience = Patience((TOLD - SILENCE + grace) / ASKS, SILENCE)
+        self.patience = ResponseTimeout((TOLD - SILENCE + grace) / ASKS, SILENCE)
 
     def opens(self) -> None:
         """A new watch is opened."""
-        self.hears = False
+        self.receiving = False
 
     @property
     def within(self) -> float:
         """The time for the next bytes to come; a short one for the first of a watch, connecting and all."""
-        return SILENCE if self.hears else self.patience.within
+        return SILENCE if self.receiving else self.patience.within
 
     def heard(self) -> None:
         """Bytes came on the watch."""
-        self.hears = True
+        self.receiving = True
         self.patience.heard()
 
     def silent(self) -> None:
         """None came in time. Where none ever did on a watch, the agent may not know our revision."""
-        if not self.hears:
-            self.whole = self.whole or self.patience.within >= SILENCE
+        if not self.receiving:
+            self.full_list = self.full_list or self.patience.within >= SILENCE
             self.patience.failed()
 
     def first(self) -> float:
@@ -87,19 +87,19 @@
         What the agent has counts as told, asked for or not, so that however large the fleet is, the pause and
         the answer have to fit into what is granted after a drain.
         """
-        if self.whole or self.instances <= FEW:
+        if self.full_list or self.instances <= FEW:
             return 0.0
         return self.rng.uniform(0, min(SPREAD * self.instances, UNASKED * self.grace))
 
     def listed(self) -> None:
         """A list or its changes came: from now on changes will do."""
-        self.whole = False
+        self.full_list = False
 
     def unheard(self) -> None:
         """Nothing usable came: the agent may not know our revision."""
-        self.whole = True
+        self.full_list = True
 
-    def again(self, lasted: float, answered: bool) -> float:
+    def next_pause(self, lasted: float, answered: bool) -> float:
         """The pause before the next ask: a growing one. Where no answer came, it is no longer than what is
         granted after a drain allows; one that turned us away, or that could not be used, has nothing for us.
         """
--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """One whole answer."""
 
     status: int = 0
@@ -35,7 +35,7 @@
     more: bool = False  # bytes came behind it, though nothing else was asked for
 
 
-class AnswerMachine:
+class ResponseParser:
     """Reads the answers of one connection, one after the other; `on_piece` streams bodies instead."""
 
     def __init__(self, on_piece: Callable[[bytes], None] | None = None, most: int = MOST_BYTES) -> None:
@@ -45,7 +45,7 @@
     def fresh(self) -> None:
         """Get ready for the next answer."""
         self.parser = httptools.HttpResponseParser(self)
-        self.answer, self.pieces = Answer(), list[bytes]()
+        self.answer, self.pieces = Response(), list[bytes]()
         self.done = self.kept = self.in_body = self.framed = False
         self.seen, self.head = 0, b""
 
@@ -61,7 +61,7 @@
             return int(found[1])
         return self.answer.status
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> Response | None:
         """Take bytes; the answer once it is whole."""
         if self.done:
             self.answer.more = self.answer.more or bool(data)
@@ -78,7 +78,7 @@
             self.answer.more = True
         return self.answer if self.done else None
 
-    def ended(self) -> Answer | None:
+    def ended(self) -> Response | None:
         """The connection ended: an answer whose body runs to the end is whole now."""
         if not self.done and self.answer.status and self.in_body and not self.framed:
             self.on_message_complete()
@@ -118,7 +118,7 @@
         if self.done:
             return
         if 100 <= self.answer.status < 200:  # an interim answer; the real one follows
-            self.answer, self.head = Answer(), b""
+            self.answer, self.head = Response(), b""
             return
         self.answer.body = b"".join(self.pieces)
         self.kept = bool(self.parser.should_keep_alive())
--- a/honeyhitch/protocols/list_parser.py
+++ b/honeyhitch/protocols/list_parser.py
@@ -22,7 +22,7 @@
     """What came is no list in discovery's form."""
 
 
-class MemberReader:
+class ListParser:
     """Fed bytes, it gives each object once it is whole, with the wanted ones of its members."""
 
     def __init__(self, wanted: Callable[[dict[str, Any]], bool]) -> None:
--- a/honeyhitch/protocols/management.py
+++ b/honeyhitch/protocols/management.py
@@ -15,7 +15,7 @@
 FLEET_CALLS = ("fleet", "owner NUMBER")  # where a fleet is set up
 
 
-class FleetFigures(Protocol):
+class FleetDescription(Protocol):
     """What is told of a fleet, where one is set up."""
 
     def describe(self) -> dict[str, Any]:
@@ -38,7 +38,7 @@
         self,
         state: Callable[[], DispatcherState],
         figures: Callable[[], dict[str, Any]],
-        fleet: FleetFigures | None = None,
+        fleet: FleetDescription | None = None,
     ) -> None:
         self.state, self.figures, self.fleet = state, figures, fleet
         self.closing = self.more = self.half = False
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -11,7 +11,7 @@
 from honeyhitch.protocols.calls import batch_body, report, wait
 from honeyhitch.protocols.mqtt_packets import Kind as PacketKind
 from honeyhitch.protocols.mqtt_packets import Packet, Properties
-from honeyhitch.protocols.resp import FieldError, Fields
+from honeyhitch.protocols.resp import FieldError, MessageFields
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
@@ -28,7 +28,7 @@
     return json.dumps({"topic": topic, "data": data}, separators=(",", ":"))
 
 
-def transaction(fields: Fields, packet: Packet, now: int) -> Transaction:
+def transaction(fields: MessageFields, packet: Packet, now: int) -> Transaction:
     """The transaction that a publish hands in; named like the other front's fields."""
     reply, told = reply_to(packet), dict(packet.user)
     taken = fields.transaction(told.get("id", "").encode(), told, packet.payload, now)
--- a/honeyhitch/protocols/notices.py
+++ b/honeyhitch/protocols/notices.py
@@ -6,7 +6,7 @@
 
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.protocols import http1
-from honeyhitch.protocols.discovery_backoff import Patience
+from honeyhitch.protocols.discovery_backoff import ResponseTimeout
 
 MS = 1_000_000  # ns
 LATE = 0.3  # seconds that an end may be late by (protocol page)
@@ -14,9 +14,9 @@
 MOST = 200  # in one request
 
 
-def patience() -> Patience:
+def patience() -> ResponseTimeout:
     """Two connections in a row may be dead, and the end is in time on the third."""
-    return Patience(LATE / 4, ANSWER)
+    return ResponseTimeout(LATE / 4, ANSWER)
 
 
 def line(transaction: Transaction) -> str:
--- a/honeyhitch/protocols/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -108,7 +108,7 @@
     return names.index(fields[name])
 
 
-class Fields:
+class MessageFields:
     """Builds transactions from names and values as the settings name them, for every front."""
 
     def __init__(
@@ -117,9 +117,9 @@
         served: Callable[[int], bool],
         unusable: Callable[[int], None] = lambda cls: None,
     ) -> None:
-        self.unusable = unusable  # told the class of each message that failed for a field
+        self.on_invalid = unusable  # told the class of each message that failed for a field
         self.classes = tuple(cls.name for cls in settings.classes)
-        self.tenants, self.settings, self.served = settings.tenant_names, settings, served
+        self.tenants, self.settings, self.has_destination = settings.tenant_names, settings, served
 
     def transaction(self, name: bytes, fields: dict[str, str], body: bytes, now: int) -> Transaction:
         """One transaction, or FieldError naming the field at fault. Unknown names are skipped."""
@@ -127,7 +127,7 @@
             return self._transaction(name, fields, body, now)
         except FieldError:
             if (cls := fields.get("c")) in self.classes:
-                self.unusable(self.classes.index(cls))
+                self.on_invalid(self.classes.index(cls))
             raise
 
     def _transaction(self, name: bytes, fields: dict[str, str], body: bytes, now: int) -> Transaction:
@@ -138,7 +138,9 @@
         if not key and self.settings.classes[cls].idempotency is Idempotency.IDEMPOTENCY_KEY:
             raise FieldError("k: needed in a keyed class")
         destination, left = _number(fields, "dest"), _number(fields, "d")
-        if not self.served(destination):  # nothing could ever be done for it but to hold it to its end
+        if not self.has_destination(
+            destination
+        ):  # nothing could ever be done for it but to hold it to its end
             raise FieldError(f"dest: no such destination: {destination}")
         most = self.settings.classes[cls].deadline // MS
         if not 0 < left <= most + SLACK:
@@ -195,7 +197,7 @@
 
     def __init__(
         self,
-        fields: Fields,
+        fields: MessageFields,
         offer: Callable[[Transaction], Admission],
         ready: Callable[[], bool],
         clock: Callable[[], int],
--- a/honeyhitch/service/features.py
+++ b/honeyhitch/service/features.py
@@ -10,34 +10,34 @@
 from typing import TYPE_CHECKING
 
 from honeyhitch.config import ConfigError
-from honeyhitch.config.deployment import MqttSetup
-from honeyhitch.dead_letters.settings import Undelivered
+from honeyhitch.config.deployment import MqttSettings
+from honeyhitch.dead_letters.settings import DeadLetterSettings
 from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.partitioning.settings import FleetSettings
-from honeyhitch.tls.settings import TlsSetup
+from honeyhitch.tls.settings import TlsSettings
 
 if TYPE_CHECKING:
     from honeyhitch.service.service import Service
-    from honeyhitch.transports.mqtt_transport import Way
+    from honeyhitch.transports.mqtt_transport import BrokerConnector
 
 
-def add_tls(service: Service, most: int) -> Way | None:
+def add_tls(service: Service, most: int) -> BrokerConnector | None:
     """What speaks TLS, where the operator's file asks for it; the way to the broker is returned."""
     operator, dispatcher = service.config.operator, service.dispatcher
     broker = operator.mqtt.tls if operator.mqtt is not None else None
-    setup = operator.tls or TlsSetup(())
+    setup = operator.tls or TlsSettings(())
     if broker is None and not setup.partners:
         return None
     from honeyhitch.tls.partners import Partners  # needs the extra honeyhitch[tls]
-    from honeyhitch.transports.tls_broker import TlsWay
-    from honeyhitch.transports.tls_transport import TlsCarrier
+    from honeyhitch.transports.tls_broker import TlsConnector
+    from honeyhitch.transports.tls_transport import TlsTransport
 
-    every = TlsSetup((*setup.partners, *([broker] if broker is not None else [])))
+    every = TlsSettings((*setup.partners, *([broker] if broker is not None else [])))
     rng = Random(service.config.seed ^ 0x715)
     partners = Partners(every, service.config.settings, os.environ, service.scheduler.now, rng)
-    carrier = TlsCarrier(dispatcher, service.scheduler, service.tasks, most, partners)
+    carrier = TlsTransport(dispatcher, service.scheduler, service.tasks, most, partners)
     dispatcher.transports[TLS_TRANSPORT] = dispatcher.connection_openers[TLS_TRANSPORT] = carrier
-    service.idling.append(carrier)
+    service.idle_pools.append(carrier)
 
     def carrier_of(member: PoolEndpoint) -> str:
         kind = service.config.settings.kind(member.kind).name
@@ -48,17 +48,17 @@
         )
 
     dispatcher.pool.transport_of = carrier_of
-    service.works += [carrier.sweep, carrier.watch_files, carrier.watch_ends]
-    service.look_at_files = carrier.look_at_files
-    return TlsWay(service.loop, partners, partners.known[broker]) if broker is not None else None
+    service.background_work += [carrier.sweep, carrier.watch_files, carrier.watch_ends]
+    service.reload_certificates = carrier.reload_certificates
+    return TlsConnector(service.loop, partners, partners.known[broker]) if broker is not None else None
 
 
-def add_mqtt(service: Service, setup: MqttSetup, way: Way | None) -> None:
+def add_mqtt(service: Service, setup: MqttSettings, way: BrokerConnector | None) -> None:
     """The MQTT front, and the members behind its broker."""
-    from honeyhitch.transports.mqtt_transport import MqttCarrier, MqttFront
+    from honeyhitch.transports.mqtt_transport import MqttFrontend, MqttTransport
 
-    front = MqttFront(setup, service.dispatcher, service.scheduler, service.tasks, way)
-    carrier = MqttCarrier(setup, service.dispatcher, service.scheduler, service.tasks, way)
+    front = MqttFrontend(setup, service.dispatcher, service.scheduler, service.tasks, way)
+    carrier = MqttTransport(setup, service.dispatcher, service.scheduler, service.tasks, way)
     service.dispatcher.frontends["mqtt"], service.dispatcher.transports["mqtt"] = front, carrier
     pool = service.dispatcher.pool
     for told in setup.members:
@@ -66,7 +66,7 @@
         zone = pool.zones.index(told.zone) if told.zone in pool.zones else 0
         member = PoolEndpoint(told.id, told.topic, told.destination, kind, zone, told.rate, transport="mqtt")
         pool.pin(member)
-    service.works += [link.run for link in (*front.links, carrier.link)]
+    service.background_work += [link.run for link in (*front.links, carrier.link)]
 
 
 def add_fleet(service: Service, settings: FleetSettings, listen: bool) -> None:
@@ -89,17 +89,17 @@
         rng,
         service.discovery.refetch,
     )
-    service.discovery.filters = True
-    service.works += [service.fleet.watch, service.fleet.care]
+    service.discovery.reads_partial_lists = True
+    service.background_work += [service.fleet.watch, service.fleet.care]
 
 
-def add_undelivered(service: Service, setup: Undelivered) -> None:
+def add_undelivered(service: Service, setup: DeadLetterSettings) -> None:
     """The store of undelivered messages, with what looks after it."""
     from honeyhitch.dead_letters.commands import register
-    from honeyhitch.dead_letters.service import Keeping  # needs the extra honeyhitch[undelivered]
+    from honeyhitch.dead_letters.service import DeadLetterService  # needs the extra honeyhitch[undelivered]
 
-    service.keeping = Keeping(
+    service.dead_letters = DeadLetterService(
         setup, service.config.state, service.dispatcher, service.scheduler, service.loop
     )
-    service.works.append(service.keeping.care)
-    register(service.verbs, service.keeping)
+    service.background_work.append(service.dead_letters.maintain)
+    register(service.commands, service.dead_letters)
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -16,7 +16,7 @@
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.partitioning.fleet import ClockError, Fleet
 from honeyhitch.partitioning.settings import SECOND, FleetSettings
-from honeyhitch.protocols.discovery_backoff import Asking
+from honeyhitch.protocols.discovery_backoff import WatchBackoff
 from honeyhitch.protocols.resp import MS, Route
 from honeyhitch.transports.list_watch import ListWatch
 from honeyhitch.transports.peers import Forwarder, PeerConnections
@@ -130,7 +130,7 @@
     async def watch(self) -> None:
         """Watch the view for ever; the one in force stays while its agent is silent."""
         size, lease = max(1, len(self.fleet.view.instances)), self.settings.lease / SECOND
-        asking = Asking(self.rng, size, self.ready, False, lease)
+        asking = WatchBackoff(self.rng, size, self.ready, False, lease)
         await ListWatch(
             self.settings.view, self.loop, asking, lambda: self.fleet.view.revision, self.take
         ).run()
@@ -142,9 +142,9 @@
         try:
             self.fleet.take(told, now)
         except ClockError as error:  # the view is good, the heartbeat is not
-            log.warning("fleet.clock", error=str(error), ordering_key=self.settings.view)
+            log.warning("fleet.clock", error=str(error), key=self.settings.view)
         if before.revision != self.fleet.view.revision:
-            log.info("fleet.view", revision=self.fleet.view.revision, ordering_key=self.settings.view)
+            log.info("fleet.view", revision=self.fleet.view.revision, key=self.settings.view)
         if not self.fleet.kept <= kept:
             self.refetch()
         if before.instances != self.fleet.view.instances or now - self._saved_at >= SAVE_EVERY:
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -19,7 +19,7 @@
 LOOK, REST = 0.02, 0.25  # seconds between looks while another process is there, and while none is
 
 
-class Beside:
+class ProcessHandover:
     """Sees the other process come and go. `changed` is called with whether one is there, and how many calls
     it has out if it passes on what it holds.
     """
@@ -31,29 +31,39 @@
         dispatcher: Dispatcher,
         changed: Callable[[bool, int | None], None],
     ) -> None:
-        self.folder, self.journal, self.dispatcher, self.changed = folder, journal, dispatcher, changed
+        self.state_directory, self.journal, self.dispatcher, self.changed = (
+            folder,
+            journal,
+            dispatcher,
+            changed,
+        )
         self.follower = self._fresh()
-        self.there = self.resumed = False  # the latter: the dispatcher goes on with what the journal held
+        self.peer_running = self.resumed = (
+            False  # the latter: the dispatcher goes on with what the journal held
+        )
         self.out: int | None = None
 
     def _fresh(self) -> JournalFollower:
-        path = self.folder.journal_path(self.folder.other_slot)
+        path = self.state_directory.journal_path(self.state_directory.other_slot)
         return JournalFollower(path, self.journal.messages.max_remembered, self.journal.retention)
 
     def begin(self) -> None:
         """The first look, before the dispatcher goes on with what the journal holds."""
-        self.look()
-        if not self.there:
+        self.check_peer()
+        if not self.peer_running:
             self.journal.reclaim()
         self.journal.record_calls_in_flight(None)  # one that had this place before may have passed on
 
-    def look(self) -> None:
+    def check_peer(self) -> None:
         """See whether another process holds the other place; if one left something there, take it over."""
-        if self.folder.slot == FIRST_SLOT and not self.folder.journal_path(SECOND_SLOT).exists():
+        if (
+            self.state_directory.slot == FIRST_SLOT
+            and not self.state_directory.journal_path(SECOND_SLOT).exists()
+        ):
             self._now(False)
             return
-        with self.folder.exclusive():
-            gone = self.folder.lock_slot(self.folder.other_slot)
+        with self.state_directory.exclusive():
+            gone = self.state_directory.lock_slot(self.state_directory.other_slot)
             if gone:
                 self._inherit()
         if not gone:
@@ -63,10 +73,10 @@
                 self._take_up()
 
     def _now(self, there: bool) -> None:
-        if there != self.there:
-            self.there = there
+        if there != self.peer_running:
+            self.peer_running = there
             self.dispatcher.peer_process = self if there else None
-            log.info("beside.came" if there else "beside.went", place=self.folder.other_slot)
+            log.info("beside.came" if there else "beside.went", place=self.state_directory.other_slot)
             self.out = None
             self.changed(there, None)
 
@@ -105,15 +115,18 @@
     def _inherit(self) -> None:
         """Nobody writes the other journal any more, and the lock keeps it so."""
         self.follower.read()
-        first, second = self.folder.journal_path(FIRST_SLOT), self.folder.journal_path(SECOND_SLOT)
+        first, second = (
+            self.state_directory.journal_path(FIRST_SLOT),
+            self.state_directory.journal_path(SECOND_SLOT),
+        )
         self.journal.peer_bytes = self.follower.read_bytes
         try:
             new, late = self.journal.take_over(self.follower, first, second)
         except JournalFullError as error:  # what is held here ends with time, and then there is room
             log.error("beside.no-room", error=str(error))
             return
-        self.folder.slot = FIRST_SLOT
-        self.folder.unlock_slot(SECOND_SLOT)
+        self.state_directory.slot = FIRST_SLOT
+        self.state_directory.unlock_slot(SECOND_SLOT)
         self.follower.close()
         waits, self.follower, self.journal.peer_bytes = self._waits(), self._fresh(), 0
         self._now(False)
@@ -126,8 +139,8 @@
     async def watch(self) -> None:
         """Look for ever."""
         while True:
-            await asyncio.sleep(LOOK if self.there else REST)
-            self.look()
+            await asyncio.sleep(LOOK if self.peer_running else REST)
+            self.check_peer()
 
     def close(self) -> None:
         """Let go of the other's journal."""
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -14,7 +14,7 @@
 
 from honeyhitch import __version__, logs
 from honeyhitch.config import Config, ConfigError
-from honeyhitch.config.deployment import Address, Control
+from honeyhitch.config.deployment import Address, ControlSettings
 from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import EndpointPool, PoolError
@@ -23,21 +23,21 @@
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.agent_check import AgentSession, HealthSession
-from honeyhitch.protocols.control import Asked, Verbs
+from honeyhitch.protocols.control import CommandRegistry, ControlRequest
 from honeyhitch.protocols.management import ManagementSession
 from honeyhitch.service import features as optional_parts
 from honeyhitch.service import shutdown
 from honeyhitch.service.descriptors import BESIDE_SOCKETS, budget
-from honeyhitch.service.handover import Beside
-from honeyhitch.service.signals import Stop, on_reload
+from honeyhitch.service.handover import ProcessHandover
+from honeyhitch.service.signals import StopSignal, on_reload
 from honeyhitch.transports import sockets
-from honeyhitch.transports.client_server import ServerSession, VirtualServer
+from honeyhitch.transports.client_server import ClientServer, ServerSession
 from honeyhitch.transports.discovery import Discovery
-from honeyhitch.transports.http_transport import HttpCarrier
+from honeyhitch.transports.http_transport import HttpTransport
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 if TYPE_CHECKING:  # what a start without an operator's file needs none of
-    from honeyhitch.dead_letters.service import Keeping
+    from honeyhitch.dead_letters.service import DeadLetterService
     from honeyhitch.service.fleet import FleetService
     from honeyhitch.transports.control import ControlServer
 
@@ -52,7 +52,7 @@
     def __init__(self, config: Config, listen: bool = True) -> None:
         self.config, self.loop = config, asyncio.get_running_loop()
         settings, self.tasks, self.scheduler = config.settings, Tasks(self.loop), LoopScheduler(self.loop)
-        self.folder = self._hold(config, listen)
+        self.state_directory = self._hold(config, listen)
         longest = max(cls.deadline for cls in settings.classes)
         # A broker may hand an id in again long after; a client of the other front does so at once or never.
         try:
@@ -62,38 +62,38 @@
                 self.scheduler.now,
                 lambda ended: max(longest, REDELIVERY) if ended.frontend == "mqtt" else longest,
                 detailed=config.operator.undelivered is not None,
-                file_name=self.folder.journal_path(self.folder.slot).name,
+                file_name=self.state_directory.journal_path(self.state_directory.slot).name,
             )
         except (JournalVersionError, OSError) as error:
             raise ConfigError(f"state: {error}") from error
         self.journal.record_owner(config.name)
         pool = EndpointPool(settings)
         self.dispatcher = Dispatcher(settings, config.seed, pool, self.journal, self.scheduler)
-        self.beside = Beside(self.folder, self.journal, self.dispatcher, self._shared)
-        self.most_clients, most_idle = budget(config)
+        self.handover = ProcessHandover(self.state_directory, self.journal, self.dispatcher, self._shared)
+        self.max_clients, most_idle = budget(config)
         secure = config.operator.tls is not None  # then both carriers keep idle connections
         most_plain = max(1, most_idle // 2) if secure else most_idle
-        carrier = HttpCarrier(self.dispatcher, self.scheduler, self.tasks, most_plain)
-        self.idling = [carrier]  # those that keep idle connections to members, in even parts
+        carrier = HttpTransport(self.dispatcher, self.scheduler, self.tasks, most_plain)
+        self.idle_pools = [carrier]  # those that keep idle connections to members, in even parts
         self.discovery = Discovery(
             str(config.discovery), self.dispatcher, self.tasks, Random(config.seed ^ 0xD15C)
         )
         self.dispatcher.transports["http"], self.dispatcher.frontends["resp"] = carrier, self.discovery
-        self.works: list[Callable[[], Awaitable[None]]] = [
+        self.background_work: list[Callable[[], Awaitable[None]]] = [
             carrier.sweep,
-            self.tell_left_out,
-            self.beside.watch,
+            self.report_suppressed_events,
+            self.handover.watch,
         ]
-        self.look_at_files: Callable[[bool], Coroutine[Any, Any, None]] | None = None
+        self.reload_certificates: Callable[[bool], Coroutine[Any, Any, None]] | None = None
         way = optional_parts.add_tls(self, max(1, most_idle - most_plain))
         if config.operator.mqtt is not None:
             optional_parts.add_mqtt(self, config.operator.mqtt, way)
-        self.servers: list[VirtualServer] = []
-        self.clients: VirtualServer | None = None  # the one of them for clients
-        self.verbs = Verbs()
+        self.servers: list[ClientServer] = []
+        self.clients: ClientServer | None = None  # the one of them for clients
+        self.commands = CommandRegistry()
         self.control: ControlServer | None = None
-        self.verbs.add("GET", "/state", self._state)
-        self.keeping: Keeping | None = None
+        self.commands.add("GET", "/state", self._state)
+        self.dead_letters: DeadLetterService | None = None
         self.fleet: FleetService | None = None
         if config.operator.fleet is not None:
             optional_parts.add_fleet(self, config.operator.fleet, listen)
@@ -125,11 +125,11 @@
         self.dispatcher.policy.limit_concurrent_calls(
             max(1, slots // (1 + shared) if out is None else slots - out)
         )
-        self.most_clients, most_idle = budget(self.config, 1 + shared)
-        for carrier in self.idling:
-            carrier.limit(max(1, most_idle // len(self.idling)))
+        self.max_clients, most_idle = budget(self.config, 1 + shared)
+        for carrier in self.idle_pools:
+            carrier.limit(max(1, most_idle // len(self.idle_pools)))
         if self.clients is not None:
-            self.clients.limit(self.most_clients)
+            self.clients.limit(self.max_clients)
 
     def state(self) -> DispatcherState:
         """Whether it accepts new work; before a fleet's first view it cannot tell what is its own."""
@@ -138,15 +138,15 @@
             return replace(state, phase=Phase.STARTING)
         return state
 
-    async def _state(self, asked: Asked) -> dict[str, Any]:
+    async def _state(self, asked: ControlRequest) -> dict[str, Any]:
         state = self.dispatcher.state()
         told: dict[str, Any] = {
             "phase": state.phase.value,
             "held": state.message_count,
             "most": state.max_messages,
         }
-        if self.keeping is not None:
-            told["undelivered"] = self.keeping.figures()
+        if self.dead_letters is not None:
+            told["undelivered"] = self.dead_letters.metrics()
         return told | {"pid": os.getpid(), "name": self.config.name, "version": __version__}
 
     def start(self, listen: bool = True) -> None:
@@ -158,19 +158,19 @@
             dispatcher.apply_list_update(dispatcher.pool.update(config.known, cached=True))
         except PoolError as error:
             log.warning("known.unusable", error=str(error))
-        self.beside.begin()
-        if self.beside.there:
-            if (other := self.beside.follower.name) != config.name:
+        self.handover.begin()
+        if self.handover.peer_running:
+            if (other := self.handover.follower.name) != config.name:
                 raise ConfigError(f"name: the state folder is held by {other!r}, which runs")
             self._refuse_beside()
-        if self.keeping is not None:  # what is handed in may be a copy of what is kept
+        if self.dead_letters is not None:  # what is handed in may be a copy of what is kept
             dispatcher.accepting = False
-            self.keeping.begin(self._resume)
+            self.dead_letters.begin(self._resume)
         else:
             self._resume()
         if listen:
             served = dispatcher.pool.has_destination if self.fleet is None else self.fleet.serves
-            fields = resp.Fields(config.settings, served, dispatcher.metrics.message_invalid)
+            fields = resp.MessageFields(config.settings, served, dispatcher.metrics.message_invalid)
             self.clients = self._listen(
                 "listen",
                 config.listen,
@@ -181,11 +181,11 @@
                     self.scheduler.now,
                     self.fleet,
                 ),
-                self.most_clients,
+                self.max_clients,
                 shared=True,
                 forward=None if self.fleet is None else self.fleet.forwarder.forward,
             )
-            if self.beside.there:
+            if self.handover.peer_running:
                 log.info("listen.beside", steered=sockets.steer(self.clients.listener))
         beside, state = config.operator, self.state
         calls: tuple[tuple[str, Address | None, Callable[[], ServerSession]], ...] = (
@@ -202,8 +202,8 @@
                 self._listen(name, address, session, BESIDE_SOCKETS, once=name == "management")
         if beside.control is not None:
             self._control(beside.control)
-        for work in self.works:
-            self.tasks.keep(work)
+        for work in self.background_work:
+            self.tasks.run_forever(work)
         # Before a fleet's first view nothing of a list would be kept: it is asked for once that has come.
         self.discovery.start(watch=self.fleet is None or self.fleet.ready)
 
@@ -219,10 +219,10 @@
     def _take_rules(self, new: Config) -> None:
         """Rules for undelivered messages change at once; the rest of that table holds from a start on."""
         told = new.operator.undelivered
-        if self.keeping is None or told is None or self.config.operator.undelivered is None:
+        if self.dead_letters is None or told is None or self.config.operator.undelivered is None:
             return
         if told.rules != self.config.operator.undelivered.rules:
-            self.keeping.resending.swap(told.rules)
+            self.dead_letters.resending.replace_rules(told.rules)
             log.info("reload.rules", rules=len(told.rules))
         beside = replace(self.config.operator.undelivered, rules=told.rules)
         self.config = replace(self.config, operator=replace(self.config.operator, undelivered=beside))
@@ -230,24 +230,24 @@
     def _resume(self) -> None:
         self.dispatcher.accepting = not self.dispatcher.draining and self.dispatcher.sending
         self.dispatcher.recover()
-        self.beside.resumed = True
+        self.handover.resumed = True
 
-    def _control(self, setup: Control) -> None:
-        from honeyhitch.transports.control import ControlServer, ControlUnusable
+    def _control(self, setup: ControlSettings) -> None:
+        from honeyhitch.transports.control import ControlServer, ControlSocketError
 
         try:
-            self.control = ControlServer(setup.at(self.config.state), self.verbs, self.tasks)
-        except ControlUnusable as error:  # messages are served all the same
+            self.control = ControlServer(setup.at(self.config.state), self.commands, self.tasks)
+        except ControlSocketError as error:  # messages are served all the same
             log.error("control.unusable", error=str(error))
             return
-        self.tasks.keep(self.control.accept)
+        self.tasks.run_forever(self.control.accept)
 
     def reload(self, read: Callable[[Config], Config]) -> None:
         """Take over a new configuration: nothing held is lost, and with a faulty one all stays as it is.
         Files of TLS partners are read again in any case; those that cannot be used stay as they were, too.
         """
-        if self.look_at_files is not None:
-            self.tasks.start(self.look_at_files(True))
+        if self.reload_certificates is not None:
+            self.tasks.start(self.reload_certificates(True))
         try:
             new = read(self.config)
         except Exception as error:  # whatever is wrong with a file must not end a process that serves
@@ -260,7 +260,7 @@
         self._take_rules(new)
         for name in AT_START_ONLY:
             if getattr(new, name) != getattr(self.config, name):
-                log.warning("reload.needs-restart", setting=name, ordering_key=name)
+                log.warning("reload.needs-restart", setting=name, key=name)
         self.config = new
 
     def _listen(
@@ -272,23 +272,23 @@
         once: bool = False,
         shared: bool = False,
         forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
-    ) -> VirtualServer:
+    ) -> ClientServer:
         try:
-            server = VirtualServer(
+            server = ClientServer(
                 (address.host, address.port), session, most, self.tasks, once, shared, forward
             )
         except OSError as error:
             raise ConfigError(f"{name}: cannot listen on {address}: {error.strerror}") from error
         self.servers.append(server)
-        self.tasks.keep(server.accept)
-        self.tasks.keep(server.sweep)
+        self.tasks.run_forever(server.accept)
+        self.tasks.run_forever(server.sweep)
         return server
 
     def servers_settled(self) -> bool:
         """No client of this process has a request on its way."""
         return self.clients is None or self.clients.settled
 
-    async def tell_left_out(self) -> None:
+    async def report_suppressed_events(self) -> None:
         """Say from time to time which repeated events were left out of the log."""
         while True:
             await asyncio.sleep(logs.SPAN)
@@ -302,13 +302,13 @@
         if self.control is not None:
             self.control.close()
         await self.tasks.stop()
-        if self.keeping is not None:
-            await self.keeping.stop()
+        if self.dead_letters is not None:
+            await self.dead_letters.stop()
         if self.fleet is not None:
             self.fleet.close()
-        self.beside.close()
+        self.handover.close()
         self.journal.close()
-        self.folder.close()
+        self.state_directory.close()
         logs.flush(everything=True)
 
 
@@ -316,12 +316,12 @@
     """Serve until a signal to stop has been obeyed; `read` reads the configuration again."""
     loop = asyncio.get_running_loop()  # signals that come while the service is set up wait for it
     on_reload(loop, lambda: service.reload(read))
-    stop = Stop(loop, (signal.SIGTERM, signal.SIGINT))
+    stop = StopSignal(loop, (signal.SIGTERM, signal.SIGINT))
     service = Service(config)
     try:
         service.start()
-        await stop.asked.wait()
-        await shutdown.leave(service)
+        await stop.received.wait()
+        await shutdown.drain_and_stop(service)
     finally:
         await service.close()
 
--- a/honeyhitch/service/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -14,7 +14,7 @@
 NS = 10**9
 
 
-async def leave(service: Service) -> None:
+async def drain_and_stop(service: Service) -> None:
     """Let what is held finish for a bounded time; the journal keeps the rest.
 
     New connections keep coming for a moment. What they hand in is still taken on, as there is time to do
@@ -24,10 +24,14 @@
     dispatcher.draining = True
     for server in service.servers:
         server.drain()
-    service.beside.look()
-    while service.beside.there and service.loop.time() - began < LEAVE_AT:
+    service.handover.check_peer()
+    while service.handover.peer_running and service.loop.time() - began < LEAVE_AT:
         dispatcher.hand_over()
-        if not dispatcher.calls_in_flight and not service.discovery.waiting and service.servers_settled():
+        if (
+            not dispatcher.calls_in_flight
+            and not service.discovery.pending_notices
+            and service.servers_settled()
+        ):
             return
         await asyncio.sleep(LOOK)
     while (gone := service.loop.time() - began) < LEAVE_AT:
@@ -35,7 +39,7 @@
         done = not dispatcher.messages.by_id
         if gone > SEND_ON:
             dispatcher.stop_deciding(int((BACK_AT - gone) * NS))
-            done = not dispatcher.calls_in_flight and not service.discovery.waiting
+            done = not dispatcher.calls_in_flight and not service.discovery.pending_notices
         if gone > ACCEPT_ON and done and service.servers_settled():
             return
         await asyncio.sleep(LOOK)
--- a/honeyhitch/service/signals.py
+++ b/honeyhitch/service/signals.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Iterable
 
 
-class Stop:
+class StopSignal:
     """`asked` is set by the first of the signals; a second one changes nothing."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, signals: Iterable[signal.Signals]) -> None:
-        self.asked = asyncio.Event()
+        self.received = asyncio.Event()
         for number in signals:
-            loop.add_signal_handler(number, self.asked.set)
+            loop.add_signal_handler(number, self.received.set)
 
 
 def on_reload(loop: asyncio.AbstractEventLoop, what: Callable[[], None]) -> None:
--- a/honeyhitch/simulator_host.py
+++ b/honeyhitch/simulator_host.py
@@ -11,7 +11,7 @@
 
 from honeyhitch import logs
 from honeyhitch.config.deployment import ConfigError
-from honeyhitch.config.instance import Pairs
+from honeyhitch.config.instance import SettingsReader
 from honeyhitch.config.values import decimal, pick, whole
 from honeyhitch.policy.actions import (
     Action,
@@ -149,7 +149,7 @@
         if len(parts) < 2:
             raise WireError("power_on: expected an instance, a seed and settings")
         try:
-            settings = Pairs.of_words(parts[2:]).settings()
+            settings = SettingsReader.of_words(parts[2:]).settings()
         except (ConfigError, ValueError) as error:
             raise WireError(f"power_on: {error}") from error
         brain = DeliveryPolicy(settings, whole(parts[1], "seed"))
--- a/honeyhitch/tls/connection_gate.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -14,7 +14,7 @@
 from honeyhitch.tls.handshake_budget import HandshakeBudget, Start
 
 
-class Door:
+class EndpointConnections:
     """The way to one member through its partner's budget."""
 
     def __init__(
@@ -23,7 +23,7 @@
         self.member, self.destination, self.budget, self.pause = member, destination, budget, pause
         self.ready = self.busy = self.opening = 0  # connections idle, with a call, and in a handshake
         self.failures = 0  # lasting ones in a row
-        self.barred_until = 0  # after a lasting one
+        self.blocked_until = 0  # after a lasting one
 
     @property
     def open(self) -> int:
@@ -32,7 +32,7 @@
 
     def shut_until(self, now: int) -> int:
         """When a handshake may start as far as can be told; at most `now` if at once."""
-        return max(self.barred_until, self.budget.ready_at(now))
+        return max(self.blocked_until, self.budget.ready_at(now))
 
     def start(self, now: int) -> Start | None:
         """Permission for one handshake, which is counted from now on; None if it must wait."""
@@ -44,7 +44,7 @@
     def opened(self, start: Start, now: int, resumed: bool) -> ConnectionCapacity:
         """It came up, and its connection is ready."""
         self.opening, self.ready = self.opening - 1, self.ready + 1
-        self.failures = self.barred_until = 0
+        self.failures = self.blocked_until = 0
         self.budget.ended(start, now, resumed)
         return self.room(now)
 
@@ -67,12 +67,12 @@
 
     def bar(self, now: int) -> None:
         """A lasting failure: leave the member alone for a growing while."""
-        self.barred_until = now + self.pause(self.failures)
+        self.blocked_until = now + self.pause(self.failures)
         self.failures += 1
 
     def unbar(self) -> None:
         """What connections are made with has changed: try at once."""
-        self.failures = self.barred_until = 0
+        self.failures = self.blocked_until = 0
 
     def room(self, now: int) -> ConnectionCapacity:
         """What the module is told."""
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -22,7 +22,7 @@
 from honeyhitch.tls.machine import TlsMachine
 from honeyhitch.tls.material import Material, MaterialError
 from honeyhitch.tls.sessions import Key, SessionCache
-from honeyhitch.tls.settings import Partner, TlsSetup
+from honeyhitch.tls.settings import Partner, TlsSettings
 
 log = logs.get()
 SECOND = 10**9  # ns
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        setup: TlsSetup,
+        setup: TlsSettings,
         settings: Settings,
         environ: Mapping[str, str],
         now: Callable[[], int],
@@ -77,7 +77,7 @@
             s.slow_start_duration,
         )
         for what in HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, s.instance_count):
-            log.warning("tls.budget", partner=partner.name, what=what, ordering_key=partner.name)
+            log.warning("tls.budget", partner=partner.name, what=what, key=partner.name)
         stamps = material.stamps(terms)
         return Known(partner, material.load(terms, self.environ, self.now()), budget, stamps=stamps)
 
@@ -192,5 +192,5 @@
                 whose=whose,
                 subject=facts.subject,
                 days_left=round(left, 1),
-                ordering_key=f"{known.name} {whose} {facts.pin.hex()}",
+                key=f"{known.name} {whose} {facts.pin.hex()}",
             )
--- a/honeyhitch/tls/settings.py
+++ b/honeyhitch/tls/settings.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TlsSetup:
+class TlsSettings:
     """All partners that are spoken to over TLS."""
 
     partners: tuple[Partner, ...]
--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -15,7 +15,7 @@
 
 from honeyhitch import logs
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.protocols.buffer import Buffer, Overflow
+from honeyhitch.protocols.buffer import Buffer, BufferOverflowError
 from honeyhitch.transports import sockets
 from honeyhitch.transports.tasks import Tasks
 
@@ -68,7 +68,7 @@
         return not self.answered and not self.half and not self.sending and sockets.quiet(self.sock)
 
 
-class VirtualServer:
+class ClientServer:
     """One listener and its clients' connections."""
 
     def __init__(
@@ -195,7 +195,7 @@
                 client.half = session.half or session.more
                 if self.draining and client.resting:
                     break
-        except (OSError, Overflow):
+        except (OSError, BufferOverflowError):
             pass  # the client went away, or kept sending without end
         finally:
             self.clients.pop(client, None)
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -13,8 +13,8 @@
 
 from honeyhitch import logs
 from honeyhitch.protocols import control
-from honeyhitch.protocols.buffer import Buffer, Overflow
-from honeyhitch.protocols.control import ControlError, Verbs
+from honeyhitch.protocols.buffer import Buffer, BufferOverflowError
+from honeyhitch.protocols.control import CommandRegistry, ControlError
 from honeyhitch.transports import sockets
 from honeyhitch.transports.tasks import Tasks
 
@@ -25,7 +25,7 @@
 CREDENTIALS = struct.Struct("3i")  # pid, uid, gid, as SO_PEERCRED gives them (unix(7))
 
 
-class ControlUnusable(Exception):
+class ControlSocketError(Exception):
     """The socket cannot be made; the message says why."""
 
 
@@ -46,7 +46,7 @@
 class ControlServer:
     """One control socket and its connections."""
 
-    def __init__(self, path: Path, verbs: Verbs, tasks: Tasks) -> None:
+    def __init__(self, path: Path, verbs: CommandRegistry, tasks: Tasks) -> None:
         self.path, self.verbs, self.tasks, self.loop = path, verbs, tasks, tasks.loop
         self.open = 0
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -55,13 +55,13 @@
             self._bind()
         except OSError as error:
             self.listener.close()
-            raise ControlUnusable(f"{path}: {error.strerror or error}") from error
+            raise ControlSocketError(f"{path}: {error.strerror or error}") from error
 
     def _bind(self) -> None:
         if self.path.is_socket():  # of a process that is gone, or of one that still serves
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as trial, contextlib.suppress(OSError):
                 trial.connect(str(self.path))
-                raise ControlUnusable(f"{self.path}: another process answers there")
+                raise ControlSocketError(f"{self.path}: another process answers there")
             self.path.unlink(missing_ok=True)
         before = os.umask(0o177)  # nobody else may connect, not even for a moment
         try:
@@ -82,7 +82,7 @@
             sock.setblocking(False)
             uid = peer(sock)
             if uid not in (os.getuid(), 0):
-                log.warning("control.refused", uid=uid, ordering_key=str(uid))
+                log.warning("control.refused", uid=uid, key=str(uid))
             if uid not in (os.getuid(), 0) or self.open >= MOST:
                 sock.close()
                 continue
@@ -107,15 +107,15 @@
                     await self.loop.sock_sendall(sock, await self._answer(one, last))
                 if broken is not None:
                     await self.loop.sock_sendall(sock, _refused(broken, close=True))
-        except (OSError, Overflow, TimeoutError):
+        except (OSError, BufferOverflowError, TimeoutError):
             pass  # it went away, or says nothing
         finally:
             self.open -= 1
             sock.close()
 
-    async def _answer(self, asked: control.Asked, close: bool) -> bytes:
+    async def _answer(self, asked: control.ControlRequest, close: bool) -> bytes:
         try:
-            return control.answer(HTTPStatus.OK, await self.verbs.do(asked), close)
+            return control.answer(HTTPStatus.OK, await self.verbs.execute(asked), close)
         except ControlError as error:
             return _refused(error, close)
         except Exception as error:
@@ -130,4 +130,4 @@
 
 
 def _refused(error: ControlError, close: bool) -> bytes:
-    return control.answer(error.status, {"error": error.why}, close)
+    return control.answer(error.status, {"error": error.reason}, close)
--- a/honeyhitch/transports/control_client.py
+++ b/honeyhitch/transports/control_client.py
@@ -11,7 +11,7 @@
 PATIENCE = 60.0  # seconds for an answer
 
 
-class ControlRefused(Exception):
+class ControlRefusedError(Exception):
     """The dispatcher answered that it cannot or will not; the message says why."""
 
 
@@ -47,13 +47,13 @@
             response = self.connection.getresponse()
             text = response.read()
         except http.client.HTTPException as error:
-            raise ControlRefused(f"the dispatcher's answer cannot be read: {error!r}") from error
+            raise ControlRefusedError(f"the dispatcher's answer cannot be read: {error!r}") from error
         try:
             answer = json.loads(text)
         except ValueError as error:
-            raise ControlRefused(f"the dispatcher's answer is not JSON: {error}") from error
+            raise ControlRefusedError(f"the dispatcher's answer is not JSON: {error}") from error
         if response.status != http.client.OK:
-            raise ControlRefused(str(answer.get("error", response.status)))
+            raise ControlRefusedError(str(answer.get("error", response.status)))
         return dict(answer)
 
     def close(self) -> None:
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -12,7 +12,7 @@
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.protocols import http1, notices
 from honeyhitch.protocols.buffer import Buffer
-from honeyhitch.protocols.discovery_backoff import Asking, Patience
+from honeyhitch.protocols.discovery_backoff import ResponseTimeout, WatchBackoff
 from honeyhitch.transports import sockets
 from honeyhitch.transports.list_watch import ListWatch, ask, connect_by
 from honeyhitch.transports.tasks import Tasks
@@ -27,16 +27,18 @@
     def __init__(self, address: str, dispatcher: Dispatcher, tasks: Tasks, rng: Random) -> None:
         self.address, self.dispatcher, self.tasks, self.loop = address, dispatcher, tasks, tasks.loop
         self.rng, self.moved = rng, False
-        self.waiting: list[Transaction] = []
+        self.pending_notices: list[Transaction] = []
         self.wake = asyncio.Event()
         self.works: list[asyncio.Task[None]] = []
-        self.filters = False  # only some members of lists are kept, and so they are read piece by piece
+        self.reads_partial_lists = (
+            False  # only some members of lists are kept, and so they are read piece by piece
+        )
 
     def start(self, watch: bool = True) -> None:
         """Send notices from now on, and keep the watch open; without `watch`, from `refetch` on."""
-        self.works = [self.tasks.keep(self.notify)]
+        self.works = [self.tasks.run_forever(self.notify)]
         if watch:
-            self.works.append(self.tasks.keep(self.watch))
+            self.works.append(self.tasks.run_forever(self.watch))
 
     def move(self, address: str) -> None:
         """The agent is at another address now; notices that the old one has not confirmed go there too."""
@@ -51,15 +53,15 @@
             self.moved = True
             for watch in self.works[1:]:
                 watch.cancel()
-            self.works[1:] = [self.tasks.keep(self.watch)]
+            self.works[1:] = [self.tasks.run_forever(self.watch)]
 
     async def watch(self) -> None:
         """Watch for ever; the pool as it is stays in use while discovery is silent."""
         pool, settings = self.dispatcher.pool, self.dispatcher.settings
         known, grace = len(pool.endpoints) > len(pool.pinned), settings.drain_grace / NS
-        asking = Asking(self.rng, settings.instance_count, known, self.moved, grace)
+        asking = WatchBackoff(self.rng, settings.instance_count, known, self.moved, grace)
         # One without an id is let through, so that the list is refused for it as any other would be.
-        wanted = (lambda row: "id" not in row or pool.keeps_row(row)) if self.filters else None
+        wanted = (lambda row: "id" not in row or pool.keeps_row(row)) if self.reads_partial_lists else None
         await ListWatch(self.address, self.loop, asking, lambda: pool.revision, self._take, wanted).run()
 
     def _take(self, told: dict[str, Any]) -> None:
@@ -67,7 +69,7 @@
 
     def answer(self, transaction: Transaction) -> None:
         """The platform's front: send a notice."""
-        self.waiting.append(transaction)
+        self.pending_notices.append(transaction)
         self.wake.set()
 
     async def notify(self) -> None:
@@ -76,25 +78,25 @@
         """
         patience = notices.patience()
         while True:
-            if not self.waiting:
+            if not self.pending_notices:
                 await self.wake.wait()
             try:
                 await self._notify(patience)
             except (OSError, http1.HttpError) as error:
                 patience.failed()
                 told = f"{type(error).__name__}: {error}"
-                log.warning("notices.unconfirmed", error=told, ordering_key=self.address)
+                log.warning("notices.unconfirmed", error=told, key=self.address)
                 await asyncio.sleep(patience.pause)
 
-    async def _notify(self, patience: Patience) -> None:
+    async def _notify(self, patience: ResponseTimeout) -> None:
         """Send notices on one connection for as long as it lasts."""
         sock, buffer = await connect_by(self.loop, self.address, self.loop.time() + patience.within), Buffer()
         try:
             while True:
                 self.wake.clear()
-                while some := self.waiting[: notices.MOST]:
+                while some := self.pending_notices[: notices.MOST]:
                     await self._post(sock, buffer, some, patience)
-                    del self.waiting[: len(some)]
+                    del self.pending_notices[: len(some)]
                     for transaction in some:
                         self.dispatcher.answer_sent(transaction)
                 await self.wake.wait()
@@ -104,7 +106,7 @@
             sock.close()
 
     async def _post(
-        self, sock: socket.socket, buffer: Buffer, some: list[Transaction], patience: Patience
+        self, sock: socket.socket, buffer: Buffer, some: list[Transaction], patience: ResponseTimeout
     ) -> None:
         async with asyncio.timeout(patience.within):
             answer = await ask(self.loop, sock, buffer, notices.encode(some, self.address))
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -33,7 +33,7 @@
     channel: Channel
     address: str
     buffer: Buffer
-    machine: http1.AnswerMachine
+    machine: http1.ResponseParser
     idle_since: int = 0
     used: bool = False  # a call has begun on it
 
@@ -43,7 +43,7 @@
         return self.idle_since > 0 and not self.machine.seen
 
 
-class NoConnection(OSError):
+class NoConnectionError(OSError):
     """A call to a gated member found none of its open connections alive any more."""
 
 
@@ -57,7 +57,7 @@
         self.connection: Connection | None = None
 
 
-class HttpCarrier:
+class HttpTransport:
     """The carrier for members that discovery lists."""
 
     def __init__(
@@ -119,7 +119,7 @@
         except (OSError, http1.HttpError) as error:
             result = self._cut(call, progress, Outcome.RESET, error)
         except Exception:  # a fault of ours must not keep the slot for ever
-            log.exception("call.fault", member=call.endpoint.id, ordering_key=call.endpoint.id)
+            log.exception("call.fault", member=call.endpoint.id, key=call.endpoint.id)
             result = self._cut(call, progress, Outcome.RESET)
         finally:
             # Only once the connection is closed or free is the slot free, whatever happened.
@@ -154,7 +154,7 @@
             outcome = Outcome.CONNECT_FAILED
             result = CallResult.uniform(outcome, len(call.messages))
         else:
-            machine = connection.machine if connection else http1.AnswerMachine()
+            machine = connection.machine if connection else http1.ResponseParser()
             result = calls.broken(machine.status, call.messages, outcome)
             result.retry_after = calls.wait(machine.answer.headers)  # asked for, whatever became of the rest
         # Members drop kept connections, some without a word. That says nothing of their health: a new
@@ -163,7 +163,7 @@
         result.connection_stale = broke and connection is not None and connection.untold
         if isinstance(error, TlsError):
             result.failure_reason = error.failure.label
-        if refused or isinstance(error, NoConnection):  # nor does this
+        if refused or isinstance(error, NoConnectionError):  # nor does this
             result.connection_stale = True
         return result
 
@@ -209,7 +209,7 @@
         except TimeoutError:
             raise ConnectionRefusedError("the connection never came up") from None
         channel = PlainChannel(self.loop, sock)
-        return Connection(channel, member.address, Buffer(), http1.AnswerMachine(most=MOST_ANSWER))
+        return Connection(channel, member.address, Buffer(), http1.ResponseParser(most=MOST_ANSWER))
 
     def _keep(self, member: PoolEndpoint, connection: Connection) -> None:
         connection.idle_since = self.scheduler.now()
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -18,7 +18,7 @@
     watch_request,
     whole_list,
 )
-from honeyhitch.protocols.discovery_backoff import Asking
+from honeyhitch.protocols.discovery_backoff import WatchBackoff
 from honeyhitch.transports import sockets
 
 log = logs.get()
@@ -35,18 +35,18 @@
         self,
         address: str,
         loop: asyncio.AbstractEventLoop,
-        asking: Asking,
+        asking: WatchBackoff,
         revision: Callable[[], int],
         take: Callable[[dict[str, Any]], None],
         wanted: Callable[[dict[str, Any]], bool] | None = None,
     ) -> None:
         """With `wanted`, only those members of lists are kept for which it is true."""
-        self.address, self.loop, self.asking = address, loop, asking
+        self.address, self.loop, self.backoff = address, loop, asking
         self.revision, self.take, self.wanted = revision, take, wanted
 
     async def run(self) -> None:
         """Watch for ever; what was taken stays in use while the agent is silent."""
-        asking = self.asking
+        asking = self.backoff
         await asyncio.sleep(asking.first())
         while True:
             began, answered = self.loop.time(), False
@@ -59,19 +59,17 @@
                     asking.silent()
                 if answered and getattr(error, "status", 0) not in (200, 503):
                     asking.unheard()
-                log.warning(
-                    "watch.broken", error=f"{type(error).__name__}: {error}", ordering_key=self.address
-                )
-            await asyncio.sleep(asking.again(self.loop.time() - began, answered))
+                log.warning("watch.broken", error=f"{type(error).__name__}: {error}", key=self.address)
+            await asyncio.sleep(asking.next_pause(self.loop.time() - began, answered))
 
     async def _watch(self) -> None:
         """One watch, till it breaks or falls silent."""
-        asking, watch, buffer = self.asking, Watch(self.wanted), Buffer()
+        asking, watch, buffer = self.backoff, Watch(self.wanted), Buffer()
         asking.opens()
         until = self.loop.time() + asking.within
         sock = await connect_by(self.loop, self.address, until)
         try:
-            if asking.whole:
+            if asking.full_list:
                 # An agent that took another's place need not go on with its revisions, and would take the old
                 # one's number for news that this process has had.
                 self.take(await self._whole_list(sock, buffer, until))
@@ -102,9 +100,9 @@
                 count = await sockets.read(self.loop, sock, buffer)
             if not count:
                 raise ConnectionResetError("the agent ended the connection before its answer")
-            self.asking.heard()
+            self.backoff.heard()
             found += watch.feed(buffer.take())
-            until = self.loop.time() + self.asking.within
+            until = self.loop.time() + self.backoff.within
         if len(found) != 1:
             raise WatchError(f"list: expected one object, got {len(found)}")
         return found[0]
@@ -118,9 +116,9 @@
 
 async def ask(
     loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer, request: bytes
-) -> http1.Answer:
+) -> http1.Response:
     """Send one request on an open connection, and read its answer."""
-    machine = http1.AnswerMachine(most=MOST_LINE)
+    machine = http1.ResponseParser(most=MOST_LINE)
     await loop.sock_sendall(sock, request)
     while True:
         count = await sockets.read(loop, sock, buffer)
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from honeyhitch import logs
-from honeyhitch.config.deployment import MqttSetup
+from honeyhitch.config.deployment import MqttSettings
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import PoolEndpoint
@@ -20,7 +20,7 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.mqtt import Outgoing, Session
 from honeyhitch.protocols.mqtt_packets import Packet
-from honeyhitch.protocols.resp import FieldError, Fields
+from honeyhitch.protocols.resp import FieldError, MessageFields
 from honeyhitch.transports import sockets
 from honeyhitch.transports.channel import Channel, PlainChannel
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
@@ -33,7 +33,7 @@
 AGAIN = 1_000_000_000  # ns before an answer goes again that the broker had no room for
 
 
-class Way(Protocol):
+class BrokerConnector(Protocol):
     """How connections to the broker are made."""
 
     async def connect(self, address: str) -> Channel:
@@ -43,7 +43,7 @@
         """Returns once it should make room for a new one."""
 
 
-class PlainWay:
+class PlainConnector:
     """Plain TCP."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -59,12 +59,14 @@
         await asyncio.Event().wait()
 
 
-class Link:
+class BrokerLink:
     """One session's connection to the broker, made anew when it breaks."""
 
-    def __init__(self, address: str, session: Session, tasks: Tasks, way: Way | None = None) -> None:
+    def __init__(
+        self, address: str, session: Session, tasks: Tasks, way: BrokerConnector | None = None
+    ) -> None:
         self.address, self.session, self.loop = address, session, tasks.loop
-        self.way = way or PlainWay(tasks.loop)
+        self.way = way or PlainConnector(tasks.loop)
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
@@ -117,19 +119,19 @@
                 self.wake.set()
 
 
-class MqttFront:
+class MqttFrontend:
     """Takes transactions from the intake topic and answers each where its publish says."""
 
     def __init__(
         self,
-        setup: MqttSetup,
+        setup: MqttSettings,
         dispatcher: Dispatcher,
         scheduler: LoopScheduler,
         tasks: Tasks,
-        way: Way | None = None,
+        way: BrokerConnector | None = None,
     ) -> None:
         self.dispatcher, self.scheduler = dispatcher, scheduler
-        self.fields = Fields(
+        self.fields = MessageFields(
             dispatcher.settings, dispatcher.pool.has_destination, dispatcher.metrics.message_invalid
         )
         self.intake = Session(f"{setup.client_id}-intake", setup.session_expiry, setup.keep_alive, anew=False)
@@ -137,7 +139,9 @@
         self.replies = Session(f"{setup.client_id}-answers", setup.session_expiry, setup.keep_alive)
         for session in (self.intake, self.replies):
             session.username, session.password = setup.username, setup.password
-        self.links = [Link(setup.broker, session, tasks, way) for session in (self.intake, self.replies)]
+        self.links = [
+            BrokerLink(setup.broker, session, tasks, way) for session in (self.intake, self.replies)
+        ]
         self.rejected: dict[str, None] = {}  # the latest ids answered without being taken on
 
     def _taken(self, packet: Packet) -> None:
@@ -181,7 +185,7 @@
                 return
             if ack is None or ack.reason >= 0x80:
                 told = "no acknowledgement" if ack is None else f"reason {ack.reason:#x}"
-                log.warning("answer.unconfirmed", topic=answer.topic, told=told, ordering_key=answer.topic)
+                log.warning("answer.unconfirmed", topic=answer.topic, told=told, key=answer.topic)
             if transaction is not None:
                 self.dispatcher.answer_sent(transaction)
 
@@ -189,21 +193,21 @@
         self.links[1].wake.set()
 
 
-class MqttCarrier:
+class MqttTransport:
     """Carries calls to members that the operator set up behind the broker."""
 
     def __init__(
         self,
-        setup: MqttSetup,
+        setup: MqttSettings,
         dispatcher: Dispatcher,
         scheduler: LoopScheduler,
         tasks: Tasks,
-        way: Way | None = None,
+        way: BrokerConnector | None = None,
     ) -> None:
         self.dispatcher, self.scheduler = dispatcher, scheduler
         self.session = Session(f"{setup.client_id}-calls", 0, setup.keep_alive)
         self.session.username, self.session.password = setup.username, setup.password
-        self.link = Link(setup.broker, self.session, tasks, way)
+        self.link = BrokerLink(setup.broker, self.session, tasks, way)
         self.running: dict[Call, Outgoing | None] = {}
 
     def start(self, call: Call) -> None:
--- a/honeyhitch/transports/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -129,9 +129,9 @@
                 case Relayed(reply):
                     return reply
                 case Unanswered() | ConnectionEnded():
-                    log.warning("forward.unanswered", message=transaction.id, ordering_key=address)
+                    log.warning("forward.unanswered", message=transaction.id, key=address)
                     return None
-        log.warning("forward.unreachable", message=transaction.id, ordering_key=str(transaction.destination))
+        log.warning("forward.unreachable", message=transaction.id, key=str(transaction.destination))
         return self.refusal
 
     async def _ask(
@@ -150,7 +150,7 @@
             async with asyncio.timeout_at(by):
                 outcome = await self._exchange(connection, request)
         except (OSError, ValueError) as error:
-            log.warning("forward.failed", error=f"{type(error).__name__}: {error}", ordering_key=address)
+            log.warning("forward.failed", error=f"{type(error).__name__}: {error}", key=address)
         finally:
             self.connections.release(connection, isinstance(outcome, Relayed))
         return outcome
@@ -165,5 +165,5 @@
                 if (reply := reader.feed(buffer.take())) is not None:
                     return Relayed(reply)
         except ConnectionError as error:
-            log.warning("forward.failed", error=str(error), ordering_key=connection.address)
+            log.warning("forward.failed", error=str(error), key=connection.address)
         return ConnectionEnded() if connection.kept and not began else Unanswered()
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -47,7 +47,7 @@
         task.add_done_callback(self._done)
         return task
 
-    def keep(self, work: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
+    def run_forever(self, work: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
         """Run something that should not end; when it does, it starts again after a growing pause."""
         return self.start(self._kept(work))
 
@@ -61,9 +61,9 @@
                 name = str(getattr(work, "__qualname__", work))
                 log.warning(
                     "work.again",
-                    expected_work=name,
+                    work=name,
                     error=f"{type(error).__name__}: {error}",
-                    ordering_key=name,
+                    key=name,
                 )
             if self.stopping:  # a group of tasks that fails as it is cancelled raises its failure instead
                 return
--- a/honeyhitch/transports/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -17,7 +17,7 @@
 LOOK = 0.25  # seconds between looks for new trust or a new certificate
 
 
-class TlsWay:
+class TlsConnector:
     """Makes connections to the broker as `[mqtt.tls]` says."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, partners: Partners, known: Known) -> None:
@@ -52,7 +52,7 @@
             partner=known.name,
             failure=error.failure.label,
             reason=error.reason,
-            ordering_key=f"{known.name} {error.failure.label}",
+            key=f"{known.name} {error.failure.label}",
         )
         if lasting:
             generation, until = known.generation, now + self.partners.pause(self.failures)
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -18,7 +18,7 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.tls import retirement
 from honeyhitch.tls.certificates import Facts
-from honeyhitch.tls.connection_gate import Door
+from honeyhitch.tls.connection_gate import EndpointConnections
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.handshake_budget import RETRY, Start
 from honeyhitch.tls.machine import Phase
@@ -28,8 +28,8 @@
     MOST_ANSWER,
     NS,
     Connection,
-    HttpCarrier,
-    NoConnection,
+    HttpTransport,
+    NoConnectionError,
     Progress,
 )
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
@@ -59,7 +59,7 @@
     due: int = 0  # ns; from when it is to go once it is replaced, 0 if not
 
 
-class TlsCarrier(HttpCarrier):
+class TlsTransport(HttpTransport):
     """The carrier for members that a partner's table in the operator's file matches."""
 
     def __init__(
@@ -67,7 +67,7 @@
     ) -> None:
         super().__init__(dispatcher, scheduler, tasks, most)  # connections idle or in a handshake
         self.partners = partners
-        self.doors: dict[str, tuple[Door, Known]] = {}
+        self.doors: dict[str, tuple[EndpointConnections, Known]] = {}
         self.conns: dict[TlsConnection, str] = {}  # all that are up, and whose
         self.unwatched: dict[TlsConnection, str] = {}  # idle for so short that nobody watches them yet
         self.looking = False  # for those, soon
@@ -90,12 +90,12 @@
                 return
             self.tasks.start(self._open(member, door, known, start))
 
-    def _door(self, member: PoolEndpoint) -> tuple[Door, Known]:
+    def _door(self, member: PoolEndpoint) -> tuple[EndpointConnections, Known]:
         known = self.partners.of(member.id, member.destination, self.settings.kind(member.kind).name)
         assert known is not None  # `Pool.carrier_of` sends others to the plain carrier
         told = self.doors.get(member.id)
         if told is None:
-            door = Door(member.id, member.destination, known.budget, self.partners.pause)
+            door = EndpointConnections(member.id, member.destination, known.budget, self.partners.pause)
             told = self.doors[member.id] = door, known
         told[0].destination = member.destination
         return told
@@ -119,7 +119,9 @@
         """A copy of the member's idle connections, the latest used last."""
         return [one for one in self.idle.get(name, []) if isinstance(one, TlsConnection)]
 
-    async def _open(self, member: PoolEndpoint, door: Door, known: Known, start: Start) -> None:
+    async def _open(
+        self, member: PoolEndpoint, door: EndpointConnections, known: Known, start: Start
+    ) -> None:
         key = self.partners.key(known, member.address)
         try:
             opened = await open_verified(self.loop, self.partners, known, member.address)
@@ -136,7 +138,7 @@
                 opened.channel,
                 member.address,
                 Buffer(),
-                http1.AnswerMachine(most=MOST_ANSWER),
+                http1.ResponseParser(most=MOST_ANSWER),
                 tls=opened.channel,
                 known=known,
                 key=key,
@@ -154,11 +156,13 @@
             self._rest(member.id, connection)
             self._tell(door)
 
-    def _failed(self, member: PoolEndpoint, door: Door, known: Known, start: Start, error: TlsError) -> None:
+    def _failed(
+        self, member: PoolEndpoint, door: EndpointConnections, known: Known, start: Start, error: TlsError
+    ) -> None:
         self._log("tls.handshake-failed", member.id, known, error, f"{member.id} {error.failure.label}")
         self.dispatcher.apply_connection_capacity(door.failed(start, self.scheduler.now(), error))
 
-    def _tell(self, door: Door, shut: int = 0) -> None:
+    def _tell(self, door: EndpointConnections, shut: int = 0) -> None:
         room = door.room(self.scheduler.now())
         if shut > room.connect_blocked_for:
             room = replace(room, connect_blocked_for=shut)
@@ -215,9 +219,7 @@
     @staticmethod
     def _log(event: str, name: str, known: Known, error: TlsError, key: str) -> None:
         failure = error.failure.label
-        log.warning(
-            event, partner=known.name, member=name, failure=failure, reason=error.reason, ordering_key=key
-        )
+        log.warning(event, partner=known.name, member=name, failure=failure, reason=error.reason, key=key)
 
     def _lost(self, name: str) -> None:
         """The partner ended a connection: with most of them, it may have restarted."""
@@ -267,7 +269,7 @@
                 door = self.doors[member.id][0]
                 door.ready, door.busy = door.ready - 1, door.busy + 1
                 return connection
-        raise NoConnection(f"{member.id}: its last connection has gone")
+        raise NoConnectionError(f"{member.id}: its last connection has gone")
 
     def _keep(self, member: PoolEndpoint, connection: Connection) -> None:
         assert isinstance(connection, TlsConnection)
@@ -358,9 +360,9 @@
         """Read files again when they change; reading is done beside the loop."""
         while True:
             await asyncio.sleep(FILES)
-            await self.look_at_files()
+            await self.reload_certificates()
 
-    async def look_at_files(self, everything: bool = False) -> None:
+    async def reload_certificates(self, everything: bool = False) -> None:
         """Once."""
         for known, stamps in await asyncio.to_thread(self.partners.look, everything):
             read = await asyncio.to_thread(self.partners.read, known)
--- a/tests/keeping_rig.py
+++ b/tests/keeping_rig.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch.dead_letters.journal_transfer import Moving
+from honeyhitch.dead_letters.journal_transfer import JournalTransfer
 from honeyhitch.dead_letters.settings import Limits, Terms
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dead_letters.worker import Done, Job
@@ -126,7 +126,7 @@
 
     def prepare(self) -> None:
         self.worker = Inline(self._store, self.time)
-        self.moving = Moving(
+        self.moving = JournalTransfer(
             self.s, self.journal, self.time, self.worker.submit, self.core.dead_letter_stored
         )
         self.core.dead_letter_sink = self.moving
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -16,8 +16,8 @@
 from honeyhitch.dead_letters import rules
 from honeyhitch.dead_letters.filters import Filter
 from honeyhitch.dead_letters.records import Record
-from honeyhitch.dead_letters.resending import Resending
-from honeyhitch.dead_letters.settings import Action, Rule, Terms, Undelivered
+from honeyhitch.dead_letters.resending import ResendScheduler
+from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, Rule, Terms
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
@@ -97,8 +97,8 @@
 
     def prepare(self) -> None:
         super().prepare()
-        setup = Undelivered(rules=self.rule, terms=self.terms)
-        self.resending = Resending(setup, self.core, self.time, self.worker.submit)
+        setup = DeadLetterSettings(rules=self.rule, terms=self.terms)
+        self.resending = ResendScheduler(setup, self.core, self.time, self.worker.submit)
         self.moving.after.append(self.resending.kept)
         self.core.accepting = False
 
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -20,7 +20,7 @@
 from honeyhitch.service.descriptors import budget
 from honeyhitch.transports import client_server as virtual_server
 from honeyhitch.transports import sockets
-from honeyhitch.transports.client_server import VirtualServer
+from honeyhitch.transports.client_server import ClientServer
 from honeyhitch.transports.tasks import Tasks
 
 from .program import play, write
@@ -32,22 +32,22 @@
 
 
 def session() -> resp.Session:
-    fields = resp.Fields(SET, lambda _: True)
+    fields = resp.MessageFields(SET, lambda _: True)
     return resp.Session(fields, lambda _: Admission(True), lambda: True, lambda: START)
 
 
 @asynccontextmanager
-async def served(most: int) -> AsyncIterator[VirtualServer]:
+async def served(most: int) -> AsyncIterator[ClientServer]:
     tasks = Tasks(asyncio.get_running_loop())
-    server = VirtualServer(("127.0.0.1", 0), session, most, tasks)
-    tasks.keep(server.accept)
-    tasks.keep(server.sweep)
+    server = ClientServer(("127.0.0.1", 0), session, most, tasks)
+    tasks.run_forever(server.accept)
+    tasks.run_forever(server.sweep)
     yield server
     server.close()
     await tasks.stop()
 
 
-async def dial(server: VirtualServer) -> Stream:
+async def dial(server: ClientServer) -> Stream:
     return await asyncio.open_connection("127.0.0.1", server.port)
 
 
@@ -187,7 +187,7 @@
         await self.done.wait()
 
 
-async def plain(server: VirtualServer) -> socket.socket:
+async def plain(server: ClientServer) -> socket.socket:
     """A client's socket without a stream, so that bytes go at a named moment; it has been answered once."""
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.send(PING)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -98,10 +98,10 @@
 
 
 def test_both_forms_give_the_same_settings() -> None:
-    nested = config.Pairs.of_nested(SETTINGS)
+    nested = config.SettingsReader.of_nested(SETTINGS)
     words = [f"{path}={value}" for path, value in nested.values.items()]
     settings = nested.settings()
-    assert config.Pairs.of_words(words).settings() == settings
+    assert config.SettingsReader.of_words(words).settings() == settings
     assert (settings.max_messages, settings.kinds[0].max_messages_per_call, settings.kinds[1].name) == (
         50,
         20,
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -8,7 +8,7 @@
 import pytest
 
 from honeyhitch.dead_letters.filters import Filter
-from honeyhitch.dead_letters.records import OPEN, Standing
+from honeyhitch.dead_letters.records import OPEN, RecordStatus
 from honeyhitch.journal.transactions import Ending, Transaction
 
 from .keeping_rig import Killed, Points
@@ -75,9 +75,9 @@
         assert not self.stand.core.messages.by_id and not self.stand.core.messages.pending_dead_letters
         assert not self.stand.resending.under_way and not any(self.stand.resending.parked.values())
         assert list(self.stand.store.verify()) == []
-        settled = [one for one in found if one.standing is Standing.SETTLED]
+        settled = [one for one in found if one.standing is RecordStatus.SETTLED]
         done = settled or Ending.DELIVERED in self.answers.values()
-        doubt = [one for one in found if one.standing is Standing.KEPT and one.may_have_run]
+        doubt = [one for one in found if one.standing is RecordStatus.KEPT and one.may_have_run]
         if "m" in self.answers or found:
             assert done or doubt, "neither settled nor in doubt"
         if applied and not done:
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -20,13 +20,13 @@
 from honeyhitch import config
 from honeyhitch.cli.main import main
 from honeyhitch.dead_letters.filters import Filter
-from honeyhitch.dead_letters.records import Standing
+from honeyhitch.dead_letters.records import RecordStatus
 from honeyhitch.dead_letters.report import Fate, Report
-from honeyhitch.dead_letters.resending import Resending
+from honeyhitch.dead_letters.resending import ResendScheduler
 from honeyhitch.dead_letters.settings import Terms
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.service.service import run
-from honeyhitch.transports.control_client import ControlClient, ControlRefused
+from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
 
 from .agent import Agent
 from .broker import Broker
@@ -107,7 +107,7 @@
             ):
                 try:
                     await asyncio.to_thread(client.ask, method, path, body)
-                except ControlRefused as refused:
+                except ControlRefusedError as refused:
                     assert str(refused).startswith(error)
                 else:
                     raise AssertionError(f"{path} was not refused")
@@ -270,10 +270,14 @@
         [
             record(body=body, tenant="<b>one</b>"),
             record(body=body, ran=True, effect="unsafe", destination=2),
-            record(body=b'{"invoice": {"total": "4.5"}}', standing=Standing.SETTLED, settled_by="resend:x"),
-            record(body=b'{"invoice": {"total": 1e99}}', standing=Standing.SETTLED, settled_by="person:me"),
-            record(body=b"no JSON", standing=Standing.DISCARDED),
-            record(body=body, standing=Standing.REPLACED),
+            record(
+                body=b'{"invoice": {"total": "4.5"}}', standing=RecordStatus.SETTLED, settled_by="resend:x"
+            ),
+            record(
+                body=b'{"invoice": {"total": 1e99}}', standing=RecordStatus.SETTLED, settled_by="person:me"
+            ),
+            record(body=b"no JSON", standing=RecordStatus.DISCARDED),
+            record(body=body, standing=RecordStatus.REPLACED),
             record(body=body, destination=10),
         ]
     )
@@ -365,7 +369,7 @@
                 await client.until(1)
                 assert client.answers["copy"][0]["status"] == "delivered"
             folder = tmp_path / "state" / "undelivered"
-            await until(lambda: [one.standing for one in kept(folder)] == [Standing.SETTLED])
+            await until(lambda: [one.standing for one in kept(folder)] == [RecordStatus.SETTLED])
         client.paho.disconnect()
         client.paho.loop_stop()
         (one,) = kept(tmp_path / "state" / "undelivered")
@@ -379,7 +383,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     held: list[Any] = []
-    monkeypatch.setattr(Resending, "begin", lambda self, ready: held.append(ready))
+    monkeypatch.setattr(ResendScheduler, "begin", lambda self, ready: held.append(ready))
     management = free_port()
 
     async def asked(port: int, line: bytes) -> bytes:
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -12,10 +12,10 @@
 import pytest
 
 from honeyhitch.dead_letters import operations, resends, rules
-from honeyhitch.dead_letters.duplicate_index import Copies
+from honeyhitch.dead_letters.duplicate_index import DuplicateIndex
 from honeyhitch.dead_letters.eligibility import Decision, Verdict
-from honeyhitch.dead_letters.records import Record, Standing
-from honeyhitch.dead_letters.resending import Resending
+from honeyhitch.dead_letters.records import Record, RecordStatus
+from honeyhitch.dead_letters.resending import ResendScheduler
 from honeyhitch.dead_letters.settings import Action, Rule
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dispatcher.ports import ArrivalDecision
@@ -41,7 +41,7 @@
     told.stand.gone()
 
 
-def always(self: Copies, transaction: Transaction, now: int) -> ArrivalDecision:
+def always(self: DuplicateIndex, transaction: Transaction, now: int) -> ArrivalDecision:
     return ArrivalDecision.DELIVER
 
 
@@ -50,9 +50,12 @@
 
 
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "copies go out beside a resend": [(Copies, "came", always)],
-    "a resend begins beside a copy": [(Copies, "blocked", lambda *_: False), (Copies, "came", always)],
-    "a delivered copy settles nothing": [(Resending, "settles_dead_letter", lambda *_: False)],
+    "copies go out beside a resend": [(DuplicateIndex, "came", always)],
+    "a resend begins beside a copy": [
+        (DuplicateIndex, "blocked", lambda *_: False),
+        (DuplicateIndex, "came", always),
+    ],
+    "a delivered copy settles nothing": [(ResendScheduler, "settles_dead_letter", lambda *_: False)],
     "a copy that failed stands beside the first": [(Store, "_same_key", lambda *_: [])],
     "what may have run goes again": [(rules, "decide", any_resend), (resends, "past_of", lambda _: None)],
 }
@@ -110,7 +113,7 @@
     def until_sending(self, name: str) -> Record:
         for _ in range(2000):
             self.run(0.2)
-            if (one := self.record(name)).standing is Standing.SENDING:
+            if (one := self.record(name)).standing is RecordStatus.SENDING:
                 return one
         raise AssertionError("no resend began")
 
@@ -130,7 +133,7 @@
     assert not record.may_have_run and record.told_again is not None
     one.run(100)
     settled = one.record("m")
-    assert settled.standing is Standing.SETTLED and settled.settled_by == f"resend:{settled.resend_id}"
+    assert settled.standing is RecordStatus.SETTLED and settled.settled_by == f"resend:{settled.resend_id}"
     (sent,) = [part for part in one.stand.sent if part.id == settled.resend_id]
     assert (sent.key, sent.body, sent.class_index, sent.frontend) == ("k", b"body", UNSAFE, "resend")
     assert sent.deadline > record.deadline and sent.id != "m"
@@ -152,7 +155,7 @@
     one = One(tmp_path)
     one.fail("m", mode, cls=cls)
     one.run(80)
-    assert (one.record("m").standing is Standing.SETTLED) == resent
+    assert (one.record("m").standing is RecordStatus.SETTLED) == resent
     assert len(one.partner.ledger.get("k", [])) <= 1 or cls == SAFE
 
 
@@ -160,7 +163,7 @@
     one = One(tmp_path, terms=dataclasses.replace(TERMS, grace=100 * SECOND))
     one.fail("m", "500-after")
     one.run(300)
-    assert one.record("m").standing is Standing.KEPT and one.record("m").resends == 0
+    assert one.record("m").standing is RecordStatus.KEPT and one.record("m").resends == 0
     assert len(one.partner.ledger["k"]) == 1
 
 
@@ -174,7 +177,7 @@
     one.stand.modes = ("reset-before",)
     one.run(60)
     record = one.record("m")
-    assert record.resends == 1 and record.standing is Standing.KEPT and record.evidence == ""
+    assert record.resends == 1 and record.standing is RecordStatus.KEPT and record.evidence == ""
     assert record.first_ran is not None and record.first_ran > record.ended_at
     one.stand.modes = ("deliver",)
     one.run(200)
@@ -186,12 +189,12 @@
     one = One(tmp_path, rule=())
     one.fail("m")
     one.run(60)
-    assert one.record("m").standing is Standing.KEPT
+    assert one.record("m").standing is RecordStatus.KEPT
     told = {"verb": "resend", "why": "the customer called", "filter": {"id": "m"}}
     with one.stand.store.at_once():
         operations.done(one.stand.store, "change", told, "anna")
     one.run(30)
-    assert one.record("m").standing is Standing.SETTLED
+    assert one.record("m").standing is RecordStatus.SETTLED
     assert one.audit("m") == ["resend", "resend", "settled"]
 
 
@@ -199,7 +202,7 @@
     one = One(tmp_path)
     record = one.fail("m")
     assert record.told_again is not None
-    while one.record("m").standing is Standing.KEPT:
+    while one.record("m").standing is RecordStatus.KEPT:
         one.run(0.2)
     assert one.stand.time.now() >= record.told_again + TERMS.grace
 
@@ -251,7 +254,7 @@
     one.run(3)
     one.stand.modes = (ends,)
     while one.stand.core.messages.by_id.get("copy") is not None:
-        assert one.record("m").standing is Standing.KEPT
+        assert one.record("m").standing is RecordStatus.KEPT
         one.run(0.2)
     one.stand.modes = ("deliver",)
     one.run(120)
@@ -260,8 +263,8 @@
     if ends == "deliver":
         assert one.record("m").settled_by == "copy:copy"
     else:
-        assert one.record("m").standing is Standing.REPLACED
-        assert one.record("copy").standing is (Standing.KEPT if ends == "late" else Standing.SETTLED)
+        assert one.record("m").standing is RecordStatus.REPLACED
+        assert one.record("copy").standing is (RecordStatus.KEPT if ends == "late" else RecordStatus.SETTLED)
 
 
 def test_a_copy_that_comes_after_the_resend_takes_its_end_also_after_a_start(tmp_path: Path) -> None:
@@ -297,7 +300,7 @@
     assert one.stand.core.submit(other).accepted
     one.run(100)
     record = one.record("m")
-    assert record.standing is Standing.KEPT and record.may_have_run and record.resends == 0
+    assert record.standing is RecordStatus.KEPT and record.may_have_run and record.resends == 0
     assert one.audit("m") == ["key-used"]
 
 
@@ -314,7 +317,9 @@
     assert one.answers()["copy"] is Ending.FAILED, "the resend may run yet"
     one.stand.modes = ("deliver",)
     one.run(100)
-    assert one.record("copy").standing is Standing.REPLACED and one.record("m").standing is Standing.KEPT
+    assert (
+        one.record("copy").standing is RecordStatus.REPLACED and one.record("m").standing is RecordStatus.KEPT
+    )
 
 
 def test_a_copy_that_is_withdrawn_while_it_waits(tmp_path: Path) -> None:
@@ -350,7 +355,7 @@
     (tmp_path / "journal").unlink()
     one.stand = ResendStand(tmp_path, one.stand.time, one.partner, random.Random(2))
     one.run(100)
-    assert one.record("m").standing is Standing.KEPT and one.record("m").may_have_run
+    assert one.record("m").standing is RecordStatus.KEPT and one.record("m").may_have_run
     assert one.audit("m") == ["resend", "resend-lost"]
 
 
@@ -364,7 +369,7 @@
     assert held.frontend == "resend" and held.ending is Ending.DELIVERED
     one.stand.worker.broken = None
     one.run(70)
-    assert one.record("m").standing is Standing.SETTLED and not one.stand.core.messages.by_id
+    assert one.record("m").standing is RecordStatus.SETTLED and not one.stand.core.messages.by_id
     assert len(one.partner.ledger["k"]) == 1
 
 
@@ -373,14 +378,14 @@
     for i in range(6):
         one.fail(f"m{i}", key=f"k{i}", cls=UNSAFE)
     one.until_sending("m0")
-    one.stand.resending.swap((Rule("none", Action.HOLD),))
+    one.stand.resending.replace_rules((Rule("none", Action.HOLD),))
     one.run(100)
     standings = [one.record(f"m{i}").standing.value for i in range(6)]
     assert standings.count("settled") <= 2 and "sending" not in standings
-    one.stand.resending.swap((Rule("gone", Action.DISCARD, destinations=frozenset({1})),))
+    one.stand.resending.replace_rules((Rule("gone", Action.DISCARD, destinations=frozenset({1})),))
     one.run(60)
     assert {one.record(f"m{i}").standing.value for i in range(6)} <= {"settled", "discarded"}
-    one.stand.resending.swap((RULE,))
+    one.stand.resending.replace_rules((RULE,))
     one.run(60)
     assert all(len(times) == 1 for times in one.partner.ledger.values())
 
@@ -389,7 +394,7 @@
     one = One(tmp_path)
     for i in range(12):
         one.fail(f"m{i}", key=f"k{i}", cls=UNSAFE)
-    while not any(one.record(f"m{i}").standing is Standing.SETTLED for i in range(12)):
+    while not any(one.record(f"m{i}").standing is RecordStatus.SETTLED for i in range(12)):
         one.run(0.2)
     one.stand.modes = ("refuse",)
     one.run(40)
@@ -398,7 +403,7 @@
     assert len(one.stand.sent) - before <= 12 * 5, "a partner that is out is tried at growing gaps"
     one.stand.modes = ("deliver",)
     one.run(1500)
-    assert all(one.record(f"m{i}").standing is Standing.SETTLED for i in range(12))
+    assert all(one.record(f"m{i}").standing is RecordStatus.SETTLED for i in range(12))
     assert all(len(times) == 1 for times in one.partner.ledger.values())
 
 
@@ -408,7 +413,7 @@
     told = {"revision": 2, "complete": False, "members": [row("s-1", 1, phase="Terminating")]}
     one.stand.core.apply_list_update(one.stand.core.pool.update(told))
     one.run(100)
-    assert one.record("m").resends == 0 and one.record("m").standing is Standing.KEPT
+    assert one.record("m").resends == 0 and one.record("m").standing is RecordStatus.KEPT
     assert destination_health(one.stand.core.policy, 1, one.stand.time.now()) == DestinationHealth(
         False, True, False, 0, False, 0, 0, 0
     )
@@ -419,4 +424,4 @@
     one.fail("m", cls=SAFE)
     one.stand.resending.longest.pop("safe")
     one.run(100)
-    assert one.record("m").standing is Standing.KEPT
+    assert one.record("m").standing is RecordStatus.KEPT
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -10,9 +10,9 @@
 
 from honeyhitch import config
 from honeyhitch.dead_letters.pacing import MOST_GAP, QUIET, Pacing, Rates
-from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.records import Record, RecordStatus
 from honeyhitch.dead_letters.rules import Step, plan
-from honeyhitch.dead_letters.settings import Action, Rule, Terms, Undelivered
+from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, Rule, Terms
 from honeyhitch.policy.health import DestinationHealth
 
 from .program import write
@@ -35,8 +35,8 @@
     ("changes", "rule", "expected"),
     [
         ({}, RESEND, ("resend", "never-ran")),
-        ({"standing": Standing.SENDING}, RESEND, ("nothing", "sending")),
-        ({"standing": Standing.SETTLED}, RESEND, ("nothing", "settled")),
+        ({"standing": RecordStatus.SENDING}, RESEND, ("nothing", "sending")),
+        ({"standing": RecordStatus.SETTLED}, RESEND, ("nothing", "settled")),
         ({}, dataclasses.replace(RESEND, action=Action.HOLD), ("nothing", "held-by-rule")),
         ({}, dataclasses.replace(RESEND, action=Action.DISCARD), ("discard", "discarded-by-rule")),
         ({}, dataclasses.replace(RESEND, destinations=frozenset({2})), ("nothing", "no-rule")),
@@ -116,7 +116,7 @@
 """
 
 
-def read(folder: Path, text: str, **more: Any) -> Undelivered:
+def read(folder: Path, text: str, **more: Any) -> DeadLetterSettings:
     found = config.read({}, *write(folder, 6379, 8500, [], text, **more)).operator.undelivered
     assert found is not None
     return found
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -14,7 +14,7 @@
 
 from honeyhitch.dead_letters import files, operations, schema
 from honeyhitch.dead_letters.filters import Filter, FilterError
-from honeyhitch.dead_letters.records import Record, Standing
+from honeyhitch.dead_letters.records import Record, RecordStatus
 from honeyhitch.dead_letters.seal import Keys, SealError
 from honeyhitch.dead_letters.settings import DAY, Limits
 from honeyhitch.dead_letters.store import Store, StoreError
@@ -91,8 +91,8 @@
 
 def test_room_is_made_with_settled_ones_first_and_what_may_have_run_last(tmp_path: Path) -> None:
     store = opened(tmp_path, limits=Limits(count=4))
-    ran, never, settled = record(ran=True), record(), record(ran=True, standing=Standing.SETTLED)
-    sending = record(standing=Standing.SENDING)
+    ran, never, settled = record(ran=True), record(), record(ran=True, standing=RecordStatus.SETTLED)
+    sending = record(standing=RecordStatus.SENDING)
     store.add([ran, never, settled, sending])
     assert [(one.why, one.may_have_run, one.ids) for one in store.add([record(ran=True)])] == [
         ("room", True, (settled.id,))
@@ -125,7 +125,7 @@
     now = START
     store = Store(tmp_path, Limits(age=10 * DAY), clock=lambda: now)
     store.add(
-        [record(ran=True), record(), record(standing=Standing.SENDING), record(ended_at=START + 5 * DAY)]
+        [record(ran=True), record(), record(standing=RecordStatus.SENDING), record(ended_at=START + 5 * DAY)]
     )
     now = START + 11 * DAY
     dropped = store.make_room()
@@ -466,7 +466,7 @@
 
 def test_each_change_is_audited_and_a_dry_run_changes_nothing(tmp_path: Path) -> None:
     store = opened(tmp_path)
-    store.add([record(ran=True), record(), record(standing=Standing.SENDING)])
+    store.add([record(ran=True), record(), record(standing=RecordStatus.SENDING)])
     before = [one.record for one in store.page(Filter())]
     told = {"verb": "release", "why": "letter 17 of the partner", "dry_run": True}
     tried = operations.done(store, "change", told, "anna")
@@ -484,7 +484,7 @@
         store, "change", {"verb": "settle", "why": "seen in their books", "filter": {"seq": "1"}}, "bo"
     )
     settled = store.get(1)
-    assert settled is not None and settled.record.standing is Standing.SETTLED
+    assert settled is not None and settled.record.standing is RecordStatus.SETTLED
     assert settled.record.settled_by == "person:bo" and settled.record.evidence == "letter 17 of the partner"
     store.db.execute("UPDATE audit SET who = 'nobody' WHERE number = 1")
     assert list(store.verify()) == ["audit 1: altered since it was sealed"]
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -11,7 +11,16 @@
 from honeyhitch.policy.events import EndpointListUpdate, UpdateMode
 from honeyhitch.protocols import notices
 from honeyhitch.protocols.discovery import Watch, WatchError
-from honeyhitch.protocols.discovery_backoff import CALM, FEW, FIRST, MOST, SILENCE, TOLD, UNASKED, Asking
+from honeyhitch.protocols.discovery_backoff import (
+    CALM,
+    FEW,
+    FIRST,
+    MOST,
+    SILENCE,
+    TOLD,
+    UNASKED,
+    WatchBackoff,
+)
 
 from .world import SECOND, World, settings
 
@@ -25,25 +34,25 @@
 GRACE = 2.0  # seconds; granted after a drain
 
 
-def asking(rng: Random, instances: int, known: bool = True, moved: bool = False) -> Asking:
-    return Asking(rng, instances, known, moved, GRACE)
+def asking(rng: Random, instances: int, known: bool = True, moved: bool = False) -> WatchBackoff:
+    return WatchBackoff(rng, instances, known, moved, GRACE)
 
 
 def back(seed: int, count: int = 40, broken_at: float = 10.0) -> tuple[list[float], int]:
     """When each of them watches again, in seconds after the break, and how many asks were turned away."""
     fleet = [asking(Random(seed * 100 + i), count) for i in range(count)]
-    asks = [(broken_at + one.again(broken_at, False), i) for i, one in enumerate(fleet)]
+    asks = [(broken_at + one.next_pause(broken_at, False), i) for i, one in enumerate(fleet)]
     heapq.heapify(asks)
     left, at, refused, done = LINES, broken_at, 0, []
     while asks:
         now, i = heapq.heappop(asks)
         left, at = min(LINES, left + LINES * (now - at)), now
-        cost = ASK_COST + (ASK_COST + LIST_COST) * fleet[i].whole
+        cost = ASK_COST + (ASK_COST + LIST_COST) * fleet[i].full_list
         if left >= cost:
             done.append(now - broken_at)
         else:  # asks in excess cost it, too
             refused += 1
-            heapq.heappush(asks, (now + fleet[i].again(0.05, True), i))
+            heapq.heappush(asks, (now + fleet[i].next_pause(0.05, True), i))
         left = max(0.0, left - cost)
     return done, refused
 
@@ -65,23 +74,23 @@
 
 def test_the_whole_list_is_asked_for_only_where_changes_will_not_do() -> None:
     one = asking(Random(1), 40)
-    assert not one.whole
+    assert not one.full_list
     one.unheard()
-    assert one.whole
+    assert one.full_list
     one.listed()
-    one.again(1.0, False)
-    assert not one.whole
-    assert asking(Random(1), 2, moved=True).whole and asking(Random(1), 2, known=False).whole
+    one.next_pause(1.0, False)
+    assert not one.full_list
+    assert asking(Random(1), 2, moved=True).full_list and asking(Random(1), 2, known=False).full_list
 
 
 def test_pauses_grow_up_to_a_bound_and_begin_anew_after_a_watch_that_lasted() -> None:
     one = asking(Random(3), 40)
     bounds = []
     for _ in range(8):
-        assert 0 <= one.again(0.1, True) <= one.bound
+        assert 0 <= one.next_pause(0.1, True) <= one.bound
         bounds.append(one.bound)
     assert bounds == sorted(bounds) and bounds[-1] == MOST
-    one.again(CALM, True)
+    one.next_pause(CALM, True)
     assert one.bound == FIRST
 
 
@@ -90,21 +99,21 @@
     """What the agent has counts as told. Only where it turned us away has it nothing for us."""
     for seed in range(20):
         one = asking(Random(seed), instances)
-        pauses = [one.first(), *(one.again(0.1 * (seed % 3), False) for _ in range(10))]
+        pauses = [one.first(), *(one.next_pause(0.1 * (seed % 3), False) for _ in range(10))]
         assert max(pauses) <= UNASKED * GRACE
-        one.again(0.1, True)
-        assert one.again(0.1, False) <= UNASKED * GRACE
+        one.next_pause(0.1, True)
+        assert one.next_pause(0.1, False) <= UNASKED * GRACE
 
 
 def test_a_list_that_cannot_be_used_is_not_asked_for_in_a_flood() -> None:
     fleet = [asking(Random(i), 200) for i in range(200)]
-    late = [[one.again(0.05, True) for _ in range(12)][-1] for one in fleet]
+    late = [[one.next_pause(0.05, True) for _ in range(12)][-1] for one in fleet]
     assert sum(late) / len(late) >= MOST / 3
 
 
 def test_an_agent_that_cannot_be_reached_is_never_asked_in_a_loop() -> None:
-    one = Asking(Random(1), 200, True, False, 0.0)
-    assert sum(one.again(0.0, False) for _ in range(100)) >= 100 * FIRST / 4
+    one = WatchBackoff(Random(1), 200, True, False, 0.0)
+    assert sum(one.next_pause(0.0, False) for _ in range(100)) >= 100 * FIRST / 4
 
 
 def test_an_error_says_what_was_answered() -> None:
@@ -127,9 +136,9 @@
     """Discovery may have a change, and be reached, right after it turned an ask away: that counts as told 6 s
     later, whatever else is allowed then, and however many asks were turned away before.
     """
-    one = Asking(Longest(), instances, True, False, 0.0)
+    one = WatchBackoff(Longest(), instances, True, False, 0.0)
     for _ in range(20):
-        pause = one.again(0.05, True)
+        pause = one.next_pause(0.05, True)
         one.opens()
         assert pause + one.within < TOLD
 
@@ -149,15 +158,15 @@
 @pytest.mark.parametrize("grace", [0.0, 0.1, 0.5, 1.0, 2.0, 3.0, 10.0])
 def test_a_silent_watch_after_a_silent_one_is_over_before_a_drain_is(grace: float, instances: int) -> None:
     """What the first one misses counts as told 6 s after it fell silent; the third one answers."""
-    one = Asking(Longest(), instances, True, False, grace)
+    one = WatchBackoff(Longest(), instances, True, False, grace)
     one.opens()
     one.heard()
     one.silent()
-    gone = SILENCE + one.again(SILENCE, False)  # it had heard its list a moment before
+    gone = SILENCE + one.next_pause(SILENCE, False)  # it had heard its list a moment before
     one.opens()
     gone += one.within
     one.silent()
-    gone += one.again(one.within, False)
+    gone += one.next_pause(one.within, False)
     assert gone < TOLD + grace - 0.1, "and there is time for the answer"
 
 
@@ -167,7 +176,7 @@
         one.opens()
         waited.append(one.within)
         one.silent()
-        assert one.whole is (waited[-1] == SILENCE)
+        assert one.full_list is (waited[-1] == SILENCE)
     assert waited == sorted(waited) and waited[0] < 1.1 and waited[-1] == SILENCE
     one.opens()
     one.heard()
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -53,7 +53,7 @@
 
         self.seen: list[Transaction] = []
         self.buffer = Buffer()
-        fields = resp.Fields(SET, lambda destination: destination != 404)
+        fields = resp.MessageFields(SET, lambda destination: destination != 404)
         self.session = resp.Session(fields, offer, lambda: True, lambda: START)
 
     def feed(self, data: bytes) -> Out:
@@ -80,8 +80,8 @@
     """A call's answer; the argument is how many messages it carries."""
 
     def __init__(self, count: str) -> None:
-        self.parts, self.machine, self.spoilt = parts(int(count)), http1.AnswerMachine(most=4096), False
-        self.answer: http1.Answer | None = None
+        self.parts, self.machine, self.spoilt = parts(int(count)), http1.ResponseParser(most=4096), False
+        self.answer: http1.Response | None = None
 
     def feed(self, data: bytes) -> Out:
         try:
@@ -90,7 +90,7 @@
             self.spoilt = True
         yield b""
 
-    def show(self, answer: http1.Answer) -> bytes:
+    def show(self, answer: http1.Response) -> bytes:
         result = calls.read(answer, self.parts)
         told = f" wait {result.retry_after // 10**6}" if result.retry_after else ""
         told += f" {result.reported}" if result.reported else ""
@@ -240,11 +240,11 @@
         try:
             self.machine.feed(data)
         except control.ControlError as error:
-            wrong = f"{error.status.value} {error.why}\n"
+            wrong = f"{error.status.value} {error.reason}\n"
         asked, self.machine.asked = self.machine.asked, []
         for one in asked:
-            assert one.who == "me"
-            yield f"{one.method} {one.path} {json.dumps(one.told)}\n".encode()
+            assert one.actor == "me"
+            yield f"{one.method} {one.path} {json.dumps(one.arguments)}\n".encode()
         yield wrong.encode()
 
     def end(self) -> Out:
@@ -262,7 +262,7 @@
         assert packet is not None
         packet.payload = b"body"
         packet.user = [(name, value) for name, value in packet.user]
-        taken = mqtt_messages.transaction(resp.Fields(SET, lambda _: True), packet, START)
+        taken = mqtt_messages.transaction(resp.MessageFields(SET, lambda _: True), packet, START)
         taken.ending, taken.retry_after = Ending.REJECTED, 250_000_000
         answer = mqtt_messages.answer(taken)
         left = (taken.deadline - START) // 10**6
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from honeyhitch.config.deployment import MqttSetup
+from honeyhitch.config.deployment import MqttSettings
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.journal.journal import Journal
@@ -24,8 +24,8 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
 from honeyhitch.transports import sockets
-from honeyhitch.transports.http_transport import HttpCarrier
-from honeyhitch.transports.mqtt_transport import MqttCarrier
+from honeyhitch.transports.http_transport import HttpTransport
+from honeyhitch.transports.mqtt_transport import MqttTransport
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 from .rig import SETTINGS, row
@@ -86,7 +86,7 @@
         folder.mkdir(exist_ok=True)
         self.journal = Journal(folder, 3_000_000, scheduler.now, lambda ended: 20 * SECOND)
         self.core = Dispatcher(self.s, 7, EndpointPool(self.s), self.journal, scheduler)
-        self.carrier = HttpCarrier(self.core, scheduler, self.tasks, 8)
+        self.carrier = HttpTransport(self.core, scheduler, self.tasks, 8)
         self.core.transports["http"], self.core.frontends["resp"] = self.carrier, self
         self.answers: dict[str, Ending | None] = {}
         at = [f"127.0.0.1:{one.port}" for one in members]
@@ -356,9 +356,9 @@
     """The broker takes one at a time: the second publish is asked for once the first is acknowledged."""
 
     async def work() -> None:
-        setup = MqttSetup("127.0.0.1:1", "in", "n0")
+        setup = MqttSettings("127.0.0.1:1", "in", "n0")
         rig = Rig(tmp_path, [])
-        carrier = MqttCarrier(setup, rig.core, rig.core.scheduler, rig.tasks)  # type: ignore[arg-type]
+        carrier = MqttTransport(setup, rig.core, rig.core.scheduler, rig.tasks)  # type: ignore[arg-type]
         rig.core.transports["mqtt"] = carrier
         one = PoolEndpoint("m", "partner/1", 1, kind=1, listed_rate=100.0, transport="mqtt")
         rig.core.pool.pin(one)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -45,7 +45,7 @@
 
 
 def answer(data: bytes) -> None:
-    machine = http1.AnswerMachine()
+    machine = http1.ResponseParser()
     if (found := machine.feed(data) or machine.ended()) is not None:
         result = calls.read(found, parts(2))
         assert len(result.outcomes) == 2 and result.retry_after >= 0
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,7 @@
 from honeyhitch.journal.journal import Journal, JournalVersionError
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
-from honeyhitch.service.handover import Beside
+from honeyhitch.service.handover import ProcessHandover
 from honeyhitch.service.service import run
 from honeyhitch.transports import sockets
 
@@ -66,7 +66,7 @@
 
     monkeypatch.setattr(Journal, "take_over", slowly)
     old.kill()
-    new.beside.look()
+    new.beside.check_peer()
     start.join(10)
     assert came[0].slot == SECOND_SLOT and new.folder.slot == FIRST_SLOT
 
@@ -85,7 +85,9 @@
     def resume(self) -> None:
         self.shares: list[int | None] = []  # calls that the other one had out, as they were told
         self.journal.record_owner("n0")
-        self.beside = Beside(self.folder, self.journal, self.core, lambda _, out: self.shares.append(out))
+        self.beside = ProcessHandover(
+            self.folder, self.journal, self.core, lambda _, out: self.shares.append(out)
+        )
         self.beside.begin()
         self.core.recover()
         self.beside.resumed = True
@@ -111,7 +113,7 @@
     old.core.hand_over()
     assert old.hand_in("b") and not old.run(0.5), "nothing new goes out"
     old.kill()
-    new.beside.look()
+    new.beside.check_peer()
     assert new.held() == {"a", "b"} and new.core.peer_process is None and new.folder.slot == FIRST_SLOT
     sent = [part.id for call in new.run(2) for part in call.messages]
     assert sorted(sent) == ["a", "b"]
@@ -140,17 +142,17 @@
     (call,) = old.run(0.1)
     old.hand_in("b")
     new = Process(tmp_path, time)
-    new.beside.look()
+    new.beside.check_peer()
     assert not new.held() and new.shares == [None], "nothing is passed on before the old one is told to stop"
     old.core.hand_over()
-    new.beside.look()
+    new.beside.check_peer()
     assert (old.held(), new.held()) == ({"a"}, {"b"}) and new.shares == [None, 1], "with the slots left over"
     assert [part.id for call in new.run(0.5) for part in call.messages] == ["b"]
     assert old.core.metrics_snapshot()["active"] == new.core.metrics_snapshot()["active"] == 1
     old.hand_in("c")
     old.end(call, Outcome.CONNECT_FAILED)  # no end of its own: on it goes in the new one
     old.core.hand_over()
-    new.beside.look()
+    new.beside.check_peer()
     assert (old.held(), new.held()) == (set(), {"a", "b", "c"}) and new.shares == [None, 1, 0]
     assert not old.run(1), "the old one does nothing more for them"
     old.core.withdraw("b")
@@ -159,7 +161,7 @@
     for call in new.calls:
         new.end(call, Outcome.DELIVERED)
     old.kill()
-    new.beside.look()
+    new.beside.check_peer()
     assert "b" in new.core.messages.concluded and "b" not in new.held() and new.shares[-1] is None
 
 
@@ -178,12 +180,12 @@
     if compact:
         old.journal._rewrite(old.journal._snapshot(), old.journal.path, old.journal.new_path)
     if adopted:
-        new.beside.look()
+        new.beside.check_peer()
         if ended:
             new.core.conclude(new.core.messages.by_id["a"], Ending.DELIVERED)
     one, other = (old, new) if first == "old" else (new, old)
     one.kill()
-    other.beside.look()
+    other.beside.check_peer()
     owed = set() if adopted and ended else {"a"}
     assert other.held() == owed
     other.kill()
@@ -219,7 +221,7 @@
     new, owed = Process(tmp_path, time, disk=disk, max_messages=1000), old.held()
     new.beside.retry_after_events()  # as in a round: it sees how full the disk is
     old.core.hand_over()
-    new.beside.look()
+    new.beside.check_peer()
     assert new.held() == owed and not old.held()
     assert new.hand_in("one more")
     assert sum(file.stat().st_size for file in tmp_path.iterdir()) < disk
@@ -230,11 +232,11 @@
     old, new = Process(tmp_path, time), Process(tmp_path, time)
     old.hand_in("a")
     old.core.hand_over()
-    new.beside.look()
+    new.beside.check_peer()
     old.kill()
     again = Process(tmp_path, time)  # before the new one has looked
     assert again.journal.calls_in_flight is None and again.folder.slot == FIRST_SLOT
-    new.beside.look()
+    new.beside.check_peer()
     assert new.shares[-1] is None and new.held() == {"a"} and not again.held()
 
 
@@ -244,14 +246,14 @@
     old.hand_in("a")
     old.journal.max_bytes = 1000
     old.core.hand_over()
-    new.beside.look()
+    new.beside.check_peer()
     assert old.held() == {"a"} and not new.held()
     old.journal.max_bytes, new.journal.max_bytes = 3_000_000, 1000
     old.core.hand_over()
-    new.beside.look()
+    new.beside.check_peer()
     assert not new.held(), "no room there: it is not taken, and not lost"
     new.journal.max_bytes = 3_000_000
-    new.beside.look()
+    new.beside.check_peer()
     assert new.held() == {"a"} and not old.held()
 
 
@@ -259,11 +261,11 @@
     time = VirtualTime()
     old = Process(tmp_path, time)
     new = Process(tmp_path, time)
-    old.beside.look()
+    old.beside.check_peer()
     assert old.core.peer_process is not None
     new.hand_in("a")
     new.kill()
-    old.beside.look()
+    old.beside.check_peer()
     assert old.held() == {"a"} and old.core.peer_process is None and not (tmp_path / "journal-2").exists()
 
 
@@ -279,7 +281,7 @@
     assert not new.run(1)
     old.core.hand_over()
     old.kill()
-    new.beside.look()
+    new.beside.check_peer()
     sent = new.run(4)
     assert sent and all(call.sent_at >= told + 2 * S for call in sent)
 
@@ -330,7 +332,7 @@
     new.hand_in("b")
     stale = (tmp_path / "journal-2").read_bytes()
     old.kill()
-    new.beside.look()
+    new.beside.check_peer()
     new.core.conclude(new.core.messages.by_id["b"], Ending.UNANSWERED)
     new.kill()
     (tmp_path / "journal-2").write_bytes(stale)  # as if it had not been removed yet
@@ -423,7 +425,7 @@
     @rule()
     def look(self) -> None:
         for process in self.alive:
-            process.beside.look()
+            process.beside.check_peer()
         holds = [process.held() for process in self.alive]
         assert len(holds) < 2 or not holds[0] & holds[1], "never two owners"
         passed = set().union(*(process.journal.handed_over for process in self.alive))
--- a/tests/test_http_transport.py
+++ b/tests/test_http_transport.py
@@ -13,7 +13,7 @@
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.transports.channel import PlainChannel
-from honeyhitch.transports.http_transport import Connection, HttpCarrier, Progress
+from honeyhitch.transports.http_transport import Connection, HttpTransport, Progress
 
 from .rig import START
 from .test_exchanges import parts
@@ -34,7 +34,7 @@
     kept: bool, written: bool, came: bytes, outcome: Outcome, told: Outcome, stale: bool
 ) -> None:
     member = PoolEndpoint("m", "127.0.0.1:9", 1)
-    machine = http1.AnswerMachine()
+    machine = http1.ResponseParser()
     if came:
         machine.feed(came)
     with socket.socket() as sock:
@@ -43,5 +43,5 @@
         progress.connection = Connection(channel, member.address, Buffer(), machine, START if kept else 0)
         progress.written = written
         call = Call(member, parts(1), [0], [0], START, [True])
-        result = HttpCarrier._cut(call, progress, outcome)
+        result = HttpTransport._cut(call, progress, outcome)
     assert (result.outcomes[0][0], result.connection_stale) == (told, stale)
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from honeyhitch.protocols.discovery import Watch, WatchError
-from honeyhitch.protocols.list_parser import MOST_PART, ListError, MemberReader
+from honeyhitch.protocols.list_parser import MOST_PART, ListError, ListParser
 
 from .rig import row
 
@@ -34,7 +34,7 @@
     told: list[dict[str, Any]], size: int, indent: int | None
 ) -> None:
     data = b"\n\n".join(json.dumps(one, indent=indent).encode() for one in told) + b"\n"
-    reader, found = MemberReader(lambda row: row["cell"] % 2 == 0), list[dict[str, Any]]()
+    reader, found = ListParser(lambda row: row["cell"] % 2 == 0), list[dict[str, Any]]()
     for at in range(0, len(data), size):
         found += reader.feed(data[at : at + size])
     kept = [{**one, "members": [row for row in one["members"] if row["cell"] % 2 == 0]} for one in told]
@@ -54,7 +54,7 @@
 )
 def test_what_is_no_list_is_an_error_and_is_not_waited_for_without_end(data: bytes, problem: str) -> None:
     with pytest.raises(ListError, match=problem):
-        MemberReader(lambda row: True).feed(data)
+        ListParser(lambda row: True).feed(data)
 
 
 def test_a_watch_that_keeps_what_is_wanted_takes_a_list_over_every_bound_and_then_changes() -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -61,7 +61,7 @@
 
 def test_a_message_that_fails_at_the_door_is_an_error_of_its_class(tmp_path: Path) -> None:
     stand = Stand(tmp_path)
-    fields = resp.Fields(stand.s, stand.core.pool.has_destination, stand.core.metrics.message_invalid)
+    fields = resp.MessageFields(stand.s, stand.core.pool.has_destination, stand.core.metrics.message_invalid)
     for told in ({"c": "standard", "d": "8000"}, {"c": "standard", "d": "9" * 9, "dest": "1", "k": "k"}, {}):
         with pytest.raises(resp.FieldError):
             fields.transaction(b"id", told, b"", 0)
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -244,6 +244,6 @@
         "again": "1",
         "via": NAME,
     }
-    read = resp.Fields(given, lambda number: True).transaction(parts[2], fields, parts[4], now)
+    read = resp.MessageFields(given, lambda number: True).transaction(parts[2], fields, parts[4], now)
     assert (read.id, read.body, read.key, read.recovered_from_journal) == ("id", b"a\r\nb", "k", True)
     assert forwarding.request(given, one, NAME, one.deadline - MS // 2) is None
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -33,7 +33,7 @@
 
     async def stopped() -> None:
         tasks = Tasks(asyncio.get_running_loop())
-        tasks.keep(work)
+        tasks.run_forever(work)
         while not begun:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -16,7 +16,7 @@
 from honeyhitch.tls.material import MaterialError, load
 from honeyhitch.tls.partners import Partners
 from honeyhitch.tls.sessions import Key, SessionCache
-from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSetup
+from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
 from .authority import Authority
 from .program import write
@@ -126,7 +126,7 @@
         Partner(scope, value, Terms(handshakes=i))
         for i, (scope, value) in enumerate(((Scope.KIND, "k"), (Scope.DEST, "7"), (Scope.MEMBER, "m")), 1)
     )
-    setup = TlsSetup((wide, middle, narrow))
+    setup = TlsSettings((wide, middle, narrow))
     assert setup.partner_of("m", 7, "k") is narrow
     assert setup.partner_of("n", 7, "k") is middle
     assert setup.partner_of("n", 8, "k") is wide
@@ -147,7 +147,7 @@
 
 
 def known_partners(terms: Terms, clock: Clock) -> Partners:
-    setup = TlsSetup((Partner(Scope.DEST, "1", terms),))
+    setup = TlsSettings((Partner(Scope.DEST, "1", terms),))
     return Partners(setup, settings(), {}, lambda: clock.now, Random(1))
 
 
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -15,7 +15,7 @@
 from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.policy.events import ConnectionCapacity, Outcome
 from honeyhitch.tls import retirement
-from honeyhitch.tls.connection_gate import Door
+from honeyhitch.tls.connection_gate import EndpointConnections
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.handshake_budget import RESUMED, HandshakeBudget
 
@@ -152,7 +152,7 @@
 
 
 def test_a_door_bars_a_member_longer_with_each_lasting_failure() -> None:
-    door = Door("m", 1, HandshakeBudget(2, 100.0), lambda failures: SECOND << failures)
+    door = EndpointConnections("m", 1, HandshakeBudget(2, 100.0), lambda failures: SECOND << failures)
     now = START
     for expected in (1, 2, 4):
         start = door.start(now)
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -20,7 +20,7 @@
 from honeyhitch.tls.machine import Phase, Records, TlsMachine
 from honeyhitch.tls.material import load
 from honeyhitch.tls.partners import Partners
-from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSetup
+from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
 from .authority import Authority, Issued
 from .tls_partner import asking, server_context
@@ -349,7 +349,7 @@
 
     def partners(*wanted: bytes) -> Partners:
         terms = Terms(ca=pki.file, crl=crl, pins=wanted, server_name="localhost")
-        setup = TlsSetup((Partner(Scope.DEST, "1", terms),))
+        setup = TlsSettings((Partner(Scope.DEST, "1", terms),))
         return Partners(setup, settings(), {}, lambda: now[0], Random(1))
 
     def attempt(told: Partners, context: ssl.SSLContext) -> TlsMachine:
