--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -118,7 +118,8 @@
 def test_a_flood_on_one_connection_leaves_the_others_their_turns() -> None:
     one, buffer = session(), Buffer()
     buffer.feed(PING * 1000)
-    assert one.receive(buffer).count(PONG) == resp.TURN and one.more
+    assert one.receive(buffer).count(PONG) == resp.TURN
+    assert one.more
 
     async def work() -> None:
         async with served(10) as server:
@@ -141,7 +142,8 @@
     read = config.read({}, str(path))
     for processes in (1, 2):
         clients, idle = budget(read, processes)
-        assert clients > 0 and idle > 0
+        assert clients > 0
+        assert idle > 0
         each = clients + idle + config.FIXED_SOCKETS
         assert processes * each + read.settings.max_concurrent_calls <= sockets or (clients, idle) == (1, 1)
 
@@ -297,7 +299,8 @@
                 await asyncio.sleep(0)
             server.drain()
             server.limit(0)
-            assert len(server.clients) == 1 and not server.settled
+            assert len(server.clients) == 1
+            assert not server.settled
             stuck.go.set()
             reader, _ = await asyncio.open_connection(sock=sock)
             assert await reader.read() == PONG, "whole, and then the end"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -107,7 +107,8 @@
         20,
         "small",
     )
-    assert settings.tenant_names == ("studio",) and settings.report_fields == ("x0", "x1")
+    assert settings.tenant_names == ("studio",)
+    assert settings.report_fields == ("x0", "x1")
 
 
 def test_variables_win_over_the_file_and_the_shipped_files_are_sound() -> None:
@@ -117,13 +118,16 @@
     assert read.operator.mqtt is None and read.operator.health is None, "nothing is on by itself"
     operator = (ROOT / "deploy" / "mqtt.toml").read_text()
     told = config.read_operator(str(ROOT / "deploy" / "mqtt.toml"), "n", _named(read, "small-partner"), {})
-    assert told.mqtt is not None and "print-shop" in operator and told.mqtt.members[0].destination == 7
+    assert told.mqtt is not None
+    assert "print-shop" in operator
+    assert told.mqtt.members[0].destination == 7
 
 
 def test_the_shipped_tls_file_is_sound(tmp_path: Path) -> None:
     read = config.read({}, str(ROOT / "example" / "config.json"))
     told = config.read_operator(str(ROOT / "deploy" / "tls.toml"), "n", _named(read, "partner"), {}).tls
-    assert told is not None and told.partners[0].terms.handshakes == 6
+    assert told is not None
+    assert told.partners[0].terms.handshakes == 6
 
 
 def test_a_file_read_again_wins_over_a_variable_from_the_start_where_it_changed(tmp_path: Path) -> None:
@@ -149,11 +153,14 @@
     runner = CliRunner()
     assert runner.invoke(main, ["version"]).output.strip().count(".") == 2
     shown = runner.invoke(main, ["check", "--config", str(ROOT / "example" / "config.json")])
-    assert shown.exit_code == 0 and "listens on 127.0.0.1:6379" in shown.output
+    assert shown.exit_code == 0
+    assert "listens on 127.0.0.1:6379" in shown.output
     wrong = runner.invoke(main, ["check", "--config", "absent.json"])
-    assert wrong.exit_code == 2 and "ROUTER_CONFIG: cannot read absent.json" in wrong.output
+    assert wrong.exit_code == 2
+    assert "ROUTER_CONFIG: cannot read absent.json" in wrong.output
     nobody = runner.invoke(main, ["send", "127.0.0.1:1", "--dest", "1", "hi"])
-    assert nobody.exit_code == 1 and nobody.output.startswith("Error: ")
+    assert nobody.exit_code == 1
+    assert nobody.output.startswith("Error: ")
 
 
 FLEET = {"view": "127.0.0.1:8600", "zone": "a"}
@@ -200,4 +207,5 @@
 def test_the_fleet_example_can_be_read(tmp_path: Path) -> None:
     path, _ = write(tmp_path, 6379, 8500, [])
     read = config.read({}, path, str(ROOT / "deploy" / "fleet.toml"))
-    assert read.operator.fleet is not None and len(read.operator.fleet.zones) == 10
+    assert read.operator.fleet is not None
+    assert len(read.operator.fleet.zones) == 10
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -102,7 +102,8 @@
             assert sum(one <= READY_WITHIN for one in took) >= 0.9 * RESTARTED, sorted(took)
             for port, path in paths.items():
                 owed = await ask(port, enqueue(f"{port}-0"))  # its journal was read: it knows what it holds
-                assert owed == b"+OK\r\n" and held(json.loads(Path(path).read_text())) >= OWED
+                assert owed == b"+OK\r\n"
+                assert held(json.loads(Path(path).read_text())) >= OWED
 
     play(work())
 
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -62,4 +62,5 @@
     first = None if ran_ago is None else NOW - ran_ago
     told = decide(ExecutionHistory(effect, WINDOW if effect is KEYED else 0, first), NOW, GRACE, LONGEST)
     if told.verdict is Verdict.RESEND and first is not None and effect is not SAFE:
-        assert effect is KEYED and NOW + takes <= first + WINDOW
+        assert effect is KEYED
+        assert NOW + takes <= first + WINDOW
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -72,8 +72,10 @@
         applied = self.partner.ledger.get("k", [])
         assert len(applied) <= 1, "applied twice"
         assert len([one for one in found if one.standing in OPEN]) <= 1, "a message stands twice"
-        assert not self.stand.core.messages.by_id and not self.stand.core.messages.pending_dead_letters
-        assert not self.stand.resending.under_way and not any(self.stand.resending.parked.values())
+        assert not self.stand.core.messages.by_id
+        assert not self.stand.core.messages.pending_dead_letters
+        assert not self.stand.resending.under_way
+        assert not any(self.stand.resending.parked.values())
         assert list(self.stand.store.verify()) == []
         settled = [one for one in found if one.standing is RecordStatus.SETTLED]
         done = settled or Ending.DELIVERED in self.answers.values()
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -87,19 +87,24 @@
                 True,
                 True,
             )
-            assert len(one["attempts"]) == partner.calls and one["attempts"][0]["member"] == "s-1"
+            assert len(one["attempts"]) == partner.calls
+            assert one["attempts"][0]["member"] == "s-1"
             await until(lambda: "m1" in agent.notices)
             text = await asyncio.to_thread(cli, tmp_path, *where, "show", "m1")
-            assert "=1+1 é" in text and "s-1" in text and "error" in text
+            assert "=1+1 é" in text
+            assert "s-1" in text
+            assert "error" in text
             told = await asyncio.to_thread(cli, tmp_path, *where, "settle", "m1", "--why", SETTLED)
             assert "settle 1 m1" in told
             told = await asyncio.to_thread(cli, tmp_path, *where, "verify", "--json")
             assert json.loads(told) == {"records": 1, "faults": []}
             state = json.loads(await asyncio.to_thread(cli, tmp_path, *where, "state"))
-            assert state["undelivered"]["moved"] == 1 and state["undelivered"]["loaded"]
+            assert state["undelivered"]["moved"] == 1
+            assert state["undelivered"]["loaded"]
             client = ControlClient(control)
             state = await asyncio.to_thread(client.ask, "GET", "/state")
-            assert state["phase"] == "ready" and state["pid"] == os.getpid()
+            assert state["phase"] == "ready"
+            assert state["pid"] == os.getpid()
             for method, path, body, error in (
                 ("GET", "/nothing", None, "/nothing: no such path"),
                 ("GET", "/undelivered/list", None, "/undelivered/list: expected POST"),
@@ -115,7 +120,8 @@
         assert not control.exists()
         # The daemon is down: the same commands read the files.
         (one,) = json.loads(await asyncio.to_thread(cli, tmp_path, *where, "list", "--json"))["records"]
-        assert one["standing"] == "settled" and one["settled_by"].startswith("person:")
+        assert one["standing"] == "settled"
+        assert one["settled_by"].startswith("person:")
 
     play(work())
 
@@ -130,8 +136,10 @@
                 b"GET /state HTTP/1.1\r\nHost: x\r\n\r\nPOST /x HTTP/1.1\r\nContent-Length: 1\r\n\r\n{"
             )
             answers = await reader.read()
-            assert answers.startswith(b"HTTP/1.1 200 OK\r\n") and b"HTTP/1.1 400 Bad Request" in answers
-            assert b"Connection: close" in answers and answers.count(b"HTTP/1.1 ") == 2
+            assert answers.startswith(b"HTTP/1.1 200 OK\r\n")
+            assert b"HTTP/1.1 400 Bad Request" in answers
+            assert b"Connection: close" in answers
+            assert answers.count(b"HTTP/1.1 ") == 2
             writer.close()
 
     play(work())
@@ -182,18 +190,22 @@
 def test_pages_tables_and_exports(tmp_path: Path) -> None:
     where = filled(tmp_path / "s")
     text = cli(tmp_path, *where, "list", "--limit", "10", "--dest", "2")
-    assert len(text.splitlines()) == 13 and "there may be more: --after 39" in text
+    assert len(text.splitlines()) == 13
+    assert "there may be more: --after 39" in text
     assert cli(tmp_path, *where, "list", "--tenant", "nobody") == "none\n"
     page = json.loads(cli(tmp_path, *where, "list", "--json", "--limit", "1000", "--never-ran"))
-    assert len(page["records"]) == 60 and not page["more"]
+    assert len(page["records"]) == 60
+    assert not page["more"]
     text = cli(tmp_path, *where, "stats", "--by", "tenant", "--by", "may_have_run", "--by", "day")
-    assert "120 of 100000 records" in text and text.count("2023-11-14") == 6
+    assert "120 of 100000 records" in text
+    assert text.count("2023-11-14") == 6
     rows = list(csv.DictReader(io.StringIO(cli(tmp_path, *where, "export", "--tenant", "t1"))))
     assert len(rows) == 40 and {one["body"] for one in rows} == {"'=cmd()"}, (
         "no formula reaches a spreadsheet"
     )
     lines = cli(tmp_path, *where, "export", "--format", "jsonl").splitlines()
-    assert len(lines) == 120 and json.loads(lines[0])["body"] == "=cmd()"
+    assert len(lines) == 120
+    assert json.loads(lines[0])["body"] == "=cmd()"
     out = tmp_path / "out.csv"
     cli(tmp_path, *where, "export", "--output", str(out))
     assert len(out.read_text().splitlines()) == 121
@@ -239,7 +251,8 @@
     where = filled(tmp_path / "s", 3)
     store = Store(tmp_path / "s")
     told = CliRunner().invoke(main, ["undelivered", *where, "discard", "1", "--why", "x"])
-    assert told.exit_code == 1 and "writes this store already" in told.output
+    assert told.exit_code == 1
+    assert "writes this store already" in told.output
     store.close()
     assert len(cli(tmp_path, *where, "list").splitlines()) == 5
 
@@ -290,7 +303,8 @@
         Fate.SAFE: (1, "10.25", 0), Fate.NOT_SAFE: (1, "10.25", 0), Fate.RESENT: (1, "4.5", 0),
         Fate.SETTLED: (1, "0", 1), Fate.DISCARDED: (1, "0", 1), Fate.ALTERED: (1, "0", 1),
     }  # fmt: skip
-    assert told.replaced == 1 and set(told.groups["destination"]) == {"1", "2", "10"}
+    assert told.replaced == 1
+    assert set(told.groups["destination"]) == {"1", "2", "10"}
     out = tmp_path / "report.html"
     words = [
         "--store",
@@ -303,8 +317,10 @@
     ]
     assert "6 messages in" in cli(tmp_path, *words)
     page = out.read_text()
-    assert "&lt;b&gt;one&lt;/b&gt;" in page and "<b>one" not in page
-    assert page.index("<td>2</td>") < page.index("<td>10</td>") and "2023-11-14" in page
+    assert "&lt;b&gt;one&lt;/b&gt;" in page
+    assert "<b>one" not in page
+    assert page.index("<td>2</td>") < page.index("<td>10</td>")
+    assert "2023-11-14" in page
     cli(tmp_path, *words, code=1)  # a page is not written over
 
 
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -33,9 +33,12 @@
     kills = tuple(rng.randrange(1, 900) for _ in range(seed % 4))
     told = day(tmp_path, seed, kills)
     assert told.kills == len(kills)
-    assert told.doubled() == [] and told.unsettled() == []
-    assert not told.stand.resending.under_way and not told.stand.resending.parked
-    assert not told.stand.journal.messages.pending_dead_letters and not told.stand.core.messages.by_id
+    assert told.doubled() == []
+    assert told.unsettled() == []
+    assert not told.stand.resending.under_way
+    assert not told.stand.resending.parked
+    assert not told.stand.journal.messages.pending_dead_letters
+    assert not told.stand.core.messages.by_id
     assert not told.stand.resending.copies.live
     assert list(told.stand.store.verify()) == []
     told.stand.gone()
@@ -130,16 +133,20 @@
 def test_a_resend_is_a_fresh_request_with_the_same_key(tmp_path: Path) -> None:
     one = One(tmp_path)
     record = one.fail("m", cls=UNSAFE)
-    assert not record.may_have_run and record.told_again is not None
+    assert not record.may_have_run
+    assert record.told_again is not None
     one.run(100)
     settled = one.record("m")
-    assert settled.standing is RecordStatus.SETTLED and settled.settled_by == f"resend:{settled.resend_id}"
+    assert settled.standing is RecordStatus.SETTLED
+    assert settled.settled_by == f"resend:{settled.resend_id}"
     (sent,) = [part for part in one.stand.sent if part.id == settled.resend_id]
     assert (sent.key, sent.body, sent.class_index, sent.frontend) == ("k", b"body", UNSAFE, "resend")
-    assert sent.deadline > record.deadline and sent.id != "m"
+    assert sent.deadline > record.deadline
+    assert sent.id != "m"
     assert one.audit("m") == ["resend", "settled"]
     assert len(settled.tries) == len(record.tries) + 1
-    assert one.partner.ledger["k"] and len(one.partner.ledger["k"]) == 1
+    assert one.partner.ledger["k"]
+    assert len(one.partner.ledger["k"]) == 1
 
 
 @pytest.mark.parametrize(
@@ -163,7 +170,8 @@
     one = One(tmp_path, terms=dataclasses.replace(TERMS, grace=100 * SECOND))
     one.fail("m", "500-after")
     one.run(300)
-    assert one.record("m").standing is RecordStatus.KEPT and one.record("m").resends == 0
+    assert one.record("m").standing is RecordStatus.KEPT
+    assert one.record("m").resends == 0
     assert len(one.partner.ledger["k"]) == 1
 
 
@@ -177,8 +185,11 @@
     one.stand.modes = ("reset-before",)
     one.run(60)
     record = one.record("m")
-    assert record.resends == 1 and record.standing is RecordStatus.KEPT and record.evidence == ""
-    assert record.first_ran is not None and record.first_ran > record.ended_at
+    assert record.resends == 1
+    assert record.standing is RecordStatus.KEPT
+    assert record.evidence == ""
+    assert record.first_ran is not None
+    assert record.first_ran > record.ended_at
     one.stand.modes = ("deliver",)
     one.run(200)
     assert one.record("m").resends == 1, "the evidence was of the attempts before it"
@@ -220,7 +231,8 @@
     sent = len(one.stand.sent)
     one.until_out()
     one.hand_in("copy", cls=cls, front=front)
-    assert one.stand.sent[-1].frontend == "resend" and len(one.stand.sent) == sent + 1
+    assert one.stand.sent[-1].frontend == "resend"
+    assert len(one.stand.sent) == sent + 1
     one.stand.modes = ("deliver",)
     out: list[str] = []
     while one.stand.core.messages.by_id.get("copy") is not None:
@@ -280,7 +292,8 @@
     one.run(1)
     one.hand_in("copy-2", cls=UNSAFE)
     one.run(1)
-    assert one.answers()["copy-2"] is Ending.DELIVERED and len(one.partner.ledger["k"]) == 1
+    assert one.answers()["copy-2"] is Ending.DELIVERED
+    assert len(one.partner.ledger["k"]) == 1
 
 
 def test_a_keyed_message_long_after_the_resend_is_a_new_one(tmp_path: Path) -> None:
@@ -289,7 +302,8 @@
     one.run(200)
     one.hand_in("new")
     one.run(5)
-    assert len(one.partner.ledger["k"]) == 2 and one.answers()["new"] is Ending.DELIVERED
+    assert len(one.partner.ledger["k"]) == 2
+    assert one.answers()["new"] is Ending.DELIVERED
 
 
 def test_a_copy_of_other_contents_settles_nothing_and_bars_an_unsafe_resend(tmp_path: Path) -> None:
@@ -300,7 +314,9 @@
     assert one.stand.core.submit(other).accepted
     one.run(100)
     record = one.record("m")
-    assert record.standing is RecordStatus.KEPT and record.may_have_run and record.resends == 0
+    assert record.standing is RecordStatus.KEPT
+    assert record.may_have_run
+    assert record.resends == 0
     assert one.audit("m") == ["key-used"]
 
 
@@ -317,9 +333,8 @@
     assert one.answers()["copy"] is Ending.FAILED, "the resend may run yet"
     one.stand.modes = ("deliver",)
     one.run(100)
-    assert (
-        one.record("copy").standing is RecordStatus.REPLACED and one.record("m").standing is RecordStatus.KEPT
-    )
+    assert one.record("copy").standing is RecordStatus.REPLACED
+    assert one.record("m").standing is RecordStatus.KEPT
 
 
 def test_a_copy_that_is_withdrawn_while_it_waits(tmp_path: Path) -> None:
@@ -330,7 +345,8 @@
     one.hand_in("copy", cls=UNSAFE)
     one.stand.core.withdraw("copy")
     one.run(30)
-    assert "copy" not in one.answers() and not one.stand.resending.copies.live
+    assert "copy" not in one.answers()
+    assert not one.stand.resending.copies.live
     assert not any(one.stand.resending.parked.values())
 
 
@@ -342,8 +358,10 @@
         one.until_sending("m")
     one.hand_in("copy", cls=UNSAFE)
     one.run(5)
-    assert one.answers()["copy"] is Ending.DELIVERED and one.record("m").settled_by == "copy:copy"
-    assert len(one.partner.ledger["k"]) == 1 and one.stand.resending.pacing.out == 0
+    assert one.answers()["copy"] is Ending.DELIVERED
+    assert one.record("m").settled_by == "copy:copy"
+    assert len(one.partner.ledger["k"]) == 1
+    assert one.stand.resending.pacing.out == 0
 
 
 def test_a_journal_that_was_lost_makes_a_resend_one_that_may_have_run(tmp_path: Path) -> None:
@@ -355,7 +373,8 @@
     (tmp_path / "journal").unlink()
     one.stand = ResendStand(tmp_path, one.stand.time, one.partner, random.Random(2))
     one.run(100)
-    assert one.record("m").standing is RecordStatus.KEPT and one.record("m").may_have_run
+    assert one.record("m").standing is RecordStatus.KEPT
+    assert one.record("m").may_have_run
     assert one.audit("m") == ["resend", "resend-lost"]
 
 
@@ -366,10 +385,12 @@
     one.stand.worker.broken = sqlite3.OperationalError("disk I/O error")
     one.run(20)
     (held,) = one.stand.core.messages.by_id.values()
-    assert held.frontend == "resend" and held.ending is Ending.DELIVERED
+    assert held.frontend == "resend"
+    assert held.ending is Ending.DELIVERED
     one.stand.worker.broken = None
     one.run(70)
-    assert one.record("m").standing is RecordStatus.SETTLED and not one.stand.core.messages.by_id
+    assert one.record("m").standing is RecordStatus.SETTLED
+    assert not one.stand.core.messages.by_id
     assert len(one.partner.ledger["k"]) == 1
 
 
@@ -381,7 +402,8 @@
     one.stand.resending.replace_rules((Rule("none", Action.HOLD),))
     one.run(100)
     standings = [one.record(f"m{i}").standing.value for i in range(6)]
-    assert standings.count("settled") <= 2 and "sending" not in standings
+    assert standings.count("settled") <= 2
+    assert "sending" not in standings
     one.stand.resending.replace_rules((Rule("gone", Action.DISCARD, destinations=frozenset({1})),))
     one.run(60)
     assert {one.record(f"m{i}").standing.value for i in range(6)} <= {"settled", "discarded"}
@@ -413,7 +435,8 @@
     told = {"revision": 2, "complete": False, "members": [row("s-1", 1, phase="Terminating")]}
     one.stand.core.apply_list_update(one.stand.core.pool.update(told))
     one.run(100)
-    assert one.record("m").resends == 0 and one.record("m").standing is RecordStatus.KEPT
+    assert one.record("m").resends == 0
+    assert one.record("m").standing is RecordStatus.KEPT
     assert destination_health(one.stand.core.policy, 1, one.stand.time.now()) == DestinationHealth(
         False, True, False, 0, False, 0, 0, 0
     )
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -90,7 +90,8 @@
     assert told(record(), old, RESEND) == ("resend", "never-ran")
     assert told(record(), old, RESEND, now=START + 200 * SECOND) == ("discard", "discarded-by-rule")
     held = plan(record(), (old, Rule("h", Action.HOLD)), HERE, NOW, SECOND)
-    assert held.step is Step.LATER and held.at == START + 200 * SECOND
+    assert held.step is Step.LATER
+    assert held.at == START + 200 * SECOND
 
 
 # How they are read.
@@ -128,7 +129,8 @@
     assert (first.name, first.destinations, first.classes) == ("one", frozenset({1}), frozenset({"standard"}))
     assert (first.may_have_run, first.rate, first.healthy) == (False, 2.0, SECOND // 2)
     assert (second.name, second.action, second.older_than) == ("rule 1", Action.DISCARD, 3600 * SECOND)
-    assert setup.terms.share == 0.2 and not setup.terms.elsewhere
+    assert setup.terms.share == 0.2
+    assert not setup.terms.elsewhere
     assert setup.at(tmp_path) == tmp_path / "undelivered"
 
 
@@ -237,7 +239,9 @@
             pacing.ended(1)
         now += SECOND
     gaps = [after - before for before, after in zip([NOW, *tries], tries, strict=False)]
-    assert gaps[0] == QUIET and gaps == sorted(gaps) and gaps[-1] == MOST_GAP
+    assert gaps[0] == QUIET
+    assert gaps == sorted(gaps)
+    assert gaps[-1] == MOST_GAP
     assert pacing.healthy(1, now) == 0
     pacing.look(1, WELL, now)
     assert pacing.healthy(1, now + 5 * SECOND) == 5 * SECOND
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -54,11 +54,14 @@
     again = opened(tmp_path, writes=False)
     for one in made:
         kept = again.get(one.seq)
-        assert kept is not None and not kept.fault and kept.record == one
+        assert kept is not None
+        assert not kept.fault
+        assert kept.record == one
     assert again.get(99) is None
     (size,) = again.db.execute("SELECT length(body) FROM detail WHERE seq = 2").fetchone()
     assert size < 200, "a body beyond the threshold is compressed"
-    assert again.count == 3 and again.size == store.size
+    assert again.count == 3
+    assert again.size == store.size
 
 
 def test_files_are_for_their_owner_alone(tmp_path: Path) -> None:
@@ -83,7 +86,8 @@
     with pytest.raises(ZeroDivisionError), store.at_once():
         store.add([record(), record()])
         1 / 0
-    assert (store.count, store.size) == before and len(store.page(Filter())) == 1
+    assert (store.count, store.size) == before
+    assert len(store.page(Filter())) == 1
 
 
 # Limits.
@@ -143,7 +147,8 @@
     store.db.execute(f"PRAGMA max_page_count={pages + 4}")
     with pytest.raises(sqlite3.OperationalError, match="full"):
         store.add([record(body=os.urandom(5000)) for _ in range(50)])
-    assert store.count == 0 and store.page(Filter()) == []
+    assert store.count == 0
+    assert store.page(Filter()) == []
     store.db.execute("PRAGMA max_page_count=100000")
     store.add([record()])
     assert store.count == 1
@@ -343,7 +348,8 @@
     store.add([record()])
     reader = opened(tmp_path, writes=False)
     assert rekey(store) == 0
-    assert [one.fault for one in reader.page(Filter())] == [""] and reader.audit()[0]["intact"]
+    assert [one.fault for one in reader.page(Filter())] == [""]
+    assert reader.audit()[0]["intact"]
 
 
 @pytest.mark.parametrize("broken_off", [None, 0, 1, 2, 3])
@@ -370,7 +376,8 @@
     store.close()
     again = opened(tmp_path)
     assert list(again.verify()) == []
-    assert rekey(again) == 0 and list(again.verify()) == []
+    assert rekey(again) == 0
+    assert list(again.verify()) == []
     assert list(json.loads((tmp_path / files.KEYS).read_text())["keys"]) == [str(again.keys.current)]
 
 
@@ -378,7 +385,8 @@
     store = opened(tmp_path)
     store.add([record(), record()])
     store.db.execute("UPDATE record SET tenant = 'other' WHERE seq = 1")
-    assert rekey(store) == 1 and sorted(store.keys.keys) == [1, 2]
+    assert rekey(store) == 1
+    assert sorted(store.keys.keys) == [1, 2]
     assert [bool(one.fault) for one in store.page(Filter())] == [True, False]
 
 
@@ -400,7 +408,8 @@
         told["after"] = page["after"]
         if not page["more"]:
             break
-    assert len(seen) == 25 == len(set(seen)) and seen == sorted(seen)
+    assert len(seen) == 25 == len(set(seen))
+    assert seen == sorted(seen)
     newest = operations.done(store, "list", {"newest_first": True, "most": 2}, "me")
     assert [one["id"] for one in newest["records"]] == ["n249", "n248"]
     older = operations.done(store, "list", {"newest_first": True, "most": 2, "after": newest["after"]}, "me")
@@ -408,7 +417,8 @@
     between = {"since": str(START + 10), "until": str(START + 20)}
     assert len(operations.done(store, "list", {"filter": between}, "me")["records"]) == 10
     groups = operations.done(store, "stats", {"by": ["tenant"], "filter": chosen}, "me")["groups"]
-    assert sum(one["count"] for one in groups) == 25 and {one["tenant"] for one in groups} == {
+    assert sum(one["count"] for one in groups) == 25
+    assert {one["tenant"] for one in groups} == {
         "t0",
         "t1",
         "t2",
@@ -475,7 +485,8 @@
         2: "it never ran: nothing has to be proved before it is sent",
         3: "it is sending",
     }
-    assert [one.record for one in store.page(Filter())] == before and store.audit() == []
+    assert [one.record for one in store.page(Filter())] == before
+    assert store.audit() == []
     assert operations.done(store, "change", told | {"dry_run": False}, "anna")["done"] == tried["done"]
     assert operations.done(store, "change", told | {"dry_run": False}, "anna")["done"] == []
     (row,) = operations.done(store, "show", {"seq": 1}, "x")["audit"]
@@ -484,8 +495,10 @@
         store, "change", {"verb": "settle", "why": "seen in their books", "filter": {"seq": "1"}}, "bo"
     )
     settled = store.get(1)
-    assert settled is not None and settled.record.standing is RecordStatus.SETTLED
-    assert settled.record.settled_by == "person:bo" and settled.record.evidence == "letter 17 of the partner"
+    assert settled is not None
+    assert settled.record.standing is RecordStatus.SETTLED
+    assert settled.record.settled_by == "person:bo"
+    assert settled.record.evidence == "letter 17 of the partner"
     store.db.execute("UPDATE audit SET who = 'nobody' WHERE number = 1")
     assert list(store.verify()) == ["audit 1: altered since it was sealed"]
 
@@ -504,11 +517,13 @@
     while more:
         page = operations.done(store, "purge", {"why": "room"}, "me")
         count, more = count + page["count"], page["more"]
-    assert count == 450 and store.count == 1
+    assert count == 450
+    assert store.count == 1
     store.db.execute("UPDATE record SET key = 'other'")
     told = {"why": "it was altered", "altered": True, "filter": {"seq": "451"}}
     assert operations.done(store, "purge", told, "me")["count"] == 1
-    assert store.count == 0 and store.size == 0
+    assert store.count == 0
+    assert store.size == 0
     assert store.audit(451)[0]["what"] == "purge"
 
 
@@ -526,9 +541,9 @@
     found = {one.record.id: one.record for one in store.page(Filter())}
     assert [one.standing.value for one in found.values()] == ["kept"] * 3
     assert [row["what"] for row in store.audit()] == ["discard"]
-    assert found["old-1"].body == b"x" * 2000 and found["old-1"].told_again is None
+    assert found["old-1"].body == b"x" * 2000
+    assert found["old-1"].told_again is None
     assert store.db.execute("SELECT seq FROM plan ORDER BY seq").fetchall() == [(1,), (2,), (3,)]
     operations.done(store, "change", {"verb": "resend", "why": "x", "filter": {"id": "old-3"}}, "me")
-    assert (
-        list(store.verify()) == [] and store.db.execute("PRAGMA user_version").fetchone()[0] == schema.VERSION
-    )
+    assert list(store.verify()) == []
+    assert store.db.execute("PRAGMA user_version").fetchone()[0] == schema.VERSION
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -46,16 +46,17 @@
         "timeout",
         "keyed",
     )  # type: ignore[union-attr]
-    assert record.came_at == began and record.first_ran is not None and record.first_ran >= began
-    assert record.ended_at > record.came_at and record.deadline == began + 20 * SECOND
+    assert record.came_at == began
+    assert record.first_ran is not None
+    assert record.first_ran >= began
+    assert record.ended_at > record.came_at
+    assert record.deadline == began + 20 * SECOND
     assert [one.number for one in record.tries] == list(range(len(stand.calls)))
     assert {(one.endpoint, one.outcome) for one in record.tries} == {("s-1", "timeout")}
     assert all(one.elapsed > 0 for one in record.tries)
-    assert (
-        not stand.journal.messages.pending_dead_letters
-        and not stand.journal.messages.by_id
-        and not stand.journal.dead_letter_bytes
-    )
+    assert not stand.journal.messages.pending_dead_letters
+    assert not stand.journal.messages.by_id
+    assert not stand.journal.dead_letter_bytes
 
 
 def test_what_was_delivered_or_withdrawn_is_not_kept(tmp_path: Path) -> None:
@@ -67,7 +68,8 @@
     stand.hand_in("c", dest=2)
     stand.core.withdraw("c")
     stand.run(30)
-    assert kept(stand) == [] and not stand.journal.messages.pending_dead_letters
+    assert kept(stand) == []
+    assert not stand.journal.messages.pending_dead_letters
 
 
 def test_what_proves_that_it_never_ran_is_in_the_record(tmp_path: Path) -> None:
@@ -80,7 +82,8 @@
             stand.end(call, Outcome.REJECTED)
     stand.run(0.1)
     (record,) = kept(stand)
-    assert not record.may_have_run and record.tries[0].retry_after == 2 * SECOND
+    assert not record.may_have_run
+    assert record.tries[0].retry_after == 2 * SECOND
     assert not [one["may_have_run"] for one in record.public()["attempts"] if one["may_have_run"]]
 
 
@@ -89,10 +92,12 @@
     stand.worker.broken = sqlite3.OperationalError("disk I/O error")
     failed(stand, "a")
     assert [one.id for one in stand.answers] == ["a"]
-    assert len(stand.journal.messages.pending_dead_letters) == 1 and stand.core.state().message_count == 0
+    assert len(stand.journal.messages.pending_dead_letters) == 1
+    assert stand.core.state().message_count == 0
     stand.worker.broken = None
     stand.run(70)
-    assert [one.id for one in kept(stand)] == ["a"] and not stand.journal.messages.pending_dead_letters
+    assert [one.id for one in kept(stand)] == ["a"]
+    assert not stand.journal.messages.pending_dead_letters
 
 
 def test_while_the_store_fails_live_traffic_keeps_its_room(tmp_path: Path) -> None:
@@ -105,12 +110,14 @@
         for call in stand.run(1):
             stand.end(call, Outcome.REJECTED)
     assert stand.journal.dead_letter_bytes <= 0.25 * 100_000
-    assert stand.moving.figures.let_go[False] > 0 and stand.moving.figures.let_go[True] == 0
+    assert stand.moving.figures.let_go[False] > 0
+    assert stand.moving.figures.let_go[True] == 0
     assert "ran" in {one.id for one in stand.journal.messages.pending_dead_letters.values()}
     stand.worker.broken = None
     stand.run(120)
     left = {one.id for one in kept(stand)}
-    assert "ran" in left and len(left) + stand.moving.figures.let_go[False] == 61
+    assert "ran" in left
+    assert len(left) + stand.moving.figures.let_go[False] == 61
 
 
 def test_the_same_id_handed_in_again_later_is_another_record(tmp_path: Path) -> None:
@@ -135,14 +142,14 @@
     stand.gone()
     again = KeepingStand(tmp_path, stand.time)
     after = next(iter(again.journal.messages.pending_dead_letters.values()))
-    assert (
-        after.attempt_history == before.attempt_history
-        and after.ended_at == before.ended_at
-        and after.body == before.body
-    )
+    assert after.attempt_history == before.attempt_history
+    assert after.ended_at == before.ended_at
+    assert after.body == before.body
     assert again.journal.dead_letter_bytes == stand.journal.dead_letter_bytes > 0
     again.run(1)
-    assert len(kept(again)) == 1 and again.journal.dead_letter_bytes == 0 and again.journal.live_bytes == 0
+    assert len(kept(again)) == 1
+    assert again.journal.dead_letter_bytes == 0
+    assert again.journal.live_bytes == 0
 
 
 def play(folder: Path, at: int, seed: int) -> tuple[int, dict[str, Ending | None], KeepingStand]:
@@ -180,5 +187,6 @@
         found = kept(stand)
         assert len({one.id for one in found}) == len(found), f"kept twice after a kill at step {at}"
         assert {one.id for one in found} == set(answers), f"lost after a kill at step {at}"
-        assert not stand.journal.messages.pending_dead_letters and not stand.journal.messages.by_id
+        assert not stand.journal.messages.pending_dead_letters
+        assert not stand.journal.messages.by_id
         stand.gone()
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -60,13 +60,16 @@
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_a_fleet_gets_its_watches_back_where_discovery_is_short(seed: int) -> None:
     done, refused = back(seed)
-    assert len(done) == 40 and max(done) <= 40 and sorted(done)[30] <= 12
+    assert len(done) == 40
+    assert max(done) <= 40
+    assert sorted(done)[30] <= 12
     assert refused <= 150
 
 
 def test_starts_are_spread_where_a_list_is_at_hand() -> None:
     firsts = [asking(Random(i), 40).first() for i in range(40)]
-    assert max(firsts) > 0.8 and len({round(first, 1) for first in firsts}) > 5
+    assert max(firsts) > 0.8
+    assert len({round(first, 1) for first in firsts}) > 5
     assert asking(Random(1), FEW).first() == 0
     assert asking(Random(1), 40, known=False).first() == 0
     assert asking(Random(1), 40, moved=True).first() == 0
@@ -80,7 +83,8 @@
     one.listed()
     one.next_pause(1.0, False)
     assert not one.full_list
-    assert asking(Random(1), 2, moved=True).full_list and asking(Random(1), 2, known=False).full_list
+    assert asking(Random(1), 2, moved=True).full_list
+    assert asking(Random(1), 2, known=False).full_list
 
 
 def test_pauses_grow_up_to_a_bound_and_begin_anew_after_a_watch_that_lasted() -> None:
@@ -89,7 +93,8 @@
     for _ in range(8):
         assert 0 <= one.next_pause(0.1, True) <= one.bound
         bounds.append(one.bound)
-    assert bounds == sorted(bounds) and bounds[-1] == MOST
+    assert bounds == sorted(bounds)
+    assert bounds[-1] == MOST
     one.next_pause(CALM, True)
     assert one.bound == FIRST
 
@@ -151,7 +156,8 @@
         failed, before = world.now, len(world.log)
         world.run(world.now + int(TOLD * SECOND))
         asked = [at for at, action in world.log[before:] if isinstance(action, Subscribe)]
-        assert asked and asked[0] - failed < TOLD * SECOND
+        assert asked
+        assert asked[0] - failed < TOLD * SECOND
 
 
 @pytest.mark.parametrize("instances", [1, 6, 200])
@@ -177,7 +183,9 @@
         waited.append(one.within)
         one.silent()
         assert one.full_list is (waited[-1] == SILENCE)
-    assert waited == sorted(waited) and waited[0] < 1.1 and waited[-1] == SILENCE
+    assert waited == sorted(waited)
+    assert waited[0] < 1.1
+    assert waited[-1] == SILENCE
     one.opens()
     one.heard()
     assert one.within == SILENCE, "from its first bytes on heartbeats come"
@@ -196,6 +204,8 @@
     for _ in range(40):
         one.failed()
         pauses.append(one.pause)
-    assert pauses == sorted(pauses) and pauses[-1] == one.within == notices.ANSWER
+    assert pauses == sorted(pauses)
+    assert pauses[-1] == one.within == notices.ANSWER
     one.heard()
-    assert one.within < notices.LATE and one.pause == 0
+    assert one.within < notices.LATE
+    assert one.pause == 0
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -20,9 +20,11 @@
     stand = Stand(tmp_path)
     assert stand.hand_in("a")
     (call,) = stand.run(0.1)
-    assert call.endpoint.id == "s-1" and [part.id for part in call.messages] == ["a"]
+    assert call.endpoint.id == "s-1"
+    assert [part.id for part in call.messages] == ["a"]
     stand.end(call, Outcome.DELIVERED)
-    assert not stand.core.messages.by_id and not stand.answers
+    assert not stand.core.messages.by_id
+    assert not stand.answers
 
 
 def test_sends_of_one_round_share_a_call_up_to_what_the_kind_allows(tmp_path: Path) -> None:
@@ -54,7 +56,8 @@
     stand.hand_in("b")
     assert not stand.run(1.9)
     later = stand.run(3)
-    assert later and all(call.sent_at >= told + 2 * SECOND for call in later)
+    assert later
+    assert all(call.sent_at >= told + 2 * SECOND for call in later)
 
 
 def test_a_batch_that_is_delivered_and_tells_a_wait_binds_too(tmp_path: Path) -> None:
@@ -89,11 +92,14 @@
     stand.run(0.2)
     assert [answer.id for answer in stand.answers] == ["short"]
     stand.end(call, Outcome.DELIVERED)  # too late for one part: it may not count for the other
-    assert list(stand.core.messages.by_id) == ["long"] and len(stand.answers) == 1
+    assert list(stand.core.messages.by_id) == ["long"]
+    assert len(stand.answers) == 1
     (again,) = stand.run(1)
-    assert [part.id for part in again.messages] == ["long"] and again.attempt_numbers == [1]
+    assert [part.id for part in again.messages] == ["long"]
+    assert again.attempt_numbers == [1]
     stand.end(again, Outcome.DELIVERED)
-    assert not stand.core.messages.by_id and len(stand.answers) == 1
+    assert not stand.core.messages.by_id
+    assert len(stand.answers) == 1
 
 
 def test_a_restart_resumes_inside_the_window_only(tmp_path: Path) -> None:
@@ -102,11 +108,9 @@
     assert len(stand.run(0.1)) == 1
     late = Stand(tmp_path, stand.time)
     (again,) = late.run(0.1)
-    assert (
-        again.messages[0].attempt_count == 2
-        and again.attempt_numbers == [1]
-        and again.messages[0].body == b"body"
-    )
+    assert again.messages[0].attempt_count == 2
+    assert again.attempt_numbers == [1]
+    assert again.messages[0].body == b"body"
     stand.time.run(6)
     gone = Stand(tmp_path, stand.time)
     assert not gone.run(1)
@@ -134,7 +138,8 @@
         calls += stand.run(1.5)
     assert all(call.sent_at <= first.sent_at + SECOND for call in calls)
     assert (len(calls) > 1) is (down_for < 1), "it does go again where there is time"
-    assert not stand.core.messages.by_id and all(one.ending is Ending.REJECTED for one in stand.answers)
+    assert not stand.core.messages.by_id
+    assert all(one.ending is Ending.REJECTED for one in stand.answers)
 
 
 def test_a_restart_repeats_an_unconfirmed_answer_and_nothing_else(tmp_path: Path) -> None:
@@ -144,7 +149,8 @@
     stand.run(2)
     assert len(stand.answers) == 1
     again = Stand(tmp_path, stand.time)
-    assert [answer.id for answer in again.answers] == ["a"] and not again.run(30)
+    assert [answer.id for answer in again.answers] == ["a"]
+    assert not again.run(30)
     assert not Stand(tmp_path, stand.time).answers
 
 
@@ -174,7 +180,8 @@
     again.run(4.5)  # inside the copy's window, but past the first one's
     again.hand_in("d", key="k")
     assert not again.run(1), "outside the first one's window a copy would run"
-    assert again.answers[-1].id == "d" and again.answers[-1].ending is Ending.REJECTED
+    assert again.answers[-1].id == "d"
+    assert again.answers[-1].ending is Ending.REJECTED
     again.run(30)
     again.hand_in("e", key="k")
     assert again.run(1), "what is long past is no copy"
@@ -183,7 +190,8 @@
 def test_a_full_journal_turns_away_and_never_crashes(tmp_path: Path) -> None:
     stand = Stand(tmp_path, disk=60_000, max_messages=10_000)
     taken = [stand.hand_in(f"m{i}") for i in range(300)]
-    assert taken[0] and not taken[-1]
+    assert taken[0]
+    assert not taken[-1]
     stand.run(40)
     used = sum(-(-file.stat().st_size // 512) * 512 for file in tmp_path.iterdir())
     assert used <= 60_000
@@ -214,7 +222,9 @@
     assert not stand.answers
     stand.core.stop_deciding(2500 * MS)
     (answer,) = stand.answers
-    assert answer.id == "brief" and answer.ending is Ending.REJECTED and answer.retry_after > 0
+    assert answer.id == "brief"
+    assert answer.ending is Ending.REJECTED
+    assert answer.retry_after > 0
     assert {"first", "long"} == set(stand.core.messages.by_id)
     assert not stand.run(20), "nothing is decided any more"
 
@@ -226,7 +236,8 @@
     stand.core.stop_deciding(5 * SECOND)
     assert not stand.answers
     stand.end(call, Outcome.DELIVERED)
-    assert not stand.core.messages.by_id and not stand.answers
+    assert not stand.core.messages.by_id
+    assert not stand.answers
 
 
 @pytest.mark.parametrize("apart", [True, False])
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -35,7 +35,8 @@
     with pytest.raises(PoolError, match="revision"):  # the watch breaks, and the whole list is asked for
         one.update(change(4, row("a", 1), row("b", 1)))
     assert one.revision == 7
-    assert one.endpoints["a"].status is EndpointStatus.DRAINING and "b" not in one.endpoints
+    assert one.endpoints["a"].status is EndpointStatus.DRAINING
+    assert "b" not in one.endpoints
 
 
 def test_a_repeated_change_is_harmless_and_a_whole_list_of_any_revision_holds() -> None:
@@ -44,7 +45,8 @@
         one.update(change(6, row("c", 2)))
     assert sorted(one.endpoints) == ["a", "b", "c"]
     one.update({"revision": 2, "complete": True, "members": [row("a", 1)]})  # an agent that counts anew
-    assert sorted(one.endpoints) == ["a"] and one.revision == 2
+    assert sorted(one.endpoints) == ["a"]
+    assert one.revision == 2
 
 
 @pytest.mark.parametrize(
@@ -65,7 +67,8 @@
     one = pool()
     with pytest.raises(PoolError, match=named):
         one.update(change(6, row("c", 1), {**row("d", 1), **bad}))
-    assert sorted(one.endpoints) == ["a", "b"] and one.revision == 5
+    assert sorted(one.endpoints) == ["a", "b"]
+    assert one.revision == 5
 
 
 @pytest.mark.parametrize("revision", [None, "x", float("inf"), float("nan"), [1]])
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -188,16 +188,15 @@
         rig.hand_in("brief", left=SECOND // 4)
         rig.hand_in("long")
         await until(lambda: line.doors)
-        assert (
-            len(rig.core.calls_in_flight) == 2
-            and len({id(call) for call in rig.core.calls_in_flight.values()}) == 1
-        )
+        assert len(rig.core.calls_in_flight) == 2
+        assert len({id(call) for call in rig.core.calls_in_flight.values()}) == 1
         await until(lambda: "brief" in rig.answers)
         assert rig.answers["brief"] is Ending.REJECTED, "it never ran"
         line.doors[0].set()
         one.answers.put_nowait(OK)
         await until(lambda: len(rig.core.messages) == 0)
-        assert len(one.calls) == 1 and b"X-Txn: long" in one.calls[0]
+        assert len(one.calls) == 1
+        assert b"X-Txn: long" in one.calls[0]
         assert [fields["id"] for fields in rig.records("attempt")] == ["long"]
         await rig.close()
 
@@ -241,8 +240,10 @@
         line.doors[0].set()
         await until(lambda: not rig.core.calls_in_flight and not rig.tasks.running)
         rig.core.hand_over()
-        assert list(rig.core.messages.by_id) == ["a"] and not one.calls
-        assert not rig.records("attempt") and not rig.records("never")
+        assert list(rig.core.messages.by_id) == ["a"]
+        assert not one.calls
+        assert not rig.records("attempt")
+        assert not rig.records("never")
         assert bool(rig.records("passed")), "with its call gone it can be passed on"
         await rig.close()
 
@@ -346,7 +347,8 @@
         await until(lambda: len(one.calls) == 2)
         assert rig.core.scheduler.now() >= ends, "begun inside the told wait"
         await until(lambda: len(rig.core.messages) == 0)
-        assert [one["n"] for one in rig.records("attempt")] == [0, 1] and not rig.records("never")
+        assert [one["n"] for one in rig.records("attempt")] == [0, 1]
+        assert not rig.records("never")
         await rig.close()
 
     play(work())
@@ -387,7 +389,8 @@
         ends = rig.core.scheduler.now() + SECOND // 2
         await until(lambda: rig.waits() >= ends - SECOND // 10)
         receive(Packet(Kind.PUBACK, id=first.id))
-        assert not published() and not rig.core.calls_in_flight
+        assert not published()
+        assert not rig.core.calls_in_flight
         later: list[Packet] = []
         await until(lambda: later.extend(published()) or later)  # type: ignore[func-returns-value]
         assert rig.core.scheduler.now() >= ends - 10**7, "begun inside the told wait"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,8 @@
     fleet = Fleet(Partner(limit=lambda now: 80.0), seed, scale=80.0)
     fleet.offer(0, 20 * SECOND, 20.0)
     told = fleet.run(40 * SECOND)
-    assert told.in_time >= 0.9 * told.handed_in and told.handshakes <= 0.9 * told.handed_in
+    assert told.in_time >= 0.9 * told.handed_in
+    assert told.handshakes <= 0.9 * told.handed_in
 
 
 @pytest.mark.parametrize(
@@ -96,7 +97,8 @@
     assert len(partner.knew) >= 60
     assert partner.pushed(fleet.s, 3 * SECOND, 40.0) <= 1.0
     back = partner.reached[0][0] - partner.down[1]
-    assert back <= 1 * SECOND and sum(told.delivered[second] for second in (11, 12, 13)) >= 40
+    assert back <= 1 * SECOND
+    assert sum(told.delivered[second] for second in (11, 12, 13)) >= 40
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -71,7 +71,8 @@
         assert await one.forward(message("a")) == b"+OK\r\n"
         assert await one.forward(message("b")) == b"+OK\r\n"
         assert owner.requests[1] == owner.requests[2], "the same request, by the same id"
-        assert owner.connections == 2 and not other.requests
+        assert owner.connections == 2
+        assert not other.requests
 
     run(work)
 
@@ -101,7 +102,8 @@
 
         owner, other = await Owner(end).start(), await Owner(accept).start()
         assert await forwarder(owner, other).forward(message("a")) is None
-        assert len(owner.requests) == 1 and not other.requests
+        assert len(owner.requests) == 1
+        assert not other.requests
 
     run(work)
 
@@ -116,7 +118,8 @@
         owner = await Owner(half).start()
         one = forwarder(owner)
         assert await one.forward(message("a")) == b"+OK\r\n"
-        assert await one.forward(message("b")) is None and len(owner.requests) == 2
+        assert await one.forward(message("b")) is None
+        assert len(owner.requests) == 2
 
     run(work)
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -48,7 +48,8 @@
     machine = http1.ResponseParser()
     if (found := machine.feed(data) or machine.ended()) is not None:
         result = calls.read(found, parts(2))
-        assert len(result.outcomes) == 2 and result.retry_after >= 0
+        assert len(result.outcomes) == 2
+        assert result.retry_after >= 0
 
 
 def session(data: bytes) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -68,7 +68,8 @@
     old.kill()
     new.beside.check_peer()
     start.join(10)
-    assert came[0].slot == SECOND_SLOT and new.folder.slot == FIRST_SLOT
+    assert came[0].slot == SECOND_SLOT
+    assert new.folder.slot == FIRST_SLOT
 
 
 class Process(Stand):
@@ -108,13 +109,17 @@
     old.hand_in("a")
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
-    assert new.core.peer_process is not None and not new.held() and not new.run(0.5)
+    assert new.core.peer_process is not None
+    assert not new.held()
+    assert not new.run(0.5)
     old.end(call, Outcome.CONNECT_FAILED)
     old.core.hand_over()
     assert old.hand_in("b") and not old.run(0.5), "nothing new goes out"
     old.kill()
     new.beside.check_peer()
-    assert new.held() == {"a", "b"} and new.core.peer_process is None and new.folder.slot == FIRST_SLOT
+    assert new.held() == {"a", "b"}
+    assert new.core.peer_process is None
+    assert new.folder.slot == FIRST_SLOT
     sent = [part.id for call in new.run(2) for part in call.messages]
     assert sorted(sent) == ["a", "b"]
     assert [file.name for file in sorted(tmp_path.glob("journal*"))] == ["journal"], "the name of old"
@@ -153,7 +158,8 @@
     old.end(call, Outcome.CONNECT_FAILED)  # no end of its own: on it goes in the new one
     old.core.hand_over()
     new.beside.check_peer()
-    assert (old.held(), new.held()) == (set(), {"a", "b", "c"}) and new.shares == [None, 1, 0]
+    assert (old.held(), new.held()) == (set(), {"a", "b", "c"})
+    assert new.shares == [None, 1, 0]
     assert not old.run(1), "the old one does nothing more for them"
     old.core.withdraw("b")
     old.core.conclude(old.core.messages.by_id["c"], Ending.FAILED)
@@ -162,7 +168,9 @@
         new.end(call, Outcome.DELIVERED)
     old.kill()
     new.beside.check_peer()
-    assert "b" in new.core.messages.concluded and "b" not in new.held() and new.shares[-1] is None
+    assert "b" in new.core.messages.concluded
+    assert "b" not in new.held()
+    assert new.shares[-1] is None
 
 
 @pytest.mark.parametrize("adopted", [False, True])
@@ -190,7 +198,9 @@
     assert other.held() == owed
     other.kill()
     last = Process(tmp_path, time)
-    assert last.held() == owed and not last.journal.handed_over and last.journal.calls_in_flight is None
+    assert last.held() == owed
+    assert not last.journal.handed_over
+    assert last.journal.calls_in_flight is None
     last.kill()
     assert Process(tmp_path, time).held() == owed
 
@@ -222,7 +232,8 @@
     new.beside.retry_after_events()  # as in a round: it sees how full the disk is
     old.core.hand_over()
     new.beside.check_peer()
-    assert new.held() == owed and not old.held()
+    assert new.held() == owed
+    assert not old.held()
     assert new.hand_in("one more")
     assert sum(file.stat().st_size for file in tmp_path.iterdir()) < disk
 
@@ -235,9 +246,12 @@
     new.beside.check_peer()
     old.kill()
     again = Process(tmp_path, time)  # before the new one has looked
-    assert again.journal.calls_in_flight is None and again.folder.slot == FIRST_SLOT
+    assert again.journal.calls_in_flight is None
+    assert again.folder.slot == FIRST_SLOT
     new.beside.check_peer()
-    assert new.shares[-1] is None and new.held() == {"a"} and not again.held()
+    assert new.shares[-1] is None
+    assert new.held() == {"a"}
+    assert not again.held()
 
 
 def test_without_room_for_the_record_a_message_stays_where_it_is(tmp_path: Path) -> None:
@@ -247,14 +261,16 @@
     old.journal.max_bytes = 1000
     old.core.hand_over()
     new.beside.check_peer()
-    assert old.held() == {"a"} and not new.held()
+    assert old.held() == {"a"}
+    assert not new.held()
     old.journal.max_bytes, new.journal.max_bytes = 3_000_000, 1000
     old.core.hand_over()
     new.beside.check_peer()
     assert not new.held(), "no room there: it is not taken, and not lost"
     new.journal.max_bytes = 3_000_000
     new.beside.check_peer()
-    assert new.held() == {"a"} and not old.held()
+    assert new.held() == {"a"}
+    assert not old.held()
 
 
 def test_the_old_one_takes_over_from_a_new_one_that_died(tmp_path: Path) -> None:
@@ -266,7 +282,9 @@
     new.hand_in("a")
     new.kill()
     old.beside.check_peer()
-    assert old.held() == {"a"} and old.core.peer_process is None and not (tmp_path / "journal-2").exists()
+    assert old.held() == {"a"}
+    assert old.core.peer_process is None
+    assert not (tmp_path / "journal-2").exists()
 
 
 def test_a_wait_told_to_one_binds_the_other_at_once_and_after_its_end(tmp_path: Path) -> None:
@@ -283,7 +301,8 @@
     old.kill()
     new.beside.check_peer()
     sent = new.run(4)
-    assert sent and all(call.sent_at >= told + 2 * S for call in sent)
+    assert sent
+    assert all(call.sent_at >= told + 2 * S for call in sent)
 
 
 def test_a_wait_told_before_the_new_one_came_binds_it(tmp_path: Path) -> None:
@@ -295,7 +314,8 @@
     old.journal.compact()
     new = Process(tmp_path, time)
     new.hand_in("b")
-    assert not new.run(1.9) and new.run(2)
+    assert not new.run(1.9)
+    assert new.run(2)
 
 
 def test_a_wait_told_by_a_member_that_has_gone_binds_those_in_its_place(tmp_path: Path) -> None:
@@ -448,7 +468,8 @@
     journal.compact()
     journal.record_accepted(transaction("m3"))
     follower.read()
-    assert set(follower.messages.by_id) == {"m1", "m2", "m3"} and "m0" in follower.messages.concluded
+    assert set(follower.messages.by_id) == {"m1", "m2", "m3"}
+    assert "m0" in follower.messages.concluded
     os.write(journal.fd, b"\x10\x00\x00")  # half of a record's head
     follower.read()
     os.ftruncate(journal.fd, journal.size)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -70,7 +70,8 @@
         again.record_accepted(transaction("z"))  # and it goes on behind the cut
         again.close()
         last = opened(cut)
-        assert "z" in last.messages.by_id and not last.new_path.exists()
+        assert "z" in last.messages.by_id
+        assert not last.new_path.exists()
         last.close()
 
 
@@ -89,7 +90,8 @@
     before = state(journal)
     size = journal.size
     journal.compact()
-    assert journal.size < size and state(opened(tmp_path)) == before
+    assert journal.size < size
+    assert state(opened(tmp_path)) == before
 
 
 def test_it_stays_under_its_disk_with_old_and_new_file(tmp_path: Path) -> None:
@@ -105,7 +107,8 @@
                 journal.record_end(old, Ending.UNANSWERED)
             journal.messages.concluded.clear()
         assert journal.size + journal.live_bytes <= disk
-    assert full and len(journal.messages) > 3
+    assert full
+    assert len(journal.messages) > 3
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00" * 64, b"\xff" * 64, b"\x04\x00\x00\x00" + b"\x00" * 60])
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -68,12 +68,15 @@
     for at in range(0, len(whole), piece):
         part = whole[at : at + piece]
         found += watch.feed(b"%x\r\n%s\r\n" % (len(part), part))
-    assert [len(one["members"]) for one in found] == [190] and found[0]["complete"]
-    assert watch.reader is not None and len(watch.reader._text) <= piece
+    assert [len(one["members"]) for one in found] == [190]
+    assert found[0]["complete"]
+    assert watch.reader is not None
+    assert len(watch.reader._text) <= piece
     change = json.dumps({"revision": 8, "complete": False, "members": [row("s-1", 1000)]}).encode()
     for text in (b"\n", change, b"\n"):
         found += watch.feed(b"%x\r\n%s\r\n" % (len(text), text))
-    assert found[1]["revision"] == 8 and len(found) == 2
+    assert found[1]["revision"] == 8
+    assert len(found) == 2
 
 
 def test_a_watch_says_what_was_wrong_with_a_list() -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -45,7 +45,9 @@
     except RuntimeError:
         logs.get().exception("call.fault", member="one")
     first = stream.getvalue().splitlines()[0]
-    assert "call.fault" in first and "member=one" in first and "RuntimeError: a fault" in stream.getvalue()
+    assert "call.fault" in first
+    assert "member=one" in first
+    assert "RuntimeError: a fault" in stream.getvalue()
 
 
 @pytest.mark.parametrize(("form", "level"), [("xml", "info"), ("json", "loud")])
@@ -53,7 +55,8 @@
     with pytest.raises(ValueError, match="expected one of"):
         logs.setup(form, level)
     told = CliRunner().invoke(main, ["serve", "--log-format", form, "--log-level", level])
-    assert told.exit_code == 2 and ("xml" in told.output or "loud" in told.output)
+    assert told.exit_code == 2
+    assert "xml" in told.output or "loud" in told.output
 
 
 def test_repeats_are_limited_by_name_and_key_and_counted() -> None:
@@ -73,7 +76,8 @@
     assert limiter(None, "info", {"event": "a", "key": "x"}) == {"event": "a", "key": "x", "left_out": 3}
     assert [passes("a", "x") for _ in range(2)] == [True, False]
     now[0] = 20.0
-    assert limiter.overdue() == [("a", "x", 1)] and limiter.overdue() == []
+    assert limiter.overdue() == [("a", "x", 1)]
+    assert limiter.overdue() == []
 
 
 def test_the_table_of_keys_is_bounded() -> None:
@@ -90,7 +94,8 @@
         logs.get().warning("accept.failed", error="no descriptor")
     logs.flush(everything=True)
     told = events(stream)
-    assert len(told) == logs.BURST + 1 and told[-1]["left_out"] == 7
+    assert len(told) == logs.BURST + 1
+    assert told[-1]["left_out"] == 7
 
 
 def test_nothing_is_logged_for_a_message_that_goes_well(tmp_path: Path) -> None:
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -82,7 +82,8 @@
         if revision in (101, 201, 301, 401):
             stand.journal.compact()  # ended ids and keys pile up between two of them
             weights.append(weight(stand.core))
-    assert number == 100_000 and stand.core.metrics_snapshot()["responses"]["standard"]["ok"] > 5_000
+    assert number == 100_000
+    assert stand.core.metrics_snapshot()["responses"]["standard"]["ok"] > 5_000
     (_, first), (_, last) = weights[0], weights[-1]
     assert last <= 1.1 * first, weights
     assert len(stand.core.pool.endpoints) == 3
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -152,15 +152,20 @@
             return result.exit_code, result.output
 
         code, output = await call("status")
-        assert code == 1 and "no answer" in output
+        assert code == 1
+        assert "no answer" in output
         async with started(tmp_path, agent.port, [row("s", 1)], management=where[1]):
             assert await call("status") == (0, f"{where[1]}: ready\n")
             code, output = await call("status", "--json")
-            assert code == 0 and json.loads(output)["ready"] is True
+            assert code == 0
+            assert json.loads(output)["ready"] is True
             code, output = await call("stats", "--json")
-            assert code == 0 and json.loads(output)["pool_size"] == 1
+            assert code == 0
+            assert json.loads(output)["pool_size"] == 1
             code, output = await call("stats")
-            assert code == 0 and "active: 0" in output and "standard" in output
+            assert code == 0
+            assert "active: 0" in output
+            assert "standard" in output
 
     play(work())
 
@@ -184,7 +189,8 @@
     path, _ = write(tmp_path, 6379, 8500, [])
     without = config.read({}, path)
     told = config.read({"ROUTER_MANAGEMENT": "127.0.0.1:9"}, path)
-    assert without.management is None and str(told.management) == "127.0.0.1:9"
+    assert without.management is None
+    assert str(told.management) == "127.0.0.1:9"
     assert sum(budget(without)) - sum(budget(told)) == BESIDE_SOCKETS
 
 
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -91,14 +91,17 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             assert (await asked)[0] == 200
             status, headers = await ask(app, "dest=9&left=0.2")
-            assert status == 503 and int(headers[b"retry-after"]) >= 1
+            assert status == 503
+            assert int(headers[b"retry-after"]) >= 1
             gone = asyncio.ensure_future(ask(app, ""))
             await reader.readuntil(b"\r\n\r\nhi")
             gone.cancel()
             assert await reader.read(1) == b"", "nobody waits any more: the call is given up"
             service = made[0].service
-            assert service is not None and not service.dispatcher.messages.by_id
-        assert sent[-1] == {"type": "lifespan.shutdown.complete"} and made[0].service is None
+            assert service is not None
+            assert not service.dispatcher.messages.by_id
+        assert sent[-1] == {"type": "lifespan.shutdown.complete"}
+        assert made[0].service is None
 
     play(work())
 
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -73,10 +73,12 @@
         assert decode(buffer) is None
         buffer.feed(data[i : i + 1])
     packet = decode(buffer)
-    assert packet is not None and not len(buffer)
+    assert packet is not None
+    assert not len(buffer)
     again = Buffer()
     again.feed(encode(packet))
-    assert len(encode(packet)) == len(data) and decode(again) == packet
+    assert len(encode(packet)) == len(data)
+    assert decode(again) == packet
     if not packet.properties:
         assert encode(packet) == data
 
@@ -95,7 +97,8 @@
         password=b"pass",
     )
     wanted = {"message_expiry": 9, "content_type": "x", "response_topic": "re", "correlation": b"\x00\x01"}
-    assert second is not None and second.properties == wanted
+    assert second is not None
+    assert second.properties == wanted
     assert (second.user, second.payload, second.id, second.qos) == ([("id", "a"), ("k", "é")], b"body", 7, 1)
 
 
@@ -113,4 +116,5 @@
     read = Properties(PacketTypes.PUBLISH)
     _, used = read.unpack(data[2 + 3 :])
     assert (read.ResponseTopic, read.CorrelationData, read.ContentType) == ("re", b"\xff", "x")
-    assert read.UserProperty == [("a", "b"), ("a", "ü")] and data[2 + 3 + used :] == b"!"
+    assert read.UserProperty == [("a", "b"), ("a", "ü")]
+    assert data[2 + 3 + used :] == b"!"
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -96,9 +96,12 @@
     tmp_path: Path,
 ) -> None:
     one = FleetStand(tmp_path / "first")
-    assert not one.fleet.ready and one.route(1) is Route.REFUSE and not one.core.pool.endpoints
+    assert not one.fleet.ready
+    assert one.route(1) is Route.REFUSE
+    assert not one.core.pool.endpoints
     one.hear()
-    assert one.fleet.ready and one.refetched == 1
+    assert one.fleet.ready
+    assert one.refetched == 1
     one.hear(1, False, [])
     assert one.refetched == 1, "once"
 
@@ -118,8 +121,10 @@
     one = stand(tmp_path)
     one.hear()
     mine, other = one.home(), one.home(second="a1-1")
-    assert one.route(mine) is Route.LOCAL and one.route(mine, forwarded=True) is Route.LOCAL
-    assert one.route(other) is Route.FORWARD and one.route(other, forwarded=True) is Route.REFUSE
+    assert one.route(mine) is Route.LOCAL
+    assert one.route(mine, forwarded=True) is Route.LOCAL
+    assert one.route(other) is Route.FORWARD
+    assert one.route(other, forwarded=True) is Route.REFUSE
     assert one.hand_in("held", mine)
     held = Transaction("held", 0, mine, one.now + SECOND, b"")
     one.time.run(LEASE / SECOND + 30)
@@ -146,7 +151,8 @@
     assert not one.run(1), "its share has run out before the first byte"
     one.fleet.look_if_due()
     late = next(answer for answer in one.answers if answer.id == "late")
-    assert late.ending is Ending.REJECTED and late.retry_after > 0
+    assert late.ending is Ending.REJECTED
+    assert late.retry_after > 0
     assert "late" not in one.core.messages.by_id
 
 
@@ -154,7 +160,8 @@
     one = stand(tmp_path)
     number = one.home()
     one.hear()
-    assert one.hand_in("out", number) and one.hand_in("ran", number)
+    assert one.hand_in("out", number)
+    assert one.hand_in("ran", number)
     calls = one.run(0.1)
     one.end(calls[-1], Outcome.ERROR)
     gone_from = next(row for row in ROWS if row["id"] == NAME)
@@ -219,7 +226,8 @@
     monkeypatch.setattr(service, "MOST_SAVED", 100)
     one = FleetStand(tmp_path / "first")
     one.hear()
-    assert one.fleet.ready and not (tmp_path / "first" / FILE).exists()
+    assert one.fleet.ready
+    assert not (tmp_path / "first" / FILE).exists()
 
 
 def test_a_request_that_is_passed_on_says_what_is_left_of_its_time_and_who_passed_it_on() -> None:
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -64,7 +64,8 @@
     before = one.view, one.heard, one.kept
     with pytest.raises(FleetViewError) as error:
         one.take(told, START)
-    assert field in str(error.value) and one.problem == str(error.value)
+    assert field in str(error.value)
+    assert one.problem == str(error.value)
     assert (one.view, one.heard, one.kept) == before
 
 
@@ -78,17 +79,21 @@
     one, ahead = fleet(), START + SECOND
     with pytest.raises(ClockError, match="later than this machine's clock"):
         one.take(view(revision=6, issued_ms=ahead // MS), START)
-    assert one.view.revision == 6 and one.heard == START
+    assert one.view.revision == 6
+    assert one.heard == START
     one.take(view(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # inside the skew
     assert one.heard == START + SECOND // 8
     one.take(view(revision=6, issued_ms=START // MS), START)  # one that was overtaken takes nothing back
-    assert one.heard == START + SECOND // 8 and not one.problem
+    assert one.heard == START + SECOND // 8
+    assert not one.problem
 
 
 def test_an_instance_that_is_not_listed_owns_nothing_and_knows_who_does() -> None:
     one = fleet("a1-9")
-    assert not one.kept and not any(one.quota_fraction(number, START) for number in range(100))
-    assert len(one.owners(7, START)) == 4 and one.owners(7, START)[0].zone == "a1"
+    assert not one.kept
+    assert not any(one.quota_fraction(number, START) for number in range(100))
+    assert len(one.owners(7, START)) == 4
+    assert one.owners(7, START)[0].zone == "a1"
 
 
 def test_owners_of_the_own_zone_come_first_then_those_of_the_own_region() -> None:
@@ -96,7 +101,8 @@
     one = fleet("a1-0")
     for destination in range(50):
         order = [regions[owner.zone] for owner in one.owners(destination, START)]
-        assert order == sorted(order) and len(order) >= 3
+        assert order == sorted(order)
+        assert len(order) >= 3
         assert all(owner.name != "a1-0" for owner in one.owners(destination, START))
 
 
@@ -107,7 +113,8 @@
         away = entry(first.name, "a1", "Terminating", since=START)
         other = fleet("a2-0")
         other.take(view(revision=6, complete=False, members=[away]), START)
-        assert other.owners(destination, START)[-1].zone == "a1" and not rest
+        assert other.owners(destination, START)[-1].zone == "a1"
+        assert not rest
         later = START + other.settings.lease + other.settings.clock_skew
         assert other.owners(destination, later)[-1].zone == "a1", "control is silent: it holds nothing yet"
         other.take(view(revision=6, complete=False, members=[], issued_ms=later // MS), later)
@@ -160,10 +167,13 @@
 def test_partitions_and_destinations_are_spread_evenly(zone: ZoneCandidates) -> None:
     owned = Counter(first(zone))
     mean = PARTITIONS / len(NAMES)
-    assert len(owned) == len(NAMES) and sum(owned.values()) == PARTITIONS
-    assert max(owned.values()) <= 1.6 * mean and min(owned.values()) >= 0.5 * mean
+    assert len(owned) == len(NAMES)
+    assert sum(owned.values()) == PARTITIONS
+    assert max(owned.values()) <= 1.6 * mean
+    assert min(owned.values()) >= 0.5 * mean
     destinations = Counter(partition_of(number, PARTITIONS) for number in range(190_000))
-    assert len(destinations) == PARTITIONS and max(destinations.values()) <= 2 * 190_000 / PARTITIONS
+    assert len(destinations) == PARTITIONS
+    assert max(destinations.values()) <= 2 * 190_000 / PARTITIONS
 
 
 def test_the_candidates_are_the_highest_ranks_and_the_same_by_any_way_there(zone: ZoneCandidates) -> None:
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -53,10 +53,12 @@
         world = World(settings(), TWO, seed)
         pauses = fail_all("m", Outcome.RESET, world)
         assert len(world.messages["m"].attempts) <= 5
-        assert 200 * MS <= pauses[0] <= 310 * MS and 800 * MS <= pauses[1] <= 1210 * MS
+        assert 200 * MS <= pauses[0] <= 310 * MS
+        assert 800 * MS <= pauses[1] <= 1210 * MS
         first.add(pauses[0])
         second.add(pauses[1])
-    assert len(first) > 2 and len(second) > 2
+    assert len(first) > 2
+    assert len(second) > 2
 
 
 def test_fewer_attempts_where_the_settings_say_so() -> None:
@@ -93,9 +95,11 @@
     world.batch([world.end("m", Outcome.REJECTED, wait=1500 * MS)], at=50 * MS)
     world.batch([world.hand_in("n")], at=100 * MS)
     world.run(1540 * MS)
-    assert not world.sends("n") and len(world.sends("m")) == 1
+    assert not world.sends("n")
+    assert len(world.sends("m")) == 1
     world.run(3 * SECOND)
-    assert world.sends("n") and len(world.sends("m")) == 2
+    assert world.sends("n")
+    assert len(world.sends("m")) == 2
 
 
 @pytest.mark.parametrize("other", [False, True])
@@ -186,7 +190,9 @@
     world.batch([world.end("n", Outcome.REJECTED, wait=9 * SECOND)], at=200 * MS)
     world.run(7 * SECOND)
     answer = world.messages["m"].answers
-    assert len(answer) == 1 and answer[0][1] == "Reject" and answer[0][0] <= 6 * SECOND
+    assert len(answer) == 1
+    assert answer[0][1] == "Reject"
+    assert answer[0][0] <= 6 * SECOND
 
 
 def test_keyed_by_zone_stays_in_its_zone() -> None:
@@ -214,7 +220,8 @@
     world.batch(
         [world.hand_in("m", 4, ordering_key=9), world.hand_in("n", 4, ordering_key=9), world.hand_in("f", 4)]
     )
-    assert not world.sends("n") and world.sends("f")
+    assert not world.sends("n")
+    assert world.sends("f")
     world.batch([world.end("m", Outcome.TIMEOUT), world.end("f", Outcome.DELIVERED)], at=SECOND)
     assert not world.sends("n")
     world.run(16 * SECOND)  # the failures must fade for an unsafe message
@@ -236,7 +243,8 @@
     drain = EndpointListUpdate(UpdateMode.CHANGES, (EndpointListing("a", 0, status=EndpointStatus.DRAINING),))
     world.batch([drain, world.hand_in("m")])
     world.run(17 * SECOND)
-    assert not world.sends("m") and world.messages["m"].answers[0][1] == "Reject"
+    assert not world.sends("m")
+    assert world.messages["m"].answers[0][1] == "Reject"
 
 
 def test_full_list_drops_what_it_does_not_name() -> None:
@@ -271,7 +279,8 @@
             world.run(world.now + 5 * MS)
             asks = [at for at, a in world.log if isinstance(a, Subscribe)]
     gaps = [b - a for a, b in itertools.pairwise(asks)]
-    assert gaps == sorted(gaps) and gaps[-1] <= 10 * SECOND
+    assert gaps == sorted(gaps)
+    assert gaps[-1] <= 10 * SECOND
 
 
 def test_one_call_takes_several_messages_and_one_slot() -> None:
@@ -280,7 +289,8 @@
     for event in events:
         world.take(event)
     sends = [a for a in world.brain.handle(0, events) if isinstance(a, Send)]
-    assert len(sends) == 3 and world.brain.used == 1
+    assert len(sends) == 3
+    assert world.brain.used == 1
 
 
 def test_little_allowance_in_a_report_paces_before_a_refusal() -> None:
@@ -296,7 +306,8 @@
     world = World(given, TWO)
     world.batch([world.hand_in("first")], at=SECOND)
     world.batch([world.hand_in("t1", tenant=1), world.hand_in("t2", tenant=1, dest=1)], at=2 * SECOND)
-    assert world.brain.messages["t1"].worth == 1.0 and world.brain.messages["t2"].worth == 0.1
+    assert world.brain.messages["t1"].worth == 1.0
+    assert world.brain.messages["t2"].worth == 0.1
 
 
 def test_a_clump_at_a_quiet_destination_is_paced_at_its_part_not_at_its_flow() -> None:
@@ -374,7 +385,8 @@
     world.batch([world.end("other", Outcome.DELIVERED)], at=160 * MS)
     world.run(600 * MS)
     together = Counter(at for at, _ in world.sends() if at > 160 * MS)
-    assert together and max(together.values()) <= 9
+    assert together
+    assert max(together.values()) <= 9
 
 
 def test_a_faulty_part_of_a_batch_that_passed_leaves_its_size() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -157,7 +157,8 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[1])
             writer.write(b"GET /health HTTP/1.0\r\n\r\n")
             answer = await reader.read()
-            assert answer.startswith(b"HTTP/1.1 200 OK\r\n") and answer.endswith(b'"held": 0, "most": 50}')
+            assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
+            assert answer.endswith(b'"held": 0, "most": 50}')
 
     play(work())
 
@@ -187,7 +188,8 @@
         self.paho.reconnect_delay_set(1, 1)
 
     def _message(self, _: object, __: object, message: paho.MQTTMessage) -> None:
-        assert message.properties is not None and message.properties.CorrelationData == b"\x00corr"
+        assert message.properties is not None
+        assert message.properties.CorrelationData == b"\x00corr"
         self.loop.call_soon_threadsafe(self._answered, json.loads(message.payload))
 
     def _answered(self, answer: dict[str, Any]) -> None:
@@ -319,7 +321,8 @@
         client.paho.disconnect()
         client.paho.loop_stop()
         calls = [packet for packet in broker.published if packet.topic == "partner/1"]
-        assert len(calls) == 2 and not any(packet.dup for packet in calls)
+        assert len(calls) == 2
+        assert not any(packet.dup for packet in calls)
         assert {dict(packet.user)["key"] for packet in calls} == {"k-m"}, "its key lets the partner drop it"
         assert [answer["status"] for answer in client.answers["m"]] == ["delivered"]
 
@@ -375,7 +378,8 @@
                 await asyncio.sleep(0.01)
         records = [fields for fields, _, _ in unpack((tmp_path / "state" / "journal").read_bytes())]
         attempts = [int(str(fields["at"])) for fields in records if fields["t"] == "attempt"]
-        assert len(attempts) == 2 and attempts[1] - attempts[0] >= 800 * MS
+        assert len(attempts) == 2
+        assert attempts[1] - attempts[0] >= 800 * MS
 
     play(work())
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -15,4 +15,5 @@
     exec(compile(blocks[0], "README.md", "exec"), {})
     first, second, third = capsys.readouterr().out.splitlines()
     assert first == third == "[]"
-    assert second.startswith("[Send(message='m1'") and "SetTimer(" in second
+    assert second.startswith("[Send(message='m1'")
+    assert "SetTimer(" in second
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -37,7 +37,8 @@
     proof = closes(world)
     for i in range(40):
         deliver(world, f"n{i}")
-    assert proof in (PROOF - 1, PROOF) and closes(world) - proof <= 12  # kept but for a few, by chance
+    assert proof in (PROOF - 1, PROOF)
+    assert closes(world) - proof <= 12
     world.batch([world.hand_in("z", dest=1)])
     world.batch([world.end("z", Outcome.CONNECT_FAILED)], at=world.now + 10 * MS)
     before = closes(world)
@@ -60,7 +61,8 @@
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.ERROR)], at=50 * MS)
     world.batch([world.hand_in("n"), world.hand_in("o")], at=60 * MS)
-    assert not world.sends("n") and not world.sends("o")
+    assert not world.sends("n")
+    assert not world.sends("o")
     world.run(400 * MS)
     assert len(world.sends()) == 2  # one trial, at the ladder's first step
 
@@ -72,7 +74,8 @@
     world.batch([world.hand_in("m")])
     world.batch([world.end("m", Outcome.ERROR)], at=world.now + 50 * MS)
     world.batch([world.hand_in("n"), world.hand_in("o")], at=world.now + 10 * MS)
-    assert world.sends("n") and world.sends("o")
+    assert world.sends("n")
+    assert world.sends("o")
 
 
 def test_one_failure_and_one_good_trial_bring_no_ramp() -> None:
@@ -83,7 +86,8 @@
     world.batch([world.end("m", Outcome.DELIVERED)], at=world.now + 50 * MS)
     world.batch([world.hand_in("n")], at=world.now + 10 * MS)
     world.batch([world.end("n", Outcome.DELIVERED), world.hand_in("o")], at=world.now + 90 * MS)
-    assert world.sends("n") and world.sends("o")
+    assert world.sends("n")
+    assert world.sends("o")
 
 
 def test_trials_of_a_whole_fleet_stay_inside_the_budget_of_a_cold_destination() -> None:
@@ -178,7 +182,9 @@
     world.run(world.now + 30 * SECOND)
     brain: DeliveryPolicy = world.brain
     assert [len(d.endpoints) for d in brain.dests.values()] == [1]
-    assert not brain.lines and not brain.messages and len(brain.wakes) <= 1
+    assert not brain.lines
+    assert not brain.messages
+    assert len(brain.wakes) <= 1
 
 
 def test_a_full_list_forgets_what_it_does_not_name() -> None:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -40,7 +40,8 @@
 
 def test_a_change_is_in_force_everywhere_in_time() -> None:
     total = play(DAY)
-    assert total.in_force and max(total.in_force) <= 4.0
+    assert total.in_force
+    assert max(total.in_force) <= 4.0
 
 
 def test_the_same_events_without_partitions_cost_more_handshakes_and_refusals() -> None:
@@ -74,6 +75,7 @@
     total = HollowPlay(
         16, 2, True, seed=seed, seconds=30, zones=2, down=1, faults=tuple(planned), partitions=16
     ).run()
-    assert total.two_out == 0 and total.most_share <= 1 + 1e-9
+    assert total.two_out == 0
+    assert total.most_share <= 1 + 1e-9
     ended = total.delivered + total.turned_away + total.returned + total.lost_with_machine
     assert ended == total.handed_in
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -75,5 +75,6 @@
             again.time.call_at(again.time.time + taken, lambda call=call: again.end(call, Outcome.DELIVERED))
         if not again.core.messages.by_id:
             break
-    assert not again.core.messages.by_id and not again.answers
+    assert not again.core.messages.by_id
+    assert not again.answers
     assert tried == set(names), f"{len(names) - len(tried)} of {len(names)} ended without a call"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -43,11 +43,13 @@
     ],
 )
 def test_a_plain_start_does_not_load(loaded: set[str], name: str) -> None:
-    assert "honeyhitch.dispatcher.dispatcher" in loaded and name not in loaded
+    assert "honeyhitch.dispatcher.dispatcher" in loaded
+    assert name not in loaded
 
 
 @pytest.mark.parametrize("name", sorted(GROUPS))
 def test_each_group_is_named_and_loaded_when_it_is_asked_for(name: str) -> None:
     assert name in CliRunner().invoke(main, ["--help"]).output
     told = CliRunner().invoke(main, [name, "--help"])
-    assert told.exit_code == 0 and ("Commands:" in told.output or "--json" in told.output)
+    assert told.exit_code == 0
+    assert "Commands:" in told.output or "--json" in told.output
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -39,7 +39,8 @@
         await asyncio.sleep(0)
         async with asyncio.timeout(5):
             await tasks.stop()
-        assert begun == 1 and not tasks.running
+        assert begun == 1
+        assert not tasks.running
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(stopped())
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -53,18 +53,22 @@
     )
     good = check("--operator", str(file))
     assert good.exit_code == 0 and "kind:any files: good" in good.output, good.output
-    assert "us.example" in good.output and "warning" not in good.output
+    assert "us.example" in good.output
+    assert "warning" not in good.output
     warned = check("--operator", str(file), "--warn-days", "30")
-    assert warned.exit_code == 0 and "warning: CN=us.example ends in" in warned.output
+    assert warned.exit_code == 0
+    assert "warning: CN=us.example ends in" in warned.output
     own.key_file.chmod(0o644)
     refused = check("--operator", str(file))
-    assert refused.exit_code == 1 and "tls.partner.0.key: others can read" in refused.output
+    assert refused.exit_code == 1
+    assert "tls.partner.0.key: others can read" in refused.output
     file.write_text("")
     assert check("--operator", str(file)).exit_code == 1
     stale = pki.crl(end=-1, file="stale.pem")
     file.write_text(f'[[tls.partner]]\nkind = "any"\nca = "{pki.file}"\ncrl = "{stale}"\n')
     old = check("--operator", str(file))
-    assert old.exit_code == 1 and "crl-unusable" in old.output
+    assert old.exit_code == 1
+    assert "crl-unusable" in old.output
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
@@ -85,8 +89,10 @@
     told = check(*words, "--json")
     assert told.exit_code == 1, told.output
     seen = {one["partner"]: one for one in json.loads(told.output) if "address" in one}
-    assert seen["dest:1"]["failure"] == "" and seen["dest:1"]["version"] == f"TLSv{version}"
-    assert seen["dest:1"]["resumes"] and seen["dest:1"]["cipher"]
+    assert seen["dest:1"]["failure"] == ""
+    assert seen["dest:1"]["version"] == f"TLSv{version}"
+    assert seen["dest:1"]["resumes"]
+    assert seen["dest:1"]["cipher"]
     assert [one["subject"] for one in seen["dest:1"]["chain"]] == ["CN=localhost", "CN=Test CA"]
     assert seen["dest:1"]["chain"][0]["names"] == ["localhost", "127.0.0.1"]
     assert 29 < seen["dest:1"]["chain"][0]["days_left"] <= 30
@@ -94,7 +100,9 @@
     late = "our-certificate-refused" if version == "1.3" else "handshake-refused"
     assert seen["dest:3"]["failure"] == late
     text = check(*words).output
-    assert "FAILED wrong-name" in text and "resumes" in text
+    assert "FAILED wrong-name" in text
+    assert "resumes" in text
     assert check("--operator", str(operator), "--connect").exit_code == 1, "nobody to connect to"
     named = check("--operator", str(operator), "--connect", "--address", f"127.0.0.1:{good.port}")
-    assert named.exit_code == 0 and named.output.count(": good") == 6
+    assert named.exit_code == 0
+    assert named.output.count(": good") == 6
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -106,7 +106,8 @@
     told = load(
         own(locked.cert_file, locked.key_file, key_password_env="RIGHT"), {"RIGHT": "secret"}, time.time_ns()
     )
-    assert told.own is not None and told.own.names == ("localhost", "127.0.0.1")
+    assert told.own is not None
+    assert told.own.names == ("localhost", "127.0.0.1")
 
 
 def test_a_folder_of_roots_is_read_whole(pki: Authority, tmp_path: Path) -> None:
@@ -117,7 +118,8 @@
         (folder / f"{i}.pem").write_bytes(file.read_bytes())
     told = load(Terms(ca=folder), {}, time.time_ns())
     assert told.context.cert_store_stats()["x509_ca"] == 2
-    assert told.context.verify_mode is ssl.CERT_REQUIRED and told.context.check_hostname
+    assert told.context.verify_mode is ssl.CERT_REQUIRED
+    assert told.context.check_hostname
     assert load(Terms(), {}, time.time_ns()).context.verify_mode is ssl.CERT_REQUIRED
 
 
@@ -159,7 +161,8 @@
     key.write_bytes(first.key_file.read_bytes())
     told = known_partners(Terms(ca=pki.file, certificate=cert, key=key), Clock())
     known = told.of("m", 1, "")
-    assert known is not None and told.look() == []
+    assert known is not None
+    assert told.look() == []
     taken: list[int] = []
     told.changed.append(lambda one: taken.append(one.generation))
 
@@ -169,14 +172,21 @@
     whole = second.cert_file.read_bytes()
     for half in (b"", whole[: len(whole) // 2], whole):  # half written, and then without its key
         cert.write_bytes(half)
-        assert look() == [False] and known.generation == 0 and known.refused
+        assert look() == [False]
+        assert known.generation == 0
+        assert known.refused
         assert look() == [], "what has not changed is not read again"
     key.write_bytes(second.key_file.read_bytes())
-    assert look() == [True] and taken == [1] and not known.refused
+    assert look() == [True]
+    assert taken == [1]
+    assert not known.refused
     cert.write_bytes(whole)  # the same once more
-    assert look() == [False] and known.generation == 1
+    assert look() == [False]
+    assert known.generation == 1
     key.unlink()
-    assert look() == [False] and known.generation == 1 and "cannot read" in known.refused
+    assert look() == [False]
+    assert known.generation == 1
+    assert "cannot read" in known.refused
 
 
 def test_the_end_of_a_certificate_is_told_once_a_day(pki: Authority, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -192,7 +202,9 @@
     for hours in (0, 1, 2, 25):
         clock.now += hours * 3600 * SECOND
         partners.near_ends()
-    assert len(told) == 2 and told[0]["whose"] == "own" and 4 < told[0]["days_left"] <= 5
+    assert len(told) == 2
+    assert told[0]["whose"] == "own"
+    assert 4 < told[0]["days_left"] <= 5
 
 
 def test_a_session_is_kept_no_longer_than_what_was_verified_with_it() -> None:
@@ -205,9 +217,11 @@
     now = 100 * SECOND
     cache.put(key, session(300), now, now + 50 * SECOND)  # the certificate ends before the ticket
     assert cache.get(key, now + 49 * SECOND) is not None
-    assert cache.get(key, now + 50 * SECOND) is None and len(cache) == 0
+    assert cache.get(key, now + 50 * SECOND) is None
+    assert len(cache) == 0
     cache.put(key, session(300), now, now + 5000 * SECOND)
-    assert cache.get(key, now + 299 * SECOND) is not None and cache.get(key, now + 300 * SECOND) is None
+    assert cache.get(key, now + 299 * SECOND) is not None
+    assert cache.get(key, now + 300 * SECOND) is None
     cache.put(key, session(0), now, now - 1)
     assert len(cache) == 0, "a certificate that has ended leaves nothing to resume"
     cache.put(key, session(30 * 24 * 3600), now, 1 << 62)
@@ -227,7 +241,8 @@
     cache, key, now = SessionCache(), Key("dest:1", "localhost", "127.0.0.1:1", 0), 100 * SECOND
     assert cache.wants(key, now)
     cache.put(key, session, now, 1 << 62)
-    assert not cache.wants(key, now) and cache.wants(key, now + 50 * SECOND)
+    assert not cache.wants(key, now)
+    assert cache.wants(key, now + 50 * SECOND)
     for _ in range(2):  # a server that takes a ticket once refuses the second use
         cache.get(key, now)
     cache.forget(key)
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -111,7 +111,8 @@
 def test_a_rate_below_one_a_second_each_is_spaced_out_and_said() -> None:
     shared = Shared(1, 4, 4, 2.0, 0.0)
     assert 10 <= shared.run(0, 20) <= 2 * 20 + 4
-    assert HandshakeBudget.warnings(4, 2.0, 4) and not HandshakeBudget.warnings(4, 4.0, 4)
+    assert HandshakeBudget.warnings(4, 2.0, 4)
+    assert not HandshakeBudget.warnings(4, 4.0, 4)
     assert len(HandshakeBudget.warnings(2, 2.0, 4)) == 2
 
 
@@ -146,7 +147,9 @@
 
 def test_retirement_is_spread_over_the_time_and_ends_before_it() -> None:
     times = retirement.plan(50, START, 30 * SECOND, Random(3))
-    assert times == sorted(times) and times[0] >= START and times[-1] < START + 30 * SECOND
+    assert times == sorted(times)
+    assert times[0] >= START
+    assert times[-1] < START + 30 * SECOND
     assert max(b - a for a, b in itertools.pairwise(times)) < 2 * SECOND
     assert sum(1 for at in times if at < START + SECOND) <= 4, "never all at once"
 
@@ -158,11 +161,9 @@
         start = door.start(now)
         assert start is not None
         room = door.failed(start, now + MS, TlsError(Failure.EXPIRED))
-        assert (
-            not room.connect_failed
-            and room.connect_blocked_for == expected * SECOND
-            and door.start(now + 2 * MS) is None
-        )
+        assert not room.connect_failed
+        assert room.connect_blocked_for == expected * SECOND
+        assert door.start(now + 2 * MS) is None
         assert room.failure_reason == "expired", "the failure's name stands in the outcome"
         now += MS + room.connect_blocked_for
     start = door.start(now)
@@ -214,10 +215,13 @@
 def test_messages_wait_for_connections_without_slots_or_attempts(gated: Gated) -> None:
     for i in range(3):
         assert gated.hand_in(f"m{i}")
-    assert gated.run(1) == [] and gated.asked and max(gated.asked) >= 1
+    assert gated.run(1) == []
+    assert gated.asked
+    assert max(gated.asked) >= 1
     assert gated.core.policy.used == 0, "no slot is held by a handshake"
     calls = gated.tell(2)
-    assert len(calls) == 2 and all(call.attempt_numbers == [0] for call in calls)
+    assert len(calls) == 2
+    assert all(call.attempt_numbers == [0] for call in calls)
     assert gated.run(1) == [], "no more calls than connections"
     gated.end(calls[0], Outcome.DELIVERED)
     (third,) = gated.run(0.1)
@@ -282,4 +286,5 @@
     gated.end(call, Outcome.CONNECT_FAILED, connection_stale=True)
     gated.tell(0)
     lane = gated.core.policy.dests[1].endpoints["s-1"].lane
-    assert not lane.out and lane.run == 0
+    assert not lane.out
+    assert lane.run == 0
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -86,18 +86,23 @@
     server = Server(server_context(pki.issue(kind=kind), version, version))
     machine = client(Terms(ca=pki.file))
     connect(machine, server)
-    assert machine.phase is Phase.OPEN and machine.version == f"TLSv{version}" and machine.cipher
+    assert machine.phase is Phase.OPEN
+    assert machine.version == f"TLSv{version}"
+    assert machine.cipher
     machine.send(HELLO)
     connect(machine, server)
     assert server.got == HELLO
     server.tls.write(ANSWER)
     machine.feed(server.outgoing.read())
-    assert machine.take_plain() == ANSWER and machine.at_rest
+    assert machine.take_plain() == ANSWER
+    assert machine.at_rest
     server.tls.write(b"x")
     with pytest.raises(ssl.SSLWantReadError):
         server.tls.unwrap()
     machine.feed(server.outgoing.read())
-    assert machine.take_plain() == b"x" and machine.phase is Phase.ENDED and machine.failure is None
+    assert machine.take_plain() == b"x"
+    assert machine.phase is Phase.ENDED
+    assert machine.failure is None
     with pytest.raises(TlsError):
         machine.send(HELLO)
 
@@ -187,17 +192,20 @@
 
     machine, server = opened()
     machine.eof()
-    assert machine.failure is not None and machine.failure.failure is Failure.TRUNCATED
+    assert machine.failure is not None
+    assert machine.failure.failure is Failure.TRUNCATED
     machine, server = opened()
     server.tls.write(b"part of an answer")
     machine.feed(server.outgoing.read() + b"\x17\x03\x03\x00\x10" + bytes(16))
     assert machine.take_plain() == b"part of an answer", "what came before the spoilt record is given"
-    assert machine.failure is not None and machine.failure.failure is Failure.SPOILT
+    assert machine.failure is not None
+    assert machine.failure.failure is Failure.SPOILT
     machine, server = opened()
     server.tls.write(b"x" * 20000)
     data = server.outgoing.read()
     machine.feed(data[:-1])
-    assert not machine.at_rest and not machine.records.whole
+    assert not machine.at_rest
+    assert not machine.records.whole
     machine.take_plain()
     machine.feed(data[-1:])
     machine.take_plain()
@@ -218,7 +226,8 @@
     assert machine.phase is Phase.OPEN, "our handshake is over before the server has looked"
     machine.send(HELLO)
     machine.feed(server.take(machine.take_out()))
-    assert machine.failure is not None and machine.failure.failure is Failure.OUR_CERTIFICATE_REFUSED
+    assert machine.failure is not None
+    assert machine.failure.failure is Failure.OUR_CERTIFICATE_REFUSED
     assert server.got == b""
 
 
@@ -249,10 +258,12 @@
     assert session is not None
     second = TlsMachine(material.context, "localhost", session)
     connect(second, Server(context))
-    assert second.resumed and second.peer == first.peer
+    assert second.resumed
+    assert second.peer == first.peer
     third = TlsMachine(material.context, "localhost", session)
     connect(third, Server(server_context(server_cert, version, version)))  # as after a restart
-    assert third.phase is Phase.OPEN and not third.resumed
+    assert third.phase is Phase.OPEN
+    assert not third.resumed
 
 
 def test_a_server_that_wants_to_renegotiate_gets_no_second_handshake(
@@ -291,7 +302,8 @@
 
     server, machine = Server(server_context(cert, version, version)), client(Terms(ca=pki.file))
     connect(machine, server, split)
-    assert machine.phase is Phase.OPEN and machine.at_rest
+    assert machine.phase is Phase.OPEN
+    assert machine.at_rest
     machine.send(HELLO)
     connect(machine, server, split)
     server.tls.write(ANSWER * 30)
@@ -306,7 +318,8 @@
         machine.feed(piece)
     if end == "cut":
         machine.eof()
-    assert machine.take_plain() == ANSWER * 30 and server.got == HELLO
+    assert machine.take_plain() == ANSWER * 30
+    assert server.got == HELLO
     told = machine.failure.failure if machine.failure is not None else None
     assert told is {"clean": None, "cut": Failure.TRUNCATED, "spoilt": Failure.SPOILT}[end]
 
@@ -371,15 +384,18 @@
     assert not attempt(told, context).resumed
     assert attempt(told, context).resumed
     known = told.of("m", 1, "")
-    assert known is not None and told.of("m", 2, "") is None
+    assert known is not None
+    assert told.of("m", 2, "") is None
     pki.crl(first, file="in-service.pem")
     ((changed, stamps),) = told.look()
-    assert told.take(changed, stamps, told.read(changed)) and known.generation == 1
+    assert told.take(changed, stamps, told.read(changed))
+    assert known.generation == 1
     assert len(told.sessions) == 0, "what was verified under the old list is not resumed"
     key = told.key(known, "127.0.0.1:1")
     machine = told.machine(known, key)
     connect(machine, Server(context))
-    assert machine.failure is not None and machine.failure.failure is Failure.REVOKED
+    assert machine.failure is not None
+    assert machine.failure.failure is Failure.REVOKED
 
 
 def test_the_settings_of_the_module_are_untouched() -> None:
@@ -423,15 +439,19 @@
         ours.sendall(out)
         if not answered:
             machine.feed(ours.recv(1))
-        assert machine.phase in (Phase.HANDSHAKE, Phase.OPEN) and not machine.plain
+        assert machine.phase in (Phase.HANDSHAKE, Phase.OPEN)
+        assert not machine.plain
     while not machine.records.whole:
         machine.feed(ours.recv(1))
-    assert machine.at_rest and machine.session() is not None
+    assert machine.at_rest
+    assert machine.session() is not None
     machine.send(HELLO)
     ours.sendall(machine.take_out())
     while machine.phase is Phase.OPEN:
         machine.feed(ours.recv(4096))
     thread.join(30)
-    assert got == [HELLO] and machine.take_plain() == ANSWER and machine.phase is Phase.ENDED
+    assert got == [HELLO]
+    assert machine.take_plain() == ANSWER
+    assert machine.phase is Phase.ENDED
     ours.close()
     theirs.close()
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -177,10 +177,13 @@
             await until(lambda: len(agent.notices) == 20)
             told = list(agent.notices.values())
             assert all(one["status"] == "deferred" and one["again_ms"] > 0 for one in told)
-            assert 1 <= partner.begun <= 4 and not partner.applied
+            assert 1 <= partner.begun <= 4
+            assert not partner.applied
         named = log.events("tls.handshake-failed")
-        assert named and {one["failure"] for one in named} == {fault}
-        assert named[0]["member"] == "p0" and named[0]["partner"] == "dest:1"
+        assert named
+        assert {one["failure"] for one in named} == {fault}
+        assert named[0]["member"] == "p0"
+        assert named[0]["partner"] == "dest:1"
 
     play(work())
 
@@ -314,9 +317,11 @@
                 i += 1
             await hand_in(client, "after")
             await until(lambda: partner.applied["k-after"])
-        assert set(partner.applied.values()) == {1} and not log.events("tls.handshake-failed")
+        assert set(partner.applied.values()) == {1}
+        assert not log.events("tls.handshake-failed")
         refused = log.events("tls.files-refused")[0]
-        assert "does not belong to the certificate" in refused["error"] and refused["partner"] == "dest:1"
+        assert "does not belong to the certificate" in refused["error"]
+        assert refused["partner"] == "dest:1"
 
     play(work())
 
@@ -542,7 +547,8 @@
         finally:
             program.kill()
             program.wait()
-        assert set(partner.applied.values()) == {1} and not agent.notices
+        assert set(partner.applied.values()) == {1}
+        assert not agent.notices
 
     play(work())
 
@@ -556,6 +562,7 @@
             await hand_in(client, "m")
             await until(lambda: partner.applied["k-m"])
         (told,) = log.events("tls.certificate-ends")
-        assert (told["whose"], told["partner"]) == ("partner", "dest:1") and 2 < told["days_left"] <= 3
+        assert (told["whose"], told["partner"]) == ("partner", "dest:1")
+        assert 2 < told["days_left"] <= 3
 
     play(work())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -61,7 +61,8 @@
                     re.search(r"content-length: (\d+)", head, re.I),
                     re.search(r"x-txn: (\S+)", head, re.I),
                 )
-                assert length is not None and came is not None
+                assert length is not None
+                assert came is not None
                 await reader.readexactly(int(length[1]))
                 await self._answer(came[1], reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):  # the last: the loop ends
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -41,9 +41,11 @@
 def test_a_message_is_sent_and_delivered() -> None:
     outcome = "returned dispatcher-0 r-a 0 10.0.0.1:80 pass 1000 1 - -"
     done = run([*START, "tick 2000 2", ARRIVAL, "commit", "tick 3000 3", outcome, "commit"])
-    assert done.returncode == 0 and done.stderr == ""
+    assert done.returncode == 0
+    assert done.stderr == ""
     lines = done.stdout.splitlines()
-    assert lines[0] == "ready 1" and lines[-1] == "ready 3"
+    assert lines[0] == "ready 1"
+    assert lines[-1] == "ready 3"
     assert any(line.startswith("route dispatcher-0 r-a ") for line in lines)
 
 
@@ -51,7 +53,8 @@
     refused = "returned dispatcher-0 r-a 0 10.0.0.1:80 no_room 1000 0 1500 -"
     other = "arrival dispatcher-0 r-b - - 8000000000 0 - 7 0"
     done = run([*START, "tick 2000 2", ARRIVAL, "commit", "tick 3000 3", refused, other, "commit"])
-    assert "route dispatcher-0 r-b" not in done.stdout and done.returncode == 0
+    assert "route dispatcher-0 r-b" not in done.stdout
+    assert done.returncode == 0
 
 
 @pytest.mark.parametrize(
@@ -72,7 +75,9 @@
     done = run([*START, "tick 2000 2", line, "commit"])
     assert done.returncode == 1
     assert done.stderr.count("\n") == 1
-    assert "line.unusable" in done.stderr and "line=8" in done.stderr and word in done.stderr
+    assert "line.unusable" in done.stderr
+    assert "line=8" in done.stderr
+    assert word in done.stderr
     assert done.stdout == "ready 1\n" or "ready 2" not in done.stdout
 
 
@@ -83,7 +88,8 @@
 
 def test_settings_without_sense_name_the_field() -> None:
     done = run([START[0], START[1].replace("call-slots=4", "call-slots=0"), "commit"])
-    assert done.returncode == 1 and "slots" in done.stderr
+    assert done.returncode == 1
+    assert "slots" in done.stderr
 
 
 def test_an_exception_in_the_module_becomes_bug(
@@ -100,7 +106,8 @@
     for line in ["tick 2000 2", ARRIVAL, "commit"]:
         host.line(line)
     out, err = capsys.readouterr()
-    assert "bug dispatcher-0 RuntimeError: torn apart\nready 2" in out and "Traceback" in err
+    assert "bug dispatcher-0 RuntimeError: torn apart\nready 2" in out
+    assert "Traceback" in err
 
 
 def test_a_killed_instance_forgets_and_starts_again() -> None:
@@ -115,4 +122,5 @@
 def test_deploy_file_names_the_module_and_the_adapter() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     modules = sorted(str(path.relative_to(ROOT)) for path in (ROOT / "honeyhitch" / "policy").glob("*.py"))
-    assert deploy["policy"] == modules and "honeyhitch.wirehost" in deploy["sim"]
+    assert deploy["policy"] == modules
+    assert "honeyhitch.wirehost" in deploy["sim"]
