--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -76,7 +76,7 @@
             self._failed(str(result))
             return
         if self.failing:
-            log.info("undelivered.store-works-again", waiting=len(self.waiting), let_go=self.figures.let_go)
+            log.info("dead-letter.store-recovered", waiting=len(self.waiting), let_go=self.figures.let_go)
         self.moving, self.failing, self.pause = [], "", FIRST_PAUSE
         for transaction in some:
             del self.waiting[transaction.id, transaction.ended_at]
@@ -89,7 +89,7 @@
 
     def _failed(self, error: str) -> None:
         self.moving, self.paused, self.failing = [], True, error
-        log.error("undelivered.store-failed", error=error, waiting=len(self.waiting), key=error)
+        log.error("dead-letter.store-failed", error=error, waiting=len(self.waiting), key=error)
         self.scheduler.call_at(self.scheduler.now() + self.pause, self._again)
         self.pause = min(2 * self.pause, MOST_PAUSE)
         self._let_go()
@@ -116,7 +116,7 @@
             ran = transaction.first_possible_execution() is not None
             del self.waiting[transaction.id, transaction.ended_at]
             self.figures.let_go[ran] += 1
-            log.error("undelivered.let-go", message=transaction.id, may_have_run=ran, key=str(ran))
+            log.error("dead-letter.discarded", message=transaction.id, may_have_run=ran, key=str(ran))
             self.kept(transaction)
 
 
@@ -124,7 +124,7 @@
     """Name in the log what the store had to drop."""
     for one in dropped:
         log.warning(
-            "undelivered.dropped",
+            "dead-letter.records-dropped",
             why=one.why,
             count=one.count,
             bytes=one.size,
--- a/honeyhitch/dead_letters/resending.py
+++ b/honeyhitch/dead_letters/resending.py
@@ -95,14 +95,14 @@
 
         def done(result: Any) -> None:
             if isinstance(result, Exception):
-                log.error("undelivered.not-loaded", error=str(result), key=str(result))
+                log.error("dead-letter.index-not-loaded", error=str(result), key=str(result))
                 self.scheduler.call_at(self.scheduler.now() + MOST_AGAIN, lambda: self.begin(lambda: None))
             else:
                 known, self.waiting, count = result
                 self.copies.load(known)
                 self.loaded = True
                 if count:
-                    log.warning("undelivered.resends-lost", count=count)
+                    log.warning("dead-letter.resends-lost", count=count)
                 self._tick()
             ready()
 
@@ -162,7 +162,7 @@
     def _found(self, result: Any) -> None:
         self.asking = False
         if isinstance(result, Exception):
-            log.error("undelivered.store-failed", error=str(result), key=str(result))
+            log.error("dead-letter.store-failed", error=str(result), key=str(result))
             return
         found, self.waiting = result
         now = self.scheduler.now()
@@ -181,7 +181,7 @@
         made = resends.transaction(candidate, self.dispatcher.settings, now)
         if not self.dispatcher.submit_resend(made):
             return self._later(record, now + SECOND)
-        log.info("undelivered.resend", message=record.id, resend=made.id, rule=rule.name, key=rule.name)
+        log.info("dead-letter.resent", message=record.id, resend=made.id, rule=rule.name, key=rule.name)
         self._under_way(made, now)
         self._claim(made)
 
@@ -204,7 +204,7 @@
                 self.dispatcher.release(made)
                 return
             if isinstance(result, Exception):  # it may have been claimed all the same: its end is written
-                log.error("undelivered.claim-failed", resend=made.id, error=str(result), key=str(result))
+                log.error("dead-letter.claim-failed", resend=made.id, error=str(result), key=str(result))
             self.dispatcher.conclude(made, Ending.REJECTED)
 
         def job(store: Store) -> Record | None:
@@ -222,7 +222,7 @@
 
         def done(result: Any) -> None:
             if isinstance(result, Exception):
-                log.error("undelivered.store-failed", error=str(result), key=str(result))
+                log.error("dead-letter.store-failed", error=str(result), key=str(result))
                 self.scheduler.call_at(self.scheduler.now() + self.again, lambda: self.answer(transaction))
                 self.again = min(2 * self.again, MOST_AGAIN)
                 return
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -110,7 +110,7 @@
                 tell_dropped(await self._done(self.writer, Store.make_room))
                 await self._done(self.writer, Store.tidy)
             except Exception as error:  # the store is opened again with the next job
-                log.error("undelivered.store-failed", error=str(error), key=str(error))
+                log.error("dead-letter.store-failed", error=str(error), key=str(error))
             await asyncio.sleep(CARE)
 
     async def stop(self) -> None:
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -71,7 +71,7 @@
                     self._do([one])
                 return
             if not isinstance(error, (StoreError, sqlite3.Error, OSError)):
-                log.error("undelivered.job-failed", exc_info=error)
+                log.error("dead-letter.job-failed", exc_info=error)
             if isinstance(error, (sqlite3.DatabaseError, OSError)):
                 self._close()  # opened anew for the next one
             results = [error]
@@ -98,4 +98,4 @@
             try:
                 store.close()
             except sqlite3.Error as error:
-                log.warning("undelivered.close-failed", error=str(error))
+                log.warning("dead-letter.store-close-failed", error=str(error))
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -96,7 +96,7 @@
     def take_over(self, owed: list[Transaction], unmoved: list[Transaction]) -> None:
         """Go on with what a process left: it is in the journal, and nobody else goes on with it."""
         if unmoved and self.dead_letter_sink is None:
-            log.warning("undelivered.off", waiting=len(unmoved))  # they stay for a start with a keeper
+            log.warning("dead-letter.store-missing", waiting=len(unmoved))  # they stay for a start with a keeper
         if self.dead_letter_sink is not None:
             for transaction in unmoved:
                 self.dead_letter_sink.store(transaction)
@@ -116,7 +116,7 @@
             elif self.resend_coordinator is not None:
                 self.resend_coordinator.recover_resend(transaction)
             else:  # the store, where it is missed, will take it for one that may have run
-                log.warning("undelivered.off", resend=transaction.id)
+                log.warning("dead-letter.store-missing", resend=transaction.id)
                 self.journal.record_end(transaction, Ending.UNANSWERED)
 
     def submit(self, transaction: Transaction) -> Admission:
@@ -574,7 +574,7 @@
         if front is not None:
             front.answer(transaction)
         else:  # taken by a front that this process was started without: nobody can be told
-            log.warning("answer.no-front", message=transaction.id, front=transaction.frontend)
+            log.warning("answer.frontend-missing", message=transaction.id, front=transaction.frontend)
             self.answer_sent(transaction)
 
     def answer_sent(self, transaction: Transaction) -> None:
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -125,7 +125,7 @@
         except FileNotFoundError:
             return
         except (OSError, ValueError) as error:  # a FleetViewError is a ValueError
-            log.warning("fleet.saved-unusable", error=str(error))
+            log.warning("fleet.saved-view-rejected", error=str(error))
 
     async def watch(self) -> None:
         """Watch the view for ever; the one in force stays while its agent is silent."""
@@ -142,9 +142,9 @@
         try:
             self.fleet.take(told, now)
         except ClockError as error:  # the view is good, the heartbeat is not
-            log.warning("fleet.clock", error=str(error), key=self.settings.view)
+            log.warning("fleet.clock-rejected", error=str(error), key=self.settings.view)
         if before.revision != self.fleet.view.revision:
-            log.info("fleet.view", revision=self.fleet.view.revision, key=self.settings.view)
+            log.info("fleet.view-applied", revision=self.fleet.view.revision, key=self.settings.view)
         if not self.fleet.kept <= kept:
             self.refetch()
         if before.instances != self.fleet.view.instances or now - self._saved_at >= SAVE_EVERY:
@@ -194,14 +194,14 @@
     def _save(self, now: int) -> None:
         data = json.dumps(self.fleet.saved(), separators=(",", ":")).encode()
         if len(data) > MOST_SAVED:
-            log.warning("fleet.not-saved", bytes=len(data), most=MOST_SAVED)
+            log.warning("fleet.view-not-saved", bytes=len(data), most=MOST_SAVED)
             return
         spare = self.path.with_suffix(".new")
         try:
             spare.write_bytes(data)
             os.replace(spare, self.path)
         except OSError as error:
-            log.warning("fleet.not-saved", error=str(error))
+            log.warning("fleet.view-not-saved", error=str(error))
         self._saved_at = now
 
     def close(self) -> None:
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -76,7 +76,7 @@
         if there != self.peer_running:
             self.peer_running = there
             self.dispatcher.peer_process = self if there else None
-            log.info("beside.came" if there else "beside.went", place=self.state_directory.other_slot)
+            log.info("handover.peer-started" if there else "handover.peer-ended", place=self.state_directory.other_slot)
             self.out = None
             self.changed(there, None)
 
@@ -104,12 +104,12 @@
                 try:
                     mine.record_accepted(copy)
                 except JournalFullError as error:  # what is held here ends with time
-                    log.warning("beside.no-room", error=str(error))
+                    log.warning("handover.journal-full", error=str(error))
                     break
                 came.append(copy)
             theirs.handed_over.pop(name, None)
         if came:
-            log.info("beside.passed", messages=len(came))
+            log.info("handover.messages-received", messages=len(came))
             self.dispatcher.take_over(came, [])
 
     def _inherit(self) -> None:
@@ -123,7 +123,7 @@
         try:
             new, late = self.journal.take_over(self.follower, first, second)
         except JournalFullError as error:  # what is held here ends with time, and then there is room
-            log.error("beside.no-room", error=str(error))
+            log.error("handover.journal-full", error=str(error))
             return
         self.state_directory.slot = FIRST_SLOT
         self.state_directory.unlock_slot(SECOND_SLOT)
@@ -132,7 +132,7 @@
         self._now(False)
         self.dispatcher.apply_retry_after(waits)
         if new:
-            log.info("beside.inherited", messages=len(new))
+            log.info("handover.journal-taken-over", messages=len(new))
         if self.resumed:
             self.dispatcher.take_over(new, late)
 
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -157,7 +157,7 @@
         try:
             dispatcher.apply_list_update(dispatcher.pool.update(config.known, cached=True))
         except PoolError as error:
-            log.warning("known.unusable", error=str(error))
+            log.warning("list.known-rejected", error=str(error))
         self.handover.begin()
         if self.handover.peer_running:
             if (other := self.handover.follower.name) != config.name:
@@ -186,7 +186,7 @@
                 forward=None if self.fleet is None else self.fleet.forwarder.forward,
             )
             if self.handover.peer_running:
-                log.info("listen.beside", steered=sockets.steer(self.clients.listener))
+                log.info("listen.address-shared", steered=sockets.steer(self.clients.listener))
         beside, state = config.operator, self.state
         calls: tuple[tuple[str, Address | None, Callable[[], ServerSession]], ...] = (
             ("beside.agent-check", beside.agent_check, lambda: AgentSession(state)),
@@ -223,7 +223,7 @@
             return
         if told.rules != self.config.operator.undelivered.rules:
             self.dead_letters.resending.replace_rules(told.rules)
-            log.info("reload.rules", rules=len(told.rules))
+            log.info("reload.rules-replaced", rules=len(told.rules))
         beside = replace(self.config.operator.undelivered, rules=told.rules)
         self.config = replace(self.config, operator=replace(self.config.operator, undelivered=beside))
 
@@ -238,7 +238,7 @@
         try:
             self.control = ControlServer(setup.at(self.config.state), self.commands, self.tasks)
         except ControlSocketError as error:  # messages are served all the same
-            log.error("control.unusable", error=str(error))
+            log.error("control.not-opened", error=str(error))
             return
         self.tasks.run_forever(self.control.accept)
 
@@ -252,15 +252,15 @@
             new = read(self.config)
         except Exception as error:  # whatever is wrong with a file must not end a process that serves
             what = error if isinstance(error, ConfigError) else repr(error)
-            log.error("reload.refused", error=str(what), kept="the configuration as it was")
+            log.error("reload.rejected", error=str(what), kept="the configuration as it was")
             return
         if new.discovery != self.config.discovery:
-            log.info("reload.discovery", before=str(self.config.discovery), now=str(new.discovery))
+            log.info("reload.discovery-moved", before=str(self.config.discovery), now=str(new.discovery))
             self.discovery.move(str(new.discovery))
         self._take_rules(new)
         for name in AT_START_ONLY:
             if getattr(new, name) != getattr(self.config, name):
-                log.warning("reload.needs-restart", setting=name, key=name)
+                log.warning("reload.restart-required", setting=name, key=name)
         self.config = new
 
     def _listen(
--- a/honeyhitch/simulator_host.py
+++ b/honeyhitch/simulator_host.py
@@ -247,7 +247,7 @@
                 for action in instance.brain.handle(now, events):
                     lines.append(self._action(name, action))
             except Exception as error:
-                log.exception("module.fault", instance=name)
+                log.exception("policy.failed", instance=name)
                 reason = f"{type(error).__name__}: {error}".replace("\n", " ")
                 lines.append(f"bug {name} {reason}")
         lines.append(f"ready {number}\n")
@@ -287,7 +287,7 @@
         if host.tick is not None:
             raise WireError("the input ended inside a batch, expected 'commit'")
     except (ConfigError, UnicodeDecodeError) as error:
-        log.error("line.unusable", line=number, error=str(error))
+        log.error("input.line-rejected", line=number, error=str(error))
         return 1
     return 0
 
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -77,7 +77,7 @@
             s.slow_start_duration,
         )
         for what in HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, s.instance_count):
-            log.warning("tls.budget", partner=partner.name, what=what, key=partner.name)
+            log.warning("tls.budget-limited", partner=partner.name, what=what, key=partner.name)
         stamps = material.stamps(terms)
         return Known(partner, material.load(terms, self.environ, self.now()), budget, stamps=stamps)
 
@@ -157,7 +157,7 @@
         known.stamps = stamps
         if isinstance(read, MaterialError):
             if known.refused != str(read):
-                log.error("tls.files-refused", partner=known.name, error=str(read), kept="the old ones")
+                log.error("tls.files-rejected", partner=known.name, error=str(read), kept="the old ones")
             known.refused = str(read)
             return False
         known.refused = ""
@@ -169,7 +169,7 @@
     def _renew(self, known: Known, read: Material) -> None:
         known.material, known.generation = read, known.generation + 1
         self.sessions.drop_before(known.name, known.generation)
-        log.info("tls.files-taken", partner=known.name, generation=known.generation)
+        log.info("tls.files-reloaded", partner=known.name, generation=known.generation)
         for told in self.changed:
             told(known)
 
@@ -187,7 +187,7 @@
                 known.told_ends.clear()
             known.told_ends[facts.pin] = now
             log.warning(
-                "tls.certificate-ends",
+                "tls.certificate-expiring",
                 partner=known.name,
                 whose=whose,
                 subject=facts.subject,
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -119,7 +119,7 @@
         except (OSError, http1.HttpError) as error:
             result = self._cut(call, progress, Outcome.RESET, error)
         except Exception:  # a fault of ours must not keep the slot for ever
-            log.exception("call.fault", member=call.endpoint.id, key=call.endpoint.id)
+            log.exception("call.failed", member=call.endpoint.id, key=call.endpoint.id)
             result = self._cut(call, progress, Outcome.RESET)
         finally:
             # Only once the connection is closed or free is the slot free, whatever happened.
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -152,7 +152,7 @@
         try:
             reply = messages.reply_to(packet)
         except FieldError as error:  # there is no place to answer
-            log.warning("intake.unusable", error=str(error))
+            log.warning("intake.rejected", error=str(error))
             self.intake.acknowledge(packet, BAD)
             return
         if name not in self.rejected:
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -60,7 +60,7 @@
             except Exception as error:
                 name = str(getattr(work, "__qualname__", work))
                 log.warning(
-                    "work.again",
+                    "task.restarted",
                     work=name,
                     error=f"{type(error).__name__}: {error}",
                     key=name,
@@ -75,7 +75,7 @@
     def _done(self, task: asyncio.Task[None]) -> None:
         self.running.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("task.died", task=task.get_name(), exc_info=error)
+            log.error("task.failed", task=task.get_name(), exc_info=error)
 
     async def stop(self) -> None:
         """Cancel all that still run, and wait till they have let go of what they hold."""
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -1,7 +1,7 @@
 """Calls to pool members over TLS. Connections are opened ahead of calls, which never wait for a handshake.
 
 The module is told how many calls a member's open connections take (`interface.Room`) and asks for more when
-messages wait (`interface.Open`); `tls.door` and `tls.budget` decide whether a handshake may start. A
+messages wait (`interface.Open`); `tls.door` and `tls.budget-limited` decide whether a handshake may start. A
 handshake is no attempt and holds no slot. A connection goes when it is idle for long, when its partner ends
 it, and when what it was verified with holds no more: then gradually, and never under a call.
 """
@@ -205,7 +205,7 @@
         """The partner ended one that was idle, or said what nobody asked for."""
         failure = connection.tls.machine.failure
         if failure is not None and failure.failure is Failure.OUR_CERTIFICATE_REFUSED:
-            self._log("tls.refused-late", name, connection.known, failure, name)
+            self._log("tls.connection-rejected", name, connection.known, failure, name)
         self._blame(name, failure)
         self._drop(name, connection)
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -43,9 +43,9 @@
     try:
         raise RuntimeError("a fault")
     except RuntimeError:
-        logs.get().exception("call.fault", member="one")
+        logs.get().exception("call.failed", member="one")
     first = stream.getvalue().splitlines()[0]
-    assert "call.fault" in first
+    assert "call.failed" in first
     assert "member=one" in first
     assert "RuntimeError: a fault" in stream.getvalue()
 
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -201,12 +201,12 @@
         operator = PARTNER.format(ca=authority.file) + 'certificate = "{}"\nkey = "{}"\n'.format(*ours)
         async with running(tmp_path, [partner], operator) as (_, client):
             await hand_in(client, "m")
-            await until(lambda: log.events("tls.call-broken") or log.events("tls.refused-late"))
+            await until(lambda: log.events("tls.call-broken") or log.events("tls.connection-rejected"))
             install(authority.issue(("us",), use=CLIENT), *ours)
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: partner.applied["k-m"])
         assert partner.applied == {"k-m": 1}
-        told = log.events("tls.call-broken") + log.events("tls.refused-late")
+        told = log.events("tls.call-broken") + log.events("tls.connection-rejected")
         assert {one["failure"] for one in told} == {"our-certificate-refused"}
         records = [fields for fields, _, _ in unpack((tmp_path / "state" / "journal").read_bytes())]
         tried = [fields for fields in records if fields["t"] == "attempt"]
@@ -304,7 +304,7 @@
             await until(lambda: len(seen) == 1)
             ours[0].write_bytes(second.cert_file.read_bytes())  # the key still is the old one's
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: log.events("tls.files-refused"))
+            await until(lambda: log.events("tls.files-rejected"))
             await hand_in(client, "between")
             await until(lambda: len(seen) == 2)
             assert set(seen) == {first.certificate.serial_number}
@@ -319,7 +319,7 @@
             await until(lambda: partner.applied["k-after"])
         assert set(partner.applied.values()) == {1}
         assert not log.events("tls.handshake-failed")
-        refused = log.events("tls.files-refused")[0]
+        refused = log.events("tls.files-rejected")[0]
         assert "does not belong to the certificate" in refused["error"]
         assert refused["partner"] == "dest:1"
 
@@ -339,7 +339,7 @@
             await until(lambda: partner.applied["k-before"])
             authority.crl(issued)
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: log.events("tls.files-taken"))
+            await until(lambda: log.events("tls.files-reloaded"))
             await hand_in(client, "after")
             await until(lambda: log.events("tls.handshake-failed"))
             assert not partner.applied["k-after"]
@@ -479,7 +479,7 @@
             other = Authority(tmp_path / "other", "Other CA")
             trust.write_bytes(trust.read_bytes() + other.file.read_bytes())
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: log.events("tls.files-taken"))
+            await until(lambda: log.events("tls.files-reloaded"))
             await until(lambda: broker.kept["n0-calls"].writer not in (before, None))
             client.hand_in("two", 1)
             await client.until(2)
@@ -561,7 +561,7 @@
         async with running(tmp_path, [partner], PARTNER.format(ca=authority.file)) as (_, client):
             await hand_in(client, "m")
             await until(lambda: partner.applied["k-m"])
-        (told,) = log.events("tls.certificate-ends")
+        (told,) = log.events("tls.certificate-expiring")
         assert (told["whose"], told["partner"]) == ("partner", "dest:1")
         assert 2 < told["days_left"] <= 3
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -75,7 +75,7 @@
     done = run([*START, "tick 2000 2", line, "commit"])
     assert done.returncode == 1
     assert done.stderr.count("\n") == 1
-    assert "line.unusable" in done.stderr
+    assert "input.line-rejected" in done.stderr
     assert "line=8" in done.stderr
     assert word in done.stderr
     assert done.stdout == "ready 1\n" or "ready 2" not in done.stdout
