--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -20,7 +20,7 @@
     SetTimer,
     Subscribe,
 )
-from honeyhitch.policy.decaying_counter import DecayingTally
+from honeyhitch.policy.decaying_counter import DecayingCounter
 from honeyhitch.policy.events import (
     AttemptEnded,
     ConnectionCapacity,
@@ -42,14 +42,14 @@
     ASK_MOST,
     ATTEMPTS,
     AVOID_STEPS,
-    BAD_SHARE,
+    EJECTION_FAILURE_FRACTION,
     HEALTHY_SHARE,
     JITTER,
-    LADDER,
+    BACKOFF_STEPS,
     LONG_FADE,
     LOW_ALLOWANCE,
     NEVER,
-    PROOF,
+    ANSWERS_BEFORE_POOLING,
     REACH,
     RESTING,
     SECOND,
@@ -62,60 +62,75 @@
     YIELD,
     Call,
     Destination,
-    Endpoint,
-    Lane,
-    Message,
+    EndpointState,
+    DestinationState,
+    PendingMessage,
 )
 
-Offer = tuple[float, int, Message, Endpoint]
+Offer = tuple[float, int, PendingMessage, EndpointState]
 
 
 class DeliveryPolicy:
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s, self.rng, self.now = settings, Random(seed), 0
-        self.most, self.margin = min(ATTEMPTS, settings.max_attempts), 2 * settings.resolution
-        self.messages: dict[str, Message] = {}
-        self.dests: dict[int, Destination] = {}
-        self.kinds = [(kind, DecayingTally(LONG_FADE)) for kind in settings.kinds]
-        self.lines: dict[
-            int | None, tuple[deque[Message], list[int]]
+        self.settings, self.rng, self.now = settings, Random(seed), 0
+        self.max_attempts, self.deadline_margin = (
+            min(ATTEMPTS, settings.max_attempts),
+            2 * settings.resolution,
+        )
+        self.messages: dict[str, PendingMessage] = {}
+        self.destinations: dict[int, Destination] = {}
+        self.kinds = [(kind, DecayingCounter(LONG_FADE)) for kind in settings.kinds]
+        self.ordered_queues: dict[
+            int | None, tuple[deque[PendingMessage], list[int]]
         ] = {}  # a key's messages, its rest's end
-        self.hot: dict[Destination, None] = {}  # those with messages ready to go
-        self.rested: dict[Endpoint, None] = {}  # those that may hold a connection that nothing uses now
-        self.wakes: list[tuple[int, int, Callable[..., object], object]] = []
-        self.seq, self.used, self.timer_at, self.ask_gap = 0, 0, NEVER, ASK_GAP
-        self.tenants = [(0.0, 0)] * len(settings.tenant_rates)
+        self.dispatchable: dict[Destination, None] = {}  # those with messages ready to go
+        self.idle_candidates: dict[
+            EndpointState, None
+        ] = {}  # those that may hold a connection that nothing uses now
+        self.scheduled: list[tuple[int, int, Callable[..., object], object]] = []
+        self.sequence, self.concurrent_calls, self.timer_at, self.subscribe_pause = 0, 0, NEVER, ASK_GAP
+        self.tenant_allowances = [(0.0, 0)] * len(settings.tenant_rates)
         self.actions: list[Action] = []
-        self.on: dict[type, Callable[..., object]] = {
-            NewMessage: self._taken,
-            EndpointListUpdate: self._news,
+        self.handlers: dict[type, Callable[..., object]] = {
+            NewMessage: self._on_new_message,
+            EndpointListUpdate: self._apply_list_update,
+        }
+        self.handlers |= {
+            AttemptEnded: self._on_attempt_ended,
+            MessageWithdrawn: self._on_withdrawn,
+            TimerFired: self._on_timer,
         }
-        self.on |= {
-            AttemptEnded: self._outcome,
-            MessageWithdrawn: self._drop,
-            TimerFired: self._rang,
+        self.handlers |= {
+            ConnectionCapacity: self._on_connection_capacity,
+            RetryAfterReceived: self._on_retry_after,
         }
-        self.on |= {ConnectionCapacity: self._room, RetryAfterReceived: self._told}
-        self.on[ShutdownStarted] = lambda event: self._bar(self.now + event.pause)
+        self.handlers[ShutdownStarted] = lambda event: self._give_up_before(self.now + event.pause)
         if settings.must_subscribe:
-            self._wake(0, self._act, Subscribe())
+            self._schedule(0, self._act, Subscribe())
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         self.now, self.actions = now, []
         for event in events:
-            self.on[type(event)](event)
-        while self.wakes and self.wakes[0][0] <= now:
-            _, _, what, subject = heappop(self.wakes)
+            self.handlers[type(event)](event)
+        while self.scheduled and self.scheduled[0][0] <= now:
+            _, _, what, subject = heappop(self.scheduled)
             what(subject)
         self._send_all()
-        for endpoint in self.rested:  # an idle connection takes a place that all instances share
-            lane, scarce = endpoint.lane, self.s.instance_count > TABLE and not endpoint.calls
-            full = lane.tight.share(now) > TIGHT or lane.answered < PROOF or self.rng.random() < YIELD
+        for endpoint in self.idle_candidates:  # an idle connection takes a place that all instances share
+            lane, scarce = (
+                endpoint.state,
+                self.settings.instance_count > TABLE and not endpoint.concurrent_calls,
+            )
+            full = (
+                lane.connection_failures.failure_fraction(now) > TIGHT
+                or lane.answered_calls < ANSWERS_BEFORE_POOLING
+                or self.rng.random() < YIELD
+            )
             if scarce and full:
                 self.actions.append(CloseIdleConnections(endpoint.name))
-        self.rested.clear()
-        if self.wakes and self.wakes[0][0] < self.timer_at:
-            self.timer_at = self.wakes[0][0]
+        self.idle_candidates.clear()
+        if self.scheduled and self.scheduled[0][0] < self.timer_at:
+            self.timer_at = self.scheduled[0][0]
             self.actions.append(SetTimer(self.timer_at))
         return self.actions
 
@@ -124,239 +139,290 @@
         message = self.messages[name]
         if (call := message.call) is None or message.ended or not call.endpoint.listed:
             return False
-        lane = call.endpoint.lane
-        return lane.wait_until <= now < self._last(message) and not (lane.out and lane.closed_at > call.sent)
+        lane = call.endpoint.state
+        return lane.retry_after_until <= now < self._last_attempt_at(message) and not (
+            lane.ejected and lane.reejected_at > call.sent_at
+        )
 
     def limit_concurrent_calls(
         self, max_concurrent_calls: int
     ) -> None:  # so many are this process's from now on
-        self.s = replace(self.s, max_concurrent_calls=max_concurrent_calls)
+        self.settings = replace(self.settings, max_concurrent_calls=max_concurrent_calls)
 
-    def _rang(self, _: object) -> None:  # also a timer that rang a moment early: it is set again
+    def _on_timer(self, _: object) -> None:  # also a timer that rang a moment early: it is set again
         self.timer_at = NEVER
 
     def _act(self, action: Action) -> None:
         self.actions.append(action)
 
-    def _wake(self, at: int, what: Callable[..., object], subject: object) -> None:
-        self.seq += 1
-        heappush(self.wakes, (at, self.seq, what, subject))
+    def _schedule(self, at: int, what: Callable[..., object], subject: object) -> None:
+        self.sequence += 1
+        heappush(self.scheduled, (at, self.sequence, what, subject))
 
-    def _news(self, event: EndpointListUpdate) -> None:
+    def _apply_list_update(self, event: EndpointListUpdate) -> None:
         """A stale or missing list never stops delivery; what drains or is gone gets nothing new (rule 3)."""
         failed, whole = event.mode is UpdateMode.FAILED, (UpdateMode.FULL, UpdateMode.CACHED)
         if failed:
-            pause = int(self.ask_gap * self.rng.uniform(1 - JITTER, 1))
-            self._wake(self.now + pause, self._act, Subscribe())
-        self.ask_gap = min(2 * self.ask_gap, ASK_MOST) if failed else ASK_GAP
+            pause = int(self.subscribe_pause * self.rng.uniform(1 - JITTER, 1))
+            self._schedule(self.now + pause, self._act, Subscribe())
+        self.subscribe_pause = min(2 * self.subscribe_pause, ASK_MOST) if failed else ASK_GAP
         named = {entry.endpoint for entry in event.listings}
-        for dest in self.dests.values() if event.mode in whole else ():
+        for dest in self.destinations.values() if event.mode in whole else ():
             dest.endpoints = {name: old for name, old in dest.endpoints.items() if name in named}
         for entry in event.listings:
-            dest = self.dests.setdefault(entry.destination, Destination())
+            dest = self.destinations.setdefault(entry.destination, Destination())
             kind, tight = self.kinds[min(entry.kind, len(self.kinds) - 1)]
             if entry.endpoint not in dest.endpoints:
-                if dest.lane is None or kind.limits_per_endpoint:
-                    dest.lane = Lane(self.s, self.rng, tight)
-                dest.endpoints[entry.endpoint] = Endpoint(entry, dest.lane)
-            endpoint, dest.per_call = dest.endpoints[entry.endpoint], kind.max_messages_per_call
-            endpoint.listed, endpoint.lane.scale = entry.status is EndpointStatus.READY, entry.listed_rate
-            self.hot[dest] = None
+                if dest.state is None or kind.limits_per_endpoint:
+                    dest.state = DestinationState(self.settings, self.rng, tight)
+                dest.endpoints[entry.endpoint] = EndpointState(entry, dest.state)
+            endpoint, dest.max_messages_per_call = dest.endpoints[entry.endpoint], kind.max_messages_per_call
+            endpoint.listed, endpoint.state.listed_rate = (
+                entry.status is EndpointStatus.READY,
+                entry.listed_rate,
+            )
+            self.dispatchable[dest] = None
             if entry.status is EndpointStatus.GONE:  # forgotten; its calls out still know it
                 del dest.endpoints[entry.endpoint]
 
-    def _room(self, event: ConnectionCapacity) -> None:
+    def _on_connection_capacity(self, event: ConnectionCapacity) -> None:
         """Handshakes are no attempts: one that fails tells of the lane."""
-        dest = self.dests.get(event.destination, Destination())
+        dest = self.destinations.get(event.destination, Destination())
         if (endpoint := dest.endpoints.get(event.endpoint)) is None:
             return
-        endpoint.room, endpoint.shut, self.hot[dest] = (
+        endpoint.capacity, endpoint.connect_blocked_until, self.dispatchable[dest] = (
             event.capacity,
             self.now + event.connect_blocked_for,
             None,
         )
         if event.connect_failed:
-            classes = [endpoint.tallies[number] for number in range(len(self.s.classes))]
-            for tally in (endpoint.lane.tight, endpoint.lane.tally, *classes):
-                tally.note(self.now, True)
-            endpoint.lane.failed(self.now, Call(endpoint, self.now - event.elapsed), False, 0)
-
-    def _opens(self, dest: Destination, guess: bool = False) -> int:  # nothing goes there before; or may not
-        ones = [(e, e.lane, guess or not e.room) for e in dest.endpoints.values() if e.listed]
+            classes = [endpoint.failures_by_class[number] for number in range(len(self.settings.classes))]
+            for tally in (endpoint.state.connection_failures, endpoint.state.call_failures, *classes):
+                tally.record(self.now, True)
+            endpoint.state.record_failure(self.now, Call(endpoint, self.now - event.elapsed), False, 0)
+
+    def _sends_blocked_until(
+        self, dest: Destination, guess: bool = False
+    ) -> int:  # nothing goes there before; or may not
+        ones = [(e, e.state, guess or not e.capacity) for e in dest.endpoints.values() if e.listed]
         return min(
-            (max(at.wait_until, guess * at.trial_at, bars * e.shut) for e, at, bars in ones), default=0
+            (
+                max(at.retry_after_until, guess * at.next_probe_at, bars * e.connect_blocked_until)
+                for e, at, bars in ones
+            ),
+            default=0,
         )
 
-    def _bar(self, until: int, dest: Destination | None = None) -> None:
+    def _give_up_before(self, until: int, dest: Destination | None = None) -> None:
         """What cannot outlive a time without sends, there or anywhere, is given up at once."""
-        for message in [m for m in self.messages.values() if m.call is None and dest in (None, m.dest)]:
-            if not message.ended and until >= self._last(message):
+        for message in [
+            m for m in self.messages.values() if m.call is None and dest in (None, m.destination)
+        ]:
+            if not message.ended and until >= self._last_attempt_at(message):
                 self._finish(message)
 
-    def _taken(self, event: NewMessage) -> None:
-        dest = self.dests.setdefault(event.destination, Destination())
-        message = Message(event, self.s.classes[event.class_index], dest, self.now)
-        message.worth *= self._share(event.tenant) if self.s.tenant_rates and not event.low_priority else 1.0
+    def _on_new_message(self, event: NewMessage) -> None:
+        dest = self.destinations.setdefault(event.destination, Destination())
+        message = PendingMessage(event, self.settings.classes[event.class_index], dest, self.now)
+        message.priority_weight *= (
+            self._tenant_weight(event.tenant)
+            if self.settings.tenant_rates and not event.low_priority
+            else 1.0
+        )
         self.messages[message.id] = message
-        if (message.attempts or message.ran) and not message.may_try(self.now, self.most):
+        if (message.attempts or message.possible_executions) and not message.may_attempt(
+            self.now, self.max_attempts
+        ):
             self._finish(message)  # a restart came between: its tries, its window or its time are used up
-        elif message.key is not None:
-            self._wake(self._last(message), self._expire, message)
-            self.lines.setdefault(message.key, (deque(), [0]))[0].append(message)
-            self._advance(message.key)
+        elif message.ordering_key is not None:
+            self._schedule(self._last_attempt_at(message), self._expire, message)
+            self.ordered_queues.setdefault(message.ordering_key, (deque(), [0]))[0].append(message)
+            self._advance(message.ordering_key)
         else:
             self._queue(message)
 
-    def _share(self, tenant: int) -> float:  # little worth beyond a tenant's share
-        (left, at), rate = self.tenants[tenant], self.s.tenant_rates[tenant] / self.s.instance_count
+    def _tenant_weight(self, tenant: int) -> float:  # little worth beyond a tenant's share
+        (left, at), rate = (
+            self.tenant_allowances[tenant],
+            self.settings.tenant_rates[tenant] / self.settings.instance_count,
+        )
         left = min(max(1.0, rate), left + rate * (self.now - at + 1) / SECOND)
-        self.tenants[tenant] = (left - (left >= 1), self.now)
-        return 1.0 if left >= 1 else self.s.over_quota_weight
+        self.tenant_allowances[tenant] = (left - (left >= 1), self.now)
+        return 1.0 if left >= 1 else self.settings.over_quota_weight
 
     def _advance(self, key: int | None) -> None:  # rule 5: a key's head alone may go, after its rest
-        line, rest = self.lines.get(key, (deque(), [0]))
+        line, rest = self.ordered_queues.get(key, (deque(), [0]))
         while line and line[0].ended and line[0].call is None:
             line.popleft()
         if rest[0] > self.now:
-            self._wake(rest[0], self._advance, key)
+            self._schedule(rest[0], self._advance, key)
         elif not line:
-            self.lines.pop(key, None)
+            self.ordered_queues.pop(key, None)
         elif not line[0].attempts and not line[0].queued:
             self._queue(line[0])
 
-    def _queue(self, message: Message) -> None:
-        message.dest.waiting.pop(message, None)
-        if self._opens(message.dest) >= self._last(message):
+    def _queue(self, message: PendingMessage) -> None:
+        message.destination.backing_off.pop(message, None)
+        if self._sends_blocked_until(message.destination) >= self._last_attempt_at(message):
             return self._finish(message)
-        self._wake(self._last(message), self._expire, message)
-        key = message.number, message.zone(), message.behind
-        queue = message.dest.queues.setdefault(key, MessageQueue())
-        self.seq += 1
-        queue.push(message.aim, self.seq, message)
-        message.queued, self.hot[message.dest] = True, None
-
-    def _woken(self, message: Message) -> None:
-        if message in message.dest.waiting:
+        self._schedule(self._last_attempt_at(message), self._expire, message)
+        key = message.class_index, message.required_zone(), message.low_priority
+        queue = message.destination.queues.setdefault(key, MessageQueue())
+        self.sequence += 1
+        queue.push(message.objective_at, self.sequence, message)
+        message.queued, self.dispatchable[message.destination] = True, None
+
+    def _end_backoff(self, message: PendingMessage) -> None:
+        if message in message.destination.backing_off:
             self._queue(message)
 
-    def _last(self, message: Message) -> int:  # no try from then on could hope for an answer
-        reach = int(REACH * message.dest.lane.latency) if message.dest.lane else 0
-        return message.until() - self.margin - reach
+    def _last_attempt_at(
+        self, message: PendingMessage
+    ) -> int:  # no try from then on could hope for an answer
+        reach = int(REACH * message.destination.state.latency) if message.destination.state else 0
+        return message.attempts_allowed_until() - self.deadline_margin - reach
 
-    def _expire(self, message: Message) -> None:
+    def _expire(self, message: PendingMessage) -> None:
         if not message.ended and message.call is None:
-            last = self._last(message)
-            self._finish(message) if self.now >= last else self._wake(last, self._expire, message)
+            last = self._last_attempt_at(message)
+            self._finish(message) if self.now >= last else self._schedule(last, self._expire, message)
 
-    def _finish(self, message: Message) -> None:  # at once: a refusal where that is true
-        wait = max(LADDER[0], self._opens(message.dest, guess=True) - self.now)
-        wait = min(wait, self.s.max_retry_after) if self.s.sends_retry_after else 0
-        self.actions.append(Reject(message.id, wait) if message.may_refuse() else Fail(message.id))
+    def _finish(self, message: PendingMessage) -> None:  # at once: a refusal where that is true
+        wait = max(BACKOFF_STEPS[0], self._sends_blocked_until(message.destination, guess=True) - self.now)
+        wait = min(wait, self.settings.max_retry_after) if self.settings.sends_retry_after else 0
+        self.actions.append(Reject(message.id, wait) if message.may_reject() else Fail(message.id))
         self._end(message)
 
-    def _end(self, message: Message) -> None:
-        message.dest.waiting.pop(message, None)
+    def _end(self, message: PendingMessage) -> None:
+        message.destination.backing_off.pop(message, None)
         message.ended, message.queued = True, False
         if message.call is None:
             del self.messages[message.id]
-            self._advance(message.key)
+            self._advance(message.ordering_key)
 
-    def _told(self, event: RetryAfterReceived) -> None:
-        dest = self.dests.get(event.destination, Destination())
+    def _on_retry_after(self, event: RetryAfterReceived) -> None:
+        dest = self.destinations.get(event.destination, Destination())
         told = dest.endpoints.get(event.endpoint)  # one that has gone told it for all that are left
         for endpoint in [told] if told else dest.endpoints.values():
-            endpoint.lane.wait_until = max(endpoint.lane.wait_until, event.until)
-        self.hot[dest] = None
+            endpoint.state.retry_after_until = max(endpoint.state.retry_after_until, event.until)
+        self.dispatchable[dest] = None
 
-    def _drop(self, event: MessageWithdrawn) -> None:
+    def _on_withdrawn(self, event: MessageWithdrawn) -> None:
         message = self.messages.get(event.message)
         if message is not None and not message.ended:
-            if message.call is not None and self.s.can_cancel:
+            if message.call is not None and self.settings.can_cancel:
                 self.actions.append(Cancel(message.id, message.attempts - 1))
             self._end(message)
 
-    def _outcome(self, event: AttemptEnded) -> None:
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
         message = self.messages.get(event.message)
         if message is None or message.call is None or event.attempt != message.attempts - 1:
             return
         call, message.call = message.call, None
-        lane, call.left = call.endpoint.lane, call.left - 1
-        if not call.left:
-            self.used, message.dest.used = self.used - 1, message.dest.used - 1
-            call.endpoint.calls -= 1
-            del lane.calls[call]
+        lane, call.pending_messages = call.endpoint.state, call.pending_messages - 1
+        if not call.pending_messages:
+            self.concurrent_calls, message.destination.concurrent_calls = (
+                self.concurrent_calls - 1,
+                message.destination.concurrent_calls - 1,
+            )
+            call.endpoint.concurrent_calls -= 1
+            del lane.calls_in_flight[call]
         if event.outcome.proves_not_executed:
-            message.ran.pop()
+            message.possible_executions.pop()
         message.attempts -= event.not_started
-        if event.outcome in RESTING and message.key in self.lines:
-            self.lines[message.key][1][0] = self.now + self.s.ordering_pause
-        call.passed = call.passed or event.outcome is Outcome.DELIVERED
-        if call.size > 1 and not call.left and not call.passed and not event.outcome.proves_not_executed:
-            lane.most = call.size / 2  # each message may break the call and all that ride along
-        hasty = event.outcome is Outcome.TIMEOUT and event.elapsed < lane.overdue()  # cut to its own deadline
+        if event.outcome in RESTING and message.ordering_key in self.ordered_queues:
+            self.ordered_queues[message.ordering_key][1][0] = self.now + self.settings.ordering_pause
+        call.any_delivered = call.any_delivered or event.outcome is Outcome.DELIVERED
+        if (
+            call.message_count > 1
+            and not call.pending_messages
+            and not call.any_delivered
+            and not event.outcome.proves_not_executed
+        ):
+            lane.max_messages_per_call = (
+                call.message_count / 2
+            )  # each message may break the call and all that ride along
+        hasty = (
+            event.outcome is Outcome.TIMEOUT and event.elapsed < lane.overdue_after()
+        )  # cut to its own deadline
         if (
             event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT)
             and not event.connection_stale
             and not hasty
         ):
             self._learn(event, call, message)
-        self.hot[message.dest] = self.rested[call.endpoint] = None
+        self.dispatchable[message.destination] = self.idle_candidates[call.endpoint] = None
         self._end(message) if message.ended or event.message_concluded else self._retry(message, event, lane)
 
-    def _learn(self, event: AttemptEnded, call: Call, message: Message) -> None:
-        endpoint, lane = call.endpoint, call.endpoint.lane
+    def _learn(self, event: AttemptEnded, call: Call, message: PendingMessage) -> None:
+        endpoint, lane = call.endpoint, call.endpoint.state
         if event.connection_limited or event.outcome is Outcome.CONNECT_FAILED:
-            lane.tight.note(self.now, True)
-            every = (other for dest in self.dests.values() for other in dest.endpoints.values())
-            self.rested |= {other: None for other in every if other.lane.tight is lane.tight}
+            lane.connection_failures.record(self.now, True)
+            every = (other for dest in self.destinations.values() for other in dest.endpoints.values())
+            self.idle_candidates |= {
+                other: None for other in every if other.state.connection_failures is lane.connection_failures
+            }
         if event.connection_limited:  # that tells nothing of the limit or of health
-            endpoint.crowded = min(endpoint.crowded + 1, len(LADDER))
-            pause = min(LADDER[endpoint.crowded - 1], TRIAL_SLACK * self.s.instance_count)
-            endpoint.shut = self.now + int(pause * self.rng.uniform(1 - lane.spread, 1))
+            endpoint.connection_limit_failures = min(
+                endpoint.connection_limit_failures + 1, len(BACKOFF_STEPS)
+            )
+            pause = min(
+                BACKOFF_STEPS[endpoint.connection_limit_failures - 1],
+                TRIAL_SLACK * self.settings.instance_count,
+            )
+            endpoint.connect_blocked_until = self.now + int(
+                pause * self.rng.uniform(1 - lane.probe_jitter, 1)
+            )
             return
-        endpoint.crowded, lane.answered = 0, lane.answered + 1
-        lane.limit = event.rate_limit or lane.limit
-        lane.wait_until = max(
-            lane.wait_until, self.now + event.retry_after
+        endpoint.connection_limit_failures, lane.answered_calls = 0, lane.answered_calls + 1
+        lane.reported_limit = event.rate_limit or lane.reported_limit
+        lane.retry_after_until = max(
+            lane.retry_after_until, self.now + event.retry_after
         )  # a batch may pass and still tell one
-        if lane.limit and event.limit_remaining < LOW_ALLOWANCE and lane.rate == inf:
-            lane.cut(self.now)
+        if lane.reported_limit and event.limit_remaining < LOW_ALLOWANCE and lane.rate_limit == inf:
+            lane.reduce_rate(self.now)
         if event.outcome is not Outcome.REJECTED:
-            for tally in (endpoint.tallies[message.number], lane.tally):
+            for tally in (endpoint.failures_by_class[message.class_index], lane.call_failures):
                 bad = event.outcome is not Outcome.DELIVERED
-                tally.note(self.now, bad, 1 / (call.size if call.passed else call.size**2))
+                tally.record(
+                    self.now, bad, 1 / (call.message_count if call.any_delivered else call.message_count**2)
+                )
         if event.outcome is not Outcome.DELIVERED:
-            lane.failed(self.now, call, event.outcome is Outcome.REJECTED, event.retry_after)
-        elif lane.passed(self.now, call, event.elapsed):
-            for other in list(message.dest.waiting):  # back: the ladder need not run out
+            lane.record_failure(self.now, call, event.outcome is Outcome.REJECTED, event.retry_after)
+        elif lane.record_success(self.now, call, event.elapsed):
+            for other in list(message.destination.backing_off):  # back: the ladder need not run out
                 self._queue(other)
 
-    def _retry(self, message: Message, event: AttemptEnded, lane: Lane) -> None:
+    def _retry(self, message: PendingMessage, event: AttemptEnded, lane: DestinationState) -> None:
         """The ladder: a told wait is used, an untold refusal doubles the step, the time left cuts it."""
         if event.not_started:  # it is where it was before
             return self._queue(message)
-        rung, message.failures = min(message.failures, len(LADDER) - 1), message.failures + 1
-        step = LADDER[rung] * (2 if event.outcome is Outcome.REJECTED and not event.connection_limited else 1)
+        rung, message.failures = min(message.failures, len(BACKOFF_STEPS) - 1), message.failures + 1
+        step = BACKOFF_STEPS[rung] * (
+            2 if event.outcome is Outcome.REJECTED and not event.connection_limited else 1
+        )
         pause = int(step * self.rng.uniform(1 - JITTER, 1 + JITTER))
-        left = message.until() - int(2 * lane.latency) - self.now
+        left = message.attempts_allowed_until() - int(2 * lane.latency) - self.now
         if event.retry_after:
-            pause = max(event.retry_after, lane.wait_until - self.now)
-        elif pause > left > (LADDER[rung - 1] if rung else 0):
+            pause = max(event.retry_after, lane.retry_after_until - self.now)
+        elif pause > left > (BACKOFF_STEPS[rung - 1] if rung else 0):
             pause = left
-        if pause > left or not message.may_try(self.now, self.most):
+        if pause > left or not message.may_attempt(self.now, self.max_attempts):
             self._finish(message)
         else:
-            message.dest.waiting[message] = None
-            self._wake(self.now + pause, self._woken, message)
+            message.destination.backing_off[message] = None
+            self._schedule(self.now + pause, self._end_backoff, message)
 
     def _send_all(self) -> None:  # scarce slots: most worth for slot time first, shared out
         offers: list[Offer] = []
-        for dest in list(self.hot) if self.used < self.s.max_concurrent_calls else ():
+        for dest in (
+            list(self.dispatchable) if self.concurrent_calls < self.settings.max_concurrent_calls else ()
+        ):
             self._offer(dest, offers)
-        while offers and self.used < self.s.max_concurrent_calls:
+        while offers and self.concurrent_calls < self.settings.max_concurrent_calls:
             _, _, message, endpoint = heappop(offers)
             self._send(message, endpoint)
-            self._offer(message.dest, offers)
+            self._offer(message.destination, offers)
 
     def _offer(self, dest: Destination, offers: list[Offer]) -> None:
         found, wake = list[Offer](), NEVER
@@ -364,76 +430,99 @@
             endpoint, at = self._endpoint(message)
             wake = min(wake, at)
             if endpoint is not None:
-                latency, self.seq = endpoint.lane.latency, self.seq + 1
-                value = message.value(self.now + int(latency), self.s.late_decay) / latency / (1 + dest.used)
-                found.append((-value, self.seq, message, endpoint))
+                latency, self.sequence = endpoint.state.latency, self.sequence + 1
+                value = (
+                    message.value(self.now + int(latency), self.settings.late_decay)
+                    / latency
+                    / (1 + dest.concurrent_calls)
+                )
+                found.append((-value, self.sequence, message, endpoint))
         if found:
             heappush(offers, min(found))
             return
-        del self.hot[dest]  # looked at again on news of it or when it may be ready, not at every event
-        if self.now < (opens := self._opens(dest)) != dest.opens:
-            dest.opens = opens
-            self._bar(opens, dest)
-        if wake < NEVER and not self.now < dest.wake_at <= wake:
-            dest.wake_at = wake
-            self._wake(wake, self.hot.setdefault, dest)
-
-    def _endpoint(self, message: Message) -> tuple[Endpoint | None, int]:
-        dest, zone, soonest = message.dest, message.zone(), NEVER
-        ready: list[Endpoint] = []
-        bare: list[Endpoint] = []  # these would take it, but no connection is open
+        del self.dispatchable[
+            dest
+        ]  # looked at again on news of it or when it may be ready, not at every event
+        if self.now < (opens := self._sends_blocked_until(dest)) != dest.blocked_until:
+            dest.blocked_until = opens
+            self._give_up_before(opens, dest)
+        if wake < NEVER and not self.now < dest.next_check_at <= wake:
+            dest.next_check_at = wake
+            self._schedule(wake, self.dispatchable.setdefault, dest)
+
+    def _endpoint(self, message: PendingMessage) -> tuple[EndpointState | None, int]:
+        dest, zone, soonest = message.destination, message.required_zone(), NEVER
+        ready: list[EndpointState] = []
+        bare: list[EndpointState] = []  # these would take it, but no connection is open
         for endpoint in dest.endpoints.values():
-            lane = endpoint.lane
+            lane = endpoint.state
             if endpoint.listed and zone in (None, endpoint.zone):
-                at = lane.ready_at(self.now, message.unsafe)
-                at = max(at, endpoint.shut) if endpoint.crowded else at
-                share = SICK_SHARE if lane.out or lane.tally.share(self.now) >= BAD_SHARE else HEALTHY_SHARE
-                if dest.used >= max(1, int(self.s.max_concurrent_calls * share)):
+                at = lane.ready_at(self.now, message.non_idempotent)
+                at = max(at, endpoint.connect_blocked_until) if endpoint.connection_limit_failures else at
+                share = (
+                    SICK_SHARE
+                    if lane.ejected
+                    or lane.call_failures.failure_fraction(self.now) >= EJECTION_FAILURE_FRACTION
+                    else HEALTHY_SHARE
+                )
+                if dest.concurrent_calls >= max(1, int(self.settings.max_concurrent_calls * share)):
                     at = NEVER
-                elif at <= self.now and endpoint.calls < endpoint.room:
+                elif at <= self.now and endpoint.concurrent_calls < endpoint.capacity:
                     ready.append(endpoint)
                 elif at <= self.now:
-                    at = endpoint.shut if endpoint.shut > self.now else NEVER
+                    at = (
+                        endpoint.connect_blocked_until if endpoint.connect_blocked_until > self.now else NEVER
+                    )
                     bare += [endpoint] if at == NEVER else []
                 soonest = min(soonest, at)
         if bare and not ready:
             wanted = min(bare, key=lambda e: self._rank(e, message))
-            paced = wanted.lane.out or wanted.lane.pace(self.now) < inf
+            paced = wanted.state.ejected or wanted.state.send_rate(self.now) < inf
             queued = sum(map(len, dest.queues.values()))
             self.actions.append(
-                OpenConnections(wanted.name, 1 if paced else min(queued, self.s.max_concurrent_calls))
+                OpenConnections(wanted.name, 1 if paced else min(queued, self.settings.max_concurrent_calls))
             )
         return (min(ready, key=lambda e: self._rank(e, message)) if ready else None), soonest
 
-    def _rank(self, endpoint: Endpoint, message: Message) -> tuple[int, int, int]:
-        crossing = endpoint.zone != self.s.zone and self.s.cross_zone_cost > 0
-        busy = endpoint.calls + crossing + (endpoint.name == message.last)
-        bad = int(AVOID_STEPS * endpoint.tallies[message.number].share(self.now))
+    def _rank(self, endpoint: EndpointState, message: PendingMessage) -> tuple[int, int, int]:
+        crossing = endpoint.zone != self.settings.zone and self.settings.cross_zone_cost > 0
+        busy = endpoint.concurrent_calls + crossing + (endpoint.name == message.last_endpoint)
+        bad = int(AVOID_STEPS * endpoint.failures_by_class[message.class_index].failure_fraction(self.now))
         return bad, busy, -endpoint.used_at  # the latest used is open still
 
-    def _send(self, message: Message, endpoint: Endpoint) -> None:
-        lane, dest, call = endpoint.lane, message.dest, Call(endpoint, self.now)
-        self.used, dest.used, endpoint.calls = self.used + 1, dest.used + 1, endpoint.calls + 1
-        endpoint.used_at = lane.last_send = self.now
-        lane.calls[call] = None
+    def _send(self, message: PendingMessage, endpoint: EndpointState) -> None:
+        lane, dest, call = endpoint.state, message.destination, Call(endpoint, self.now)
+        self.concurrent_calls, dest.concurrent_calls, endpoint.concurrent_calls = (
+            self.concurrent_calls + 1,
+            dest.concurrent_calls + 1,
+            endpoint.concurrent_calls + 1,
+        )
+        endpoint.used_at = lane.last_sent_at = self.now
+        lane.calls_in_flight[call] = None
         self._put(message, call)
-        most = 1 if lane.out else min(dest.per_call, lane.most)
+        most = 1 if lane.ejected else min(dest.max_messages_per_call, lane.max_messages_per_call)
         for queue in dest.queues.values():  # further messages ride along where a call takes several
-            while call.left < most and (rider := queue.head(self.now)) is not None:
-                alike = rider.cls is message.cls and rider.behind is message.behind
-                alike &= not message.unsafe or min(rider.deadline, message.deadline) - self.now > message.span
-                if not alike or rider.zone() not in (None, endpoint.zone):
+            while call.pending_messages < most and (rider := queue.head(self.now)) is not None:
+                alike = (
+                    rider.message_class is message.message_class
+                    and rider.low_priority is message.low_priority
+                )
+                alike &= (
+                    not message.non_idempotent
+                    or min(rider.deadline, message.deadline) - self.now > message.objective_duration
+                )
+                if not alike or rider.required_zone() not in (None, endpoint.zone):
                     break
-                call.left = call.size = call.left + 1
+                call.pending_messages = call.message_count = call.pending_messages + 1
                 self._put(rider, call)
 
-    def _put(self, message: Message, call: Call) -> None:
-        latency = call.endpoint.lane.latency
-        timeout = int(max(TIMEOUT_FACTOR * latency, self.s.connect_timeout + 2 * latency))
-        if message.unsafe:  # a time-out ends it; yet a hang must not eat the slots
-            timeout = max(UNSAFE_ROOM * timeout, message.span)
-        timeout = max(1, min(timeout, message.deadline - self.margin - self.now))
+    def _put(self, message: PendingMessage, call: Call) -> None:
+        latency = call.endpoint.state.latency
+        timeout = int(max(TIMEOUT_FACTOR * latency, self.settings.connect_timeout + 2 * latency))
+        if message.non_idempotent:  # a time-out ends it; yet a hang must not eat the slots
+            timeout = max(UNSAFE_ROOM * timeout, message.objective_duration)
+        timeout = max(1, min(timeout, message.deadline - self.deadline_margin - self.now))
         self.actions.append(Send(message.id, call.endpoint.name, timeout))
-        message.ran.append((self.now, call.endpoint.zone))
-        message.call, message.queued, message.last = call, False, call.endpoint.name
+        message.possible_executions.append((self.now, call.endpoint.zone))
+        message.call, message.queued, message.last_endpoint = call, False, call.endpoint.name
         message.attempts += 1
--- a/honeyhitch/policy/message_queue.py
+++ b/honeyhitch/policy/message_queue.py
@@ -6,14 +6,14 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Waiting(Protocol):
+class QueuedMessage(Protocol):
     """What a queue needs to know of a message."""
 
     queued: bool  # it still waits; one that does not is dropped when its turn comes
     deadline: int
 
 
-M = TypeVar("M", bound=Waiting)
+M = TypeVar("M", bound=QueuedMessage)
 
 
 class MessageQueue(Generic[M]):
--- a/honeyhitch/simulator_host.py
+++ b/honeyhitch/simulator_host.py
@@ -73,8 +73,8 @@
 class Instance:
     """One hosted decision module and what the adapter must remember for it."""
 
-    def __init__(self, brain: DeliveryPolicy, report_fields: tuple[str, ...]) -> None:
-        self.brain = brain
+    def __init__(self, policy: DeliveryPolicy, report_fields: tuple[str, ...]) -> None:
+        self.policy = policy
         self.report_fields = report_fields
         self.events: list[Event] = []
 
@@ -244,7 +244,7 @@
             instance = self.instances[name]
             events, instance.events = instance.events, []
             try:
-                for action in instance.brain.handle(now, events):
+                for action in instance.policy.handle(now, events):
                     lines.append(self._action(name, action))
             except Exception as error:
                 log.exception("policy.failed", instance=name)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -112,7 +112,7 @@
 
     def waits(self) -> int:
         """When the told wait of the one destination ends."""
-        return max(one.lane.wait_until for one in self.core.policy.dests[1].endpoints.values())
+        return max(one.state.retry_after_until for one in self.core.policy.destinations[1].endpoints.values())
 
     async def close(self) -> None:
         self.core.accepting = self.core.sending = False
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -290,7 +290,7 @@
         world.take(event)
     sends = [a for a in world.brain.handle(0, events) if isinstance(a, Send)]
     assert len(sends) == 3
-    assert world.brain.used == 1
+    assert world.brain.concurrent_calls == 1
 
 
 def test_little_allowance_in_a_report_paces_before_a_refusal() -> None:
@@ -306,8 +306,8 @@
     world = World(given, TWO)
     world.batch([world.hand_in("first")], at=SECOND)
     world.batch([world.hand_in("t1", tenant=1), world.hand_in("t2", tenant=1, dest=1)], at=2 * SECOND)
-    assert world.brain.messages["t1"].worth == 1.0
-    assert world.brain.messages["t2"].worth == 0.1
+    assert world.brain.messages["t1"].priority_weight == 1.0
+    assert world.brain.messages["t2"].priority_weight == 0.1
 
 
 def test_a_clump_at_a_quiet_destination_is_paced_at_its_part_not_at_its_flow() -> None:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -158,7 +158,7 @@
     lost = [n for n, k in world.messages.items() if not k.over]
     assert lost == []
     assert world.brain.messages == {}
-    assert world.brain.used == 0
+    assert world.brain.concurrent_calls == 0
 
 
 @hypothesis_settings(max_examples=40)
@@ -169,7 +169,7 @@
     lost = [n for n, k in world.messages.items() if not k.over]
     assert lost == []
     assert world.brain.messages == {}
-    assert world.brain.used == 0
+    assert world.brain.concurrent_calls == 0
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
     Outcome,
     UpdateMode,
 )
-from honeyhitch.policy.state import PROOF
+from honeyhitch.policy.state import ANSWERS_BEFORE_POOLING
 from tests.world import MS, SECOND, World, settings
 
 ONE = (EndpointListing("a", 0, listed_rate=20.0),)
@@ -32,12 +32,12 @@
 
 def test_idle_connections_close_once_a_connect_of_the_kind_failed() -> None:
     world = World(settings(instance_count=50), (*ONE, EndpointListing("z", 1, listed_rate=20.0)))
-    for i in range(PROOF):
+    for i in range(ANSWERS_BEFORE_POOLING):
         deliver(world, f"m{i}")
     proof = closes(world)
     for i in range(40):
         deliver(world, f"n{i}")
-    assert proof in (PROOF - 1, PROOF)
+    assert proof in (ANSWERS_BEFORE_POOLING - 1, ANSWERS_BEFORE_POOLING)
     assert closes(world) - proof <= 12
     world.batch([world.hand_in("z", dest=1)])
     world.batch([world.end("z", Outcome.CONNECT_FAILED)], at=world.now + 10 * MS)
@@ -181,16 +181,16 @@
         world.run(world.now + 500 * MS)
     world.run(world.now + 30 * SECOND)
     brain: DeliveryPolicy = world.brain
-    assert [len(d.endpoints) for d in brain.dests.values()] == [1]
-    assert not brain.lines
+    assert [len(d.endpoints) for d in brain.destinations.values()] == [1]
+    assert not brain.ordered_queues
     assert not brain.messages
-    assert len(brain.wakes) <= 1
+    assert len(brain.scheduled) <= 1
 
 
 def test_a_full_list_forgets_what_it_does_not_name() -> None:
     world = World(settings(), TWO)
     world.batch([EndpointListUpdate(UpdateMode.FULL, (TWO[1],))])
-    assert list(world.brain.dests[0].endpoints) == ["b"]
+    assert list(world.brain.destinations[0].endpoints) == ["b"]
 
 
 def test_unsafe_messages_of_one_clump_are_not_let_go_at_one_moment() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -56,7 +56,9 @@
     rng = Random(seed)
     more = {"max_messages": 400, "max_concurrent_calls": 12}
     one = Stand(tmp_path, **more)
-    one.core.policy.used = one.s.max_concurrent_calls  # as if all slots were taken by calls that hang
+    one.core.policy.concurrent_calls = (
+        one.s.max_concurrent_calls
+    )  # as if all slots were taken by calls that hang
     names = [f"m{i}" for i in range(300)]
     for name in names:
         dest = rng.choice((1, 2))
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -102,7 +102,7 @@
     def broken(*_: object) -> None:
         raise RuntimeError("torn\napart")
 
-    monkeypatch.setattr(host.instances["dispatcher-0"].brain, "handle", broken)
+    monkeypatch.setattr(host.instances["dispatcher-0"].policy, "handle", broken)
     for line in ["tick 2000 2", ARRIVAL, "commit"]:
         host.line(line)
     out, err = capsys.readouterr()
