--- /dev/null
+++ b/honeyhitch/policy/call.py
@@ -0,0 +1,53 @@
+"""Calls in flight, each with one or several messages."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from honeyhitch.policy.latency import LatencyEstimate
+from honeyhitch.policy.message import PendingMessage
+from honeyhitch.policy.settings import Settings
+
+if TYPE_CHECKING:
+    from honeyhitch.policy.endpoint_state import EndpointState
+
+TIMEOUT_LATENCY_FACTOR = 10  # times the mean latency: its far tail
+NON_IDEMPOTENT_TIMEOUT_FACTOR = 2  # a time-out ends such a message, so it is given longer
+
+
+class Call:
+    """One call in flight: its slot is free when the last of its messages has an outcome."""
+
+    __slots__ = ("any_delivered", "endpoint", "message_count", "pending_messages", "sent_at")
+
+    def __init__(self, endpoint: EndpointState, sent_at: int) -> None:
+        self.endpoint = endpoint
+        self.sent_at = sent_at  # ns
+        self.pending_messages = 1
+        self.message_count = 1
+        self.any_delivered = False
+
+    def add_message(self) -> None:
+        """Count one more message in this call."""
+        self.message_count = self.pending_messages + 1
+        self.pending_messages = self.message_count
+
+
+def may_share_call(first: PendingMessage, other: PendingMessage, zone: int, now: int) -> bool:
+    """Whether `other` may go in the call of `first`, to an endpoint in `zone`."""
+    if other.message_class is not first.message_class or other.low_priority is not first.low_priority:
+        return False
+    if first.non_idempotent and min(other.deadline, first.deadline) - now <= first.objective_duration:
+        return False  # the time-out of the call would be cut to the shorter deadline, and end both
+    return other.required_zone() in (None, zone)
+
+
+def attempt_timeout(
+    message: PendingMessage, latency: LatencyEstimate, settings: Settings, time_left: int
+) -> int:
+    """How long an attempt may take (ns), at least 1 and else at most `time_left`."""
+    mean = latency.mean
+    timeout = int(max(TIMEOUT_LATENCY_FACTOR * mean, settings.connect_timeout + 2 * mean))
+    if message.non_idempotent:  # bounded all the same, as a hang must not occupy the slots
+        timeout = max(NON_IDEMPOTENT_TIMEOUT_FACTOR * timeout, message.objective_duration)
+    return max(1, min(timeout, time_left))
--- a/honeyhitch/policy/decaying_counter.py
+++ b/honeyhitch/policy/decaying_counter.py
@@ -1,30 +1,36 @@
-"""A tally of good and bad outcomes that fades with time. It decides nothing."""
+"""A counter of good and bad outcomes that decays with time."""
 
 from __future__ import annotations
 
 from math import exp
 
-MEMORY = 5.0  # outcomes that a tally keeps
+MAX_WEIGHT = 5.0  # outcomes remembered
+MIN_DIVISOR = 1e-9  # keeps an empty counter from dividing by zero
 
 
 class DecayingCounter:
-    """Bad and good outcomes: they fade with time, and the oldest yield to new ones beyond MEMORY.
+    """Bad and good outcomes: they decay with time, and beyond MAX_WEIGHT the oldest yield to new ones.
 
-    Times are nanoseconds; `fade` is the time in which an outcome's weight falls to 1/e.
+    Times are nanoseconds; `decay_time` is the time in which an outcome's weight falls to 1/e.
     """
 
     def __init__(self, decay_time: int) -> None:
-        self.bad, self.good, self.at, self.decay_time = 0.0, 0.0, 0, decay_time
+        self.bad = 0.0
+        self.good = 0.0
+        self.updated_at = 0
+        self.decay_time = decay_time
 
     def record(self, now: int, bad: bool, weight: float = 1.0) -> None:
-        """Add one outcome."""
+        """Add one outcome of this weight."""
         self.failure_fraction(now)
-        keep = min(1.0, (MEMORY - weight) / max(1e-9, self.bad + self.good))
-        self.bad = self.bad * keep + weight * bad
-        self.good = self.good * keep + weight * (not bad)
+        kept = min(1.0, (MAX_WEIGHT - weight) / max(MIN_DIVISOR, self.bad + self.good))
+        self.bad = self.bad * kept + weight * bad
+        self.good = self.good * kept + weight * (not bad)
 
     def failure_fraction(self, now: int) -> float:
-        """The share of bad ones, 0 to 1; one unknown outcome counts with them."""
-        keep, self.at = exp((self.at - now) / self.decay_time), now
-        self.bad, self.good = self.bad * keep, self.good * keep
-        return self.bad / (self.bad + self.good + 1)
+        """The fraction of bad outcomes, 0 to 1; one unknown outcome counts with them."""
+        kept = exp((self.updated_at - now) / self.decay_time)
+        self.updated_at = now
+        self.bad = bad = self.bad * kept
+        self.good = good = self.good * kept
+        return bad / (bad + good + 1)
--- /dev/null
+++ b/honeyhitch/policy/destination_state.py
@@ -0,0 +1,86 @@
+"""The limit and the health of a destination, or of one endpoint where limits are per endpoint."""
+
+from __future__ import annotations
+
+from random import Random
+
+from honeyhitch.policy.call import Call
+from honeyhitch.policy.circuit_breaking import CircuitBreaker
+from honeyhitch.policy.decaying_counter import DecayingCounter
+from honeyhitch.policy.latency import LatencyEstimate
+from honeyhitch.policy.rate_limiting import RateLimiter
+from honeyhitch.policy.settings import Settings
+from honeyhitch.time_units import NEVER, SECOND
+
+RISK_RECHECK_PAUSE = SECOND  # until a held non-idempotent message is considered again
+MAX_MESSAGES_PER_CALL = 1024  # where no call breaks
+MESSAGES_PER_CALL_GROWTH = 0.5  # with a call that succeeds
+
+
+class DestinationState:
+    """Whether, and from when, a destination may get calls. Times are nanoseconds."""
+
+    __slots__ = (
+        "answered_calls",
+        "calls_in_flight",
+        "circuit",
+        "connection_failures",
+        "last_sent_at",
+        "latency",
+        "max_messages_per_call",
+        "rate",
+        "retry_after_until",
+    )
+
+    def __init__(self, settings: Settings, rng: Random, connection_failures: DecayingCounter) -> None:
+        self.latency = LatencyEstimate()
+        self.rate = RateLimiter(settings)
+        self.circuit = CircuitBreaker(settings, rng, self.rate)
+        self.connection_failures = connection_failures  # shared by all destinations of the kind
+        self.calls_in_flight: dict[Call, None] = {}  # oldest first
+        self.retry_after_until = 0
+        self.last_sent_at = 0
+        self.answered_calls = 0
+        self.max_messages_per_call = float(MAX_MESSAGES_PER_CALL)  # falls where whole calls break
+
+    def ready_at(self, now: int, non_idempotent: bool) -> int:
+        """When it may take a message; NEVER means that an outcome will tell (rules 3 and 4)."""
+        circuit = self.circuit
+        if not circuit.ejected and self.calls_in_flight:
+            oldest_sent_at = next(iter(self.calls_in_flight)).sent_at
+            if circuit.hangs(now, oldest_sent_at, self.latency.overdue_after()):
+                circuit.eject(now)
+        if circuit.ejected:
+            ready_at = circuit.next_probe_at
+        else:
+            ready_at = self.last_sent_at + int(SECOND / self.rate.send_rate(now))
+        ready_at = max(ready_at, self.retry_after_until, now)
+        if non_idempotent and circuit.call_failures.failure_fraction(now) > circuit.non_idempotent_threshold:
+            ready_at = max(ready_at, now + RISK_RECHECK_PAUSE)
+        return NEVER if circuit.ejected and self._probe_in_flight() else ready_at
+
+    def _probe_in_flight(self) -> bool:
+        """Whether a call was sent since the latest ejection."""
+        calls = self.calls_in_flight
+        return bool(calls) and next(reversed(calls)).sent_at >= self.circuit.reejected_at
+
+    def honor_retry_after(self, until: int) -> None:
+        """Send nothing before `until`, as an endpoint asked for."""
+        self.retry_after_until = max(self.retry_after_until, until)
+
+    def record_success(self, now: int, call: Call, elapsed: int) -> bool:
+        """Learn from a delivered message; true if the destination recovers by it."""
+        count = call.message_count
+        self.latency.record(elapsed, count)
+        self.rate.record_success(now, count)
+        grown = self.max_messages_per_call * (1 + MESSAGES_PER_CALL_GROWTH / count)
+        self.max_messages_per_call = min(MAX_MESSAGES_PER_CALL, grown)
+        return self.circuit.record_success(now, call)
+
+    def record_failure(self, now: int, call: Call, rejected: bool, retry_after: int) -> None:
+        """Learn from a message that failed, or that was rejected by the destination's limit."""
+        first_of_burst = self.circuit.count_failure(now, call, rejected)
+        if rejected and first_of_burst:
+            self.rate.reduce_rate(now)
+        if self.circuit.should_eject(now, rejected, retry_after):
+            self.circuit.eject(now)
--- /dev/null
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -0,0 +1,96 @@
+"""The choice of an endpoint for a message."""
+
+from __future__ import annotations
+
+from math import inf
+from typing import NamedTuple
+
+from honeyhitch.policy.circuit_breaking import EJECTION_FAILURE_FRACTION
+from honeyhitch.policy.destination import Destination
+from honeyhitch.policy.endpoint_state import EndpointState
+from honeyhitch.policy.message import PendingMessage
+from honeyhitch.policy.settings import Settings
+from honeyhitch.time_units import NEVER
+
+HEALTHY_SLOT_FRACTION = 0.75  # of all slots for one destination (claim `dest_cap`)
+UNHEALTHY_SLOT_FRACTION = 0.25  # half of what the claim `isolates` allows
+FAILURE_RANKS = 4  # steps of the failure fraction by which endpoints are compared
+
+
+class EndpointChoice(NamedTuple):
+    """Where a message may go now, or else when to consider it again."""
+
+    endpoint: EndpointState | None
+    ready_at: int  # ns; NEVER if an event will tell
+    connect_to: EndpointState | None  # would take the message if it had an open connection
+
+
+class EndpointRank(NamedTuple):
+    """How well an endpoint suits a message; the lowest is chosen."""
+
+    failures: int
+    load: int
+    unused_since: int  # the latest used is the likeliest to have an open connection
+
+
+def choose_endpoint(message: PendingMessage, now: int, settings: Settings) -> EndpointChoice:
+    """The endpoint that suits a message best among those that may take a call now (rules 2, 3 and 4)."""
+    destination = message.destination
+    zone = message.required_zone()
+    soonest = NEVER
+    ready: list[EndpointState] = []
+    unconnected: list[EndpointState] = []
+    for endpoint in destination.endpoints.values():
+        if not endpoint.listed or (zone is not None and zone != endpoint.zone):
+            continue
+        ready_at = endpoint.state.ready_at(now, message.non_idempotent)
+        if endpoint.connection_limit_failures:
+            ready_at = max(ready_at, endpoint.connect_blocked_until)
+        if _slots_used_up(endpoint, destination, now, settings):
+            ready_at = NEVER
+        elif ready_at <= now:
+            if endpoint.concurrent_calls < endpoint.capacity:
+                ready.append(endpoint)
+            elif endpoint.connect_blocked_until > now:
+                ready_at = endpoint.connect_blocked_until
+            else:
+                ready_at = NEVER
+                unconnected.append(endpoint)
+        soonest = min(soonest, ready_at)
+    best = _best(ready, message, now, settings)
+    connect_to = None if ready else _best(unconnected, message, now, settings)
+    return EndpointChoice(best, soonest, connect_to)
+
+
+def _slots_used_up(endpoint: EndpointState, destination: Destination, now: int, settings: Settings) -> bool:
+    """Whether the destination has its part of all slots (claims `dest_cap` and `isolates`)."""
+    circuit = endpoint.state.circuit
+    unhealthy = circuit.ejected or circuit.call_failures.failure_fraction(now) >= EJECTION_FAILURE_FRACTION
+    fraction = UNHEALTHY_SLOT_FRACTION if unhealthy else HEALTHY_SLOT_FRACTION
+    return destination.concurrent_calls >= max(1, int(settings.max_concurrent_calls * fraction))
+
+
+def _best(
+    endpoints: list[EndpointState], message: PendingMessage, now: int, settings: Settings
+) -> EndpointState | None:
+    if not endpoints:
+        return None
+    return min(endpoints, key=lambda endpoint: _rank(endpoint, message, now, settings))
+
+
+def _rank(endpoint: EndpointState, message: PendingMessage, now: int, settings: Settings) -> EndpointRank:
+    crosses_zones = settings.cross_zone_cost > 0 and endpoint.zone != settings.zone
+    repeated = endpoint.name == message.last_endpoint
+    failure_fraction = endpoint.failures_by_class[message.class_index].failure_fraction(now)
+    return EndpointRank(
+        int(FAILURE_RANKS * failure_fraction),
+        endpoint.concurrent_calls + crosses_zones + repeated,
+        -endpoint.last_used_at,
+    )
+
+
+def calls_wanted(destination: Destination, endpoint: EndpointState, now: int, settings: Settings) -> int:
+    """For how many calls connections to this endpoint are wanted: one where its rate is limited."""
+    if endpoint.state.circuit.ejected or endpoint.state.rate.send_rate(now) < inf:
+        return 1
+    return min(destination.queue_length(), settings.max_concurrent_calls)
--- /dev/null
+++ b/honeyhitch/policy/endpoint_list.py
@@ -0,0 +1,73 @@
+"""The destinations and their endpoints, as discovery lists them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from random import Random
+
+from honeyhitch.policy.decaying_counter import DecayingCounter
+from honeyhitch.policy.destination import Destination
+from honeyhitch.policy.destination_state import DestinationState
+from honeyhitch.policy.endpoint_state import EndpointState
+from honeyhitch.policy.events import EndpointListing, EndpointListUpdate, EndpointStatus, UpdateMode
+from honeyhitch.policy.settings import Settings
+from honeyhitch.time_units import SECOND
+
+CONNECTION_FAILURES_DECAY_TIME = 30 * SECOND
+COMPLETE_LISTS = (UpdateMode.FULL, UpdateMode.CACHED)
+
+
+class EndpointList:
+    """All destinations by number. A missing or old list never stops delivery (rule 3)."""
+
+    def __init__(self, settings: Settings, rng: Random) -> None:
+        self._settings = settings
+        self._rng = rng
+        self._connection_failures = [DecayingCounter(CONNECTION_FAILURES_DECAY_TIME) for _ in settings.kinds]
+        self.destinations: dict[int, Destination] = {}
+
+    def destination(self, number: int) -> Destination:
+        """The destination with this number, which is created if nothing was known of it."""
+        destination = self.destinations.get(number)
+        if destination is None:
+            destination = self.destinations[number] = Destination()
+        return destination
+
+    def endpoints(self) -> Iterator[EndpointState]:
+        """All endpoints of all destinations."""
+        for destination in self.destinations.values():
+            yield from destination.endpoints.values()
+
+    def apply(self, update: EndpointListUpdate) -> list[Destination]:
+        """Take over what discovery sent; the destinations that it names, in its order."""
+        if update.mode in COMPLETE_LISTS:
+            self._forget_unlisted({listing.endpoint for listing in update.listings})
+        return [self._apply_listing(listing) for listing in update.listings]
+
+    def _forget_unlisted(self, listed: set[str]) -> None:
+        for destination in self.destinations.values():
+            kept = {name: known for name, known in destination.endpoints.items() if name in listed}
+            destination.endpoints = kept
+
+    def _apply_listing(self, listing: EndpointListing) -> Destination:
+        """An endpoint that drains or is gone gets nothing new (rule 3); calls in flight still know it."""
+        destination = self.destination(listing.destination)
+        endpoint = destination.endpoints.get(listing.endpoint)
+        if endpoint is None:
+            endpoint = EndpointState(listing, self._state_for(listing, destination))
+            destination.endpoints[listing.endpoint] = endpoint
+        destination.max_messages_per_call = self._settings.kind(listing.kind).max_messages_per_call
+        endpoint.listed = listing.status is EndpointStatus.READY
+        endpoint.state.rate.listed_rate = listing.listed_rate
+        if listing.status is EndpointStatus.GONE:
+            del destination.endpoints[listing.endpoint]
+        return destination
+
+    def _state_for(self, listing: EndpointListing, destination: Destination) -> DestinationState:
+        """The state of a new endpoint: one of its own where limits are per endpoint, else the shared one."""
+        if destination.state is None or self._settings.kind(listing.kind).limits_per_endpoint:
+            kind_index = min(listing.kind, len(self._settings.kinds) - 1)
+            destination.state = DestinationState(
+                self._settings, self._rng, self._connection_failures[kind_index]
+            )
+        return destination.state
--- /dev/null
+++ b/honeyhitch/policy/endpoint_state.py
@@ -0,0 +1,67 @@
+"""What is known of one endpoint."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from random import Random
+
+from honeyhitch.policy.backoff import BACKOFF_STEPS
+from honeyhitch.policy.circuit_breaking import MAX_PROBE_PAUSE_PER_INSTANCE
+from honeyhitch.policy.decaying_counter import DecayingCounter
+from honeyhitch.policy.destination_state import DestinationState
+from honeyhitch.policy.events import EndpointListing
+from honeyhitch.time_units import NEVER, SECOND
+
+CLASS_FAILURES_DECAY_TIME = 30 * SECOND
+UNLIMITED_CAPACITY = NEVER  # calls; above any number in flight
+
+
+class EndpointState:
+    """One endpoint of a destination. Times are nanoseconds."""
+
+    __slots__ = (
+        "capacity",
+        "concurrent_calls",
+        "connect_blocked_until",
+        "connection_limit_failures",
+        "failures_by_class",
+        "last_used_at",
+        "listed",
+        "name",
+        "state",
+        "zone",
+    )
+
+    def __init__(self, listing: EndpointListing, state: DestinationState) -> None:
+        self.name = listing.endpoint
+        self.zone = listing.zone
+        self.state = state
+        self.listed = True
+        self.concurrent_calls = 0
+        self.last_used_at = -NEVER
+        # The calls that its open connections take.
+        self.capacity = 0 if listing.requires_open_connection else UNLIMITED_CAPACITY
+        self.connect_blocked_until = 0
+        self.connection_limit_failures = 0  # in a row
+        # One class of message alone may fail at an endpoint.
+        self.failures_by_class = defaultdict[int, DecayingCounter](
+            lambda: DecayingCounter(CLASS_FAILURES_DECAY_TIME)
+        )
+
+    def back_off_connecting(self, now: int, instance_count: int, rng: Random) -> None:
+        """Open no connection for a jittered pause, as the endpoint has reached its connection limit."""
+        self.connection_limit_failures = min(self.connection_limit_failures + 1, len(BACKOFF_STEPS))
+        step = BACKOFF_STEPS[self.connection_limit_failures - 1]
+        # The more instances there are, the longer: the few that have no connection come up in time.
+        pause = min(step, MAX_PROBE_PAUSE_PER_INSTANCE * instance_count)
+        self.connect_blocked_until = now + int(pause * rng.uniform(1 - self.state.circuit.probe_jitter, 1))
+
+    def blocked_until(self) -> int:
+        """The time before which certainly no call can be sent to it."""
+        blocked_until = self.state.retry_after_until
+        return blocked_until if self.capacity else max(blocked_until, self.connect_blocked_until)
+
+    def recovery_estimate(self) -> int:
+        """When a call to it may succeed again, as far as is known."""
+        state = self.state
+        return max(state.retry_after_until, state.circuit.next_probe_at, self.connect_blocked_until)
--- /dev/null
+++ b/honeyhitch/policy/latency.py
@@ -0,0 +1,32 @@
+"""The estimate of a destination's latency."""
+
+from __future__ import annotations
+
+from honeyhitch.time_units import MILLISECOND
+
+INITIAL_LATENCY = 200 * MILLISECOND  # until the first response
+SAMPLE_WEIGHT = 0.1  # of a new sample in the mean
+OVERDUE_FACTOR = 5  # times the mean latency
+MIN_OVERDUE_AFTER = 700 * MILLISECOND
+MIN_USEFUL_FACTOR = 0.5  # of the mean latency: an attempt with less time left is not made
+
+
+class LatencyEstimate:
+    """The moving mean of the durations (ns) of successful calls."""
+
+    __slots__ = ("mean",)
+
+    def __init__(self) -> None:
+        self.mean = float(INITIAL_LATENCY)
+
+    def record(self, elapsed: int, message_count: int) -> None:
+        """Add one message's sample; the messages of one call weigh as much as one call."""
+        self.mean += SAMPLE_WEIGHT / message_count * (elapsed - self.mean)
+
+    def overdue_after(self) -> float:
+        """The duration (ns) after which a response is late."""
+        return max(MIN_OVERDUE_AFTER, OVERDUE_FACTOR * self.mean)
+
+    def min_useful_time(self) -> int:
+        """The time left (ns) below which a response cannot be expected."""
+        return int(MIN_USEFUL_FACTOR * self.mean)
--- a/honeyhitch/policy/message_queue.py
+++ b/honeyhitch/policy/message_queue.py
@@ -1,4 +1,4 @@
-"""Messages that wait for one kind of call, the most urgent first. It decides nothing beyond that order."""
+"""The queue of messages for one kind of call, the most urgent first."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 class QueuedMessage(Protocol):
     """What a queue needs to know of a message."""
 
-    queued: bool  # it still waits; one that does not is dropped when its turn comes
-    deadline: int
+    queued: bool  # a message that is no longer queued is dropped when it comes to the front
+    deadline: int  # ns
 
 
 M = TypeVar("M", bound=QueuedMessage)
 
 
 class MessageQueue(Generic[M]):
-    """Those whose aim lies ahead come first, by their aim; then the late ones, the freshest first.
+    """Messages inside their latency objective come first, by objective; then the late ones, freshest first.
 
     Times are nanoseconds. A sequence number with each message keeps the order of those that are equal.
     """
@@ -27,28 +27,30 @@
         self._late: list[tuple[int, int, M]] = []
 
     def __len__(self) -> int:
-        """How many there are, with those that do not wait any more and have not been dropped yet."""
+        """The number of entries, counting those no longer queued that have not been dropped yet."""
         return len(self._in_time) + len(self._late)
 
-    def push(self, aim: int, sequence: int, message: M) -> None:
-        """Add a message that is wanted by `aim`."""
-        heappush(self._in_time, (aim, sequence, message))
+    def push(self, objective_at: int, sequence: int, message: M) -> None:
+        """Add a message whose latency objective ends at `objective_at`."""
+        heappush(self._in_time, (objective_at, sequence, message))
 
     def head(self, now: int) -> M | None:
-        """The first of those that wait; it stays where it is."""
-        in_time, late = self._in_time, self._late
+        """The first queued message; it stays in the queue."""
+        in_time = self._in_time
+        late = self._late
         while in_time and (not in_time[0][2].queued or in_time[0][0] <= now):
             _, sequence, message = heappop(in_time)
             if message.queued:
                 heappush(late, (-message.deadline, sequence, message))
-                self._tidy()
+                self._compact()
         while late and not late[0][2].queued:
             heappop(late)
         if in_time:
             return in_time[0][2]
         return late[0][2] if late else None
 
-    def _tidy(self) -> None:
-        """At each doubling, what has ended beneath the top goes."""
-        if not len(self._late) & (len(self._late) - 1):
-            self._late[:] = sorted(one for one in self._late if one[2].queued)
+    def _compact(self) -> None:
+        """Drop late entries that are no longer queued, each time the number of entries doubles."""
+        size = len(self._late)
+        if size & (size - 1) == 0:
+            self._late[:] = sorted(entry for entry in self._late if entry[2].queued)
--- /dev/null
+++ b/honeyhitch/policy/ordering.py
@@ -0,0 +1,30 @@
+"""Messages of one ordering key: strictly one after the other (rule 5)."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from honeyhitch.policy.events import Outcome
+from honeyhitch.policy.message import PendingMessage
+
+HOLDING_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may still be executed
+
+
+class OrderedQueue:
+    """The pending messages of one key; only the head may be sent, and not before `hold_until` (ns)."""
+
+    def __init__(self) -> None:
+        self.messages: deque[PendingMessage] = deque()
+        self.hold_until = 0
+
+    def drop_concluded(self) -> None:
+        """Drop the leading messages that have ended and have no attempt in flight."""
+        while self.messages and self.messages[0].ended and self.messages[0].call is None:
+            self.messages.popleft()
+
+    def startable_head(self) -> PendingMessage | None:
+        """The head if it still has to be queued for its first attempt."""
+        if not self.messages:
+            return None
+        head = self.messages[0]
+        return None if head.attempts or head.queued else head
--- /dev/null
+++ b/honeyhitch/policy/rate_limiting.py
@@ -0,0 +1,116 @@
+"""The rate of calls to a destination: this instance's quota, rate reduction, and slow start."""
+
+from __future__ import annotations
+
+from math import exp, inf
+
+from honeyhitch.policy.settings import ListedRateMeaning, Settings
+from honeyhitch.time_units import NEVER, SECOND
+
+ROUGH_RATE_DIVISOR = 1.5  # a rough listed rate may be this much too high
+MIN_QUOTA_PER_SECOND = 0.001
+MIN_UNLISTED_QUOTA_PER_SECOND = 0.5
+SLOW_START_SAFETY_FACTOR = 0.8  # of what a destination in slow start bears
+NOTICE_PERIOD = 3 * SECOND  # instances whose calls fell in it learned of an outage together
+REJECTION_FACTOR = 0.5  # applied to the send rate by each further rejection
+FIRST_REJECTION_FACTOR = 0.6  # applied to the measured rate by the first rejection
+RATE_RECOVERY_PER_SECOND = 0.15  # growth of the send rate, as a fraction
+MIN_RATE_FACTOR = 0.5  # of the quota: the send rate falls no lower
+UNLIMITED_FACTOR = 2.0  # of the quota: a send rate that recovered to this is not limited any more
+RATE_PERIOD = 2 * SECOND  # over which the rate of calls is measured
+
+
+class RateLimiter:
+    """How many calls a second one destination gets from this instance (rule 4). Times are nanoseconds."""
+
+    __slots__ = (
+        "_outage_duration",
+        "_rate_limit",
+        "_recent_calls",
+        "_recent_calls_at",
+        "_reduced_at",
+        "_settings",
+        "listed_rate",
+        "recovered_at",
+        "reported_limit",
+    )
+
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self.listed_rate = 0.0
+        self.reported_limit = 0.0  # 0 if none was reported
+        self.recovered_at = -NEVER
+        self._outage_duration = 0
+        self._rate_limit = inf
+        self._reduced_at = 0
+        self._recent_calls = 0.0
+        self._recent_calls_at = 0
+
+    @property
+    def is_limited(self) -> bool:
+        """Whether a rejection or a nearly exhausted limit reduced the rate."""
+        return self._rate_limit < inf
+
+    def quota(self) -> float:
+        """This instance's quota of the destination's capacity, in calls a second."""
+        meaning = self._settings.listed_rate_meaning
+        if meaning is ListedRateMeaning.OFF:
+            return max(MIN_UNLISTED_QUOTA_PER_SECOND, self._recent_calls * SECOND / RATE_PERIOD)
+        divisor = ROUGH_RATE_DIVISOR if meaning is ListedRateMeaning.ROUGH else 1
+        capacity = self.reported_limit or self.listed_rate / divisor
+        return max(MIN_QUOTA_PER_SECOND, capacity / self._settings.instance_count)
+
+    def slow_start_rate(self, recovered_for: int, outage_duration: int) -> float:
+        """Calls a second that a destination in slow start bears, shared by those that knew of its outage."""
+        settings = self._settings
+        progress = min(1.0, recovered_for / settings.slow_start_duration)
+        fraction = settings.slow_start_fraction + (1 - settings.slow_start_fraction) * progress
+        capacity = max(self.quota(), SECOND / max(NOTICE_PERIOD, outage_duration))
+        return SLOW_START_SAFETY_FACTOR * settings.overload_factor * fraction * capacity
+
+    def start_slow_start(self, now: int, outage_duration: int) -> None:
+        """The destination recovered now from an outage of this duration."""
+        self.recovered_at = now
+        self._outage_duration = outage_duration
+
+    def end_slow_start(self) -> None:
+        """The destination is ejected, or recovered from a failure that was no outage."""
+        self.recovered_at = -NEVER
+
+    def in_slow_start(self, now: int) -> bool:
+        """Whether the destination recovered so lately that it may not bear its whole capacity."""
+        return now - self.recovered_at < self._settings.slow_start_duration
+
+    def send_rate(self, now: int) -> float:
+        """Calls a second allowed now, `inf` if not limited; it covers rejections and slow start."""
+        rate = inf if self._rate_limit == inf else self._recovering_rate(now)
+        if self.in_slow_start(now):
+            return min(rate, self.slow_start_rate(now - self.recovered_at, self._outage_duration))
+        return rate
+
+    def _recovering_rate(self, now: int) -> float:
+        """The reduced rate as it has grown since; it is dropped where it no longer limits anything."""
+        limit = self._rate_limit
+        growth = RATE_RECOVERY_PER_SECOND * min(1.0, limit) * (now - self._reduced_at) / SECOND
+        quota = self.quota()
+        rate = max(limit * (1 + growth), MIN_RATE_FACTOR * quota)  # the reported limit may have been raised
+        if rate > UNLIMITED_FACTOR * max(quota, limit / FIRST_REJECTION_FACTOR):
+            self._rate_limit = rate = inf
+        return rate
+
+    def reduce_rate(self, now: int) -> None:
+        """Lower the rate after a rejection, or before one that is to be expected."""
+        decayed_calls = self._recent_calls * exp((self._recent_calls_at - now) / RATE_PERIOD)
+        measured_rate = decayed_calls * SECOND / RATE_PERIOD
+        if self.is_limited:
+            rate = REJECTION_FACTOR * self.send_rate(now)
+        else:
+            rate = max(FIRST_REJECTION_FACTOR * measured_rate, self.quota())
+        self._rate_limit = max(rate, MIN_RATE_FACTOR * self.quota())
+        self._reduced_at = now
+
+    def record_success(self, now: int, message_count: int) -> None:
+        """Count one delivered message of a call; rates are in calls, as limits are."""
+        self._recent_calls *= exp((self._recent_calls_at - now) / RATE_PERIOD)
+        self._recent_calls += 1 / message_count
+        self._recent_calls_at = now
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -198,12 +198,12 @@
     number = one.home()
     one.beats(2)
     lane = one.core.policy.destinations[number].state
-    assert (lane is not None and lane.quota() == 40.0 / 1.0 / 4 / 1) or lane.quota() == 10.0
+    assert (lane is not None and lane.rate.quota() == 40.0 / 1.0 / 4 / 1) or lane.rate.quota() == 10.0
     assert one.hand_in("a", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
-    assert lane.quota() == 5.0
+    assert lane.rate.quota() == 5.0
     one.time.run(LEASE / SECOND)
     one.fleet.look_if_due()
     one.run(0.1)
@@ -211,7 +211,7 @@
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
-    assert lane.quota() == 3.75, "three quarters of it while control is silent"
+    assert lane.rate.quota() == 3.75, "three quarters of it while control is silent"
 
 
 def test_a_saved_view_that_cannot_be_read_is_as_good_as_none(tmp_path: Path) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
     Outcome,
     UpdateMode,
 )
-from honeyhitch.policy.state import ANSWERS_BEFORE_POOLING
+from honeyhitch.policy.idle_connections import ANSWERS_BEFORE_POOLING
 from tests.world import MS, SECOND, World, settings
 
 ONE = (EndpointListing("a", 0, listed_rate=20.0),)
@@ -184,7 +184,7 @@
     assert [len(d.endpoints) for d in brain.destinations.values()] == [1]
     assert not brain.ordered_queues
     assert not brain.messages
-    assert len(brain.scheduled) <= 1
+    assert len(brain.scheduler) <= 1
 
 
 def test_a_full_list_forgets_what_it_does_not_name() -> None:
