--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -34,10 +34,10 @@
 from honeyhitch import config as configuration
 from honeyhitch import logs
 from honeyhitch.dead_letters import operations
-from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.filters import RecordFilter
 from honeyhitch.dead_letters.records import Record, RecordStatus
-from honeyhitch.dead_letters.rules import Step, plan
-from honeyhitch.dead_letters.settings import Action, Rule, Terms
+from honeyhitch.dead_letters.rules import Step, plan_record
+from honeyhitch.dead_letters.settings import Action, ResendSettings, Rule
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.journal.transactions import Attempt
 from honeyhitch.service.service import run
@@ -82,7 +82,7 @@
     with tempfile.TemporaryDirectory(dir=MEMORY if MEMORY.is_dir() else None) as folder:
         kills = tuple(rng.randrange(1, 800) for _ in range(rng.randrange(5)))
         told = day(Path(folder) / "day", seed, kills)
-        resent = sum(one.record.resends for one in told.stand.store.page(Filter(), most=1000))
+        resent = sum(one.record.resend_count for one in told.stand.store.page(RecordFilter(), limit=1000))
         found = len(told.clients), told.kills, resent, len(told.doubled()), len(told.unsettled())
         told.stand.gone()
         return found
@@ -212,7 +212,7 @@
     kept = 0
     if operator is not None:
         store = Store(folder / "state" / "undelivered", writes=False)
-        kept = store.count
+        kept = store.record_count
         store.close()
     at = max(1, int(count * 0.001))
     return spent / (50 * seconds) * 1e6, late[0] * 1e3, late[-at] * 1e3, late[-1] * 1e3, kept
@@ -284,9 +284,9 @@
                     for _ in range(500)
                 ]
                 store.add([record(at + i, body=body) for i, body in enumerate(bodies)])
-            store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+            store.database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
             disk = (folder / f"{size}-{kind}" / "undelivered.db").stat().st_size / 2000
-            rows.append(f"| {size} B of {kind} | {store.size / 2000:.0f} | {disk:.0f} |")
+            rows.append(f"| {size} B of {kind} | {store.stored_bytes / 2000:.0f} | {disk:.0f} |")
             store.close()
     return rows
 
@@ -309,7 +309,7 @@
         times = []
         for _ in range(5):
             began = time.perf_counter()
-            operations.done(reader, operation, told, "me")
+            operations.execute(reader, operation, told, "me")
             times.append(time.perf_counter() - began)
         rows.append(f"| {name} | {statistics.median(times):.3f} |")
     began = time.perf_counter()
@@ -495,22 +495,28 @@
         )
         sent += 1
         with contextlib.suppress(Exception):
-            store = Store(folder / "state" / "undelivered", writes=False, terms=Terms(elsewhere=False))
-            found = [one.record for one in store.page(Filter(), most=1000)]
+            store = Store(
+                folder / "state" / "undelivered",
+                writes=False,
+                resend_settings=ResendSettings(duplicates_elsewhere=False),
+            )
+            found = [one.record for one in store.page(RecordFilter(), limit=1000)]
             store.close()
             left = sum(resendable(one) for one in found)
             if not left:
                 break
     process.terminate()
     await process.wait()
-    resent = sum(one.resends for one in found)
+    resent = sum(one.resend_count for one in found)
     return sent, kills, resent, sum(len(times) > 1 for times in partner.ledger.values()), left
 
 
 def resendable(one: Record) -> bool:
     """Whether a rule would still have it resent."""
-    step = plan(one, (Rule("r", Action.RESEND),), Terms(elsewhere=False), time.time_ns(), SECOND).step
-    return one.standing is RecordStatus.SENDING or step in (Step.RESEND, Step.LATER)
+    step = plan_record(
+        one, (Rule("r", Action.RESEND),), ResendSettings(duplicates_elsewhere=False), time.time_ns(), SECOND
+    ).step
+    return one.status is RecordStatus.RESENDING or step in (Step.RESEND, Step.POSTPONE)
 
 
 async def measured_kills(folder: Path, quick: bool) -> list[str]:
--- a/honeyhitch/cli/main.py
+++ b/honeyhitch/cli/main.py
@@ -67,7 +67,8 @@
     config = _read(path, operator)
     click.echo(f"name {config.name}, listens on {config.listen}, discovery at {config.discovery}")
     click.echo(
-        f"journal in {config.state}, at most {config.limits.disk} bytes; {config.limits.sockets} sockets"
+        f"journal in {config.state}, at most {config.limits.disk_bytes} bytes;"
+        f" {config.limits.sockets} sockets"
     )
     click.echo(f"{config.settings}")
 
--- a/honeyhitch/cli/management.py
+++ b/honeyhitch/cli/management.py
@@ -14,7 +14,7 @@
 from honeyhitch import config as configuration
 from honeyhitch.protocols.management import Answer
 
-PATIENCE = 3.0  # seconds; an answer is owed within 1
+ANSWER_TIMEOUT_SECONDS = 3.0  # seconds; an answer is owed within 1
 COLUMNS = ("ok", "shed", "errors", "tries")
 
 
@@ -35,7 +35,7 @@
 def _call(at: configuration.Address, call: str) -> tuple[bool, str, dict[str, Any]]:
     answer = Answer()
     try:
-        with socket.create_connection((at.host, at.port), timeout=PATIENCE) as sock:
+        with socket.create_connection((at.host, at.port), timeout=ANSWER_TIMEOUT_SECONDS) as sock:
             sock.sendall(call.encode() + b"\r\n")
             while (data := sock.recv(65536)) and not answer.feed(data):
                 pass
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -23,7 +23,7 @@
     from honeyhitch.tls.partners import Partners
 
 # For a look at files alone: what an instance would be told matters to neither trust nor names.
-BARE = Settings(
+PLACEHOLDER_SETTINGS = Settings(
     classes=(MessageClass(Idempotency.IDEMPOTENT, latency_objective=1, deadline=1),),
     kinds=(DestinationKind(),),
     max_concurrent_calls=1,
@@ -67,7 +67,7 @@
         sys.exit(1)
     from honeyhitch.tls.partners import Partners  # the files could be read, so the extra is there
 
-    settings = config.settings if config is not None else BARE
+    settings = config.settings if config is not None else PLACEHOLDER_SETTINGS
     partners = Partners(TlsSettings(tuple(told)), settings, os.environ, time.time_ns, Random())
     reports = [_files(partners, partner, warn_days) for partner in told]
     if connect:
@@ -85,7 +85,7 @@
         return []
     pool, found = EndpointPool(config.settings), []
     try:
-        pool.update(config.known)
+        pool.update(config.known_endpoints)
     except PoolError as error:
         raise click.ClickException(f"known: {error}") from error
     setup = TlsSettings(tuple(told))
--- /dev/null
+++ b/honeyhitch/cli/undelivered/formatting.py
@@ -0,0 +1,106 @@
+"""How the commands on undelivered messages show times, tables and records to people."""
+
+from __future__ import annotations
+
+import datetime
+from typing import Any
+
+from honeyhitch.time_units import MILLISECOND, SECOND
+
+EPOCH = datetime.date(1970, 1, 1)
+LIST_COLUMNS = (
+    "seq", "id", "ended", "dest", "class", "tenant", "ending", "reason", "ran", "tries", "standing",
+)  # fmt: skip
+ATTEMPT_COLUMNS = ("attempt", "member", "at", "outcome", "took", "told wait", "ran")
+AUDIT_COLUMNS = ("at", "who", "what", "why", "")
+TIME_FIELDS = ("came_at", "deadline", "ended_at", "first_ran", "changed_at")
+DURATION_FIELDS = ("come_back", "window")
+SEPARATE_FIELDS = ("attempts", "body", "body_hex", "intact", "fault")  # shown below the others, or not at all
+
+
+def format_time(at: int | None) -> str:
+    """A Unix time in nanoseconds: UTC, to the second."""
+    if at is None:
+        return "-"
+    return datetime.datetime.fromtimestamp(at / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
+
+
+def format_day(number: int) -> str:
+    """A day, from the number of days since 1970."""
+    return (EPOCH + datetime.timedelta(days=number)).isoformat()
+
+
+def format_executed(may_have_executed: bool) -> str:
+    """Whether something may have been executed."""
+    return "maybe" if may_have_executed else "never"
+
+
+def format_table(rows: list[tuple[Any, ...]], headers: tuple[str, ...]) -> str:
+    """A table in plain text."""
+    from tabulate import tabulate
+
+    return tabulate(rows, headers, tablefmt="simple", disable_numparse=True)
+
+
+def list_row(record: dict[str, Any]) -> tuple[Any, ...]:
+    """The row of an exported record, under LIST_COLUMNS."""
+    status = record["standing"] if record["intact"] else "ALTERED"
+    if record["evidence"]:
+        status += " released"
+    return (
+        record["seq"],
+        record["id"],
+        format_time(record["ended_at"]),
+        record["destination"],
+        record["cls"],
+        record["tenant"],
+        record["ending"],
+        record["reason"],
+        format_executed(record["may_have_run"]),
+        len(record["attempts"]),
+        status,
+    )
+
+
+def format_record(record: dict[str, Any], audit: list[dict[str, Any]]) -> str:
+    """An exported record with its attempts, its body and its audit entries."""
+    lines = [] if record["intact"] else [f"ALTERED ON DISK: {record['fault']}"]
+    for name, value in record.items():
+        if name not in SEPARATE_FIELDS:
+            lines.append(f"{name.replace('_', ' '):14} {_format_field(name, value)}")
+    if record["attempts"]:
+        rows = [_attempt_row(attempt) for attempt in record["attempts"]]
+        lines += ["", format_table(rows, ATTEMPT_COLUMNS)]
+    if "body" in record:
+        lines += ["", "body:", record["body"]]
+    elif "body_hex" in record:
+        lines += ["", "body in hexadecimal digits:", record["body_hex"]]
+    if audit:
+        lines += ["", format_table([_audit_row(entry) for entry in audit], AUDIT_COLUMNS)]
+    return "\n".join([*lines, ""])
+
+
+def _format_field(name: str, value: Any) -> str:
+    if name in TIME_FIELDS:
+        return format_time(value)
+    if name in DURATION_FIELDS:
+        return f"{value / SECOND:g} s"
+    return str(value)
+
+
+def _attempt_row(attempt: dict[str, Any]) -> tuple[Any, ...]:
+    failure = f" ({attempt['why']})" if attempt["why"] else ""
+    return (
+        attempt["number"],
+        attempt["member"],
+        format_time(attempt["at"]),
+        attempt["outcome"] + failure,
+        f"{attempt['took'] / MILLISECOND:.0f} ms",
+        f"{attempt['wait'] / MILLISECOND:.0f} ms" if attempt["wait"] else "-",
+        format_executed(attempt["may_have_run"]),
+    )
+
+
+def _audit_row(entry: dict[str, Any]) -> tuple[Any, ...]:
+    altered = "" if entry["intact"] else "ALTERED"
+    return format_time(entry["at"]), entry["who"], entry["what"], entry["why"], altered
--- /dev/null
+++ b/honeyhitch/cli/undelivered/store_access.py
@@ -0,0 +1,104 @@
+"""How the command line reaches a store: through the dispatcher that writes it, or directly if none runs."""
+
+from __future__ import annotations
+
+import getpass
+import os
+import sqlite3
+from collections.abc import Iterator
+from contextlib import nullcontext
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from honeyhitch import config as configuration
+from honeyhitch.dead_letters.settings import DeadLetterSettings
+from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
+
+if TYPE_CHECKING:
+    from honeyhitch.dead_letters.store import Store
+
+
+class StoreAccess:
+    """One store, found by the configuration or by its directory.
+
+    Every error ends the command: it is raised as click.ClickException with one clear line.
+    """
+
+    def __init__(self, path: str | None, operator: str | None, directory: str | None) -> None:
+        self.client: ControlClient | None = None
+        self.settings = DeadLetterSettings()
+        if directory is not None:
+            self.directory = Path(directory)
+            return
+        try:
+            config = configuration.read(os.environ, path, operator)
+        except configuration.ConfigError as error:
+            raise click.ClickException(f"configuration: {error}; or name the folder with --store") from error
+        if config.operator.dead_letters is None:
+            raise click.ClickException("undelivered: the operator's file has no such table, or is not named")
+        self.settings = config.operator.dead_letters
+        self.directory = self.settings.directory_in(config.state)
+        if config.operator.control is not None:
+            self.client = ControlClient(config.operator.control.path_in(config.state))
+
+    def execute(self, operation: str, arguments: dict[str, Any]) -> dict[str, Any]:
+        """Do an operation (dead_letters/operations.py) and return its answer."""
+        if self.client is not None:
+            try:
+                return self.client.ask("POST", f"/undelivered/{operation}", arguments)
+            except ControlRefusedError as error:
+                raise click.ClickException(str(error)) from error
+            except OSError:
+                self.client = None  # no dispatcher runs: the store is there all the same
+        return self._execute_directly(operation, arguments)
+
+    def dispatcher_state(self) -> dict[str, Any]:
+        """The state of the running dispatcher."""
+        if self.client is None:
+            raise click.ClickException("state: name the configuration of a running dispatcher")
+        try:
+            return self.client.ask("GET", "/state")
+        except (ControlRefusedError, OSError) as error:
+            raise click.ClickException(f"state: no dispatcher answers: {error}") from error
+
+    def _execute_directly(self, operation: str, arguments: dict[str, Any]) -> dict[str, Any]:
+        from honeyhitch.dead_letters import operations
+
+        store = self.open_store(writes=operation in operations.WRITES)
+        try:
+            with store.transaction() if store.writable else nullcontext():
+                return operations.execute(store, operation, arguments, getpass.getuser())
+        except (operations.OperationError, sqlite3.Error) as error:
+            raise click.ClickException(str(error)) from error
+        finally:
+            store.close()
+
+    def open_store(self, writes: bool = False) -> Store:
+        """The store itself, opened in this process; reading it does not block a dispatcher that writes it."""
+        try:
+            from honeyhitch.dead_letters.files import StoreError
+            from honeyhitch.dead_letters.store import Store
+        except ImportError as error:
+            raise click.ClickException(f"needs the extra honeyhitch[undelivered] ({error})") from error
+        try:
+            return Store(
+                self.directory,
+                self.settings.limits,
+                self.settings.compress_min_bytes,
+                writes=writes,
+                resend_settings=self.settings.resend_settings,
+            )
+        except StoreError as error:
+            raise click.ClickException(str(error)) from error
+
+    def pages(self, operation: str, arguments: dict[str, Any]) -> Iterator[dict[str, Any]]:
+        """Each page of the answer to a long operation."""
+        while True:
+            page = self.execute(operation, arguments)
+            yield page
+            if not page["more"]:
+                return
+            if "after" in page:
+                arguments = {**arguments, "after": page["after"]}
--- a/honeyhitch/config/__init__.py
+++ b/honeyhitch/config/__init__.py
@@ -1,13 +1,13 @@
 """The one place where configuration is read, checked and given its defaults."""
 
 from honeyhitch.config.deployment import Address, ConfigError
-from honeyhitch.config.file import FIXED_SOCKETS, Config, read
+from honeyhitch.config.file import RESERVED_DESCRIPTORS, Config, read
 from honeyhitch.config.instance import SettingsReader
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.config.operator import read_tls
 
 __all__ = [
-    "FIXED_SOCKETS",
+    "RESERVED_DESCRIPTORS",
     "Address",
     "Config",
     "ConfigError",
--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -37,11 +37,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ResourceLimits:
     """What the machine grants; going over it is a crash."""
 
     sockets: int = 1024  # descriptors
-    disk: int = 3_000_000  # bytes in the lasting folder
+    disk_bytes: int = 3_000_000  # bytes in the lasting folder
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,11 +63,11 @@
     broker: str
     intake: str
     client_id: str
-    keep_alive: int = 20  # seconds
-    session_expiry: int = 3600  # seconds
+    keep_alive_seconds: int = 20  # seconds
+    session_expiry_seconds: int = 3600  # seconds
     username: str | None = None
     password: bytes | None = None
-    members: tuple[MqttEndpoint, ...] = ()
+    endpoints: tuple[MqttEndpoint, ...] = ()
     tls: Partner | None = None
 
 
@@ -77,9 +77,9 @@
 
     path: Path | None = None  # in the state folder where it is not set
 
-    def at(self, state: Path) -> Path:
+    def path_in(self, state_directory: Path) -> Path:
         """Where the socket is."""
-        return self.path if self.path is not None else state / "control.sock"
+        return self.path if self.path is not None else state_directory / "control.sock"
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,6 +92,6 @@
     log_format: str = "console"
     log_level: str = "info"
     tls: TlsSettings | None = None
-    undelivered: DeadLetterSettings | None = None
+    dead_letters: DeadLetterSettings | None = None
     control: ControlSettings | None = None
     fleet: FleetSettings | None = None
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -9,16 +9,16 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch.config.deployment import Address, ConfigError, Limits, OperatorSettings
+from honeyhitch.config.deployment import Address, ConfigError, OperatorSettings, ResourceLimits
 from honeyhitch.config.instance import SettingsReader
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.policy.settings import Settings
 
-KEYS = ("name", "listen", "discovery", "management", "state")
-OFF_IF_MISSING = ("management",)
-FIXED_SOCKETS = 32  # standard streams, loop, journal, listeners, discovery, broker, one just accepted
-MOST_SOCKET_PATH = 107  # bytes of a Unix-domain socket's path (unix(7))
-LEAST_ROOM = 16  # descriptors for calls, clients and idle connections together
+INSTANCE_KEYS = ("name", "listen", "discovery", "management", "state")
+OPTIONAL_KEYS = ("management",)
+RESERVED_DESCRIPTORS = 32  # standard streams, loop, journal, listeners, discovery, broker, one just accepted
+MAX_SOCKET_PATH_BYTES = 107  # bytes of a Unix-domain socket's path (unix(7))
+MIN_CALL_DESCRIPTORS = 16  # descriptors for calls, clients and idle connections together
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,11 +31,11 @@
     management: Address | None  # where operators call
     state: Path
     seed: int
-    limits: Limits
-    known: dict[str, Any]
+    limits: ResourceLimits
+    known_endpoints: dict[str, Any]
     settings: Settings
     operator: OperatorSettings
-    words: dict[str, Any]  # the file's own words at the start, for what a variable can say too
+    file_values: dict[str, Any]  # the file's own words at the start, for what a variable can say too
 
 
 def _seed(value: object) -> int:
@@ -57,20 +57,20 @@
     return value
 
 
-def _limits(told: object) -> Limits:
+def _limits(told: object) -> ResourceLimits:
     told = told if isinstance(told, dict) else {}
     numbers = {name: told.get(name, default) for name, default in (("sockets", 1024), ("disk_mb", 3))}
     for name, value in numbers.items():
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0:
             raise ConfigError(f"limits.{name}: expected a number above 0, got {value!r}")
-    return Limits(sockets=int(numbers["sockets"]), disk=int(numbers["disk_mb"] * 1_000_000))
+    return ResourceLimits(sockets=int(numbers["sockets"]), disk_bytes=int(numbers["disk_mb"] * 1_000_000))
 
 
 def read(
     environ: Mapping[str, str],
     path: str | None = None,
     operator: str | None = None,
-    before: Config | None = None,
+    previous: Config | None = None,
 ) -> Config:
     """The configuration: the file named in ROUTER_CONFIG, the other variables before its own words, and
     the operator's file where ROUTER_OPERATOR or the command line names one.
@@ -82,26 +82,27 @@
     if not path:
         raise ConfigError("ROUTER_CONFIG: this variable is missing; it names the configuration's JSON file")
     told = _json(path)
-    words = {key: told.get(key) for key in KEYS}
-    first = before.words if before is not None else words
+    words = {key: told.get(key) for key in INSTANCE_KEYS}
+    first = previous.file_values if previous is not None else words
     values = {
         key: word if word and word != first[key] else environ.get(f"ROUTER_{key.upper()}") or word
         for key, word in words.items()
     }
     for key, value in values.items():
-        if not value and key not in OFF_IF_MISSING:
+        if not value and key not in OPTIONAL_KEYS:
             raise ConfigError(f"{key}: missing; give it in the file or as ROUTER_{key.upper()}")
     if not isinstance(told.get("settings"), dict):
         raise ConfigError("settings: expected an object")
     try:
-        settings = SettingsReader.of_nested(told["settings"]).settings()
+        settings = SettingsReader.from_nested(told["settings"]).settings()
     except (ConfigError, ValueError) as error:
         raise ConfigError(f"settings.{error}") from error
     limits = _limits(told.get("limits"))
-    room = limits.sockets - FIXED_SOCKETS
-    if room < LEAST_ROOM:
+    room = limits.sockets - RESERVED_DESCRIPTORS
+    if room < MIN_CALL_DESCRIPTORS:
         raise ConfigError(
-            f"limits.sockets: expected at least {FIXED_SOCKETS + LEAST_ROOM}, got {limits.sockets}"
+            f"limits.sockets: expected at least {RESERVED_DESCRIPTORS + MIN_CALL_DESCRIPTORS},"
+            f" got {limits.sockets}"
         )
     settings = replace(
         settings, max_concurrent_calls=min(settings.max_concurrent_calls, room // 2)
@@ -115,13 +116,13 @@
     if beside.fleet is not None:  # a destination has one owner a zone, and each has its part of the limit
         settings = replace(settings, instance_count=len(beside.fleet.zones))
     state = Path(str(values["state"]))
-    if beside.control is not None and len(os.fsencode(beside.control.at(state))) > MOST_SOCKET_PATH:
-        at = beside.control.at(state)
-        raise ConfigError(f"control.path: over {MOST_SOCKET_PATH} bytes: {at}; give a shorter one")
+    if beside.control is not None and len(os.fsencode(beside.control.path_in(state))) > MAX_SOCKET_PATH_BYTES:
+        at = beside.control.path_in(state)
+        raise ConfigError(f"control.path: over {MAX_SOCKET_PATH_BYTES} bytes: {at}; give a shorter one")
     addresses = {
         key: Address.parse(values[key], key)
         for key in ("listen", "discovery", "management")
-        if values[key] or key not in OFF_IF_MISSING
+        if values[key] or key not in OPTIONAL_KEYS
     }
     management = addresses.get("management")
     taken = {"listen": addresses["listen"], "beside.agent-check": beside.agent_check}
@@ -136,8 +137,8 @@
         state=state,
         seed=_seed(told.get("seed", 0)),
         limits=limits,
-        known=known,
+        known_endpoints=known,
         settings=settings,
         operator=beside,
-        words=first,
+        file_values=first,
     )
--- a/honeyhitch/config/fleet.py
+++ b/honeyhitch/config/fleet.py
@@ -5,28 +5,28 @@
 from typing import Any
 
 from honeyhitch.config.deployment import Address, ConfigError
-from honeyhitch.config.values import Table
+from honeyhitch.config.values import ConfigTable
 from honeyhitch.partitioning.settings import SECOND, FleetSettings, Region
 
-MOST_SECONDS = 30 * 86400
+MAX_SECONDS = 30 * 86400
 NUMBERS = {"partitions": int, "candidates": int, "reserve": float, "peer-connections": int}
 TIMES = ("lease", "reserve-lease", "clock-skew")  # seconds
 
 
-def setup(told: object, name: str) -> FleetSettings:
+def parse_fleet(told: object, name: str) -> FleetSettings:
     """The table's settings; `name` is the instance's, by which the view lists it."""
-    table = Table(told, "fleet")
+    table = ConfigTable(told, "fleet")
     view = Address.parse(table.get("view", str), "fleet.view")
     zone = table.get("zone", str)
     regions = _regions(table.get("regions", dict))
     given: dict[str, Any] = {"name": name, "zone": zone, "view": str(view), "regions": regions}
     for key, form in NUMBERS.items():
-        if (value := table.maybe(key, form)) is not None:
+        if (value := table.optional(key, form)) is not None:
             given[key.replace("-", "_")] = value
     for key in TIMES:
-        if (seconds := table.maybe(key, float)) is not None:
+        if (seconds := table.optional(key, float)) is not None:
             given[key.replace("-", "_")] = _nanoseconds(key, seconds)
-    table.done()
+    table.reject_unknown_keys()
     try:
         return FleetSettings(**given)
     except ValueError as error:
@@ -43,6 +43,6 @@
 
 
 def _nanoseconds(key: str, seconds: float) -> int:
-    if not 0 <= seconds <= MOST_SECONDS:
-        raise ConfigError(f"fleet.{key}: expected 0 to {MOST_SECONDS} seconds, got {seconds:g}")
+    if not 0 <= seconds <= MAX_SECONDS:
+        raise ConfigError(f"fleet.{key}: expected 0 to {MAX_SECONDS} seconds, got {seconds:g}")
     return int(seconds * SECOND)
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from honeyhitch.config.deployment import ConfigError
-from honeyhitch.config.values import decimal, pick, whole
+from honeyhitch.config.values import parse_choice, parse_integer, parse_number
 from honeyhitch.policy.settings import (
     DeduplicationScope,
     DestinationKind,
@@ -15,7 +15,7 @@
     SettingsError,
 )
 
-EFFECTS = {
+IDEMPOTENCY_BY_KEYWORD = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.IDEMPOTENCY_KEY,
     "side_effect": Idempotency.NON_IDEMPOTENT,
@@ -66,12 +66,12 @@
         self.values = values
 
     @classmethod
-    def of_words(cls, words: list[str]) -> SettingsReader:
+    def from_pairs(cls, pairs: list[str]) -> SettingsReader:
         """From the words of a line, each path=value."""
-        return cls(dict(word.partition("=")[::2] for word in words))
+        return cls(dict(word.partition("=")[::2] for word in pairs))
 
     @classmethod
-    def of_nested(cls, value: object) -> SettingsReader:
+    def from_nested(cls, value: object) -> SettingsReader:
         """From nested JSON: paths are joined by dots, plain lists by commas, lists of objects get a count."""
         values: dict[str, str] = {}
         _flatten(value, "", values)
@@ -84,43 +84,45 @@
             raise ConfigError(f"{path}: this setting is missing")
         return value
 
-    def whole(self, path: str, default: str | None = None) -> int:
+    def integer(self, path: str, default: str | None = None) -> int:
         """The value as a whole number."""
-        return whole(self.text(path, default), path)
+        return parse_integer(self.text(path, default), path)
 
-    def count(self, path: str, default: str | None = None) -> int:
+    def positive_integer(self, path: str, default: str | None = None) -> int:
         """The value as a whole number of at least 1."""
-        value = self.whole(path, default)
+        value = self.integer(path, default)
         if value < 1:
             raise ConfigError(f"{path}: must be at least 1, got {value}")
         return value
 
     def number(self, path: str, default: str | None = None) -> float:
         """The value as a number."""
-        return decimal(self.text(path, default), path)
+        return parse_number(self.text(path, default), path)
 
     def flag(self, path: str, default: str | None = None) -> bool:
         """The value as true or false."""
-        return pick({"true": True, "false": False, "1": True, "0": False}, self.text(path, default), path)
+        return parse_choice(
+            {"true": True, "false": False, "1": True, "0": False}, self.text(path, default), path
+        )
 
     def items(self, path: str) -> list[str]:
         """The value as a list of plain values."""
         text = self.text(path, "")
         return text.split(",") if text else []
 
-    def message_class(self, i: int) -> MessageClass:
+    def message_class(self, index: int) -> MessageClass:
         """Class number i."""
-        at = f"classes.{i}."
+        at = f"classes.{index}."
         return MessageClass(
-            idempotency=pick(EFFECTS, self.text(at + "semantics"), at + "semantics"),
-            latency_objective=self.whole(at + "aim"),
-            deadline=self.whole(at + "deadline"),
+            idempotency=parse_choice(IDEMPOTENCY_BY_KEYWORD, self.text(at + "semantics"), at + "semantics"),
+            latency_objective=self.integer(at + "aim"),
+            deadline=self.integer(at + "deadline"),
             priority_weight=self.number(at + "worth", "1"),
             late_weight_fraction=self.number(at + "late-share", "0"),
             deduplication_scope=DeduplicationScope.ALL
             if self.text(at + "group", "all") == "all"
             else DeduplicationScope.ZONE,
-            deduplication_window=self.whole(at + "window", "0"),
+            deduplication_window=self.integer(at + "window", "0"),
             ordered=self.flag(at + "by-arrival", "false"),
             objective_work_factor=self.number(at + "aim-stretch", "0"),
             name=self.text(at + "name", ""),
@@ -129,7 +131,7 @@
     def kinds(self) -> tuple[DestinationKind, ...]:
         """The kinds of destination."""
         apart = [word in ("true", "1") for word in self.items("family-info.own-limits")]
-        sizes = [whole(word, "family-info.per-call") for word in self.items("family-info.per-call")]
+        sizes = [parse_integer(word, "family-info.per-call") for word in self.items("family-info.per-call")]
         names = self.items("shapes")
         count = max(len(names), len(apart), len(sizes), 1)
         names += [""] * (count - len(names))
@@ -147,33 +149,35 @@
 
     def _settings(self) -> Settings:
         scales = {s.value: s for s in ListedRateMeaning} | {"live": ListedRateMeaning.ROUGH}
-        tenants = range(self.whole("tenants.count", "0"))
+        tenants = range(self.integer("tenants.count", "0"))
         return Settings(
-            classes=tuple(self.message_class(i) for i in range(self.whole("classes.count"))),
+            classes=tuple(self.message_class(i) for i in range(self.integer("classes.count"))),
             kinds=self.kinds(),
-            max_concurrent_calls=self.count("family-info.call-slots"),
+            max_concurrent_calls=self.positive_integer("family-info.call-slots"),
             overload_factor=self.number("invariants.fall-multiple"),
             slow_start_fraction=self.number("invariants.cold-share"),
-            slow_start_duration=self.count("invariants.cold"),
-            ordering_pause=self.whole("invariants.order-pause", "0"),
-            instance_count=self.count("replicas-of-me", "1"),
-            zone=self.whole("zone", "0"),
-            max_attempts=self.count("caps.most-tries", "5"),
+            slow_start_duration=self.positive_integer("invariants.cold"),
+            ordering_pause=self.integer("invariants.order-pause", "0"),
+            instance_count=self.positive_integer("replicas-of-me", "1"),
+            zone=self.integer("zone", "0"),
+            max_attempts=self.positive_integer("caps.most-tries", "5"),
             can_cancel=self.flag("caps.cancel", "false"),
             sends_retry_after=self.flag("caps.retry-after", "true"),
-            max_retry_after=self.whole("caps.max-retry-after", "0"),
-            connect_timeout=self.whole("caps.connect-timeout", "0"),
+            max_retry_after=self.integer("caps.max-retry-after", "0"),
+            connect_timeout=self.integer("caps.connect-timeout", "0"),
             must_subscribe=self.text("discovery", "automatic") == "subscribe",
-            resolution=self.whole("resolution", "0"),
-            late_decay=pick({d.value: d for d in LateDecay}, self.text("family-info.decay", "line"), "decay"),
-            listed_rate_meaning=pick(scales, self.text("weights", "off"), "weights"),
+            resolution=self.integer("resolution", "0"),
+            late_decay=parse_choice(
+                {d.value: d for d in LateDecay}, self.text("family-info.decay", "line"), "decay"
+            ),
+            listed_rate_meaning=parse_choice(scales, self.text("weights", "off"), "weights"),
             cross_zone_cost=self.number("prices.cross-zone", "0"),
             tenant_rates=tuple(self.number(f"tenants.{i}.quota-rps") for i in tenants),
             over_quota_weight=self.number("over-share-worth", "1"),
             tenant_names=tuple(self.text(f"tenants.{i}.name", "") for i in tenants),
             zone_names=tuple(self.items("zones")),
             report_fields=tuple(self.items("report.fields")),
-            max_messages=self.count("caps.max-open", str(1 << 30)),
-            connection_idle_timeout=self.whole("caps.conn-idle", "0"),
-            drain_grace=self.whole("invariants.drain-grace", "2000000000"),
+            max_messages=self.positive_integer("caps.max-open", str(1 << 30)),
+            connection_idle_timeout=self.integer("caps.conn-idle", "0"),
+            drain_grace=self.integer("invariants.drain-grace", "2000000000"),
         )
--- a/honeyhitch/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -10,7 +10,7 @@
 from honeyhitch import logs
 from honeyhitch.config import fleet, mqtt, tls, undelivered
 from honeyhitch.config.deployment import Address, ConfigError, ControlSettings, OperatorSettings
-from honeyhitch.config.values import Table
+from honeyhitch.config.values import ConfigTable
 from honeyhitch.policy.settings import Settings
 from honeyhitch.tls.settings import Partner
 
@@ -20,9 +20,9 @@
     settings.
     """
     told = _toml(path)
-    found = list(tls.setup(told["tls"], None, environ).partners) if "tls" in told else []
+    found = list(tls.parse_tls(told["tls"], None, environ).partners) if "tls" in told else []
     broker = told.get("mqtt", {}).get("tls") if isinstance(told.get("mqtt"), dict) else None
-    return [*found, *([tls.broker(broker, environ)] if broker is not None else [])]
+    return [*found, *([tls.parse_broker_tls(broker, environ)] if broker is not None else [])]
 
 
 def _toml(path: str) -> dict[str, Any]:
@@ -38,29 +38,31 @@
     """The file at this path, or nothing where there is none."""
     if not path:
         return OperatorSettings()
-    table = Table(_toml(path), path)
-    beside = Table(table.get("beside", dict, {}), "beside")
-    addresses = {key: beside.maybe(key, str) for key in ("agent-check", "health")}
-    beside.done()
-    log = Table(table.get("log", dict, {}), "log")
+    table = ConfigTable(_toml(path), path)
+    beside = ConfigTable(table.get("beside", dict, {}), "beside")
+    addresses = {key: beside.optional(key, str) for key in ("agent-check", "health")}
+    beside.reject_unknown_keys()
+    log = ConfigTable(table.get("log", dict, {}), "log")
     form, level = log.choice("format", logs.FORMATS, "console"), log.choice("level", logs.LEVELS, "info")
-    log.done()
-    told_tls = table.maybe("tls", dict)
-    told_mqtt = table.maybe("mqtt", dict)
-    control = _control(table.maybe("control", dict))
-    told_undelivered = table.maybe("undelivered", dict)
-    told_fleet = table.maybe("fleet", dict)
-    table.done()
+    log.reject_unknown_keys()
+    told_tls = table.optional("tls", dict)
+    told_mqtt = table.optional("mqtt", dict)
+    control = _control(table.optional("control", dict))
+    told_undelivered = table.optional("undelivered", dict)
+    told_fleet = table.optional("fleet", dict)
+    table.reject_unknown_keys()
     for key, other in (("mqtt", told_mqtt), ("undelivered", told_undelivered)):
         if told_fleet is not None and other is not None:
             raise ConfigError(f"{key}: cannot be had beside [fleet] yet")
     parsed = {key: Address.parse(text, f"beside.{key}") if text else None for key, text in addresses.items()}
-    setup = mqtt.setup(told_mqtt, name, settings, environ) if told_mqtt is not None else None
-    partners = tls.setup(told_tls, settings, environ) if told_tls is not None else None
-    kept = undelivered.setup(told_undelivered, settings) if told_undelivered is not None else None
+    setup = mqtt.parse_mqtt(told_mqtt, name, settings, environ) if told_mqtt is not None else None
+    partners = tls.parse_tls(told_tls, settings, environ) if told_tls is not None else None
+    kept = (
+        undelivered.parse_dead_letters(told_undelivered, settings) if told_undelivered is not None else None
+    )
     if kept is not None:  # it is looked at and cared for through the control socket
         control = control or ControlSettings()
-    shared = fleet.setup(told_fleet, name) if told_fleet is not None else None
+    shared = fleet.parse_fleet(told_fleet, name) if told_fleet is not None else None
     return OperatorSettings(
         setup, parsed["agent-check"], parsed["health"], form, level, partners, kept, control, shared
     )
@@ -69,9 +71,9 @@
 def _control(told: object) -> ControlSettings | None:
     if told is None:
         return None
-    table = Table(told, "control")
-    path = table.maybe("path", str)
-    table.done()
+    table = ConfigTable(told, "control")
+    path = table.optional("path", str)
+    table.reject_unknown_keys()
     if path is not None and not Path(path).is_absolute():
         raise ConfigError(f"control.path: expected an absolute path, got {path!r}")
     return ControlSettings(Path(path) if path is not None else None)
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from honeyhitch.config.deployment import ConfigError
-from honeyhitch.config.values import Table
+from honeyhitch.config.values import ConfigTable
 from honeyhitch.policy.settings import Settings
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
@@ -22,23 +22,23 @@
 SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
 
 
-def setup(told: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
+def parse_tls(told: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
     """`[tls]` with its partners; the defaults stand in `[tls]` itself. Without settings no kind is known to
     be wrong.
     """
-    table = Table(told, "tls")
+    table = ConfigTable(told, "tls")
     rows = table.get("partner", list, [])
-    defaults = {key: table.left.pop(key) for key in KEYS if key in table.left}
-    table.done()
-    _terms(Table(dict(defaults), "tls"))  # a mistake in the defaults is named as theirs
+    defaults = {key: table.unread.pop(key) for key in KEYS if key in table.unread}
+    table.reject_unknown_keys()
+    _terms(ConfigTable(dict(defaults), "tls"))  # a mistake in the defaults is named as theirs
     partners: list[Partner] = []
     for i, row in enumerate(rows):
-        inner = Table(row, f"tls.partner.{i}")
+        inner = ConfigTable(row, f"tls.partner.{i}")
         scope, value = _scope(inner, settings)
         for j, other in enumerate(partners):
             if (other.scope, other.value) == (scope, value):
-                raise ConfigError(f"{inner.at}.{scope.value}: {value} is matched by tls.partner.{j}, too")
-        inner.left = {**defaults, **inner.left}
+                raise ConfigError(f"{inner.path}.{scope.value}: {value} is matched by tls.partner.{j}, too")
+        inner.unread = {**defaults, **inner.unread}
         partners.append(Partner(scope, value, _terms(inner)))
     if not partners:
         raise ConfigError("tls.partner: at least one is needed; [tls] alone turns nothing on")
@@ -47,9 +47,9 @@
     return TlsSettings(tuple(partners))
 
 
-def broker(told: object, environ: Mapping[str, str]) -> Partner:
+def parse_broker_tls(told: object, environ: Mapping[str, str]) -> Partner:
     """`[mqtt.tls]`, with the same keys as a partner's table."""
-    partner = Partner(Scope.BROKER, "mqtt", _terms(Table(told, "mqtt.tls")))
+    partner = Partner(Scope.BROKER, "mqtt", _terms(ConfigTable(told, "mqtt.tls")))
     check_files(partner, "mqtt.tls", environ)
     return partner
 
@@ -66,36 +66,36 @@
         raise ConfigError(f"{at}.{error}") from error
 
 
-def _scope(table: Table, settings: Settings | None) -> tuple[Scope, str]:
-    named = [scope for scope in SCOPES if scope.value in table.left]
+def _scope(table: ConfigTable, settings: Settings | None) -> tuple[Scope, str]:
+    named = [scope for scope in SCOPES if scope.value in table.unread]
     if len(named) != 1:
-        raise ConfigError(f"{table.at}: expected exactly one of member, dest and kind")
+        raise ConfigError(f"{table.path}: expected exactly one of member, dest and kind")
     scope = named[0]
     if scope is Scope.DEST:
         return scope, str(table.get("dest", int))
     value = table.get(scope.value, str)
     kinds = [kind.name for kind in settings.kinds] if settings is not None else [value]
     if scope is Scope.KIND and value not in kinds:
-        raise ConfigError(f"{table.at}.kind: not a kind in the settings: {value!r}")
+        raise ConfigError(f"{table.path}.kind: not a kind in the settings: {value!r}")
     if not value:
-        raise ConfigError(f"{table.at}.{scope.value}: must not be empty")
+        raise ConfigError(f"{table.path}.{scope.value}: must not be empty")
     return scope, value
 
 
-def _terms(table: Table) -> Terms:
+def _terms(table: ConfigTable) -> Terms:
     standard = Terms()
 
     def path(key: str) -> Path | None:
-        text = table.maybe(key, str)
+        text = table.optional(key, str)
         if text == "":
-            raise ConfigError(f"{table.at}.{key}: must not be empty")
+            raise ConfigError(f"{table.path}.{key}: must not be empty")
         return Path(text) if text is not None else None
 
     def span(key: str, default: int) -> int:
         seconds = table.get(key, float, default / SECOND)
         if not 0 < seconds <= 24 * 3600:
             raise ConfigError(
-                f"{table.at}.{key}: expected seconds above 0 and at most a day, got {seconds:g}"
+                f"{table.path}.{key}: expected seconds above 0 and at most a day, got {seconds:g}"
             )
         return int(seconds * SECOND)
 
@@ -107,7 +107,7 @@
         key=path("key"),
         key_password_env=table.get("key-password-env", str, ""),
         least_version=table.choice("least-version", ("1.2", "1.3"), standard.least_version),
-        pins=tuple(_pin(one, f"{table.at}.pins.{i}") for i, one in enumerate(table.get("pins", list, []))),
+        pins=tuple(_pin(one, f"{table.path}.pins.{i}") for i, one in enumerate(table.get("pins", list, []))),
         resume=table.get("resume", bool, standard.resume),
         handshakes=table.get("handshakes", int, standard.handshakes),
         handshake_rate=table.get("handshake-rate", float, standard.handshake_rate),
@@ -115,23 +115,23 @@
         retire_within=span("retire-within", standard.retire_within),
         warn_days=table.get("warn-days", int, standard.warn_days),
     )
-    table.done()
+    table.reject_unknown_keys()
     if (terms.certificate is None) != (terms.key is None):
         missing = "key" if terms.key is None else "certificate"
-        raise ConfigError(f"{table.at}.{missing}: missing; certificate and key go together")
+        raise ConfigError(f"{table.path}.{missing}: missing; certificate and key go together")
     if terms.handshakes < 1:
-        raise ConfigError(f"{table.at}.handshakes: expected at least 1, got {terms.handshakes}")
+        raise ConfigError(f"{table.path}.handshakes: expected at least 1, got {terms.handshakes}")
     if not 0 < terms.handshake_rate < float("inf"):
-        raise ConfigError(f"{table.at}.handshake-rate: expected more than 0, got {terms.handshake_rate:g}")
+        raise ConfigError(f"{table.path}.handshake-rate: expected more than 0, got {terms.handshake_rate:g}")
     if terms.warn_days < 0:
-        raise ConfigError(f"{table.at}.warn-days: must not be negative")
+        raise ConfigError(f"{table.path}.warn-days: must not be negative")
     return terms
 
 
-def _name(table: Table) -> str:
+def _name(table: ConfigTable) -> str:
     name = table.get("server-name", str, "")
     if name.startswith(".") or "\0" in name or any(c.isspace() for c in name) or len(name) > 253:
-        raise ConfigError(f"{table.at}.server-name: expected a host name or an IP address, got {name!r}")
+        raise ConfigError(f"{table.path}.server-name: expected a host name or an IP address, got {name!r}")
     return name
 
 
--- a/honeyhitch/dead_letters/commands.py
+++ b/honeyhitch/dead_letters/commands.py
@@ -1,4 +1,4 @@
-"""The store's operations as verbs of the control socket: POST /undelivered/NAME with their values as JSON."""
+"""The store's operations as commands of the control socket: POST /undelivered/NAME with JSON arguments."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 PREFIX = "/undelivered/"
 
 
-def register(verbs: CommandRegistry, keeping: DeadLetterService) -> None:
-    """Add them all."""
+def register(commands: CommandRegistry, service: DeadLetterService) -> None:
+    """Add a command for each operation."""
 
-    async def do(asked: ControlRequest) -> dict[str, Any]:
+    async def execute(request: ControlRequest) -> dict[str, Any]:
         try:
-            return await keeping.ask(asked.path.removeprefix(PREFIX), asked.arguments, asked.actor)
+            operation = request.path.removeprefix(PREFIX)
+            return await service.execute(operation, request.arguments, request.actor)
         except operations.OperationError as error:
             raise ControlError(HTTPStatus.BAD_REQUEST, str(error)) from error
         except (StoreBusyError, StoreError, sqlite3.Error, OSError) as error:
             raise ControlError(HTTPStatus.SERVICE_UNAVAILABLE, str(error)) from error
 
     for name in (*operations.READS, *operations.WRITES):
-        verbs.add("POST", PREFIX + name, do)
+        commands.add("POST", PREFIX + name, execute)
--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -1,8 +1,8 @@
 """Whether an undelivered message may be sent again without being applied twice. No I/O; the clock is passed
 in.
 
-It follows the rules that the module keeps for live messages (brain.py, `Message.may_try` and `may_refuse`)
-and adds what a resend needs: a person's release, and the time till which a client may still bring its copy.
+It follows the rules that the policy keeps for live messages (policy/engine.py) and adds what a resend needs:
+a person's release, and the time until which a client may still submit its duplicate.
 """
 
 from __future__ import annotations
@@ -17,57 +17,74 @@
     """What may become of a record."""
 
     RESEND = "resend"
-    WAIT = "wait"  # a client was told to bring it again and may still do so
-    HOLD = "hold"  # no rule may send it; a person may release it with the partner's evidence
+    WAIT = "wait"  # a client received Retry-After, and may still submit the message again
+    HOLD = "hold"  # no rule may resend it; a person may release it with the receiver's evidence
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutionHistory:
     """What is known of an undelivered message. Times are Unix times in nanoseconds."""
 
-    effect: Idempotency
-    window: int = 0  # in which a keyed repeat is dropped, from the first attempt
-    first_ran: int | None = None  # when an attempt may first have run, None if none may have
-    same_group: bool = True  # the resend would reach those who remember the key
-    told_again: int | None = None  # when a client was told to come back, None if it was not
-    came_at: int = 0  # when the message was first taken on
-    copy_unseen: bool = False  # a client may have handed a copy in where it cannot be seen
-    released: bool = False  # a person named the partner's evidence that it was not applied
+    idempotency: Idempotency
+    deduplication_window: int = 0  # nanoseconds from the first attempt in which a repeat is dropped
+    first_possible_execution: int | None = None  # None if no attempt can have been executed
+    deduplication_reachable: bool = True  # the resend reaches receivers that remember the key
+    client_retry_at: int | None = None  # when a client was asked to submit it again, None if it was not
+    accepted_at: int = 0
+    duplicate_may_be_unseen: bool = False  # a client may have submitted a duplicate elsewhere
+    released: bool = False  # a person named the receiver's evidence that it was not applied
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
+class ResendDecision:
     """The verdict, the reason in a word for the record, and for how long it holds."""
 
     verdict: Verdict
     reason: str
-    until: int | None = None  # a resend must have ended by then; a wait ends then
+    until: int | None = None  # Unix time, ns: a resend must have ended by then; a wait ends then
 
 
-def decide(past: ExecutionHistory, now: int, grace: int, longest: int) -> Decision:
-    """Whether it may be resent now.
+def decide_resend(history: ExecutionHistory, now: int, grace: int, resend_duration: int) -> ResendDecision:
+    """Whether the message may be resent at `now` (Unix time, nanoseconds).
 
-    `grace` is how long after the told time a client's copy is still looked for; `longest` is what a resend
-    may take at most: one that could run past a keyed message's window must not begin. Both in nanoseconds.
+    `grace` is how long after the client's retry time its duplicate is still expected; `resend_duration` is
+    what a resend may take at most. Both are nanoseconds: a resend that could run past a keyed message's
+    deduplication window must not begin.
     """
-    if past.told_again is not None and now < past.told_again + grace:
-        return Decision(Verdict.WAIT, "told-to-come-again", past.told_again + grace)
-    if past.released:
-        return Decision(Verdict.RESEND, "released")
-    first = past.first_ran
-    if past.copy_unseen:  # it can have run as soon as the message was there
-        first = past.came_at if first is None else min(first, past.came_at)
-    if first is None:
-        return Decision(Verdict.RESEND, "never-ran")
-    if past.effect is Idempotency.IDEMPOTENT:
-        return Decision(Verdict.RESEND, "safe")
-    if past.effect is Idempotency.NON_IDEMPOTENT:
-        return Decision(Verdict.HOLD, "unsafe-may-have-run" if past.first_ran is not None else "copy-unseen")
-    if now < first:  # the clock has stepped back: how old the window is cannot be told
-        return Decision(Verdict.HOLD, "clock-stepped")
-    end = first + past.window
-    if not past.same_group:
-        return Decision(Verdict.HOLD, "key-not-known-there")
-    if now + longest > end:
-        return Decision(Verdict.HOLD, "window-over")
-    return Decision(Verdict.RESEND, "inside-window", end)
+    if history.client_retry_at is not None:
+        expected_until = history.client_retry_at + grace
+        if now < expected_until:
+            return ResendDecision(Verdict.WAIT, "told-to-come-again", expected_until)
+    if history.released:
+        return ResendDecision(Verdict.RESEND, "released")
+    first_execution = _first_possible_execution(history)
+    if first_execution is None:
+        return ResendDecision(Verdict.RESEND, "never-ran")
+    if history.idempotency is Idempotency.IDEMPOTENT:
+        return ResendDecision(Verdict.RESEND, "safe")
+    if history.idempotency is Idempotency.NON_IDEMPOTENT:
+        executed = history.first_possible_execution is not None
+        return ResendDecision(Verdict.HOLD, "unsafe-may-have-run" if executed else "copy-unseen")
+    return _decide_keyed(history, first_execution, now, resend_duration)
+
+
+def _first_possible_execution(history: ExecutionHistory) -> int | None:
+    """When the message may first have been executed; an unseen duplicate, from its acceptance on."""
+    first_execution = history.first_possible_execution
+    if not history.duplicate_may_be_unseen:
+        return first_execution
+    return history.accepted_at if first_execution is None else min(first_execution, history.accepted_at)
+
+
+def _decide_keyed(
+    history: ExecutionHistory, first_execution: int, now: int, resend_duration: int
+) -> ResendDecision:
+    """The decision for a message whose receiver drops repeats of its key for a while."""
+    if now < first_execution:  # the clock has stepped back: the window's age is unknown
+        return ResendDecision(Verdict.HOLD, "clock-stepped")
+    if not history.deduplication_reachable:
+        return ResendDecision(Verdict.HOLD, "key-not-known-there")
+    window_end = first_execution + history.deduplication_window
+    if now + resend_duration > window_end:
+        return ResendDecision(Verdict.HOLD, "window-over")
+    return ResendDecision(Verdict.RESEND, "inside-window", window_end)
--- a/honeyhitch/dead_letters/files.py
+++ b/honeyhitch/dead_letters/files.py
@@ -10,88 +10,111 @@
 
 from honeyhitch.dead_letters import schema
 
-DATABASE, KEYS, LOCK = "undelivered.db", "keys.json", "lock"
-DAMAGE = (sqlite3.Error, UnicodeDecodeError)  # the latter where SQLite's own words quote a damaged name
-PATIENCE = 5.0  # seconds a statement waits for another connection's lock
-CACHE = 8_000  # kB
-SLACK = 16_000_000  # bytes by which the file may outgrow what its records take, beside half of that again
+DATABASE_FILE = "undelivered.db"
+KEY_FILE = "keys.json"
+LOCK_FILE = "lock"
+DIRECTORY_MODE = 0o700
+FILE_MODE = 0o600
+BUSY_TIMEOUT_SECONDS = 5.0  # that a statement waits for another connection's lock
+CACHE_KILOBYTES = 8_000
+JOURNAL_SIZE_BYTES = 4_000_000  # of the write-ahead log between transactions
+FILE_SLACK_BYTES = 16_000_000  # by which the file may outgrow what its records take, and half of that again
+HOLDER_BYTES = 32  # of the lock file, which names the process that holds it
+
+# UnicodeDecodeError stands where SQLite's own message quotes a damaged name.
+DAMAGE_ERRORS = (sqlite3.Error, UnicodeDecodeError)
 
 
 class StoreError(Exception):
     """The store cannot be used; the message says why, and names the file."""
 
 
-class StoreInUse(StoreError):
+class StoreInUseError(StoreError):
     """Another process writes this store."""
 
 
-def as_text(data: bytes) -> str:
-    """What stands in a column of text; a damaged one is told by its seal."""
+def decode_text(data: bytes) -> str:
+    """The text in a column; a damaged one is decoded too, and its seal tells."""
     return data.decode(errors="replace")
 
 
-def lock(folder: Path) -> int:
-    """Become the one writer; the descriptor holds the lock until it is closed. Raises StoreError."""
+def identity(path: Path) -> tuple[int, int]:
+    """The device and inode of a file, which stay while it is open and renamed. Raises OSError."""
+    status = os.stat(path)
+    return status.st_dev, status.st_ino
+
+
+def acquire_lock(directory: Path) -> int:
+    """Become the store's one writer; the descriptor holds the lock until it is closed.
+
+    Raises StoreError, and StoreInUseError where another process writes.
+    """
     try:
-        folder.mkdir(parents=True, exist_ok=True, mode=0o700)
-        fd = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+        directory.mkdir(parents=True, exist_ok=True, mode=DIRECTORY_MODE)
+        descriptor = os.open(directory / LOCK_FILE, os.O_RDWR | os.O_CREAT, FILE_MODE)
     except OSError as error:
-        raise StoreError(f"{folder}: {error.strerror}") from error
+        raise StoreError(f"{directory}: {error.strerror}") from error
     try:
-        fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        holder = os.read(fd, 32).decode(errors="replace").strip()
-        os.close(fd)
-        raise StoreInUse(f"{folder}: process {holder or 'unknown'} writes this store already") from None
-    os.ftruncate(fd, 0)
-    os.pwrite(fd, str(os.getpid()).encode(), 0)
-    return fd
+        holder = os.read(descriptor, HOLDER_BYTES).decode(errors="replace").strip()
+        os.close(descriptor)
+        message = f"{directory}: process {holder or 'unknown'} writes this store already"
+        raise StoreInUseError(message) from None
+    os.ftruncate(descriptor, 0)
+    os.pwrite(descriptor, str(os.getpid()).encode(), 0)
+    return descriptor
 
 
-def write(folder: Path, most: int) -> sqlite3.Connection:
-    """The database for its one writer, brought to the present schema; `most` bounds the file's bytes.
+def open_for_writing(directory: Path, max_bytes: int) -> sqlite3.Connection:
+    """The database for its one writer, brought to the present schema; `max_bytes` bounds its records.
 
     Raises StoreError.
     """
-    path = folder / DATABASE
+    path = directory / DATABASE_FILE
     if not path.exists():
-        os.close(os.open(path, os.O_RDWR | os.O_CREAT, 0o600))
-    db = sqlite3.connect(path, timeout=PATIENCE, isolation_level=None, check_same_thread=False)
-    db.text_factory = as_text
+        os.close(os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE))
+    database = sqlite3.connect(
+        path, timeout=BUSY_TIMEOUT_SECONDS, isolation_level=None, check_same_thread=False
+    )
+    database.text_factory = decode_text
     try:
-        schema.check(db)  # before anything is changed
-        db.execute("PRAGMA auto_vacuum=INCREMENTAL")  # heeded by a file that is still empty
-        db.execute("PRAGMA journal_mode=WAL")
-        db.execute("PRAGMA synchronous=FULL")
-        db.execute("PRAGMA foreign_keys=ON")
-        db.execute("PRAGMA journal_size_limit=4000000")
-        db.execute(f"PRAGMA cache_size=-{CACHE}")
-        (page,) = db.execute("PRAGMA page_size").fetchone()
-        schema.migrate(db)
-        db.execute(f"PRAGMA max_page_count={(most + most // 2 + SLACK) // page}")
-    except (*DAMAGE, schema.SchemaError) as error:
-        db.close()
+        schema.read_version(database)  # before anything is changed
+        database.execute("PRAGMA auto_vacuum=INCREMENTAL")  # heeded by a file that is still empty
+        database.execute("PRAGMA journal_mode=WAL")
+        database.execute("PRAGMA synchronous=FULL")
+        database.execute("PRAGMA foreign_keys=ON")
+        database.execute(f"PRAGMA journal_size_limit={JOURNAL_SIZE_BYTES}")
+        database.execute(f"PRAGMA cache_size=-{CACHE_KILOBYTES}")
+        (page_bytes,) = database.execute("PRAGMA page_size").fetchone()
+        schema.migrate(database)
+        max_file_bytes = max_bytes + max_bytes // 2 + FILE_SLACK_BYTES
+        database.execute(f"PRAGMA max_page_count={max_file_bytes // page_bytes}")
+    except (*DAMAGE_ERRORS, schema.SchemaError) as error:
+        database.close()
         raise StoreError(f"{path}: {error}") from error
-    return db
+    return database
 
 
-def read(folder: Path) -> sqlite3.Connection:
-    """The database for reading alone; its writer is not in the way. Raises StoreError."""
-    path = folder / DATABASE
+def open_for_reading(directory: Path) -> sqlite3.Connection:
+    """The database for reading alone; it does not block the writer. Raises StoreError."""
+    path = directory / DATABASE_FILE
     if not path.exists():
         raise StoreError(f"{path}: there is no store")
     address = f"file:{quote(str(path))}?mode=ro"
     try:
-        db = sqlite3.connect(address, uri=True, timeout=PATIENCE, isolation_level=None)
-        db.text_factory = as_text
+        database = sqlite3.connect(address, uri=True, timeout=BUSY_TIMEOUT_SECONDS, isolation_level=None)
+        database.text_factory = decode_text
         try:
-            if schema.check(db) < schema.VERSION:
-                raise schema.SchemaError(
-                    "has an older schema; start a dispatcher once to bring it up to date"
-                )
-        except (*DAMAGE, schema.SchemaError):
-            db.close()
+            _require_present_schema(database)
+        except (*DAMAGE_ERRORS, schema.SchemaError):
+            database.close()
             raise
-    except (*DAMAGE, schema.SchemaError) as error:
+    except (*DAMAGE_ERRORS, schema.SchemaError) as error:
         raise StoreError(f"{path}: {error}") from error
-    return db
+    return database
+
+
+def _require_present_schema(database: sqlite3.Connection) -> None:
+    if schema.read_version(database) < schema.VERSION:
+        raise schema.SchemaError("has an older schema; start a dispatcher once to bring it up to date")
--- a/honeyhitch/dead_letters/filters.py
+++ b/honeyhitch/dead_letters/filters.py
@@ -1,87 +1,116 @@
-"""What a question about the store asks for, and the SQL that it becomes. No I/O."""
+"""Which records a request is about: read from the request's texts, and turned into SQL. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from typing import Any
 
 from honeyhitch.dead_letters.records import RecordStatus
 
-MOST = (1 << 63) - 1  # as great a number as the store holds
+MAX_INTEGER = (1 << 63) - 1  # as great a number as the store holds
+MAX_DIGITS = 19
 ENDINGS = ("failed", "rejected")
 
+# The names of filters in requests, and the fields of RecordFilter. The first two groups are columns, too.
+INTEGER_FILTERS = {"seq": "sequence", "destination": "destination", "since": "since", "until": "until"}
+TEXT_FILTERS = {
+    "id": "id",
+    "key": "key",
+    "cls": "class_name",
+    "tenant": "tenant",
+    "front": "frontend",
+    "ending": "ending",
+    "reason": "reason",
+    "standing": "status",
+}
+BOOLEAN_FILTERS = {"may_have_run": "may_have_executed"}
+FILTERS = {**INTEGER_FILTERS, **TEXT_FILTERS, **BOOLEAN_FILTERS}
+BOOLEAN_TEXTS = {"yes": True, "no": False}
+CHOICES = {"ending": ENDINGS, "standing": tuple(status.value for status in RecordStatus)}
+
+# The columns that a record must equal, in the order of the SQL.
+EQUAL_COLUMNS = (
+    "seq", "id", "key", "destination", "cls", "tenant", "front", "ending", "reason", "standing",
+)  # fmt: skip
+
 
 class FilterError(ValueError):
     """A filter that cannot be used; the message names it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Filter:
-    """Which records; whatever is None does not matter. Times are Unix times in nanoseconds."""
+class RecordFilter:
+    """Which records; None matches all. Times are Unix times in nanoseconds."""
 
-    seq: int | None = None
+    sequence: int | None = None
     id: str | None = None
     key: str | None = None
     destination: int | None = None
-    cls: str | None = None
+    class_name: str | None = None
     tenant: str | None = None
-    front: str | None = None
+    frontend: str | None = None
     ending: str | None = None
     reason: str | None = None
-    standing: str | None = None
-    may_have_run: bool | None = None
+    status: str | None = None  # the stored value of a RecordStatus
+    may_have_executed: bool | None = None
     since: int | None = None  # ended at or after
     until: int | None = None  # ended before
 
-    def where(self, *more: str) -> tuple[str, list[Any]]:
-        """The condition, and its values."""
-        parts, values = list(more), list[Any]()
-        for name in EQUAL:
-            if (value := getattr(self, name)) is not None:
-                parts.append(f"record.{name} = ?")
-                values.append(value)
-        if self.may_have_run is not None:
-            parts.append(f"record.first_ran IS {'NOT ' if self.may_have_run else ''}NULL")
-        for sign, value in ((">=", self.since), ("<", self.until)):
+    def sql_condition(self, *more: str) -> tuple[str, list[Any]]:
+        """The condition on the table `record`, with `more` before it, and its values."""
+        conditions = list(more)
+        values = list[Any]()
+        for column in EQUAL_COLUMNS:
+            value = getattr(self, FILTERS[column])
             if value is not None:
-                parts.append(f"record.ended_at {sign} ?")
+                conditions.append(f"record.{column} = ?")
                 values.append(value)
-        return " AND ".join(parts) or "1", values
+        if self.may_have_executed is not None:
+            conditions.append(f"record.first_ran IS {'NOT ' if self.may_have_executed else ''}NULL")
+        for comparison, time in ((">=", self.since), ("<", self.until)):
+            if time is not None:
+                conditions.append(f"record.ended_at {comparison} ?")
+                values.append(time)
+        return " AND ".join(conditions) or "1", values
 
     @classmethod
-    def parse(cls, told: Mapping[str, str]) -> Filter:
-        """From words, as a control request carries them. Raises FilterError."""
-        values: dict[str, Any] = {}
-        known = {one.name: str(one.type) for one in fields(cls)}
-        for name, text in told.items():
-            if name not in known:
+    def parse(cls, texts: Mapping[str, str]) -> RecordFilter:
+        """From the names and texts of a request. Raises FilterError."""
+        fields = dict[str, Any]()
+        for name, text in texts.items():
+            if name not in FILTERS:
                 raise FilterError(f"{name}: no such filter")
-            if known[name].startswith("int"):
-                digits = text.removeprefix("-")
-                if not text.isascii() or not digits.isdigit() or len(digits) > 19 or int(digits) > MOST:
-                    raise FilterError(f"{name}: expected a whole number, got {text!r}")
-                values[name] = int(text)
-            elif known[name].startswith("bool"):
-                if text not in ("yes", "no"):
-                    raise FilterError(f"{name}: expected yes or no, got {text!r}")
-                values[name] = text == "yes"
-            else:
-                values[name] = text
-        for name, among in (("ending", ENDINGS), ("standing", [one.value for one in RecordStatus])):
-            if values.get(name, among[0]) not in among:
-                raise FilterError(f"{name}: expected one of {', '.join(among)}, got {values[name]!r}")
-        return cls(**values)
-
-    def words(self) -> dict[str, str]:
+            fields[FILTERS[name]] = _parse_value(name, text)
+        for name, choices in CHOICES.items():
+            if texts.get(name, choices[0]) not in choices:
+                raise FilterError(f"{name}: expected one of {', '.join(choices)}, got {texts[name]!r}")
+        return cls(**fields)
+
+    def to_texts(self) -> dict[str, str]:
         """The reverse of `parse`."""
-        told = {one.name: getattr(self, one.name) for one in fields(self)}
-        words = {True: "yes", False: "no"}
-        return {
-            name: words[value] if isinstance(value, bool) else str(value)
-            for name, value in told.items()
-            if value is not None
-        }
+        values = {name: getattr(self, field) for name, field in FILTERS.items()}
+        return {name: _format_value(value) for name, value in values.items() if value is not None}
+
+
+def _parse_value(name: str, text: str) -> Any:
+    if name in INTEGER_FILTERS:
+        return _parse_integer(name, text)
+    if name in BOOLEAN_FILTERS:
+        if text not in BOOLEAN_TEXTS:
+            raise FilterError(f"{name}: expected yes or no, got {text!r}")
+        return BOOLEAN_TEXTS[text]
+    return text
+
+
+def _parse_integer(name: str, text: str) -> int:
+    digits = text.removeprefix("-")
+    if not text.isascii() or not digits.isdigit() or len(digits) > MAX_DIGITS or int(digits) > MAX_INTEGER:
+        raise FilterError(f"{name}: expected a whole number, got {text!r}")
+    return int(text)
 
 
-EQUAL = ("seq", "id", "key", "destination", "cls", "tenant", "front", "ending", "reason", "standing")
+def _format_value(value: str | int | bool) -> str:
+    if isinstance(value, bool):
+        return "yes" if value else "no"
+    return str(value)
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -1,8 +1,8 @@
 """Moves messages that ended undelivered out of the journal and into the store. No I/O of its own.
 
-A message is in the journal until the store's transaction has been committed; a move that is repeated after
-a kill in between finds the record there already and changes nothing. Where the store fails, messages wait in
-the journal, in a share of it that keeps room for live traffic.
+A message is in the journal until the store's transaction has been committed; a transfer that is repeated
+after a kill in between finds the record there already and changes nothing. Where the store fails, messages
+wait in the journal, in a fraction of it that leaves room for live traffic.
 """
 
 from __future__ import annotations
@@ -12,123 +12,150 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.dead_letters import records
-from honeyhitch.dead_letters.worker import Done, Job
+from honeyhitch.dead_letters.records import DroppedRecords, Record, record_of
+from honeyhitch.dead_letters.worker import Job, JobCallback
 from honeyhitch.dispatcher.ports import Scheduler
 from honeyhitch.journal.journal import Journal
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.settings import Settings
+from honeyhitch.time_units import SECOND
 
 log = logs.get()
-TOGETHER = 64  # messages in one transaction
-FIRST_PAUSE, MOST_PAUSE = 10**9, 60 * 10**9  # ns between tries while the store fails
-JOURNAL_SHARE = 0.25  # of the journal's disk that messages may take which only wait for the store
+BATCH_SIZE = 64  # messages in one transaction
+MIN_RETRY_PAUSE = SECOND  # between attempts while the store fails
+MAX_RETRY_PAUSE = 60 * SECOND
+MAX_JOURNAL_FRACTION = 0.25  # of the journal's disk that messages may take which only wait for the store
 
 
 @dataclass(slots=True)
-class Figures:
+class TransferCounts:
     """What has been done since the start."""
 
     moved: int = 0
-    let_go: dict[bool, int] = field(default_factory=lambda: {False: 0, True: 0})  # by whether it may have run
+    # By whether the message may have been executed.
+    discarded: dict[bool, int] = field(default_factory=lambda: {False: 0, True: 0})
 
 
 class JournalTransfer:
-    """The dispatcher's keeper: one transaction of the store at a time, with all that has come meanwhile."""
+    """The dispatcher's DeadLetterSink: one transaction at a time, with all that has come meanwhile.
+
+    `submit` queues a job for the store's thread; `on_stored` is called with each message that the store holds
+    or that was discarded, and the journal need not keep any longer.
+    """
 
     def __init__(
         self,
         settings: Settings,
         journal: Journal,
         scheduler: Scheduler,
-        submit: Callable[[Job, Done], bool],
-        kept: Callable[[Transaction], None],
+        submit: Callable[[Job, JobCallback], bool],
+        on_stored: Callable[[Transaction], None],
     ) -> None:
-        self.s, self.journal, self.scheduler = settings, journal, scheduler
-        self.submit, self.kept = submit, kept
-        self.waiting: dict[tuple[str, int], Transaction] = {}  # the oldest first
-        self.moving: list[Transaction] = []
-        self.paused, self.pause = False, FIRST_PAUSE
-        self.figures, self.failing = Figures(), ""
-        self.after: list[Callable[[list[records.Record]], None]] = []  # told of what has come to the store
+        self.settings = settings
+        self.journal = journal
+        self.scheduler = scheduler
+        self.submit = submit
+        self.on_stored = on_stored
+        self.pending: dict[tuple[str, int], Transaction] = {}  # by id and end, the oldest first
+        self.batch: list[Transaction] = []  # what the store is writing
+        self.paused = False
+        self.retry_pause = MIN_RETRY_PAUSE
+        self.last_error = ""  # of the store, empty while it works
+        self.counts = TransferCounts()
+        self.stored_listeners: list[Callable[[list[Record]], None]] = []  # told of records that were stored
 
     def store(self, transaction: Transaction) -> None:
-        """Move it as soon as may be."""
-        self.waiting[transaction.id, transaction.ended_at] = transaction
-        self._let_go()
-        self._move()
+        """Move a message that ended undelivered as soon as possible."""
+        self.pending[transaction.id, transaction.ended_at] = transaction
+        self._discard_excess()
+        self._submit_batch()
 
-    def _move(self) -> None:
-        if self.moving or self.paused or not self.waiting:
+    def _submit_batch(self) -> None:
+        if self.batch or self.paused or not self.pending:
             return
-        some = list(self.waiting.values())[:TOGETHER]
-        found = [records.of(transaction, self.s) for transaction in some]
-        self.moving = some
+        batch = list(self.pending.values())[:BATCH_SIZE]
+        records = [record_of(transaction, self.settings) for transaction in batch]
+        self.batch = batch
 
         def done(result: Any) -> None:
-            self._done(some, found, result)
+            self._batch_done(batch, records, result)
 
-        if not self.submit(lambda store: store.add(found), done):
-            self._failed("the queue to the store is full")
+        if not self.submit(lambda store: store.add(records), done):
+            self._batch_failed("the queue to the store is full")
 
-    def _done(self, some: list[Transaction], found: list[records.Record], result: Any) -> None:
+    def _batch_done(self, batch: list[Transaction], records: list[Record], result: Any) -> None:
         if isinstance(result, Exception):
-            self._failed(str(result))
+            self._batch_failed(str(result))
             return
-        if self.failing:
-            log.info("dead-letter.store-recovered", waiting=len(self.waiting), let_go=self.figures.let_go)
-        self.moving, self.failing, self.pause = [], "", FIRST_PAUSE
-        for transaction in some:
-            del self.waiting[transaction.id, transaction.ended_at]
-            self.kept(transaction)
-        self.figures.moved += len(some)
-        tell_dropped(result)
-        for tell in self.after:
-            tell(found)
-        self._move()
-
-    def _failed(self, error: str) -> None:
-        self.moving, self.paused, self.failing = [], True, error
-        log.error("dead-letter.store-failed", error=error, waiting=len(self.waiting), key=error)
-        self.scheduler.call_at(self.scheduler.now() + self.pause, self._again)
-        self.pause = min(2 * self.pause, MOST_PAUSE)
-        self._let_go()
-
-    def _again(self) -> None:
+        if self.last_error:
+            log.info("dead-letter.store-recovered", waiting=len(self.pending), let_go=self.counts.discarded)
+        self.batch = []
+        self.last_error = ""
+        self.retry_pause = MIN_RETRY_PAUSE
+        for transaction in batch:
+            del self.pending[transaction.id, transaction.ended_at]
+            self.on_stored(transaction)
+        self.counts.moved += len(batch)
+        log_dropped(result)
+        for listener in self.stored_listeners:
+            listener(records)
+        self._submit_batch()
+
+    def _batch_failed(self, error: str) -> None:
+        self.batch = []
+        self.paused = True
+        self.last_error = error
+        log.error("dead-letter.store-failed", error=error, waiting=len(self.pending), key=error)
+        self.scheduler.call_at(self.scheduler.now() + self.retry_pause, self._retry)
+        self.retry_pause = min(2 * self.retry_pause, MAX_RETRY_PAUSE)
+        self._discard_excess()
+
+    def _retry(self) -> None:
         self.paused = False
-        self._move()
+        self._submit_batch()
+
+    def _discard_excess(self) -> None:
+        """Discard what has waited for longest where live traffic needs the journal's room.
 
-    def _let_go(self) -> None:
-        """Live traffic needs the journal's room: what has waited for longest goes, and what may have run goes
-        last.
+        What may have been executed goes last.
         """
-        most = JOURNAL_SHARE * self.journal.max_bytes
-        if self.journal.dead_letter_bytes <= most:
+        if not self._over_fraction():
             return
-        answered = [one for one in self.waiting.values() if one.id not in self.journal.messages.by_id]
-        for transaction in sorted(
-            answered, key=lambda one: one.first_possible_execution() is not None
-        ):  # else as they came
-            if self.journal.dead_letter_bytes <= most:
+        answered = [
+            transaction
+            for transaction in self.pending.values()
+            if transaction.id not in self.journal.messages.by_id
+        ]
+        for transaction in sorted(answered, key=_may_have_executed):  # else in their order
+            if not self._over_fraction():
                 return
-            if transaction in self.moving:
-                continue
-            ran = transaction.first_possible_execution() is not None
-            del self.waiting[transaction.id, transaction.ended_at]
-            self.figures.let_go[ran] += 1
-            log.error("dead-letter.discarded", message=transaction.id, may_have_run=ran, key=str(ran))
-            self.kept(transaction)
-
-
-def tell_dropped(dropped: list[records.Dropped]) -> None:
-    """Name in the log what the store had to drop."""
-    for one in dropped:
+            if transaction not in self.batch:
+                self._discard(transaction)
+
+    def _over_fraction(self) -> bool:
+        return self.journal.dead_letter_bytes > MAX_JOURNAL_FRACTION * self.journal.max_bytes
+
+    def _discard(self, transaction: Transaction) -> None:
+        executed = _may_have_executed(transaction)
+        del self.pending[transaction.id, transaction.ended_at]
+        self.counts.discarded[executed] += 1
+        log.error("dead-letter.discarded", message=transaction.id, may_have_run=executed, key=str(executed))
+        self.on_stored(transaction)
+
+
+def _may_have_executed(transaction: Transaction) -> bool:
+    return transaction.first_possible_execution() is not None
+
+
+def log_dropped(dropped: list[DroppedRecords]) -> None:
+    """Log what the store had to drop."""
+    for records in dropped:
         log.warning(
             "dead-letter.records-dropped",
-            why=one.why,
-            count=one.count,
-            bytes=one.size,
-            may_have_run=one.may_have_run,
-            messages=",".join(one.ids),
-            key=f"{one.why} {one.may_have_run}",
+            why=records.reason,
+            count=records.count,
+            bytes=records.size_bytes,
+            may_have_run=records.may_have_executed,
+            messages=",".join(records.ids),
+            key=f"{records.reason} {records.may_have_executed}",
         )
--- /dev/null
+++ b/honeyhitch/dead_letters/key_rotation.py
@@ -0,0 +1,53 @@
+"""Replaces the key under which a store is sealed, in steps that may be interrupted at any moment.
+
+Until `retire_old_keys` the old keys verify, too, so that a rotation that was interrupted goes on when it is
+started again.
+"""
+
+from __future__ import annotations
+
+from honeyhitch.dead_letters.filters import RecordFilter
+from honeyhitch.dead_letters.reader import PAGE_SIZE
+from honeyhitch.dead_letters.store import Store
+
+SEALED_TABLES = ("detail", "audit")
+
+
+def start(store: Store) -> int:
+    """Seal with a new key from now on, unless an interrupted rotation goes on; the number of the key."""
+    if len(store.keys.keys) == 1:
+        store.keys.add()
+        store.save_keys()
+    return store.keys.current
+
+
+def reseal_records(store: Store, after: int = 0) -> int | None:
+    """Seal the next page of records with the newest key; the number of the last one, None at the end."""
+    with store.transaction():
+        found = store.page(RecordFilter(), after, PAGE_SIZE)
+        for stored in found:
+            if not stored.fault:
+                store.reseal(stored.record)
+    return found[-1].record.sequence if found else None
+
+
+def reseal_audit(store: Store, after: int = 0) -> int | None:
+    """Seal the next page of audit entries with the newest key; the number of the last, None at the end."""
+    with store.transaction():
+        entries = store.audit_page(after=after)
+        for entry in entries:
+            if entry.intact:
+                store.reseal_audit(entry)
+    return entries[-1].number if entries else None
+
+
+def retire_old_keys(store: Store) -> int:
+    """Delete the old keys, unless rows are left that only they could verify; the number of such rows."""
+    remaining = 0
+    for table in SEALED_TABLES:
+        text = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
+        remaining += int(store.database.execute(text, (store.keys.current,)).fetchone()[0])
+    if not remaining:
+        store.keys.drop_old()
+        store.save_keys()
+    return remaining
--- a/honeyhitch/dead_letters/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -1,230 +1,299 @@
 """What people ask of a store: the same whether a running dispatcher does it or the command line itself.
 
-Each operation takes and gives plain values that fit in JSON, and works on some hundred records at most, so
-that a long one is many short transactions: its answer says after which record to go on.
+Each operation takes and returns plain values that fit in JSON, and works on some hundred records at most, so
+that a long one is many short transactions: its answer tells after which record to go on.
 """
 
 from __future__ import annotations
 
 import sqlite3
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
+from honeyhitch.dead_letters import key_rotation
 from honeyhitch.dead_letters.eligibility import Verdict
-from honeyhitch.dead_letters.filters import Filter, FilterError
-from honeyhitch.dead_letters.records import Record, RecordStatus, StoredRecord
-from honeyhitch.dead_letters.rules import verdict
-from honeyhitch.dead_letters.store import STEP, Store
+from honeyhitch.dead_letters.filters import FilterError, RecordFilter
+from honeyhitch.dead_letters.reader import GROUP_EXPRESSIONS, PAGE_SIZE
+from honeyhitch.dead_letters.record_export import export_record
+from honeyhitch.dead_letters.records import UNRESOLVED, Record, RecordStatus, StoredRecord
+from honeyhitch.dead_letters.rules import resend_decision
+from honeyhitch.dead_letters.store import Store
 
-MOST_PAGE = 1000
-GROUPS = ("destination", "cls", "tenant", "front", "ending", "reason", "standing", "may_have_run", "day")
+MAX_PAGE_SIZE = 1000  # records or audit entries of one answer
+DEFAULT_LIST_SIZE = 50
+MAX_REASON_LENGTH = 1000  # characters
+MAX_NUMBER = 1 << 62
+GROUP_NAMES = tuple(GROUP_EXPRESSIONS)
+UNRESOLVED_VALUES = tuple(status.value for status in UNRESOLVED)
+
+Arguments = Mapping[str, Any]
+Answer = dict[str, Any]
 
 
 class OperationError(ValueError):
     """A request that cannot be done as it stands; the message says why."""
 
 
-def _number(told: Mapping[str, Any], name: str, default: int, most: int = 1 << 62) -> int:
-    value = told.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= most:
-        raise OperationError(f"{name}: expected a whole number of at most {most}, got {value!r}")
+def _number(arguments: Arguments, name: str, default: int, maximum: int = MAX_NUMBER) -> int:
+    value = arguments.get(name, default)
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= maximum:
+        raise OperationError(f"{name}: expected a whole number of at most {maximum}, got {value!r}")
     return value
 
 
-def _text(told: Mapping[str, Any], name: str) -> str:
-    value = told.get(name, "")
-    if not isinstance(value, str) or not value.strip() or len(value) > 1000:
-        raise OperationError(f"{name}: expected a text of 1 to 1000 characters")
+def _reason(arguments: Arguments) -> str:
+    value = arguments.get("why", "")
+    if not isinstance(value, str) or not value.strip() or len(value) > MAX_REASON_LENGTH:
+        raise OperationError(f"why: expected a text of 1 to {MAX_REASON_LENGTH} characters")
     return value.strip()
 
 
-def _flag(told: Mapping[str, Any], name: str) -> bool:
-    value = told.get(name, False)
+def _flag(arguments: Arguments, name: str) -> bool:
+    value = arguments.get(name, False)
     if not isinstance(value, bool):
         raise OperationError(f"{name}: expected true or false, got {value!r}")
     return value
 
 
-def _filter(told: Mapping[str, Any]) -> Filter:
-    words = told.get("filter", {})
-    if not isinstance(words, dict) or not all(isinstance(word, str) for word in words.values()):
+def _filter(arguments: Arguments) -> RecordFilter:
+    texts = arguments.get("filter", {})
+    if not isinstance(texts, dict) or not all(isinstance(text, str) for text in texts.values()):
         raise OperationError("filter: expected an object of texts")
     try:
-        return Filter.parse(words)
+        return RecordFilter.parse(texts)
     except FilterError as error:
         raise OperationError(f"filter.{error}") from error
 
 
-def _public(kept: StoredRecord, body: bool = False) -> dict[str, Any]:
-    return kept.record.public(body and not kept.fault) | {"intact": not kept.fault, "fault": kept.fault}
+def _export(stored: StoredRecord, include_body: bool = False) -> Answer:
+    exported = export_record(stored.record, include_body and not stored.fault)
+    return exported | {"intact": not stored.fault, "fault": stored.fault}
 
 
-def listed(store: Store, told: Mapping[str, Any], who: str) -> dict[str, Any]:
+def list_records(store: Store, arguments: Arguments) -> Answer:
     """A page of records: `filter`, `after`, `most`, `newest_first`, `bodies`."""
-    after, most = _number(told, "after", 0), _number(told, "most", 50, MOST_PAGE)
-    bodies, newest = _flag(told, "bodies"), _flag(told, "newest_first")
-    found = store.page(_filter(told), after, most, newest)
-    after = found[-1].record.seq if found else after
+    after = _number(arguments, "after", 0)
+    limit = _number(arguments, "most", DEFAULT_LIST_SIZE, MAX_PAGE_SIZE)
+    include_bodies = _flag(arguments, "bodies")
+    newest_first = _flag(arguments, "newest_first")
+    found = store.page(_filter(arguments), after, limit, newest_first)
     return {
-        "records": [_public(one, bodies) for one in found],
-        "after": after,
-        "more": len(found) == most > 0,
+        "records": [_export(stored, include_bodies) for stored in found],
+        "after": found[-1].record.sequence if found else after,
+        "more": len(found) == limit > 0,
     }
 
 
-def shown(store: Store, told: Mapping[str, Any], who: str) -> dict[str, Any]:
-    """One record whole, with its audit records: `seq`."""
-    seq = _number(told, "seq", 0)
-    kept = store.get(seq)
-    if kept is None:
-        raise OperationError(f"seq: there is no record {seq}")
-    return {"record": _public(kept, body=True), "audit": store.audit(seq)}
-
-
-def stats(store: Store, told: Mapping[str, Any], who: str) -> dict[str, Any]:
-    """How many records by each combination of `by`, and what was dropped."""
-    by = told.get("by", ["standing", "may_have_run"])
-    if not isinstance(by, list) or not all(name in GROUPS for name in by):
-        raise OperationError(f"by: expected some of {', '.join(GROUPS)}")
-    limits = {"count": store.limits.count, "bytes": store.limits.size, "age": store.limits.age}
+def show_record(store: Store, arguments: Arguments) -> Answer:
+    """One record with its body and its audit entries: `seq`."""
+    sequence = _number(arguments, "seq", 0)
+    stored = store.get(sequence)
+    if stored is None:
+        raise OperationError(f"seq: there is no record {sequence}")
+    audit = [entry.export() for entry in store.audit_page(sequence)]
+    return {"record": _export(stored, include_body=True), "audit": audit}
+
+
+def count_records(store: Store, arguments: Arguments) -> Answer:
+    """How many records there are for each combination of `by`, and what was dropped."""
+    group_names = arguments.get("by", ["standing", "may_have_run"])
+    if not isinstance(group_names, list) or not all(name in GROUP_NAMES for name in group_names):
+        raise OperationError(f"by: expected some of {', '.join(GROUP_NAMES)}")
+    groups = [
+        dict(zip(group_names, group.values, strict=True)) | {"count": group.count, "bytes": group.body_bytes}
+        for group in store.count_by(_filter(arguments), tuple(group_names))
+    ]
+    limits = store.limits
     return {
-        "groups": store.counted(_filter(told), tuple(by)),
-        "count": store.count,
-        "bytes": store.size,
-        "limits": limits,
-        "dropped": store.dropped(),
+        "groups": groups,
+        "count": store.record_count,
+        "bytes": store.stored_bytes,
+        "limits": {"count": limits.max_records, "bytes": limits.max_bytes, "age": limits.max_age},
+        "dropped": [
+            {
+                "why": dropped.reason,
+                "may_have_run": dropped.may_have_executed,
+                "count": dropped.count,
+                "bytes": dropped.size_bytes,
+            }
+            for dropped in store.dropped_totals()
+        ],
     }
 
 
-def audited(store: Store, told: Mapping[str, Any], who: str) -> dict[str, Any]:
-    """A page of all audit records: `after`, `most`."""
-    after, most = _number(told, "after", 0), _number(told, "most", STEP, MOST_PAGE)
-    rows = store.audit(after=after, most=most)
-    after = rows[-1]["number"] if rows else after
-    return {"audit": rows, "after": after, "more": len(rows) == most > 0}
+def list_audit(store: Store, arguments: Arguments) -> Answer:
+    """A page of all audit entries: `after`, `most`."""
+    after = _number(arguments, "after", 0)
+    limit = _number(arguments, "most", PAGE_SIZE, MAX_PAGE_SIZE)
+    entries = store.audit_page(after=after, limit=limit)
+    return {
+        "audit": [entry.export() for entry in entries],
+        "after": entries[-1].number if entries else after,
+        "more": len(entries) == limit > 0,
+    }
 
 
-# What changes something. Each says of a record why it does not apply to it, or "" if it does.
+# The changes that a person may make to a record. Each has an obstacle, which says why it does not apply to
+# a record and is empty if it does, and an effect.
 
 
-def _why_not_discard(record: Record) -> str:
-    return "" if record.standing is RecordStatus.KEPT else f"it is {record.standing.value}"
+def _not_pending(record: Record) -> str:
+    return "" if record.status is RecordStatus.PENDING else f"it is {record.status.value}"
 
 
-def _why_not_release(record: Record) -> str:
-    if record.standing is not RecordStatus.KEPT:
-        return f"it is {record.standing.value}"
-    if not record.may_have_run and record.told_again is None and not record.came_again:
+def _not_releasable(record: Record) -> str:
+    if record.status is not RecordStatus.PENDING:
+        return f"it is {record.status.value}"
+    submitted_again = record.client_retry_at is not None or record.recovered_from_journal
+    if not record.may_have_executed and not submitted_again:
         return "it never ran: nothing has to be proved before it is sent"
     return "it is released already" if record.evidence else ""
 
 
-def _discard(record: Record, who: str, why: str) -> None:
-    record.standing = RecordStatus.DISCARDED
+def _discard(record: Record, _actor: str, _reason: str) -> None:
+    record.status = RecordStatus.DISCARDED
 
 
-def _settle(record: Record, who: str, why: str) -> None:
-    record.standing, record.settled_by = RecordStatus.SETTLED, f"person:{who}"
+def _settle(record: Record, actor: str, _reason: str) -> None:
+    record.status = RecordStatus.SETTLED
+    record.settled_by = f"person:{actor}"
 
 
-def _release(record: Record, who: str, why: str) -> None:
-    record.evidence = why
+def _release(record: Record, _actor: str, reason: str) -> None:
+    record.evidence = reason
 
 
-def _ask(record: Record, who: str, why: str) -> None:
-    record.asked = f"{who}: {why}"
+def _request_resend(record: Record, actor: str, reason: str) -> None:
+    record.resend_request = f"{actor}: {reason}"
 
 
-CHANGES: dict[str, tuple[Callable[[Record], str], Callable[[Record, str, str], None]]] = {
-    "discard": (_why_not_discard, _discard),
-    "settle": (_why_not_discard, _settle),
-    "release": (_why_not_release, _release),
-    "resend": (_why_not_discard, _ask),
+@dataclass(frozen=True, slots=True)
+class RecordChange:
+    """A change that a person may make to a record."""
+
+    obstacle: Callable[[Record], str]
+    apply: Callable[[Record, str, str], None]  # to a record, by this actor, for this reason
+
+
+CHANGES = {
+    "discard": RecordChange(_not_pending, _discard),
+    "settle": RecordChange(_not_pending, _settle),
+    "release": RecordChange(_not_releasable, _release),
+    "resend": RecordChange(_not_pending, _request_resend),
 }
 
 
-def changed(store: Store, told: Mapping[str, Any], who: str) -> dict[str, Any]:
+def change_records(store: Store, arguments: Arguments, actor: str) -> Answer:
     """Change some of the chosen records: `verb`, `filter`, `why`, `dry_run`, `after`.
 
     A record that was altered on disk is never changed: a new seal would hide that.
     """
-    verb, why, dry_run = told.get("verb"), _text(told, "why"), _flag(told, "dry_run")
-    if verb not in CHANGES:
-        raise OperationError(f"verb: expected one of {', '.join(CHANGES)}, got {verb!r}")
-    why_not, change = CHANGES[verb]
-    after = _number(told, "after", 0)
-    done: list[dict[str, Any]] = []
-    left: list[dict[str, Any]] = []
-    found = store.page(_filter(told), after, STEP)
-    for kept in found:
-        record = kept.record
-        reason = kept.fault or why_not(record)
-        if verb == "resend" and not reason:  # as it stands now; it is asked again when it is its turn
-            decision = verdict(record, store.terms, store.clock(), 0)
-            reason = decision.reason if decision.verdict is Verdict.HOLD else ""
-        if reason:
-            left.append({"seq": record.seq, "id": record.id, "why": reason})
+    name = arguments.get("verb")
+    reason = _reason(arguments)
+    dry_run = _flag(arguments, "dry_run")
+    if name not in CHANGES:
+        raise OperationError(f"verb: expected one of {', '.join(CHANGES)}, got {name!r}")
+    after = _number(arguments, "after", 0)
+    done = list[Answer]()
+    left = list[Answer]()
+    found = store.page(_filter(arguments), after, PAGE_SIZE)
+    for stored in found:
+        record = stored.record
+        identity = {"seq": record.sequence, "id": record.id}
+        if obstacle := _obstacle(store, name, stored):
+            left.append(identity | {"why": obstacle})
             continue
         if not dry_run:
-            change(record, who, why)
-            store.change(record, who, verb, why)
-        done.append({"seq": record.seq, "id": record.id})
-    after = found[-1].record.seq if found else after
-    return {"done": done, "left": left, "after": after, "more": len(found) == STEP, "dry_run": dry_run}
+            CHANGES[name].apply(record, actor, reason)
+            store.update(record, actor, name, reason)
+        done.append(identity)
+    return {
+        "done": done,
+        "left": left,
+        "after": found[-1].record.sequence if found else after,
+        "more": len(found) == PAGE_SIZE,
+        "dry_run": dry_run,
+    }
+
+
+def _obstacle(store: Store, change: str, stored: StoredRecord) -> str:
+    obstacle = stored.fault or CHANGES[change].obstacle(stored.record)
+    if obstacle or change != "resend":
+        return obstacle
+    # As it stands now: the decision is taken again when the record is resent.
+    decision = resend_decision(stored.record, store.resend_settings, store.clock(), 0)
+    return decision.reason if decision.verdict is Verdict.HOLD else ""
 
 
-def purged(store: Store, told: Mapping[str, Any], who: str) -> dict[str, Any]:
-    """Delete some of the chosen records that are settled or discarded: `filter`, `why`, `dry_run`. With
-    `altered` and a `seq`, the one record with that number if its seal is broken.
+def purge_records(store: Store, arguments: Arguments, actor: str) -> Answer:
+    """Delete some of the chosen records that are settled or discarded: `filter`, `why`, `dry_run`.
+
+    With `altered` and a `seq`, the one record with that number if its seal is broken.
     """
-    chosen, why = _filter(told), _text(told, "why")
-    if _flag(told, "altered"):
-        kept = store.get(chosen.seq) if chosen.seq is not None else None
-        if kept is None or not kept.fault:
+    record_filter = _filter(arguments)
+    reason = _reason(arguments)
+    altered = _flag(arguments, "altered")
+    dry_run = _flag(arguments, "dry_run")
+    if altered:
+        stored = store.get(record_filter.sequence) if record_filter.sequence is not None else None
+        if stored is None or not stored.fault:
             raise OperationError("filter.seq: expected the number of a record that was altered")
-        count = 1 if _flag(told, "dry_run") else store.remove(kept.record, who, why)
-        return {"count": count, "more": False, "dry_run": _flag(told, "dry_run")}
-    if _flag(told, "dry_run"):
-        groups = store.counted(chosen, ("standing",))
-        over = [group["count"] for group in groups if group["standing"] not in ("kept", "sending")]
-        return {"count": sum(over), "more": False, "dry_run": True}
-    count = store.purge(chosen, who, why)
-    return {"count": count, "more": count == STEP, "dry_run": False}
-
-
-def rekeyed(store: Store, told: Mapping[str, Any], who: str) -> dict[str, Any]:
-    """One step of sealing everything with a new key: `step` says which, `after` what it goes on from; the
-    answer says what comes next.
+        count = 1 if dry_run else store.remove(stored.record, actor, reason)
+        return {"count": count, "more": False, "dry_run": dry_run}
+    if dry_run:
+        groups = store.count_by(record_filter, ("standing",))
+        count = sum(group.count for group in groups if group.values[0] not in UNRESOLVED_VALUES)
+        return {"count": count, "more": False, "dry_run": True}
+    count = store.purge(record_filter, actor, reason)
+    return {"count": count, "more": count == PAGE_SIZE, "dry_run": False}
+
+
+def rotate_keys(store: Store, arguments: Arguments, actor: str) -> Answer:
+    """One step of sealing everything with a new key: `step` says which, `after` what it goes on from.
+
+    The answer says what comes next.
     """
-    after = _number(told, "after", 0)
-    match told.get("step", "start"):
+    after = _number(arguments, "after", 0)
+    match arguments.get("step", "start"):
         case "start":
-            return {"next": "records", "after": 0, "key": store.rekey()}
+            return {"next": "records", "after": 0, "key": key_rotation.start(store)}
         case "records":
-            last = store.reseal(after)
+            last = key_rotation.reseal_records(store, after)
             return {"next": "audit" if last is None else "records", "after": last or 0}
         case "audit":
-            last = store.reseal_audit(after)
+            last = key_rotation.reseal_audit(store, after)
             return {"next": "end" if last is None else "audit", "after": last or 0}
         case "end":
-            store.note(0, "", who, "rekey", f"key {store.keys.current}")
-            return {"next": "", "left": store.settle_keys(), "key": store.keys.current}
+            store.append_audit(0, "", actor, "rekey", f"key {store.keys.current}")
+            left = key_rotation.retire_old_keys(store)
+            return {"next": "", "left": left, "key": store.keys.current}
         case other:
             raise OperationError(f"step: expected start, records, audit or end, got {other!r}")
 
 
-READS = {"list": listed, "show": shown, "stats": stats, "audit": audited}
-WRITES = {"change": changed, "purge": purged, "rekey": rekeyed}
+READS: dict[str, Callable[[Store, Arguments], Answer]] = {
+    "list": list_records,
+    "show": show_record,
+    "stats": count_records,
+    "audit": list_audit,
+}
+WRITES: dict[str, Callable[[Store, Arguments, str], Answer]] = {
+    "change": change_records,
+    "purge": purge_records,
+    "rekey": rotate_keys,
+}
 
 
-def done(store: Store, name: str, told: Mapping[str, Any], who: str) -> dict[str, Any]:
+def execute(store: Store, name: str, arguments: Arguments, actor: str) -> Answer:
     """Do the operation of this name. Raises OperationError, and sqlite3.Error from the file."""
-    operation = {**READS, **WRITES}.get(name)
-    if operation is None:
-        raise OperationError(f"{name}: no such operation")
     try:
-        return operation(store, told, who)
+        if name in READS:
+            return READS[name](store, arguments)
+        if name in WRITES:
+            return WRITES[name](store, arguments, actor)
+    except sqlite3.OperationalError:
+        raise
     except (sqlite3.DatabaseError, UnicodeDecodeError) as error:
-        if isinstance(error, sqlite3.OperationalError):
-            raise
         raise OperationError(f"the store is damaged: {error}; `verify` says more") from error
+    raise OperationError(f"{name}: no such operation")
--- a/honeyhitch/dead_letters/pacing.py
+++ b/honeyhitch/dead_letters/pacing.py
@@ -1,8 +1,9 @@
 """How many resends may start at a destination now. No I/O; the clock is passed in.
 
-Resends go behind live traffic: in a bounded share of the slots and of the partner's part, one at a time
-until one call has passed, and not while the partner is sick, ramps after a cold return, or has told a wait.
-One that has no live traffic would never be found well again: it is tried with single resends at growing gaps.
+Resends give way to live traffic: they take a bounded fraction of the call slots and of the destination's
+quota, one at a time until one call was delivered, and none while the destination is unhealthy, in slow start,
+or has sent Retry-After. A destination without live traffic would never be found recovered: it is probed with
+single resends at growing intervals.
 """
 
 from __future__ import annotations
@@ -10,104 +11,123 @@
 from dataclasses import dataclass
 
 from honeyhitch.policy.health import DestinationHealth
+from honeyhitch.time_units import SECOND
 
-SECOND = 10**9  # ns
-QUIET, MOST_GAP = 30 * SECOND, 600 * SECOND  # ns without a call after which a sick one is tried, and at most
-BURST = 2.0  # resends that may start together where a share of the pace has been saved up
+MIN_PROBE_INTERVAL = 30 * SECOND  # without a call after which an unhealthy destination is probed
+MAX_PROBE_INTERVAL = 600 * SECOND
+MAX_RESEND_BURST = 2.0  # resends that may start together where the send rate has been saved up
+MIN_RATE_PER_SECOND = 0.01  # of a destination's resends
 
 
 @dataclass(slots=True)
-class Lane:
-    """What is remembered of one destination."""
-
-    since: int | None = None  # well since then, None if sick
-    proved: bool = False  # a call has passed since it was last sick
-    out: int = 0  # resends on their way
-    left: float = 1.0  # of its share of the pace
-    at: int = 0
-    gap: int = QUIET
-    tried_at: int = 0
-
-
-class Pacing:
-    """One for all destinations; `slots` is the instance's."""
-
-    def __init__(self, share: float, slots: int) -> None:
-        self.share, self.slots = share, slots
-        self.most = max(1, int(share * slots))
-        self.out = 0
-        self.lanes: dict[int, Lane] = {}
-
-    def look(self, destination: int, condition: DestinationHealth, now: int) -> Lane:
-        """Take note of how it stands."""
-        lane = self.lanes.setdefault(destination, Lane(at=now))
-        rate = max(0.01, self.share * condition.quota)
-        lane.left = min(max(1.0, BURST), lane.left + rate * max(0, now - lane.at) / SECOND)
-        lane.at = now
-        if condition.unhealthy or not condition.listed:
-            lane.since, lane.proved = None, False
-        elif lane.since is None:
-            lane.since = now
-        return lane
-
-    def healthy(self, destination: int, now: int) -> int:
-        """For how long it has been well, nanoseconds."""
-        since = self.lanes[destination].since if destination in self.lanes else None
-        return max(0, now - since) if since is not None else 0
-
-    def room(self, destination: int, condition: DestinationHealth, now: int) -> int:
-        """How many resends may start there now."""
-        lane = self.look(destination, condition, now)
-        left = self.most - self.out
-        if (
-            not condition.listed
-            or condition.has_queued_messages
-            or condition.retry_after_until > now
-            or left <= 0
-        ):
+class DestinationPacing:
+    """What is remembered of one destination. Times and durations are nanoseconds."""
+
+    healthy_since: int | None = None  # None if unhealthy
+    call_delivered: bool = False  # since it was last unhealthy
+    resends_in_flight: int = 0
+    tokens: float = 1.0  # resends that its rate allows to start now
+    tokens_updated_at: int = 0
+    probe_interval: int = MIN_PROBE_INTERVAL
+    probed_at: int = 0
+
+
+class ResendPacing:
+    """The pace of the resends of an instance, over all destinations.
+
+    They take at most `capacity_fraction` of `max_concurrent_calls`, and of each destination's quota.
+    """
+
+    def __init__(self, capacity_fraction: float, max_concurrent_calls: int) -> None:
+        self.capacity_fraction = capacity_fraction
+        self.max_concurrent_calls = max_concurrent_calls
+        self.max_concurrent_resends = max(1, int(capacity_fraction * max_concurrent_calls))
+        self.resends_in_flight = 0
+        self.destinations: dict[int, DestinationPacing] = {}
+
+    def observe(self, destination: int, health: DestinationHealth, now: int) -> DestinationPacing:
+        """Take note of a destination's health at `now` (ns), and refill its tokens."""
+        pacing = self.destinations.setdefault(destination, DestinationPacing(tokens_updated_at=now))
+        rate = max(MIN_RATE_PER_SECOND, self.capacity_fraction * health.quota)
+        refill = rate * max(0, now - pacing.tokens_updated_at) / SECOND
+        pacing.tokens = min(max(1.0, MAX_RESEND_BURST), pacing.tokens + refill)
+        pacing.tokens_updated_at = now
+        if health.unhealthy or not health.listed:
+            pacing.healthy_since = None
+            pacing.call_delivered = False
+        elif pacing.healthy_since is None:
+            pacing.healthy_since = now
+        return pacing
+
+    def healthy_duration(self, destination: int, now: int) -> int:
+        """For how long the destination has been healthy, nanoseconds."""
+        pacing = self.destinations.get(destination)
+        if pacing is None or pacing.healthy_since is None:
             return 0
-        if condition.concurrent_calls >= max(1, self.slots - self.most):  # live traffic needs them
+        return max(0, now - pacing.healthy_since)
+
+    def available_resends(self, destination: int, health: DestinationHealth, now: int) -> int:
+        """How many resends may start there now."""
+        pacing = self.observe(destination, health, now)
+        available = self.max_concurrent_resends - self.resends_in_flight
+        if available <= 0 or self._gives_way(health, now):
             return 0
-        if condition.unhealthy:
-            return int(self.tries(destination, condition, now))
-        if condition.in_slow_start:
+        if health.unhealthy:
+            return int(self.may_probe(destination, health, now))
+        if health.in_slow_start:
             return 0
-        most = left if lane.proved else 1 - lane.out
-        return max(0, min(most, self.most - lane.out, int(lane.left)))
-
-    def tries(self, destination: int, condition: DestinationHealth, now: int) -> bool:
-        """Whether a single resend may try a sick one that nothing else tries."""
-        lane = self.lanes.get(destination) or Lane()
-        quiet = now - max(condition.last_sent_at, lane.tried_at) >= lane.gap
-        return condition.listed and condition.unhealthy and quiet and not lane.out
-
-    def began(self, destination: int, now: int) -> None:
-        """A resend is on its way."""
-        lane = self.lanes.setdefault(destination, Lane(at=now))
-        lane.out, lane.left, self.out = lane.out + 1, lane.left - 1, self.out + 1
-        if lane.since is None:
-            lane.tried_at, lane.gap = now, min(2 * lane.gap, MOST_GAP)
-
-    def ended(self, destination: int) -> None:
-        """A resend has come to its end, or was called off."""
-        lane = self.lanes.setdefault(destination, Lane())
-        lane.out, self.out = max(0, lane.out - 1), max(0, self.out - 1)
-
-    def passed(self, destination: int) -> None:
-        """A call there was delivered, of live traffic or a resend."""
-        if (lane := self.lanes.get(destination)) is not None:
-            lane.proved, lane.gap = True, QUIET
-
-
-class Rates:
+        concurrent = available if pacing.call_delivered else 1 - pacing.resends_in_flight
+        own_limit = self.max_concurrent_resends - pacing.resends_in_flight
+        return max(0, min(concurrent, own_limit, int(pacing.tokens)))
+
+    def _gives_way(self, health: DestinationHealth, now: int) -> bool:
+        """Whether live traffic needs the destination or the call slots, or nothing may be sent there."""
+        if not health.listed or health.has_queued_messages or health.retry_after_until > now:
+            return True
+        slots_for_live_traffic = max(1, self.max_concurrent_calls - self.max_concurrent_resends)
+        return health.concurrent_calls >= slots_for_live_traffic
+
+    def may_probe(self, destination: int, health: DestinationHealth, now: int) -> bool:
+        """Whether a single resend may probe an unhealthy destination that nothing else probes."""
+        pacing = self.destinations.get(destination) or DestinationPacing()
+        last_call_at = max(health.last_sent_at, pacing.probed_at)
+        idle = now - last_call_at >= pacing.probe_interval
+        return health.listed and health.unhealthy and idle and not pacing.resends_in_flight
+
+    def resend_started(self, destination: int, now: int) -> None:
+        """A resend is in flight from `now` (ns) on."""
+        pacing = self.destinations.setdefault(destination, DestinationPacing(tokens_updated_at=now))
+        pacing.resends_in_flight += 1
+        pacing.tokens -= 1
+        self.resends_in_flight += 1
+        if pacing.healthy_since is None:
+            pacing.probed_at = now
+            pacing.probe_interval = min(2 * pacing.probe_interval, MAX_PROBE_INTERVAL)
+
+    def resend_ended(self, destination: int) -> None:
+        """A resend has ended, or was cancelled."""
+        pacing = self.destinations.setdefault(destination, DestinationPacing())
+        pacing.resends_in_flight = max(0, pacing.resends_in_flight - 1)
+        self.resends_in_flight = max(0, self.resends_in_flight - 1)
+
+    def call_delivered(self, destination: int) -> None:
+        """A call there was delivered, of live traffic or of a resend."""
+        if (pacing := self.destinations.get(destination)) is not None:
+            pacing.call_delivered = True
+            pacing.probe_interval = MIN_PROBE_INTERVAL
+
+
+class RuleRates:
     """How many resends each rule may still start now."""
 
     def __init__(self) -> None:
-        self.left: dict[str, tuple[float, int]] = {}
-
-    def take(self, name: str, rate: float, now: int) -> bool:
-        """One more, if it may."""
-        left, at = self.left.get(name, (1.0, now))
-        left = min(max(1.0, rate), left + rate * max(0, now - at) / SECOND)
-        self.left[name] = (left - (left >= 1), now)
-        return left >= 1
+        self._tokens: dict[str, tuple[float, int]] = {}  # by rule: tokens, and when they were counted
+
+    def try_acquire(self, rule_name: str, rate_per_second: float, now: int) -> bool:
+        """Whether the rule may start one more resend at `now` (ns); if so, it counts as started."""
+        tokens, updated_at = self._tokens.get(rule_name, (1.0, now))
+        refill = rate_per_second * max(0, now - updated_at) / SECOND
+        tokens = min(max(1.0, rate_per_second), tokens + refill)
+        acquired = tokens >= 1
+        self._tokens[rule_name] = (tokens - acquired, now)
+        return acquired
--- /dev/null
+++ b/honeyhitch/dead_letters/reader.py
@@ -0,0 +1,127 @@
+"""What is read from a store: records, their groups, audit entries, and faults.
+
+Every call does I/O; sqlite3.Error comes through where the disk fails or the file is damaged.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import Any
+
+from honeyhitch.dead_letters.audit import AUDIT_COLUMNS, StoredAuditEntry
+from honeyhitch.dead_letters.connection import StoreConnection
+from honeyhitch.dead_letters.filters import RecordFilter
+from honeyhitch.dead_letters.record_codec import SELECT_RECORD
+from honeyhitch.dead_letters.records import StoredRecord
+from honeyhitch.time_units import DAY
+
+PAGE_SIZE = 200  # records read, deleted or sealed at a time
+
+# By what records are counted: the names that are asked for and exported, and their SQL.
+GROUP_EXPRESSIONS = {
+    "destination": "record.destination",
+    "cls": "record.cls",
+    "tenant": "record.tenant",
+    "front": "record.front",
+    "ending": "record.ending",
+    "reason": "record.reason",
+    "standing": "record.standing",
+    "may_have_run": "record.first_ran IS NOT NULL",
+    "day": f"record.ended_at / {DAY}",
+}
+
+
+@dataclass(frozen=True, slots=True)
+class RecordGroup:
+    """How many records have these values, in the order of the names they were counted by."""
+
+    values: tuple[Any, ...]
+    count: int
+    body_bytes: float
+
+
+@dataclass(frozen=True, slots=True)
+class DroppedTotal:
+    """How many records the store's limits have cost so far."""
+
+    reason: str  # "age" or "room"
+    may_have_executed: bool
+    count: int
+    size_bytes: int
+
+
+class StoreReader(StoreConnection):
+    """The reading side of a store."""
+
+    def get(self, sequence: int) -> StoredRecord | None:
+        """The record with this number, or None."""
+        self.refresh_keys()
+        row = self.database.execute(f"{SELECT_RECORD} WHERE record.seq = ?", (sequence,)).fetchone()
+        return self.codec.decode(row, self.keys) if row is not None else None
+
+    def page(
+        self, record_filter: RecordFilter, after: int = 0, limit: int = 50, newest_first: bool = False
+    ) -> list[StoredRecord]:
+        """The next records after the one with this number, oldest first or in the reverse order."""
+        self.refresh_keys()
+        comparison = "<" if newest_first and after else ">"
+        direction = "DESC" if newest_first else "ASC"
+        condition, values = record_filter.sql_condition()
+        where = f"record.seq {comparison} ? AND {condition}"
+        text = f"{SELECT_RECORD} WHERE {where} ORDER BY record.seq {direction} LIMIT ?"
+        rows = self.database.execute(text, (after, *values, limit))
+        return [self.codec.decode(row, self.keys) for row in rows]
+
+    def iterate(self, record_filter: RecordFilter) -> Iterator[StoredRecord]:
+        """All chosen records, read a page at a time; the store may change meanwhile."""
+        after = 0
+        while found := self.page(record_filter, after, PAGE_SIZE):
+            yield from found
+            after = found[-1].record.sequence
+
+    def count_by(self, record_filter: RecordFilter, group_names: tuple[str, ...]) -> list[RecordGroup]:
+        """How many records there are for each combination of these names (GROUP_EXPRESSIONS)."""
+        groups = [GROUP_EXPRESSIONS[name] for name in group_names]
+        condition, values = record_filter.sql_condition()
+        text = f"SELECT {', '.join([*groups, 'count(*)', 'total(plain)'])} FROM record WHERE {condition}"
+        if groups:
+            text += f" GROUP BY {', '.join(groups)} ORDER BY {', '.join(groups)}"
+        rows = self.database.execute(text, values)
+        return [RecordGroup(tuple(row[:-2]), row[-2], row[-1]) for row in rows]
+
+    def dropped_totals(self) -> list[DroppedTotal]:
+        """What the store's limits have cost so far."""
+        rows = self.database.execute(
+            "SELECT why, may_have_run, count, size FROM dropped ORDER BY why, may_have_run"
+        )
+        return [
+            DroppedTotal(reason, bool(executed), count, size_bytes)
+            for reason, executed, count, size_bytes in rows
+        ]
+
+    def audit_page(
+        self, sequence: int | None = None, after: int = 0, limit: int = PAGE_SIZE
+    ) -> list[StoredAuditEntry]:
+        """The next audit entries of one record, or of all, after the entry with this number, oldest first."""
+        self.refresh_keys()
+        where, values = ("seq = ? AND ", (sequence,)) if sequence is not None else ("", ())
+        columns = ", ".join(AUDIT_COLUMNS)
+        text = f"SELECT number, {columns}, key_number, seal FROM audit WHERE {where}number > ?"
+        rows = self.database.execute(f"{text} ORDER BY number LIMIT ?", (*values, after, limit))
+        return [StoredAuditEntry.from_row(row, self.keys) for row in rows]
+
+    def verify(self) -> Iterator[str]:
+        """Every fault that is found in the file, its records and its audit entries, one line each."""
+        for (line,) in self.database.execute("PRAGMA integrity_check(100)"):
+            if line != "ok":
+                yield f"file: {line}"
+        for stored in self.iterate(RecordFilter()):
+            if stored.fault:
+                yield f"record {stored.record.sequence} ({stored.record.id}): {stored.fault}"
+        after = 0
+        while entries := self.audit_page(after=after):
+            for entry in entries:
+                if not entry.intact:
+                    yield f"audit {entry.number}: altered since it was sealed"
+            after = entries[-1].number
--- a/honeyhitch/dead_letters/report.py
+++ b/honeyhitch/dead_letters/report.py
@@ -1,4 +1,4 @@
-"""The accountants' report: what became of undelivered messages, by partner, tenant, reason and day.
+"""The accountants' report: what became of undelivered messages, by destination, tenant, reason and day.
 
 It counts records one by one, as they come from the store, and keeps sums alone. Rendered by Jinja2.
 """
@@ -7,7 +7,7 @@
 
 import datetime
 import json
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from decimal import Decimal, InvalidOperation
 from enum import Enum
@@ -16,21 +16,20 @@
 
 from honeyhitch.dead_letters.eligibility import Verdict
 from honeyhitch.dead_letters.records import Record, RecordStatus, StoredRecord
-from honeyhitch.dead_letters.rules import verdict
-from honeyhitch.dead_letters.settings import Terms
+from honeyhitch.dead_letters.rules import resend_decision
+from honeyhitch.dead_letters.settings import ResendSettings
+from honeyhitch.time_units import DAY, SECOND
 
-DAY = 86400 * 10**9  # ns
-MOST_AMOUNT = Decimal(10) ** 15  # beyond it a body's number is taken for a mistake
-BY = ("destination", "tenant", "reason", "day")
-TITLES = {"destination": "By partner", "tenant": "By tenant", "reason": "By reason", "day": "By day"}
+MAX_AMOUNT = Decimal(10) ** 15  # beyond it a body's number is taken for a mistake
+EPOCH = datetime.date(1970, 1, 1)
 
 
-class Fate(Enum):
+class Disposition(Enum):
     """What became of a record, in the accountants' words."""
 
     SAFE = "safe to resend"
     NOT_SAFE = "not safe"
-    SENDING = "on its way"
+    RESENDING = "on its way"
     RESENT = "resent"
     SETTLED = "settled otherwise"
     DISCARDED = "discarded"
@@ -39,100 +38,132 @@
 
 @dataclass(slots=True)
 class Cell:
-    """Records, bytes of their bodies, and the amounts that stand in them."""
+    """A cell of a table: records, and the sum of the amounts in their bodies."""
 
     count: int = 0
-    size: int = 0
     amount: Decimal = Decimal(0)
-    without: int = 0  # records in whose body no amount was found
+    without_amount: int = 0  # records in whose body no amount was found
 
-    def add(self, size: int, amount: Decimal | None) -> None:
-        """One more."""
-        self.count, self.size = self.count + 1, self.size + size
+    def add(self, amount: Decimal | None) -> None:
+        """Count one more record with this amount."""
+        self.count += 1
         if amount is None:
-            self.without += 1
+            self.without_amount += 1
         else:
             self.amount += amount
 
 
+def day_of(at: int) -> str:
+    """The UTC day of a Unix time in nanoseconds."""
+    try:
+        return (EPOCH + datetime.timedelta(days=at // DAY)).isoformat()
+    except (TypeError, OverflowError):  # of an altered record
+        return "unknown"
+
+
+@dataclass(frozen=True, slots=True)
+class Grouping:
+    """A table of the report: its title, and by which value of a record it has rows."""
+
+    title: str
+    value_of: Callable[[Record], str]
+
+
+GROUPINGS = {
+    "destination": Grouping("By partner", lambda record: str(record.destination)),
+    "tenant": Grouping("By tenant", lambda record: str(record.tenant)),
+    "reason": Grouping("By reason", lambda record: str(record.reason)),
+    "day": Grouping("By day", lambda record: day_of(record.ended_at)),
+}
+
+
 @dataclass(slots=True)
 class Report:
     """The sums. `amount_field` names the number in a JSON body by its path, as in `invoice.total`."""
 
-    terms: Terms
+    resend_settings: ResendSettings
     now: int  # Unix time in nanoseconds, for what is safe
     amount_field: str = ""
-    groups: dict[str, dict[str, dict[Fate, Cell]]] = field(default_factory=lambda: {name: {} for name in BY})
-    total: dict[Fate, Cell] = field(default_factory=dict)
-    replaced: int = 0  # copies that stand under another record
+    groups: dict[str, dict[str, dict[Disposition, Cell]]] = field(
+        default_factory=lambda: {name: {} for name in GROUPINGS}
+    )
+    total: dict[Disposition, Cell] = field(default_factory=dict)
+    replaced: int = 0  # duplicates that count under another record
 
     def add(self, records: Iterable[StoredRecord]) -> None:
-        """Count these, too."""
-        for kept in records:
-            record = kept.record
-            if not kept.fault and record.standing is RecordStatus.REPLACED:
+        """Count these records, too."""
+        for stored in records:
+            record = stored.record
+            if not stored.fault and record.status is RecordStatus.REPLACED:
                 self.replaced += 1
                 continue
-            fate = Fate.ALTERED if kept.fault else fate_of(record, self.terms, self.now)
-            amount = amount_of(record.body, self.amount_field) if self.amount_field else Decimal(0)
-            for cells in (self.total, *(self._cells(name, record) for name in BY)):
-                cells.setdefault(fate, Cell()).add(len(record.body), amount)
+            self._count(record, self._disposition(stored))
 
-    def _cells(self, name: str, record: Record) -> dict[Fate, Cell]:
-        value = day_of(record.ended_at) if name == "day" else str(getattr(record, name))
-        return self.groups[name].setdefault(value, {})
+    def _disposition(self, stored: StoredRecord) -> Disposition:
+        if stored.fault:
+            return Disposition.ALTERED
+        return disposition_of(stored.record, self.resend_settings, self.now)
+
+    def _count(self, record: Record, disposition: Disposition) -> None:
+        amount = amount_of(record.body, self.amount_field) if self.amount_field else Decimal(0)
+        self.total.setdefault(disposition, Cell()).add(amount)
+        for name, grouping in GROUPINGS.items():
+            row = self.groups[name].setdefault(grouping.value_of(record), {})
+            row.setdefault(disposition, Cell()).add(amount)
 
     def html(self, title: str) -> str:
         """The page."""
         loader = jinja2.PackageLoader("honeyhitch.dead_letters")
         environment = jinja2.Environment(loader=loader, autoescape=True, undefined=jinja2.StrictUndefined)
-        tables = [
-            (TITLES[name], sorted(self.groups[name].items(), key=lambda row: _order(name, row[0])))
-            for name in BY
-        ]
         return environment.get_template("report.html").render(
-            title=title, made=moment(self.now), fates=list(Fate), tables=tables, total=self.total,
-            replaced=self.replaced, amounts=bool(self.amount_field), amount_field=self.amount_field,
-            empty=Cell(), grace=self.terms.grace / 10**9,
-        )  # fmt: skip
-
-
-def _order(name: str, value: str) -> tuple[int, str]:
-    return (int(value) if name == "destination" and value.lstrip("-").isdigit() else 0), value
-
-
-def fate_of(record: Record, terms: Terms, now: int) -> Fate:
-    """What became of an intact record."""
-    if record.standing is RecordStatus.KEPT:
-        held = verdict(record, terms, now, 0).verdict is Verdict.HOLD
-        return Fate.NOT_SAFE if held else Fate.SAFE
-    if record.standing is RecordStatus.SETTLED:
-        return Fate.RESENT if record.settled_by.startswith("resend:") else Fate.SETTLED
-    return Fate.SENDING if record.standing is RecordStatus.SENDING else Fate.DISCARDED
+            title=title,
+            made=format_minute(self.now),
+            dispositions=list(Disposition),
+            tables=[(grouping.title, self._rows(name)) for name, grouping in GROUPINGS.items()],
+            total=self.total,
+            replaced=self.replaced,
+            amounts=bool(self.amount_field),
+            amount_field=self.amount_field,
+            empty=Cell(),
+        )
+
+    def _rows(self, name: str) -> list[tuple[str, dict[Disposition, Cell]]]:
+        def order(row: tuple[str, dict[Disposition, Cell]]) -> tuple[int, str]:
+            value = row[0]
+            numeric = name == "destination" and value.lstrip("-").isdigit()
+            return (int(value) if numeric else 0), value
+
+        return sorted(self.groups[name].items(), key=order)
+
+
+def disposition_of(record: Record, resend_settings: ResendSettings, now: int) -> Disposition:
+    """What became of an intact record, at `now` (Unix time, ns)."""
+    if record.status is RecordStatus.PENDING:
+        decision = resend_decision(record, resend_settings, now, 0)
+        return Disposition.NOT_SAFE if decision.verdict is Verdict.HOLD else Disposition.SAFE
+    if record.status is RecordStatus.SETTLED:
+        resent = record.settled_by.startswith("resend:")
+        return Disposition.RESENT if resent else Disposition.SETTLED
+    if record.status is RecordStatus.RESENDING:
+        return Disposition.RESENDING
+    return Disposition.DISCARDED
 
 
 def amount_of(body: bytes, path: str) -> Decimal | None:
-    """The number at this path in a JSON body, None if there is none."""
+    """The number at this path in a JSON body, None if there is none that can be an amount."""
     try:
         value = json.loads(body, parse_float=Decimal, parse_int=Decimal)
         for name in path.split("."):
             value = value[name]
-        amount = value if isinstance(value, Decimal) else Decimal(value) if isinstance(value, str) else None
+        if isinstance(value, str):
+            value = Decimal(value)
     except (ValueError, KeyError, TypeError, InvalidOperation, RecursionError):
         return None
-    if amount is None or not amount.is_finite() or abs(amount) > MOST_AMOUNT:
+    if not isinstance(value, Decimal) or not value.is_finite() or abs(value) > MAX_AMOUNT:
         return None
-    return amount
-
-
-def day_of(at: int) -> str:
-    """The day of a time, UTC."""
-    try:
-        return (datetime.date(1970, 1, 1) + datetime.timedelta(days=at // DAY)).isoformat()
-    except (TypeError, OverflowError):  # of an altered record
-        return "unknown"
+    return value
 
 
-def moment(at: int) -> str:
-    """A time for people, UTC to the minute."""
-    return datetime.datetime.fromtimestamp(at / 10**9, datetime.UTC).strftime("%Y-%m-%d %H:%M UTC")
+def format_minute(at: int) -> str:
+    """A Unix time in nanoseconds for people: UTC, to the minute."""
+    return datetime.datetime.fromtimestamp(at / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M UTC")
--- /dev/null
+++ b/honeyhitch/dead_letters/retention.py
@@ -0,0 +1,87 @@
+"""Deletes what is over the store's limits, the records that are missed least first."""
+
+from __future__ import annotations
+
+from honeyhitch.dead_letters.connection import StoreConnection
+from honeyhitch.dead_letters.records import DroppedRecords, RecordStatus
+
+TABLES = ("plan", "detail", "record")  # with rows of a record; the one that the others refer to is last
+MAX_NAMED_IDS = 5  # ids of dropped records that are reported
+NO_LIMIT = -1
+
+# Records that may have been executed, and that nobody has decided on yet, are dropped last; resends in flight
+# are never dropped. The second value is whether the record may have been executed.
+DROP_ORDER = (
+    (RecordStatus.REPLACED, False),
+    (RecordStatus.REPLACED, True),
+    (RecordStatus.SETTLED, False),
+    (RecordStatus.SETTLED, True),
+    (RecordStatus.DISCARDED, False),
+    (RecordStatus.DISCARDED, True),
+    (RecordStatus.PENDING, False),
+    (RecordStatus.PENDING, True),
+)
+
+
+def drop_over_age(store: StoreConnection) -> list[DroppedRecords]:
+    """Delete the records and the audit entries that are older than the store's limit."""
+    oldest = store.clock() - store.limits.max_age
+    dropped = list[DroppedRecords]()
+    for may_have_executed in (False, True):
+        where = "ended_at < ? AND standing <> 'sending' AND (first_ran IS NOT NULL) = ?"
+        dropped += _drop(store, "age", may_have_executed, where, (oldest, int(may_have_executed)))
+    store.database.execute("DELETE FROM audit WHERE at < ?", (oldest,))
+    return dropped
+
+
+def drop_over_size(store: StoreConnection) -> list[DroppedRecords]:
+    """Delete records in DROP_ORDER, oldest first, until the rest is within the limits of count and bytes."""
+    dropped = list[DroppedRecords]()
+    where = "standing = ? AND (first_ran IS NOT NULL) = ? ORDER BY seq"
+    for status, may_have_executed in DROP_ORDER:
+        excess = _excess_records(store)
+        while excess or store.stored_bytes > store.limits.max_bytes:
+            values = (status.value, int(may_have_executed))
+            found = _drop(store, "room", may_have_executed, where, values, excess or 1)
+            if not found:
+                break
+            dropped += found
+            excess = _excess_records(store)
+    return dropped
+
+
+def _excess_records(store: StoreConnection) -> int:
+    return max(store.record_count - store.limits.max_records, 0)
+
+
+def _drop(
+    store: StoreConnection,
+    reason: str,
+    may_have_executed: bool,
+    where: str,
+    values: tuple[object, ...],
+    limit: int = NO_LIMIT,
+) -> list[DroppedRecords]:
+    text = f"SELECT seq, id, size FROM record WHERE {where} LIMIT ?"
+    rows = store.database.execute(text, (*values, limit)).fetchall()
+    if not rows:
+        return []
+    size_bytes = sum(row[2] for row in rows)
+    delete_rows(store, [row[0] for row in rows], size_bytes)
+    store.database.execute(
+        "INSERT INTO dropped VALUES (?, ?, ?, ?) ON CONFLICT (why, may_have_run)"
+        " DO UPDATE SET count = count + excluded.count, size = size + excluded.size",
+        (reason, int(may_have_executed), len(rows), size_bytes),
+    )
+    ids = tuple(str(row[1]) for row in rows[:MAX_NAMED_IDS])
+    return [DroppedRecords(reason, may_have_executed, len(rows), size_bytes, ids)]
+
+
+def delete_rows(store: StoreConnection, sequences: list[int], size_bytes: int) -> None:
+    """Delete all rows of these records, which count with so many bytes together."""
+    for table in TABLES:
+        store.database.executemany(
+            f"DELETE FROM {table} WHERE seq = ?", [(sequence,) for sequence in sequences]
+        )
+    store.record_count -= len(sequences)
+    store.stored_bytes -= size_bytes
--- a/honeyhitch/dead_letters/schema.py
+++ b/honeyhitch/dead_letters/schema.py
@@ -1,16 +1,16 @@
-"""The store's schema, by version, and how an older one becomes the present one.
+"""The schema of the store, by version, and the migration of an older one to the present one.
 
-The version stands in SQLite's `user_version`, and `application_id` says whose file it is. A newer version, or
-a file of someone else's, is refused and left as it was.
+The version stands in SQLite's `user_version`, and `application_id` tells that the file is a store. A newer
+version, or another program's file, is rejected and left as it was.
 """
 
 from __future__ import annotations
 
 import sqlite3
 
-APPLICATION = 0x686F6E79  # "hony"
+APPLICATION_ID = 0x686F6E79  # "hony"
 
-FIRST = """
+SCHEMA_1 = """
 CREATE TABLE record (
     seq INTEGER PRIMARY KEY AUTOINCREMENT,
     id TEXT NOT NULL,
@@ -74,7 +74,7 @@
 );
 """
 
-SECOND = """
+SCHEMA_2 = """
 ALTER TABLE record ADD COLUMN told_again INTEGER;
 ALTER TABLE record ADD COLUMN asked TEXT NOT NULL DEFAULT '';
 CREATE TABLE plan (
@@ -84,22 +84,25 @@
 );
 CREATE INDEX plan_by_destination ON plan (destination, next_at);
 INSERT INTO plan SELECT seq, destination, 0 FROM record WHERE standing = 'kept';
-"""  # what a record of the first version has in a new column is left out of its seal (records.LATER)
+"""  # an older record's seal leaves these columns out (record_codec.ADDED_COLUMN_DEFAULTS)
 
-STEPS = (FIRST, SECOND)  # each makes the next version of the one before it
-VERSION = len(STEPS)
+MIGRATIONS = (SCHEMA_1, SCHEMA_2)  # each makes the next version of the one before it
+VERSION = len(MIGRATIONS)
 
 
 class SchemaError(Exception):
-    """The file is not one that this version may touch."""
+    """The file is not one that this version may change; the message says why."""
 
 
-def check(db: sqlite3.Connection) -> int:
-    """The file's version, 0 if it is empty; SchemaError if it must not be touched. Nothing is changed."""
-    (application,) = db.execute("PRAGMA application_id").fetchone()
-    (version,) = db.execute("PRAGMA user_version").fetchone()
-    (tables,) = db.execute("SELECT count(*) FROM sqlite_schema").fetchone()
-    if application != APPLICATION and (tables or version or application):
+def read_version(database: sqlite3.Connection) -> int:
+    """The file's version, 0 if it is empty; nothing is changed.
+
+    Raises SchemaError if the file is of a newer version, or is no store.
+    """
+    (application,) = database.execute("PRAGMA application_id").fetchone()
+    (version,) = database.execute("PRAGMA user_version").fetchone()
+    (table_count,) = database.execute("SELECT count(*) FROM sqlite_schema").fetchone()
+    if application != APPLICATION_ID and (table_count or version or application):
         raise SchemaError("is not a store of undelivered messages; it was left as it is")
     if version > VERSION:
         raise SchemaError(
@@ -108,11 +111,11 @@
     return int(version)
 
 
-def migrate(db: sqlite3.Connection) -> int:
-    """Bring the file to the present version, at one stroke; the version that it had."""
-    before = check(db)
-    if before < VERSION:
-        steps = "".join(STEPS[before:])
-        marks = f"PRAGMA application_id={APPLICATION}; PRAGMA user_version={VERSION};"
-        db.executescript(f"BEGIN IMMEDIATE;{steps}{marks}COMMIT;")
-    return before
+def migrate(database: sqlite3.Connection) -> int:
+    """Bring the file to the present version in one transaction; the version that it had."""
+    version_before = read_version(database)
+    if version_before < VERSION:
+        statements = "".join(MIGRATIONS[version_before:])
+        marks = f"PRAGMA application_id={APPLICATION_ID}; PRAGMA user_version={VERSION};"
+        database.executescript(f"BEGIN IMMEDIATE;{statements}{marks}COMMIT;")
+    return version_before
--- a/honeyhitch/dead_letters/seal.py
+++ b/honeyhitch/dead_letters/seal.py
@@ -1,6 +1,6 @@
 """Seals: a keyed BLAKE3 over each record, so that one altered on disk is shown as such and never resent.
 
-The keys lie in a file of their own (0600). The newest seals; older ones still prove, until they are dropped.
+The keys are in a file of their own (0600). The newest seals; older ones verify until they are dropped.
 """
 
 from __future__ import annotations
@@ -14,76 +14,82 @@
 
 from blake3 import blake3
 
-SIZE = 32  # bytes of a key, and of a seal
+KEY_BYTES = 32  # also the length of a seal
+FILE_MODE = 0o600
+OTHERS_MODE = 0o077  # the permissions that the group and others must not have
 
 
 class SealError(Exception):
     """The key file cannot be used; the message says why."""
 
 
-class Keys:
-    """The keys of one store, by number."""
+class SealKeys:
+    """The keys of one store, by number; the newest seals, and all verify."""
 
     def __init__(self, keys: dict[int, bytes]) -> None:
-        self.keys, self.current = keys, max(keys)
+        self.keys = keys
+        self.current = max(keys)
 
     @classmethod
-    def load(cls, path: Path, make: bool = False, least: int = 1) -> Keys:
-        """From the file; with `make` one is made where there is none, with its first key numbered `least`.
+    def load(cls, path: Path, create: bool = False, first_number: int = 1) -> SealKeys:
+        """From the file; with `create`, a missing file is written with a new key of this number.
 
         Raises SealError.
         """
         try:
-            fd = os.open(path, os.O_RDONLY)
+            descriptor = os.open(path, os.O_RDONLY)
         except FileNotFoundError:
-            if not make:
+            if not create:
                 raise SealError(f"{path}: there is no key file") from None
-            keys = cls({least: secrets.token_bytes(SIZE)})
+            keys = cls({first_number: secrets.token_bytes(KEY_BYTES)})
             keys.save(path)
             return keys
         except OSError as error:
             raise SealError(f"{path}: cannot be read: {error.strerror}") from error
-        with os.fdopen(fd, "rb") as file:
-            if stat.S_IMODE(os.fstat(fd).st_mode) & 0o077:
+        with os.fdopen(descriptor, "rb") as file:
+            if stat.S_IMODE(os.fstat(descriptor).st_mode) & OTHERS_MODE:
                 raise SealError(f"{path}: others may read it; its mode must be 0600")
-            text = file.read()
-        try:
-            told = {int(number): bytes.fromhex(key) for number, key in json.loads(text)["keys"].items()}
-        except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise SealError(f"{path}: is no key file: {error}") from error
-        if not told or any(len(key) != SIZE for key in told.values()):
-            raise SealError(f"{path}: expected at least one key of {SIZE} bytes")
-        return cls(told)
+            return cls(_parse_keys(path, file.read()))
 
     def save(self, path: Path) -> None:
-        """Put the file in its place at one stroke, readable by its owner alone. Raises SealError."""
-        spare = path.with_name(path.name + ".new")
+        """Replace the file atomically, readable by its owner alone. Raises SealError."""
+        new_path = path.with_name(path.name + ".new")
         text = json.dumps({"keys": {str(number): key.hex() for number, key in self.keys.items()}})
         try:
-            spare.unlink(missing_ok=True)
-            fd = os.open(spare, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
-            with os.fdopen(fd, "w") as file:
+            new_path.unlink(missing_ok=True)
+            descriptor = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, FILE_MODE)
+            with os.fdopen(descriptor, "w") as file:
                 file.write(text)
                 file.flush()
-                os.fsync(fd)
-            os.rename(spare, path)
+                os.fsync(descriptor)
+            os.rename(new_path, path)
         except OSError as error:
             raise SealError(f"{path}: cannot be written: {error.strerror}") from error
 
     def add(self) -> None:
-        """A new key seals from now on; the others still prove."""
+        """Seal with a new key from now on; the others still verify."""
         self.current += 1
-        self.keys[self.current] = secrets.token_bytes(SIZE)
+        self.keys[self.current] = secrets.token_bytes(KEY_BYTES)
 
     def drop_old(self) -> None:
-        """Only the newest key counts from now on."""
+        """Delete all keys but the newest."""
         self.keys = {self.current: self.keys[self.current]}
 
     def seal(self, data: bytes) -> tuple[int, bytes]:
-        """The number of the key and the seal."""
+        """The number of the newest key, and the seal that it makes."""
         return self.current, blake3(data, key=self.keys[self.current]).digest()
 
-    def proves(self, number: int, seal: bytes, data: bytes) -> bool:
-        """Whether this data was sealed so."""
+    def verifies(self, number: int, seal: bytes, data: bytes) -> bool:
+        """Whether the key with this number made this seal of the data."""
         key = self.keys.get(number)
         return key is not None and hmac.compare_digest(blake3(data, key=key).digest(), seal)
+
+
+def _parse_keys(path: Path, text: bytes) -> dict[int, bytes]:
+    try:
+        keys = {int(number): bytes.fromhex(key) for number, key in json.loads(text)["keys"].items()}
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise SealError(f"{path}: is no key file: {error}") from error
+    if not keys or any(len(key) != KEY_BYTES for key in keys.values()):
+        raise SealError(f"{path}: expected at least one key of {KEY_BYTES} bytes")
+    return keys
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -1,4 +1,4 @@
-"""Binds the store to a running dispatcher: the threads, the mover, and the care that comes round."""
+"""Binds the store to a running dispatcher: the threads, the transfer, the resends and the maintenance."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 from honeyhitch import logs
 from honeyhitch.dead_letters import operations
-from honeyhitch.dead_letters.journal_transfer import JournalTransfer, tell_dropped
-from honeyhitch.dead_letters.resending import ResendScheduler
+from honeyhitch.dead_letters.journal_transfer import JournalTransfer, log_dropped
+from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
 from honeyhitch.dead_letters.settings import DeadLetterSettings
 from honeyhitch.dead_letters.store import Store
-from honeyhitch.dead_letters.worker import Job, Worker
+from honeyhitch.dead_letters.worker import Job, StoreWorker
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.dispatcher.ports import Scheduler
 
 log = logs.get()
-CARE = 600.0  # seconds between looks at what is over age
-PATIENCE = 2.0  # seconds for what is in the queues at the end
-SWITCH = 0.0002  # seconds; the standard 5 ms would stall the loop for as long
-READS = 64  # questions waiting at most
+MAINTENANCE_INTERVAL_SECONDS = 600.0
+QUEUE_TIMEOUT_SECONDS = 2.0  # for what the store is to do at the start, and for the queues at the end
+SWITCH_INTERVAL_SECONDS = 0.0002  # the standard 5 ms would stall the loop for as long
+MAX_WAITING_READS = 64
 
 
 class StoreBusyError(Exception):
@@ -34,87 +34,107 @@
 
     def __init__(
         self,
-        setup: DeadLetterSettings,
-        state: Path,
+        settings: DeadLetterSettings,
+        state_directory: Path,
         dispatcher: Dispatcher,
         scheduler: Scheduler,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        folder, limits, clock = setup.at(state), setup.limits, scheduler.now
-        self.loop = loop
+        self._loop = loop
         # The threads hold the interpreter for this long at most before the loop gets its turn.
-        sys.setswitchinterval(min(sys.getswitchinterval(), SWITCH))
+        sys.setswitchinterval(min(sys.getswitchinterval(), SWITCH_INTERVAL_SECONDS))
+        directory = settings.directory_in(state_directory)
+
+        def open_store(writes: bool) -> Store:
+            return Store(
+                directory,
+                settings.limits,
+                settings.compress_min_bytes,
+                scheduler.now,
+                writes,
+                settings.resend_settings,
+            )
+
         post: Callable[[Callable[[], None]], object] = loop.call_soon_threadsafe
-        terms = setup.terms
-        self.writer = Worker(lambda: Store(folder, limits, setup.compress_from, clock, terms=terms), post)
-        self.reader = Worker(
-            lambda: Store(folder, limits, clock=clock, writes=False, terms=terms), post, READS
-        )
-        self.moving = JournalTransfer(
+        self._writer = StoreWorker(lambda: open_store(writes=True), post)
+        self._reader = StoreWorker(lambda: open_store(writes=False), post, MAX_WAITING_READS)
+        self.journal_transfer = JournalTransfer(
             dispatcher.settings,
             dispatcher.journal,
             scheduler,
-            self.writer.submit,
+            self._writer.submit,
             dispatcher.dead_letter_stored,
         )
-        dispatcher.dead_letter_sink = self.moving
-        self.resending = ResendScheduler(setup, dispatcher, scheduler, self.writer.submit)
-        self.moving.after.append(self.resending.kept)
+        dispatcher.dead_letter_sink = self.journal_transfer
+        self.resend_scheduler = ResendScheduler(settings, dispatcher, scheduler, self._writer.submit)
+        self.journal_transfer.stored_listeners.append(self.resend_scheduler.records_stored)
 
-    def begin(self, ready: Callable[[], None]) -> None:
-        """Learn what is kept; `ready` is called then, or once it has taken too long."""
-        told: list[bool] = []
+    def start(self, on_ready: Callable[[], None]) -> None:
+        """Learn what the store holds; `on_ready` is called then, or once it has taken too long."""
+        called = False
 
-        def once() -> None:
-            if not told:
-                told.append(True)
-                ready()
+        def ready_once() -> None:
+            nonlocal called
+            if not called:
+                called = True
+                on_ready()
 
-        self.resending.begin(once)
-        self.loop.call_later(PATIENCE, once)
+        self.resend_scheduler.load(ready_once)
+        self._loop.call_later(QUEUE_TIMEOUT_SECONDS, ready_once)
 
     def metrics(self) -> dict[str, Any]:
-        """How it stands, for people."""
-        moving = self.moving
-        let_go = {"never_ran": moving.figures.let_go[False], "may_have_run": moving.figures.let_go[True]}
-        told = {"moved": moving.figures.moved, "let_go": let_go, "waiting": len(moving.waiting)}
-        return told | {"failing": moving.failing} | self.resending.figures()
-
-    async def ask(self, name: str, told: dict[str, Any], who: str) -> dict[str, Any]:
+        """The service's state, for the control socket."""
+        transfer = self.journal_transfer
+        discarded = transfer.counts.discarded
+        return {
+            "moved": transfer.counts.moved,
+            "let_go": {"never_ran": discarded[False], "may_have_run": discarded[True]},
+            "waiting": len(transfer.pending),
+            "failing": transfer.last_error,
+            **self.resend_scheduler.state_summary(),
+        }
+
+    async def execute(self, operation: str, arguments: dict[str, Any], actor: str) -> dict[str, Any]:
         """Do an operation on the store (operations.py).
 
-        Raises Busy, OperationError, StoreError, sqlite3.Error.
+        Raises StoreBusyError, OperationError, StoreError, sqlite3.Error.
         """
-        worker = self.reader if name in operations.READS else self.writer
-        return dict(await self._done(worker, lambda store: operations.done(store, name, told, who)))
+        worker = self._reader if operation in operations.READS else self._writer
+        return dict(
+            await self._run(worker, lambda store: operations.execute(store, operation, arguments, actor))
+        )
 
-    async def _done(self, worker: Worker, job: Job) -> Any:
-        waiter: asyncio.Future[Any] = self.loop.create_future()
+    async def _run(self, worker: StoreWorker, job: Job) -> Any:
+        """The job's result. Raises StoreBusyError, and whatever the job raises."""
+        future: asyncio.Future[Any] = self._loop.create_future()
 
         def done(result: Any) -> None:
-            if waiter.done():  # whoever asked has gone away
+            if future.done():  # nobody waits any longer
                 return
             if isinstance(result, Exception):
-                waiter.set_exception(result)
+                future.set_exception(result)
             else:
-                waiter.set_result(result)
+                future.set_result(result)
 
         if not worker.submit(job, done):
             raise StoreBusyError("the queue to the store is full")
-        return await waiter
+        return await future
 
     async def maintain(self) -> None:
         """Drop from time to time what is over age, also where nothing new comes."""
         while True:
             try:
-                tell_dropped(await self._done(self.writer, Store.make_room))
-                await self._done(self.writer, Store.tidy)
-            except Exception as error:  # the store is opened again with the next job
+                log_dropped(await self._run(self._writer, Store.enforce_limits))
+                await self._run(self._writer, Store.reclaim_space)
+            except Exception as error:
                 log.error("dead-letter.store-failed", error=str(error), key=str(error))
-            await asyncio.sleep(CARE)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_SECONDS)
 
     async def stop(self) -> None:
-        """Write what is on its way, for a bounded time; the rest stays in the journal."""
+        """Finish what is queued, for a bounded time; the rest stays in the journal."""
         await asyncio.gather(
-            *(asyncio.to_thread(worker.stop, PATIENCE) for worker in (self.writer, self.reader))
+            *(
+                asyncio.to_thread(worker.stop, QUEUE_TIMEOUT_SECONDS)
+                for worker in (self._writer, self._reader)
+            )
         )
--- a/honeyhitch/dead_letters/settings.py
+++ b/honeyhitch/dead_letters/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets up for undelivered messages, as typed values; lifecycle/config reads the file."""
+"""What an operator sets up for undelivered messages, as typed values; config/dead_letters.py reads them."""
 
 from __future__ import annotations
 
@@ -6,11 +6,9 @@
 from enum import Enum
 from pathlib import Path
 
-SECOND = 10**9  # ns
-DAY = 24 * 3600 * SECOND
+from honeyhitch.time_units import DAY, SECOND
 
-
-SETS = ("destinations", "classes", "tenants", "fronts", "endings", "reasons")  # what a rule matches by
+MATCHED_SETS = ("destinations", "classes", "tenants", "frontends", "endings", "reasons")  # of a rule
 
 
 class Action(Enum):
@@ -23,63 +21,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One `[[undelivered.rule]]`. An empty set matches anything; spans are nanoseconds."""
+    """One `[[undelivered.rule]]`. An empty set matches anything; durations are nanoseconds."""
 
     name: str
     action: Action
     destinations: frozenset[int] = frozenset()
     classes: frozenset[str] = frozenset()
     tenants: frozenset[str] = frozenset()
-    fronts: frozenset[str] = frozenset()
+    frontends: frozenset[str] = frozenset()
     endings: frozenset[str] = frozenset()
     reasons: frozenset[str] = frozenset()
-    may_have_run: bool | None = None
-    older_than: int = 0  # since the message's end
-    most_times: int = 3  # resends of one record
-    most_age: int = DAY  # since it came
-    healthy: int = 60 * SECOND  # for which the partner must have been healthy first
-    pause: int = 60 * SECOND  # after a resend that failed; doubled with each further one
-    rate: float = 1.0  # resends a second by this rule
+    may_have_executed: bool | None = None
+    min_age: int = 0  # since the message's end
+    max_resends: int = 3  # of one record
+    max_age: int = DAY  # since the message was accepted
+    min_healthy_duration: int = 60 * SECOND  # for which the destination must have been healthy
+    retry_pause: int = 60 * SECOND  # after a resend that failed; doubled with each further one
+    rate_per_second: float = 1.0  # resends by this rule
 
     def covers(self, later: Rule) -> bool:
-        """Whether whatever the later one matches is taken by this one, which stands before it."""
-        for name in SETS:
-            wide, narrow = getattr(self, name), getattr(later, name)
-            if wide and (not narrow or not narrow <= wide):
+        """Whether this rule, which stands earlier, applies to whatever the later one matches."""
+        for name in MATCHED_SETS:
+            own: frozenset[object] = getattr(self, name)
+            others: frozenset[object] = getattr(later, name)
+            if own and (not others or not others <= own):
                 return False
-        ran = self.may_have_run in (None, later.may_have_run)
-        return ran and self.older_than <= later.older_than
+        same_execution = self.may_have_executed in (None, later.may_have_executed)
+        return same_execution and self.min_age <= later.min_age
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What holds for every resend. Spans are nanoseconds."""
+class ResendSettings:
+    """What holds for every resend. Durations are nanoseconds."""
 
-    grace: int = 30 * SECOND  # after the time told to a client, in which its copy is still looked for
-    elsewhere: bool = True  # a client's copy may go to another dispatcher, where it is not seen
-    memory: int = DAY  # for which a message with the same key counts as a copy
-    share: float = 0.1  # of the slots, and of the partner's part, that resends may take
+    client_retry_grace: int = 30 * SECOND  # after a client's retry time, in which its duplicate is expected
+    duplicates_elsewhere: bool = (
+        True  # a client's duplicate may go to another dispatcher, where it is not seen
+    )
+    duplicate_retention: int = DAY  # for which a message with the same key counts as a duplicate
+    capacity_fraction: float = 0.1  # of the call slots and of a destination's quota that resends may take
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """How much the store may hold; what is over is dropped, settled records first."""
+class StoreLimits:
+    """How much the store may hold; what is over is dropped, resolved records first."""
 
-    size: int = 256_000_000  # bytes of records as stored
-    count: int = 100_000
-    age: int = 90 * DAY  # ns since a message's end
+    max_bytes: int = 256_000_000  # of records as stored
+    max_records: int = 100_000
+    max_age: int = 90 * DAY  # ns since a message's end
 
 
 @dataclass(frozen=True, slots=True)
 class DeadLetterSettings:
     """The table `[undelivered]`."""
 
-    folder: Path | None = None  # `undelivered` in the state folder where it is not set
-    limits: Limits = field(default_factory=Limits)
-    compress_from: int = 512  # bytes of a body
-    rules: tuple[Rule, ...] = ()  # the first that matches counts
-    terms: Terms = field(default_factory=Terms)
+    directory: Path | None = None  # `undelivered` in the state directory where it is not set
+    limits: StoreLimits = field(default_factory=StoreLimits)
+    compress_min_bytes: int = 512  # of a body
+    rules: tuple[Rule, ...] = ()  # the first that matches applies
+    resend_settings: ResendSettings = field(default_factory=ResendSettings)
 
-    def at(self, state: Path) -> Path:
+    def directory_in(self, state_directory: Path) -> Path:
         """Where the store is."""
-        return self.folder if self.folder is not None else state / "undelivered"
+        return self.directory if self.directory is not None else state_directory / "undelivered"
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -14,88 +14,106 @@
 from honeyhitch.dead_letters.store import Store
 
 log = logs.get()
-TOGETHER = 64  # jobs in one transaction at most
+MAX_BATCH_JOBS = 64  # in one transaction
+MAX_QUEUED_JOBS = 1024
 Job = Callable[[Store], Any]
-Done = Callable[[Any], None]  # given what the job returned, or the exception that it ended with
+JobCallback = Callable[[Any], None]  # given the job's result, or the exception that it ended with
 
 
-class Worker:
-    """One thread, one store, and a bounded queue of jobs; `post` has something done on the event loop."""
+class StoreWorker:
+    """One thread, one store, and a bounded queue of jobs; `post` runs a callback on the event loop."""
 
     def __init__(
-        self, open_store: Callable[[], Store], post: Callable[[Callable[[], None]], object], most: int = 1024
+        self,
+        open_store: Callable[[], Store],
+        post: Callable[[Callable[[], None]], object],
+        max_jobs: int = MAX_QUEUED_JOBS,
     ) -> None:
-        self.open_store, self.post = open_store, post
-        self.jobs: queue.Queue[tuple[Job, Done] | None] = queue.Queue(most)
-        self.store: Store | None = None
-        self.thread = threading.Thread(target=self._run, name="undelivered", daemon=True)
-        self.thread.start()
-
-    def submit(self, job: Job, done: Done) -> bool:
-        """Have it done; False if the queue is full. `done` is called on the loop in any case then."""
+        self._open_store = open_store
+        self._post = post
+        self._jobs: queue.Queue[tuple[Job, JobCallback] | None] = queue.Queue(max_jobs)
+        self._store: Store | None = None
+        self._thread = threading.Thread(target=self._run, name="undelivered", daemon=True)
+        self._thread.start()
+
+    def submit(self, job: Job, done: JobCallback) -> bool:
+        """Queue a job; `done` is called on the loop in any case then. Returns False if the queue is full."""
         try:
-            self.jobs.put_nowait((job, done))
+            self._jobs.put_nowait((job, done))
         except queue.Full:
             return False
         return True
 
-    def stop(self, seconds: float) -> None:
-        """Do what is in the queue, within this time, and end."""
+    def stop(self, timeout_seconds: float) -> None:
+        """Finish the queued jobs within this time, and end the thread."""
         try:
-            self.jobs.put(None, timeout=seconds)
+            self._jobs.put(None, timeout=timeout_seconds)
         except queue.Full:
             return
-        self.thread.join(seconds)
+        self._thread.join(timeout_seconds)
 
     # In the thread.
 
     def _run(self) -> None:
-        ending = False
-        while not ending:
-            batch = [self.jobs.get()]
-            while len(batch) < TOGETHER:
-                try:
-                    batch.append(self.jobs.get_nowait())
-                except queue.Empty:
-                    break
-            ending = None in batch
-            self._do([one for one in batch if one is not None])
+        stopping = False
+        while not stopping:
+            batch = self._next_batch()
+            stopping = None in batch
+            self._run_batch([queued for queued in batch if queued is not None])
         self._close()
 
-    def _do(self, batch: list[tuple[Job, Done]]) -> None:
+    def _next_batch(self) -> list[tuple[Job, JobCallback] | None]:
+        """Wait for a job, and take what is queued behind it; None stands for the end."""
+        batch = [self._jobs.get()]
+        while len(batch) < MAX_BATCH_JOBS:
+            try:
+                batch.append(self._jobs.get_nowait())
+            except queue.Empty:
+                break
+        return batch
+
+    def _run_batch(self, batch: list[tuple[Job, JobCallback]]) -> None:
         try:
-            results = self._together([job for job, _ in batch])
-        except Exception as error:  # whatever it is, it must reach whoever waits, and not end the thread
-            if len(batch) > 1:  # one of them may be at fault: each for itself
-                for one in batch:
-                    self._do([one])
+            results = self._run_in_transaction([job for job, _ in batch])
+        except Exception as error:
+            if len(batch) > 1:  # one of them may be at fault: each in a transaction of its own
+                for queued in batch:
+                    self._run_batch([queued])
                 return
-            if not isinstance(error, (StoreError, sqlite3.Error, OSError)):
-                log.error("dead-letter.job-failed", exc_info=error)
-            if isinstance(error, (sqlite3.DatabaseError, OSError)):
-                self._close()  # opened anew for the next one
+            self._handle_failure(error)
             results = [error]
         for (_, done), result in zip(batch, results, strict=True):
-            self._tell(done, result)
+            self._report(done, result)
+
+    def _handle_failure(self, error: Exception) -> None:
+        if not isinstance(error, (StoreError, sqlite3.Error, OSError)):
+            log.error("dead-letter.job-failed", exc_info=error)
+        if isinstance(error, (sqlite3.DatabaseError, OSError)):
+            self._close()  # opened anew for the next job
 
-    def _together(self, jobs: list[Job]) -> list[Any]:
-        if self.store is not None and not self.store.there():
+    def _run_in_transaction(self, jobs: list[Job]) -> list[Any]:
+        if self._store is not None and not self._store.is_in_place():
             self._close()
-        if self.store is None and jobs:
-            self.store = self.open_store()
-        if self.store is None or self.store.lock < 0:
-            return [job(self.store) for job in jobs] if self.store is not None else []
-        with self.store.at_once():
-            return [job(self.store) for job in jobs]
-
-    def _tell(self, done: Done, result: Any) -> None:
+        if not jobs:
+            return []
+        if self._store is None:
+            self._store = self._open_store()
+        store = self._store
+        if not store.writable:
+            return [job(store) for job in jobs]
+        with store.transaction():
+            return [job(store) for job in jobs]
+
+    def _report(self, done: JobCallback, result: Any) -> None:
         with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
-            self.post(lambda: done(result))
+            self._post(lambda: done(result))
 
     def _close(self) -> None:
-        if self.store is not None:
-            store, self.store = self.store, None
-            try:
-                store.close()
-            except sqlite3.Error as error:
-                log.warning("dead-letter.store-close-failed", error=str(error))
+        if self._store is None:
+            return
+        store = self._store
+        self._store = None
+        try:
+            store.close()
+        except sqlite3.Error as error:
+            log.warning("dead-letter.store-close-failed", error=str(error))
--- a/honeyhitch/service/descriptors.py
+++ b/honeyhitch/service/descriptors.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from honeyhitch.config import FIXED_SOCKETS, Config
+from honeyhitch.config import RESERVED_DESCRIPTORS, Config
 
 BESIDE_SOCKETS = 16  # connections at once to the agent-check, and as many to health and to management
 CONTROL_FILES, STORE_FILES = 10, 10  # descriptors: a listener and its connections; database, log, lock
@@ -27,9 +27,13 @@
     listeners = (beside.agent_check, beside.health, config.management)
     others = BESIDE_SOCKETS * sum(address is not None for address in listeners)
     others += CONTROL_FILES if beside.control is not None else 0
-    others += STORE_FILES if beside.undelivered is not None else 0
+    others += STORE_FILES if beside.dead_letters is not None else 0
     others += beside.fleet.peer_connections + FLEET_FILES if beside.fleet is not None else 0
-    left = config.limits.sockets - config.settings.max_concurrent_calls - processes * (FIXED_SOCKETS + others)
+    left = (
+        config.limits.sockets
+        - config.settings.max_concurrent_calls
+        - processes * (RESERVED_DESCRIPTORS + others)
+    )
     left //= processes
     most_idle = max(1, left // 4)
     return DescriptorBudget(max(1, left - most_idle), most_idle)
--- a/honeyhitch/service/features.py
+++ b/honeyhitch/service/features.py
@@ -61,7 +61,7 @@
     carrier = MqttTransport(setup, service.dispatcher, service.scheduler, service.tasks, way)
     service.dispatcher.frontends["mqtt"], service.dispatcher.transports["mqtt"] = front, carrier
     pool = service.dispatcher.pool
-    for told in setup.members:
+    for told in setup.endpoints:
         kind = pool.kinds.index(told.kind)
         zone = pool.zones.index(told.zone) if told.zone in pool.zones else 0
         member = PoolEndpoint(told.id, told.topic, told.destination, kind, zone, told.rate, transport="mqtt")
@@ -76,7 +76,7 @@
     if not listen:
         raise ConfigError("fleet: cannot be had by a library's dispatcher, which nothing is handed in to")
     set_aside = 2 * MOST_SAVED  # the view's file, and the one that takes its place
-    if service.config.limits.disk < 2 * set_aside:
+    if service.config.limits.disk_bytes < 2 * set_aside:
         raise ConfigError(f"limits.disk_mb: expected {2 * set_aside / 1e6:g} at least with [fleet]")
     service.journal.max_bytes -= set_aside
     rng = Random(service.config.seed ^ 0xF1EE7)
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -58,10 +58,10 @@
         try:
             self.journal = Journal(
                 config.state,
-                config.limits.disk,
+                config.limits.disk_bytes,
                 self.scheduler.now,
                 lambda ended: max(longest, REDELIVERY) if ended.frontend == "mqtt" else longest,
-                detailed=config.operator.undelivered is not None,
+                detailed=config.operator.dead_letters is not None,
                 file_name=self.state_directory.journal_path(self.state_directory.slot).name,
             )
         except (JournalVersionError, OSError) as error:
@@ -97,8 +97,8 @@
         self.fleet: FleetService | None = None
         if config.operator.fleet is not None:
             optional_parts.add_fleet(self, config.operator.fleet, listen)
-        if config.operator.undelivered is not None:
-            optional_parts.add_undelivered(self, config.operator.undelivered)
+        if config.operator.dead_letters is not None:
+            optional_parts.add_undelivered(self, config.operator.dead_letters)
 
     @staticmethod
     def _hold(config: Config, listen: bool) -> StateDirectory:
@@ -155,7 +155,7 @@
         if self.fleet is not None:
             self.fleet.restore()
         try:
-            dispatcher.apply_list_update(dispatcher.pool.update(config.known, cached=True))
+            dispatcher.apply_list_update(dispatcher.pool.update(config.known_endpoints, cached=True))
         except PoolError as error:
             log.warning("list.known-rejected", error=str(error))
         self.handover.begin()
@@ -165,7 +165,7 @@
             self._refuse_beside()
         if self.dead_letters is not None:  # what is handed in may be a copy of what is kept
             dispatcher.accepting = False
-            self.dead_letters.begin(self._resume)
+            self.dead_letters.start(self._resume)
         else:
             self._resume()
         if listen:
@@ -210,7 +210,7 @@
     def _refuse_beside(self) -> None:
         """What two processes cannot have at once yet: a store, a socket in the folder, a broker's session."""
         operator = self.config.operator
-        told: dict[str, object] = {"undelivered": operator.undelivered, "control": operator.control}
+        told: dict[str, object] = {"undelivered": operator.dead_letters, "control": operator.control}
         told |= {"mqtt": operator.mqtt, "fleet": operator.fleet}  # each process would use the whole share
         for key, setup in told.items():
             if setup is not None:
@@ -218,14 +218,14 @@
 
     def _take_rules(self, new: Config) -> None:
         """Rules for undelivered messages change at once; the rest of that table holds from a start on."""
-        told = new.operator.undelivered
-        if self.dead_letters is None or told is None or self.config.operator.undelivered is None:
+        told = new.operator.dead_letters
+        if self.dead_letters is None or told is None or self.config.operator.dead_letters is None:
             return
-        if told.rules != self.config.operator.undelivered.rules:
-            self.dead_letters.resending.replace_rules(told.rules)
+        if told.rules != self.config.operator.dead_letters.rules:
+            self.dead_letters.resend_scheduler.replace_rules(told.rules)
             log.info("reload.rules-replaced", rules=len(told.rules))
-        beside = replace(self.config.operator.undelivered, rules=told.rules)
-        self.config = replace(self.config, operator=replace(self.config.operator, undelivered=beside))
+        beside = replace(self.config.operator.dead_letters, rules=told.rules)
+        self.config = replace(self.config, operator=replace(self.config.operator, dead_letters=beside))
 
     def _resume(self) -> None:
         self.dispatcher.accepting = not self.dispatcher.draining and self.dispatcher.sending
@@ -236,7 +236,7 @@
         from honeyhitch.transports.control import ControlServer, ControlSocketError
 
         try:
-            self.control = ControlServer(setup.at(self.config.state), self.commands, self.tasks)
+            self.control = ControlServer(setup.path_in(self.config.state), self.commands, self.tasks)
         except ControlSocketError as error:  # messages are served all the same
             log.error("control.not-opened", error=str(error))
             return
--- a/honeyhitch/simulator_host.py
+++ b/honeyhitch/simulator_host.py
@@ -12,7 +12,7 @@
 from honeyhitch import logs
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.instance import SettingsReader
-from honeyhitch.config.values import decimal, pick, whole
+from honeyhitch.config.values import parse_choice, parse_integer, parse_number
 from honeyhitch.policy.actions import (
     Action,
     Cancel,
@@ -67,7 +67,7 @@
 
 
 def _opt(text: str, name: str) -> int:
-    return 0 if text == "-" else whole(text, name)
+    return 0 if text == "-" else parse_integer(text, name)
 
 
 class Instance:
@@ -113,8 +113,8 @@
                 return
             if head != "tick" or len(parts) != 2:
                 raise WireError(f"expected 'tick CLOCK NUMBER', got {line[:80]!r}")
-            now = whole(parts[0], "clock")
-            whole(parts[1], "batch number")
+            now = parse_integer(parts[0], "clock")
+            parse_integer(parts[1], "batch number")
             if now < self.clock:
                 raise WireError("clock: expected a time not before the last batch's")
             self.clock, self.tick = now, (now, parts[1])
@@ -149,10 +149,10 @@
         if len(parts) < 2:
             raise WireError("power_on: expected an instance, a seed and settings")
         try:
-            settings = SettingsReader.of_words(parts[2:]).settings()
+            settings = SettingsReader.from_pairs(parts[2:]).settings()
         except (ConfigError, ValueError) as error:
             raise WireError(f"power_on: {error}") from error
-        brain = DeliveryPolicy(settings, whole(parts[1], "seed"))
+        brain = DeliveryPolicy(settings, parse_integer(parts[1], "seed"))
         self.instances[parts[0]] = Instance(brain, settings.report_fields)
         self.touched[parts[0]] = None
 
@@ -162,7 +162,7 @@
         self.touched.pop(parts[0], None)
 
     def _ledger(self, parts: list[str]) -> None:
-        page, count = whole(parts[0], "page"), whole(parts[1], "hosts")
+        page, count = parse_integer(parts[0], "page"), parse_integer(parts[1], "hosts")
         if not 0 <= page < PAGES or count < 0:
             raise WireError(f"ledger: expected a page from 0 to {PAGES - 1} and a count, got {page} {count}")
         self.pages[page] = ()
@@ -175,9 +175,9 @@
         entries.append(
             EndpointListing(
                 endpoint=parts[0],
-                listed_rate=decimal(parts[1], "scale"),
+                listed_rate=parse_number(parts[1], "scale"),
                 zone=_opt(parts[2], "az"),
-                status=pick(STATUSES, parts[3], "status"),
+                status=parse_choice(STATUSES, parts[3], "status"),
                 destination=_opt(parts[5], "belongs-to"),
                 kind=_opt(parts[6], "machine"),
             )
@@ -187,11 +187,11 @@
             self.pages[page] = tuple(entries)
 
     def _membership(self, parts: list[str]) -> None:
-        mode = pick(MODES, parts[1], "mode")
+        mode = parse_choice(MODES, parts[1], "mode")
         if mode is UpdateMode.FAILED:
             self._add(parts[0], EndpointListUpdate(mode))
             return
-        page = whole(parts[2], "page")
+        page = parse_integer(parts[2], "page")
         if page not in self.pages:
             raise WireError(f"membership: expected the page of an earlier ledger, got {page}")
         self._add(parts[0], EndpointListUpdate(mode, self.pages[page]))
@@ -201,26 +201,26 @@
         event = NewMessage(
             message=parts[1],
             tenant=_opt(parts[2], "team"),
-            ordering_key=None if parts[3] == "-" else whole(parts[3], "target-key"),
-            time_left=whole(parts[4], "time-budget"),
-            class_index=whole(parts[5], "class"),
+            ordering_key=None if parts[3] == "-" else parse_integer(parts[3], "target-key"),
+            time_left=parse_integer(parts[4], "time-budget"),
+            class_index=parse_integer(parts[5], "class"),
             expected_work=_opt(parts[6], "work") if marks & WORK_VALID else 0,
-            destination=whole(parts[7], "terminates-at"),
+            destination=parse_integer(parts[7], "terminates-at"),
             recovered_from_journal=bool(marks & CAME_AGAIN),
         )
         self._add(parts[0], event)
 
     def _returned(self, parts: list[str]) -> None:
-        outcome = pick(OUTCOMES, parts[4], "outcome")
+        outcome = parse_choice(OUTCOMES, parts[4], "outcome")
         wait = _opt(parts[7], "wait-ms") * NS_PER_MS if outcome is Outcome.REJECTED else 0
         told = dict(zip(self._known(parts[0]).report_fields, self._row(parts[8]), strict=False))
         event = AttemptEnded(
             message=parts[1],
-            attempt=whole(parts[2], "shot"),
+            attempt=parse_integer(parts[2], "shot"),
             endpoint=parts[3],
             outcome=outcome,
-            elapsed=whole(parts[5], "rtt"),
-            message_concluded=pick({"1": True, "0": False}, parts[6], "settled"),
+            elapsed=parse_integer(parts[5], "rtt"),
+            message_concluded=parse_choice({"1": True, "0": False}, parts[6], "settled"),
             retry_after=wait,
             limit_remaining=told.get("x0", 1.0),
             rate_limit=told.get("x1", 0.0),
@@ -229,12 +229,12 @@
 
     @staticmethod
     def _row(text: str) -> tuple[float, ...]:
-        return () if text == "-" else tuple(decimal(word, "pressure") for word in text.split(","))
+        return () if text == "-" else tuple(parse_number(word, "pressure") for word in text.split(","))
 
     def _health_result(self, parts: list[str]) -> None:
         self._known(parts[0])
-        pick(OUTCOMES, parts[2], "outcome")
-        whole(parts[3], "rtt")
+        parse_choice(OUTCOMES, parts[2], "outcome")
+        parse_integer(parts[3], "rtt")
 
     def _commit(self) -> None:
         assert self.tick is not None
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -134,9 +134,13 @@
         self.fields = MessageFields(
             dispatcher.settings, dispatcher.pool.has_destination, dispatcher.metrics.message_invalid
         )
-        self.intake = Session(f"{setup.client_id}-intake", setup.session_expiry, setup.keep_alive, anew=False)
+        self.intake = Session(
+            f"{setup.client_id}-intake", setup.session_expiry_seconds, setup.keep_alive_seconds, anew=False
+        )
         self.intake.subscriptions, self.intake.on_publish = [setup.intake], self._taken
-        self.replies = Session(f"{setup.client_id}-answers", setup.session_expiry, setup.keep_alive)
+        self.replies = Session(
+            f"{setup.client_id}-answers", setup.session_expiry_seconds, setup.keep_alive_seconds
+        )
         for session in (self.intake, self.replies):
             session.username, session.password = setup.username, setup.password
         self.links = [
@@ -205,7 +209,7 @@
         way: BrokerConnector | None = None,
     ) -> None:
         self.dispatcher, self.scheduler = dispatcher, scheduler
-        self.session = Session(f"{setup.client_id}-calls", 0, setup.keep_alive)
+        self.session = Session(f"{setup.client_id}-calls", 0, setup.keep_alive_seconds)
         self.session.username, self.session.password = setup.username, setup.password
         self.link = BrokerLink(setup.broker, self.session, tasks, way)
         self.running: dict[Call, Outgoing | None] = {}
--- a/tests/keeping_rig.py
+++ b/tests/dead_letters_rig.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from honeyhitch.dead_letters.journal_transfer import JournalTransfer
-from honeyhitch.dead_letters.settings import Limits, Terms
+from honeyhitch.dead_letters.settings import ResendSettings, StoreLimits
 from honeyhitch.dead_letters.store import Store
-from honeyhitch.dead_letters.worker import Done, Job
+from honeyhitch.dead_letters.worker import Job, JobCallback
 from honeyhitch.journal import journal as journal_module
 from honeyhitch.journal.journal import Journal
 
@@ -60,12 +60,12 @@
     points = Points()
 
     @contextlib.contextmanager
-    def at_once(self) -> Iterator[None]:
-        if self.db.in_transaction:
+    def transaction(self) -> Iterator[None]:
+        if self.database.in_transaction:
             yield
             return
         self.points.strike()
-        with super().at_once():
+        with super().transaction():
             yield
             self.points.strike()
         self.points.strike()
@@ -79,16 +79,16 @@
         self.store: Store | None = None
         self.broken: Exception | None = None
 
-    def submit(self, job: Job, done: Done) -> bool:
+    def submit(self, job: Job, done: JobCallback) -> bool:
         self.time.call_at(self.time.time, lambda: self._do(job, done))
         return True
 
-    def _do(self, job: Job, done: Done) -> None:
+    def _do(self, job: Job, done: JobCallback) -> None:
         try:
             if self.broken is not None:
                 raise self.broken
             self.store = self.store or self.open_store()
-            with self.store.at_once():
+            with self.store.transaction():
                 result = job(self.store)
         except Exception as error:
             result = error
@@ -103,13 +103,13 @@
 class KeepingStand(Stand):
     """A stand with a store. `points` decides where it is killed."""
 
-    terms = Terms()
+    terms = ResendSettings()
 
     def __init__(
         self, folder: Path, time: VirtualTime | None = None, points: Points | None = None, **more: Any
     ) -> None:
         self.folder, self.points = folder, points or Points()
-        self.limits: Limits = more.pop("limits", Limits())
+        self.limits: StoreLimits = more.pop("limits", StoreLimits())
         super().__init__(folder, time, **more)
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
@@ -120,7 +120,7 @@
 
     def _store(self) -> Store:
         folder = self.folder / "undelivered"
-        store = KilledStore(folder, self.limits, clock=self.time.now, terms=self.terms)
+        store = KilledStore(folder, self.limits, clock=self.time.now, resend_settings=self.terms)
         store.points = self.points
         return store
 
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -14,16 +14,16 @@
 from typing import Any
 
 from honeyhitch.dead_letters import rules
-from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.filters import RecordFilter
 from honeyhitch.dead_letters.records import Record
-from honeyhitch.dead_letters.resending import ResendScheduler
-from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, Rule, Terms
+from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
+from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, ResendSettings, Rule
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.settings import Idempotency
 
-from .keeping_rig import KeepingStand, Killed, Points
+from .dead_letters_rig import KeepingStand, Killed, Points
 from .rig import NAMED, VirtualTime
 from .world import SECOND
 
@@ -45,8 +45,15 @@
     ),
 )
 SAFE, KEYED, UNSAFE = range(3)
-RULE = Rule("all", Action.RESEND, most_times=50, healthy=2 * SECOND, pause=2 * SECOND, rate=20.0)
-TERMS = Terms(grace=8 * SECOND, elsewhere=False)
+RULE = Rule(
+    "all",
+    Action.RESEND,
+    max_resends=50,
+    min_healthy_duration=2 * SECOND,
+    retry_pause=2 * SECOND,
+    rate_per_second=20.0,
+)
+TERMS = ResendSettings(client_retry_grace=8 * SECOND, duplicates_elsewhere=False)
 MODES = (
     "deliver", "refuse", "reset-before", "reset-after", "late", "late-lost", "500-after", "500-before",
     "spoilt", "part",
@@ -84,7 +91,7 @@
         rng: random.Random,
         points: Points | None = None,
         rule: tuple[Rule, ...] = (RULE,),
-        terms: Terms = TERMS,
+        terms: ResendSettings = TERMS,
         **more: Any,
     ) -> None:
         self.partner, self.rng, self.rule, self.terms = partner, rng, rule, terms
@@ -97,9 +104,9 @@
 
     def prepare(self) -> None:
         super().prepare()
-        setup = DeadLetterSettings(rules=self.rule, terms=self.terms)
+        setup = DeadLetterSettings(rules=self.rule, resend_settings=self.terms)
         self.resending = ResendScheduler(setup, self.core, self.time, self.worker.submit)
-        self.moving.after.append(self.resending.kept)
+        self.moving.stored_listeners.append(self.resending.records_stored)
         self.core.accepting = False
 
     def resume(self) -> None:
@@ -107,7 +114,7 @@
             self.core.accepting = True
             self.core.recover()
 
-        self.resending.begin(ready)
+        self.resending.load(ready)
 
     def start(self, call: Call) -> None:
         super().start(call)
@@ -164,11 +171,13 @@
 def plans(stand: ResendStand, found: list[Record]) -> dict[str, rules.Plan]:
     """What the rules say of each record now."""
     now, longest = stand.time.now(), {cls.name: cls.latency_objective for cls in CLASSES}
-    return {one.id: rules.plan(one, stand.rule, stand.terms, now, longest[one.cls]) for one in found}
+    return {
+        one.id: rules.plan_record(one, stand.rule, stand.terms, now, longest[one.class_name]) for one in found
+    }
 
 
 def records(stand: ResendStand) -> list[Record]:
-    found = stand.store.page(Filter(), most=1000)
+    found = stand.store.page(RecordFilter(), limit=1000)
     assert not [one.fault for one in found if one.fault]
     return [one.record for one in found]
 
@@ -239,11 +248,11 @@
         """What the rules would still have resent, or what is on its way and does not end."""
         found = records(self.stand)
         told = plans(self.stand, found)
-        moving = (rules.Step.RESEND, rules.Step.LATER)
+        moving = (rules.Step.RESEND, rules.Step.POSTPONE)
         return [
-            f"{one.id} {one.standing.value} {told[one.id].reason}"
+            f"{one.id} {one.status.value} {told[one.id].reason}"
             for one in found
-            if one.standing.value == "sending" or told[one.id].step in moving
+            if one.status.value == "sending" or told[one.id].step in moving
         ]
 
 
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -144,7 +144,7 @@
         clients, idle = budget(read, processes)
         assert clients > 0
         assert idle > 0
-        each = clients + idle + config.FIXED_SOCKETS
+        each = clients + idle + config.RESERVED_DESCRIPTORS
         assert processes * each + read.settings.max_concurrent_calls <= sockets or (clients, idle) == (1, 1)
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -98,10 +98,10 @@
 
 
 def test_both_forms_give_the_same_settings() -> None:
-    nested = config.SettingsReader.of_nested(SETTINGS)
+    nested = config.SettingsReader.from_nested(SETTINGS)
     words = [f"{path}={value}" for path, value in nested.values.items()]
     settings = nested.settings()
-    assert config.SettingsReader.of_words(words).settings() == settings
+    assert config.SettingsReader.from_pairs(words).settings() == settings
     assert (settings.max_messages, settings.kinds[0].max_messages_per_call, settings.kinds[1].name) == (
         50,
         20,
@@ -120,7 +120,7 @@
     told = config.read_operator(str(ROOT / "deploy" / "mqtt.toml"), "n", _named(read, "small-partner"), {})
     assert told.mqtt is not None
     assert "print-shop" in operator
-    assert told.mqtt.members[0].destination == 7
+    assert told.mqtt.endpoints[0].destination == 7
 
 
 def test_the_shipped_tls_file_is_sound(tmp_path: Path) -> None:
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from honeyhitch.dead_letters.filters import Filter
-from honeyhitch.dead_letters.records import OPEN, RecordStatus
+from honeyhitch.dead_letters.filters import RecordFilter
+from honeyhitch.dead_letters.records import UNRESOLVED, RecordStatus
 from honeyhitch.journal.transactions import Ending, Transaction
 
-from .keeping_rig import Killed, Points
+from .dead_letters_rig import Killed, Points
 from .resend_world import UNSAFE, Partner, ResendStand
 from .rig import VirtualTime
 from .world import SECOND
@@ -68,18 +68,18 @@
             assert self.answers.setdefault(one.id, one.ending) is one.ending, f"{one.id}: two answers"
 
     def check(self) -> None:
-        found = [one.record for one in self.stand.store.page(Filter(), most=100)]
+        found = [one.record for one in self.stand.store.page(RecordFilter(), limit=100)]
         applied = self.partner.ledger.get("k", [])
         assert len(applied) <= 1, "applied twice"
-        assert len([one for one in found if one.standing in OPEN]) <= 1, "a message stands twice"
+        assert len([one for one in found if one.status in UNRESOLVED]) <= 1, "a message stands twice"
         assert not self.stand.core.messages.by_id
         assert not self.stand.core.messages.pending_dead_letters
-        assert not self.stand.resending.under_way
-        assert not any(self.stand.resending.parked.values())
+        assert not self.stand.resending.resends_in_progress
+        assert not any(self.stand.resending.waiting_duplicates.values())
         assert list(self.stand.store.verify()) == []
-        settled = [one for one in found if one.standing is RecordStatus.SETTLED]
+        settled = [one for one in found if one.status is RecordStatus.SETTLED]
         done = settled or Ending.DELIVERED in self.answers.values()
-        doubt = [one for one in found if one.standing is RecordStatus.KEPT and one.may_have_run]
+        doubt = [one for one in found if one.status is RecordStatus.PENDING and one.may_have_executed]
         if "m" in self.answers or found:
             assert done or doubt, "neither settled nor in doubt"
         if applied and not done:
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -19,11 +19,11 @@
 
 from honeyhitch import config
 from honeyhitch.cli.main import main
-from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.filters import RecordFilter
 from honeyhitch.dead_letters.records import RecordStatus
-from honeyhitch.dead_letters.report import Fate, Report
-from honeyhitch.dead_letters.resending import ResendScheduler
-from honeyhitch.dead_letters.settings import Terms
+from honeyhitch.dead_letters.report import Disposition, Report
+from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
+from honeyhitch.dead_letters.settings import ResendSettings
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.service.service import run
 from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
@@ -173,7 +173,7 @@
     except Exception:
         return []
     try:
-        return [one.record for one in store.page(Filter())]
+        return [one.record for one in store.page(RecordFilter())]
     finally:
         store.close()
 
@@ -239,7 +239,7 @@
 def test_verify_names_what_was_altered(tmp_path: Path) -> None:
     where = filled(tmp_path / "s", 3)
     store = Store(tmp_path / "s")
-    store.db.execute("UPDATE detail SET body = 'other' WHERE seq = 2")
+    store.database.execute("UPDATE detail SET body = 'other' WHERE seq = 2")
     store.close()
     assert "record 2 (" in cli(tmp_path, *where, "verify", code=1)
     assert "ALTERED" in cli(tmp_path, *where, "list")
@@ -282,27 +282,27 @@
     store.add(
         [
             record(body=body, tenant="<b>one</b>"),
-            record(body=body, ran=True, effect="unsafe", destination=2),
-            record(
-                body=b'{"invoice": {"total": "4.5"}}', standing=RecordStatus.SETTLED, settled_by="resend:x"
-            ),
-            record(
-                body=b'{"invoice": {"total": 1e99}}', standing=RecordStatus.SETTLED, settled_by="person:me"
-            ),
-            record(body=b"no JSON", standing=RecordStatus.DISCARDED),
-            record(body=body, standing=RecordStatus.REPLACED),
+            record(body=body, ran=True, idempotency="unsafe", destination=2),
+            record(body=b'{"invoice": {"total": "4.5"}}', status=RecordStatus.SETTLED, settled_by="resend:x"),
+            record(body=b'{"invoice": {"total": 1e99}}', status=RecordStatus.SETTLED, settled_by="person:me"),
+            record(body=b"no JSON", status=RecordStatus.DISCARDED),
+            record(body=body, status=RecordStatus.REPLACED),
             record(body=body, destination=10),
         ]
     )
-    store.db.execute("UPDATE record SET tenant = 'other' WHERE seq = 7")
-    told = Report(Terms(), START, "invoice.total")
-    told.add(store.all(Filter()))
+    store.database.execute("UPDATE record SET tenant = 'other' WHERE seq = 7")
+    told = Report(ResendSettings(), START, "invoice.total")
+    told.add(store.iterate(RecordFilter()))
     store.close()
-    sums = {fate: (cell.count, str(cell.amount), cell.without) for fate, cell in told.total.items()}
+    sums = {fate: (cell.count, str(cell.amount), cell.without_amount) for fate, cell in told.total.items()}
     assert sums == {
-        Fate.SAFE: (1, "10.25", 0), Fate.NOT_SAFE: (1, "10.25", 0), Fate.RESENT: (1, "4.5", 0),
-        Fate.SETTLED: (1, "0", 1), Fate.DISCARDED: (1, "0", 1), Fate.ALTERED: (1, "0", 1),
-    }  # fmt: skip
+        Disposition.SAFE: (1, "10.25", 0),
+        Disposition.NOT_SAFE: (1, "10.25", 0),
+        Disposition.RESENT: (1, "4.5", 0),
+        Disposition.SETTLED: (1, "0", 1),
+        Disposition.DISCARDED: (1, "0", 1),
+        Disposition.ALTERED: (1, "0", 1),
+    }
     assert told.replaced == 1
     assert set(told.groups["destination"]) == {"1", "2", "10"}
     out = tmp_path / "report.html"
@@ -353,8 +353,14 @@
         agent = await Agent(members).start()
         store = Store(tmp_path / "state" / "undelivered")
         now = time.time_ns()
-        told = {"ended_at": now, "came_at": now, "tries": (), "ending": "rejected", "body": b"body of copy"}
-        store.add([record(id="m1", key="k-copy", **told)])
+        fields: dict[str, Any] = {
+            "ended_at": now,
+            "accepted_at": now,
+            "attempts": (),
+            "ending": "rejected",
+            "body": b"body of copy",
+        }
+        store.add([record(id="m1", key="k-copy", **fields)])
         held = RULES.replace("resend", "hold").replace("healthy = 0\n", "")
         rules = held if first == "copy" else RULES  # the rule comes later where the client is first
         store.close()
@@ -385,7 +391,7 @@
                 await client.until(1)
                 assert client.answers["copy"][0]["status"] == "delivered"
             folder = tmp_path / "state" / "undelivered"
-            await until(lambda: [one.standing for one in kept(folder)] == [RecordStatus.SETTLED])
+            await until(lambda: [one.status for one in kept(folder)] == [RecordStatus.SETTLED])
         client.paho.disconnect()
         client.paho.loop_stop()
         (one,) = kept(tmp_path / "state" / "undelivered")
@@ -399,7 +405,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     held: list[Any] = []
-    monkeypatch.setattr(ResendScheduler, "begin", lambda self, ready: held.append(ready))
+    monkeypatch.setattr(ResendScheduler, "load", lambda _self, on_ready: held.append(on_ready))
     management = free_port()
 
     async def asked(port: int, line: bytes) -> bytes:
