--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from honeyhitch.dead_letters import operations, resends, rules
+from honeyhitch.dead_letters import operations, resend_store, rules
 from honeyhitch.dead_letters.duplicate_index import DuplicateIndex
-from honeyhitch.dead_letters.eligibility import Decision, Verdict
+from honeyhitch.dead_letters.eligibility import ResendDecision, Verdict
 from honeyhitch.dead_letters.records import Record, RecordStatus
-from honeyhitch.dead_letters.resending import ResendScheduler
+from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
 from honeyhitch.dead_letters.settings import Action, Rule
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dispatcher.ports import ArrivalDecision
@@ -35,11 +35,11 @@
     assert told.kills == len(kills)
     assert told.doubled() == []
     assert told.unsettled() == []
-    assert not told.stand.resending.under_way
-    assert not told.stand.resending.parked
+    assert not told.stand.resending.resends_in_progress
+    assert not told.stand.resending.waiting_duplicates
     assert not told.stand.journal.messages.pending_dead_letters
     assert not told.stand.core.messages.by_id
-    assert not told.stand.resending.copies.live
+    assert not told.stand.resending.duplicates.live_counts
     assert list(told.stand.store.verify()) == []
     told.stand.gone()
 
@@ -48,19 +48,22 @@
     return ArrivalDecision.DELIVER
 
 
-def any_resend(*_: Any) -> Decision:
-    return Decision(Verdict.RESEND, "always")
+def any_resend(*_: Any) -> ResendDecision:
+    return ResendDecision(Verdict.RESEND, "always")
 
 
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "copies go out beside a resend": [(DuplicateIndex, "came", always)],
+    "copies go out beside a resend": [(DuplicateIndex, "decide_arrival", always)],
     "a resend begins beside a copy": [
         (DuplicateIndex, "blocked", lambda *_: False),
-        (DuplicateIndex, "came", always),
+        (DuplicateIndex, "decide_arrival", always),
     ],
     "a delivered copy settles nothing": [(ResendScheduler, "settles_dead_letter", lambda *_: False)],
-    "a copy that failed stands beside the first": [(Store, "_same_key", lambda *_: [])],
-    "what may have run goes again": [(rules, "decide", any_resend), (resends, "past_of", lambda _: None)],
+    "a copy that failed stands beside the first": [(Store, "unresolved_duplicates", lambda *_: [])],
+    "what may have run goes again": [
+        (rules, "decide_resend", any_resend),
+        (resend_store, "earlier_execution", lambda _: None),
+    ],
 }
 
 
@@ -111,12 +114,12 @@
         return next(one for one in records(self.stand) if one.id == name)
 
     def audit(self, name: str) -> list[str]:
-        return [row["what"] for row in self.stand.store.audit(self.record(name).seq)]
+        return [stored.entry.action for stored in self.stand.store.audit_page(self.record(name).sequence)]
 
     def until_sending(self, name: str) -> Record:
         for _ in range(2000):
             self.run(0.2)
-            if (one := self.record(name)).standing is RecordStatus.SENDING:
+            if (one := self.record(name)).status is RecordStatus.RESENDING:
                 return one
         raise AssertionError("no resend began")
 
@@ -133,18 +136,18 @@
 def test_a_resend_is_a_fresh_request_with_the_same_key(tmp_path: Path) -> None:
     one = One(tmp_path)
     record = one.fail("m", cls=UNSAFE)
-    assert not record.may_have_run
-    assert record.told_again is not None
+    assert not record.may_have_executed
+    assert record.client_retry_at is not None
     one.run(100)
     settled = one.record("m")
-    assert settled.standing is RecordStatus.SETTLED
+    assert settled.status is RecordStatus.SETTLED
     assert settled.settled_by == f"resend:{settled.resend_id}"
     (sent,) = [part for part in one.stand.sent if part.id == settled.resend_id]
     assert (sent.key, sent.body, sent.class_index, sent.frontend) == ("k", b"body", UNSAFE, "resend")
     assert sent.deadline > record.deadline
     assert sent.id != "m"
     assert one.audit("m") == ["resend", "settled"]
-    assert len(settled.tries) == len(record.tries) + 1
+    assert len(settled.attempts) == len(record.attempts) + 1
     assert one.partner.ledger["k"]
     assert len(one.partner.ledger["k"]) == 1
 
@@ -162,16 +165,16 @@
     one = One(tmp_path)
     one.fail("m", mode, cls=cls)
     one.run(80)
-    assert (one.record("m").standing is RecordStatus.SETTLED) == resent
+    assert (one.record("m").status is RecordStatus.SETTLED) == resent
     assert len(one.partner.ledger.get("k", [])) <= 1 or cls == SAFE
 
 
 def test_a_keyed_one_is_not_resent_after_its_window(tmp_path: Path) -> None:
-    one = One(tmp_path, terms=dataclasses.replace(TERMS, grace=100 * SECOND))
+    one = One(tmp_path, terms=dataclasses.replace(TERMS, client_retry_grace=100 * SECOND))
     one.fail("m", "500-after")
     one.run(300)
-    assert one.record("m").standing is RecordStatus.KEPT
-    assert one.record("m").resends == 0
+    assert one.record("m").status is RecordStatus.PENDING
+    assert one.record("m").resend_count == 0
     assert len(one.partner.ledger["k"]) == 1
 
 
@@ -180,19 +183,19 @@
     one.fail("m", "reset-before", cls=UNSAFE)
     one.run(60)
     told = {"verb": "release", "why": "letter 7: not applied", "filter": {"id": "m"}}
-    with one.stand.store.at_once():
-        operations.done(one.stand.store, "change", told, "anna")
+    with one.stand.store.transaction():
+        operations.execute(one.stand.store, "change", told, "anna")
     one.stand.modes = ("reset-before",)
     one.run(60)
     record = one.record("m")
-    assert record.resends == 1
-    assert record.standing is RecordStatus.KEPT
+    assert record.resend_count == 1
+    assert record.status is RecordStatus.PENDING
     assert record.evidence == ""
-    assert record.first_ran is not None
-    assert record.first_ran > record.ended_at
+    assert record.first_possible_execution is not None
+    assert record.first_possible_execution > record.ended_at
     one.stand.modes = ("deliver",)
     one.run(200)
-    assert one.record("m").resends == 1, "the evidence was of the attempts before it"
+    assert one.record("m").resend_count == 1, "the evidence was of the attempts before it"
     assert one.audit("m") == ["release", "resend", "resend-ended"]
 
 
@@ -200,22 +203,22 @@
     one = One(tmp_path, rule=())
     one.fail("m")
     one.run(60)
-    assert one.record("m").standing is RecordStatus.KEPT
+    assert one.record("m").status is RecordStatus.PENDING
     told = {"verb": "resend", "why": "the customer called", "filter": {"id": "m"}}
-    with one.stand.store.at_once():
-        operations.done(one.stand.store, "change", told, "anna")
+    with one.stand.store.transaction():
+        operations.execute(one.stand.store, "change", told, "anna")
     one.run(30)
-    assert one.record("m").standing is RecordStatus.SETTLED
+    assert one.record("m").status is RecordStatus.SETTLED
     assert one.audit("m") == ["resend", "resend", "settled"]
 
 
 def test_what_a_client_was_told_to_bring_again_waits_for_it(tmp_path: Path) -> None:
     one = One(tmp_path)
     record = one.fail("m")
-    assert record.told_again is not None
-    while one.record("m").standing is RecordStatus.KEPT:
+    assert record.client_retry_at is not None
+    while one.record("m").status is RecordStatus.PENDING:
         one.run(0.2)
-    assert one.stand.time.now() >= record.told_again + TERMS.grace
+    assert one.stand.time.now() >= record.client_retry_at + TERMS.client_retry_grace
 
 
 @pytest.mark.parametrize("cls", [SAFE, KEYED, UNSAFE])
@@ -266,7 +269,7 @@
     one.run(3)
     one.stand.modes = (ends,)
     while one.stand.core.messages.by_id.get("copy") is not None:
-        assert one.record("m").standing is RecordStatus.KEPT
+        assert one.record("m").status is RecordStatus.PENDING
         one.run(0.2)
     one.stand.modes = ("deliver",)
     one.run(120)
@@ -275,8 +278,8 @@
     if ends == "deliver":
         assert one.record("m").settled_by == "copy:copy"
     else:
-        assert one.record("m").standing is RecordStatus.REPLACED
-        assert one.record("copy").standing is (RecordStatus.KEPT if ends == "late" else RecordStatus.SETTLED)
+        assert one.record("m").status is RecordStatus.REPLACED
+        assert one.record("copy").status is (RecordStatus.PENDING if ends == "late" else RecordStatus.SETTLED)
 
 
 def test_a_copy_that_comes_after_the_resend_takes_its_end_also_after_a_start(tmp_path: Path) -> None:
@@ -314,9 +317,9 @@
     assert one.stand.core.submit(other).accepted
     one.run(100)
     record = one.record("m")
-    assert record.standing is RecordStatus.KEPT
-    assert record.may_have_run
-    assert record.resends == 0
+    assert record.status is RecordStatus.PENDING
+    assert record.may_have_executed
+    assert record.resend_count == 0
     assert one.audit("m") == ["key-used"]
 
 
@@ -333,8 +336,8 @@
     assert one.answers()["copy"] is Ending.FAILED, "the resend may run yet"
     one.stand.modes = ("deliver",)
     one.run(100)
-    assert one.record("copy").standing is RecordStatus.REPLACED
-    assert one.record("m").standing is RecordStatus.KEPT
+    assert one.record("copy").status is RecordStatus.REPLACED
+    assert one.record("m").status is RecordStatus.PENDING
 
 
 def test_a_copy_that_is_withdrawn_while_it_waits(tmp_path: Path) -> None:
@@ -346,8 +349,8 @@
     one.stand.core.withdraw("copy")
     one.run(30)
     assert "copy" not in one.answers()
-    assert not one.stand.resending.copies.live
-    assert not any(one.stand.resending.parked.values())
+    assert not one.stand.resending.duplicates.live_counts
+    assert not any(one.stand.resending.waiting_duplicates.values())
 
 
 def test_what_was_called_off_before_it_went_out_is_as_it_was(tmp_path: Path) -> None:
@@ -361,7 +364,7 @@
     assert one.answers()["copy"] is Ending.DELIVERED
     assert one.record("m").settled_by == "copy:copy"
     assert len(one.partner.ledger["k"]) == 1
-    assert one.stand.resending.pacing.out == 0
+    assert one.stand.resending.pacing.resends_in_flight == 0
 
 
 def test_a_journal_that_was_lost_makes_a_resend_one_that_may_have_run(tmp_path: Path) -> None:
@@ -373,8 +376,8 @@
     (tmp_path / "journal").unlink()
     one.stand = ResendStand(tmp_path, one.stand.time, one.partner, random.Random(2))
     one.run(100)
-    assert one.record("m").standing is RecordStatus.KEPT
-    assert one.record("m").may_have_run
+    assert one.record("m").status is RecordStatus.PENDING
+    assert one.record("m").may_have_executed
     assert one.audit("m") == ["resend", "resend-lost"]
 
 
@@ -389,7 +392,7 @@
     assert held.ending is Ending.DELIVERED
     one.stand.worker.broken = None
     one.run(70)
-    assert one.record("m").standing is RecordStatus.SETTLED
+    assert one.record("m").status is RecordStatus.SETTLED
     assert not one.stand.core.messages.by_id
     assert len(one.partner.ledger["k"]) == 1
 
@@ -401,12 +404,12 @@
     one.until_sending("m0")
     one.stand.resending.replace_rules((Rule("none", Action.HOLD),))
     one.run(100)
-    standings = [one.record(f"m{i}").standing.value for i in range(6)]
+    standings = [one.record(f"m{i}").status.value for i in range(6)]
     assert standings.count("settled") <= 2
     assert "sending" not in standings
     one.stand.resending.replace_rules((Rule("gone", Action.DISCARD, destinations=frozenset({1})),))
     one.run(60)
-    assert {one.record(f"m{i}").standing.value for i in range(6)} <= {"settled", "discarded"}
+    assert {one.record(f"m{i}").status.value for i in range(6)} <= {"settled", "discarded"}
     one.stand.resending.replace_rules((RULE,))
     one.run(60)
     assert all(len(times) == 1 for times in one.partner.ledger.values())
@@ -416,7 +419,7 @@
     one = One(tmp_path)
     for i in range(12):
         one.fail(f"m{i}", key=f"k{i}", cls=UNSAFE)
-    while not any(one.record(f"m{i}").standing is RecordStatus.SETTLED for i in range(12)):
+    while not any(one.record(f"m{i}").status is RecordStatus.SETTLED for i in range(12)):
         one.run(0.2)
     one.stand.modes = ("refuse",)
     one.run(40)
@@ -425,7 +428,7 @@
     assert len(one.stand.sent) - before <= 12 * 5, "a partner that is out is tried at growing gaps"
     one.stand.modes = ("deliver",)
     one.run(1500)
-    assert all(one.record(f"m{i}").standing is RecordStatus.SETTLED for i in range(12))
+    assert all(one.record(f"m{i}").status is RecordStatus.SETTLED for i in range(12))
     assert all(len(times) == 1 for times in one.partner.ledger.values())
 
 
@@ -435,8 +438,8 @@
     told = {"revision": 2, "complete": False, "members": [row("s-1", 1, phase="Terminating")]}
     one.stand.core.apply_list_update(one.stand.core.pool.update(told))
     one.run(100)
-    assert one.record("m").resends == 0
-    assert one.record("m").standing is RecordStatus.KEPT
+    assert one.record("m").resend_count == 0
+    assert one.record("m").status is RecordStatus.PENDING
     assert destination_health(one.stand.core.policy, 1, one.stand.time.now()) == DestinationHealth(
         False, True, False, 0, False, 0, 0, 0
     )
@@ -445,6 +448,6 @@
 def test_the_class_of_a_record_that_is_no_more_is_held(tmp_path: Path) -> None:
     one = One(tmp_path)
     one.fail("m", cls=SAFE)
-    one.stand.resending.longest.pop("safe")
+    one.stand.resending.resend_durations.pop("safe")
     one.run(100)
-    assert one.record("m").standing is RecordStatus.KEPT
+    assert one.record("m").status is RecordStatus.PENDING
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -9,10 +9,10 @@
 import pytest
 
 from honeyhitch import config
-from honeyhitch.dead_letters.pacing import MOST_GAP, QUIET, Pacing, Rates
+from honeyhitch.dead_letters.pacing import MAX_PROBE_INTERVAL, MIN_PROBE_INTERVAL, ResendPacing, RuleRates
 from honeyhitch.dead_letters.records import Record, RecordStatus
-from honeyhitch.dead_letters.rules import Step, plan
-from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, Rule, Terms
+from honeyhitch.dead_letters.rules import Step, plan_record
+from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, ResendSettings, Rule
 from honeyhitch.policy.health import DestinationHealth
 
 from .program import write
@@ -21,13 +21,13 @@
 from .world import SECOND
 
 NOW = START + 100 * SECOND
-HERE = Terms(grace=10 * SECOND, elsewhere=False)
-AWAY = dataclasses.replace(HERE, elsewhere=True)
-RESEND = Rule("r", Action.RESEND, pause=10 * SECOND)
+HERE = ResendSettings(client_retry_grace=10 * SECOND, duplicates_elsewhere=False)
+AWAY = dataclasses.replace(HERE, duplicates_elsewhere=True)
+RESEND = Rule("r", Action.RESEND, retry_pause=10 * SECOND)
 
 
-def told(one: Record, *rules: Rule, terms: Terms = HERE, now: int = NOW) -> tuple[str, str]:
-    found = plan(one, rules, terms, now, SECOND)
+def told(one: Record, *rules: Rule, terms: ResendSettings = HERE, now: int = NOW) -> tuple[str, str]:
+    found = plan_record(one, rules, terms, now, SECOND)
     return found.step.value, found.reason
 
 
@@ -35,29 +35,41 @@
     ("changes", "rule", "expected"),
     [
         ({}, RESEND, ("resend", "never-ran")),
-        ({"standing": RecordStatus.SENDING}, RESEND, ("nothing", "sending")),
-        ({"standing": RecordStatus.SETTLED}, RESEND, ("nothing", "settled")),
+        ({"status": RecordStatus.RESENDING}, RESEND, ("nothing", "sending")),
+        ({"status": RecordStatus.SETTLED}, RESEND, ("nothing", "settled")),
         ({}, dataclasses.replace(RESEND, action=Action.HOLD), ("nothing", "held-by-rule")),
         ({}, dataclasses.replace(RESEND, action=Action.DISCARD), ("discard", "discarded-by-rule")),
         ({}, dataclasses.replace(RESEND, destinations=frozenset({2})), ("nothing", "no-rule")),
         ({}, dataclasses.replace(RESEND, destinations=frozenset({1, 2})), ("resend", "never-ran")),
         ({}, dataclasses.replace(RESEND, tenants=frozenset({"other"})), ("nothing", "no-rule")),
-        ({}, dataclasses.replace(RESEND, may_have_run=True), ("nothing", "no-rule")),
-        ({}, dataclasses.replace(RESEND, older_than=101 * SECOND), ("later", "no-rule")),
-        ({"resends": 3}, RESEND, ("nothing", "resent-often-enough")),
-        ({"resends": 1, "changed_at": NOW - 9 * SECOND}, RESEND, ("later", "paused")),
-        ({"resends": 2, "changed_at": NOW - 19 * SECOND}, RESEND, ("later", "paused")),
-        ({"resends": 2, "changed_at": NOW - 20 * SECOND}, RESEND, ("resend", "never-ran")),
-        ({}, dataclasses.replace(RESEND, most_age=100 * SECOND), ("nothing", "too-old")),
-        ({"told_again": NOW - 9 * SECOND}, RESEND, ("later", "told-to-come-again")),
-        ({"first_ran": NOW - 3 * SECOND}, RESEND, ("resend", "inside-window")),
-        ({"first_ran": NOW - 5 * SECOND}, RESEND, ("nothing", "window-over")),
-        ({"first_ran": NOW - SECOND, "zoned": True}, RESEND, ("nothing", "key-not-known-there")),
-        ({"first_ran": NOW, "effect": "unsafe"}, RESEND, ("nothing", "unsafe-may-have-run")),
-        ({"first_ran": NOW, "effect": "unsafe", "evidence": "x"}, RESEND, ("resend", "released")),
-        ({"asked": "me: x", "resends": 9}, RESEND, ("resend", "never-ran")),
+        ({}, dataclasses.replace(RESEND, may_have_executed=True), ("nothing", "no-rule")),
+        ({}, dataclasses.replace(RESEND, min_age=101 * SECOND), ("later", "no-rule")),
+        ({"resend_count": 3}, RESEND, ("nothing", "resent-often-enough")),
+        ({"resend_count": 1, "changed_at": NOW - 9 * SECOND}, RESEND, ("later", "paused")),
+        ({"resend_count": 2, "changed_at": NOW - 19 * SECOND}, RESEND, ("later", "paused")),
+        ({"resend_count": 2, "changed_at": NOW - 20 * SECOND}, RESEND, ("resend", "never-ran")),
+        ({}, dataclasses.replace(RESEND, max_age=100 * SECOND), ("nothing", "too-old")),
+        ({"client_retry_at": NOW - 9 * SECOND}, RESEND, ("later", "told-to-come-again")),
+        ({"first_possible_execution": NOW - 3 * SECOND}, RESEND, ("resend", "inside-window")),
+        ({"first_possible_execution": NOW - 5 * SECOND}, RESEND, ("nothing", "window-over")),
         (
-            {"asked": "me: x", "first_ran": NOW, "effect": "unsafe"},
+            {"first_possible_execution": NOW - SECOND, "zone_scoped": True},
+            RESEND,
+            ("nothing", "key-not-known-there"),
+        ),
+        (
+            {"first_possible_execution": NOW, "idempotency": "unsafe"},
+            RESEND,
+            ("nothing", "unsafe-may-have-run"),
+        ),
+        (
+            {"first_possible_execution": NOW, "idempotency": "unsafe", "evidence": "x"},
+            RESEND,
+            ("resend", "released"),
+        ),
+        ({"resend_request": "me: x", "resend_count": 9}, RESEND, ("resend", "never-ran")),
+        (
+            {"resend_request": "me: x", "first_possible_execution": NOW, "idempotency": "unsafe"},
             RESEND,
             ("nothing", "unsafe-may-have-run"),
         ),
@@ -71,27 +83,27 @@
     ("changes", "expected"),
     [
         ({}, ("resend", "never-ran")),
-        ({"told_again": START}, ("nothing", "window-over")),
-        ({"told_again": START, "effect": "safe"}, ("resend", "safe")),
-        ({"told_again": START, "effect": "unsafe"}, ("nothing", "copy-unseen")),
-        ({"came_again": True, "effect": "unsafe"}, ("nothing", "copy-unseen")),
-        ({"told_again": START, "effect": "unsafe", "evidence": "x"}, ("resend", "released")),
-        ({"told_again": START, "window": 200 * SECOND}, ("resend", "inside-window")),
+        ({"client_retry_at": START}, ("nothing", "window-over")),
+        ({"client_retry_at": START, "idempotency": "safe"}, ("resend", "safe")),
+        ({"client_retry_at": START, "idempotency": "unsafe"}, ("nothing", "copy-unseen")),
+        ({"recovered_from_journal": True, "idempotency": "unsafe"}, ("nothing", "copy-unseen")),
+        ({"client_retry_at": START, "idempotency": "unsafe", "evidence": "x"}, ("resend", "released")),
+        ({"client_retry_at": START, "deduplication_window": 200 * SECOND}, ("resend", "inside-window")),
     ],
 )
 def test_where_copies_may_go_elsewhere(changes: dict[str, Any], expected: tuple[str, str]) -> None:
     assert told(record(**changes), RESEND, terms=AWAY) == expected
-    if "told_again" in changes:  # a copy that has no key is never seen
+    if "client_retry_at" in changes:  # a copy that has no key is never seen
         assert told(record(**changes, key=""), RESEND) == expected
 
 
 def test_the_first_rule_that_matches_counts_and_an_older_one_ripens() -> None:
-    old = Rule("old", Action.DISCARD, older_than=200 * SECOND)
+    old = Rule("old", Action.DISCARD, min_age=200 * SECOND)
     assert told(record(), old, RESEND) == ("resend", "never-ran")
     assert told(record(), old, RESEND, now=START + 200 * SECOND) == ("discard", "discarded-by-rule")
-    held = plan(record(), (old, Rule("h", Action.HOLD)), HERE, NOW, SECOND)
-    assert held.step is Step.LATER
-    assert held.at == START + 200 * SECOND
+    held = plan_record(record(), (old, Rule("h", Action.HOLD)), HERE, NOW, SECOND)
+    assert held.step is Step.POSTPONE
+    assert held.retry_at == START + 200 * SECOND
 
 
 # How they are read.
@@ -118,7 +130,7 @@
 
 
 def read(folder: Path, text: str, **more: Any) -> DeadLetterSettings:
-    found = config.read({}, *write(folder, 6379, 8500, [], text, **more)).operator.undelivered
+    found = config.read({}, *write(folder, 6379, 8500, [], text, **more)).operator.dead_letters
     assert found is not None
     return found
 
@@ -127,11 +139,15 @@
     setup = read(tmp_path, GOOD)
     first, second = setup.rules
     assert (first.name, first.destinations, first.classes) == ("one", frozenset({1}), frozenset({"standard"}))
-    assert (first.may_have_run, first.rate, first.healthy) == (False, 2.0, SECOND // 2)
-    assert (second.name, second.action, second.older_than) == ("rule 1", Action.DISCARD, 3600 * SECOND)
-    assert setup.terms.share == 0.2
-    assert not setup.terms.elsewhere
-    assert setup.at(tmp_path) == tmp_path / "undelivered"
+    assert (first.may_have_executed, first.rate_per_second, first.min_healthy_duration) == (
+        False,
+        2.0,
+        SECOND // 2,
+    )
+    assert (second.name, second.action, second.min_age) == ("rule 1", Action.DISCARD, 3600 * SECOND)
+    assert setup.resend_settings.capacity_fraction == 0.2
+    assert not setup.resend_settings.duplicates_elsewhere
+    assert setup.directory_in(tmp_path) == tmp_path / "undelivered"
 
 
 RULE = '[undelivered]\n[[undelivered.rule]]\naction = "resend"\n'
@@ -178,8 +194,8 @@
 
 
 def test_with_several_instances_copies_go_anywhere_unless_told_otherwise(tmp_path: Path) -> None:
-    assert not read(tmp_path, "[undelivered]").terms.elsewhere
-    assert Terms().elsewhere
+    assert not read(tmp_path, "[undelivered]").resend_settings.duplicates_elsewhere
+    assert ResendSettings().duplicates_elsewhere
 
 
 # How fast they may go.
@@ -192,26 +208,26 @@
 
 
 def test_the_share_of_slots_and_pace() -> None:
-    pacing = Pacing(0.1, 40)
-    assert pacing.most == 4
-    assert pacing.room(1, WELL, NOW) == 1, "one at a time until one has passed"
-    pacing.began(1, NOW)
-    assert pacing.room(1, WELL, NOW + SECOND) == 0
-    pacing.passed(1)
-    assert pacing.room(1, WELL, NOW + SECOND) == 1, "a tenth of ten a second"
-    pacing.ended(1)
+    pacing = ResendPacing(0.1, 40)
+    assert pacing.max_concurrent_resends == 4
+    assert pacing.available_resends(1, WELL, NOW) == 1, "one at a time until one has passed"
+    pacing.resend_started(1, NOW)
+    assert pacing.available_resends(1, WELL, NOW + SECOND) == 0
+    pacing.call_delivered(1)
+    assert pacing.available_resends(1, WELL, NOW + SECOND) == 1, "a tenth of ten a second"
+    pacing.resend_ended(1)
     for i in range(20):
         now = NOW + 10 * SECOND + i * SECOND // 10
-        if pacing.room(1, WELL, now):
-            pacing.began(1, now)
-            pacing.ended(1)
-    assert pacing.lanes[1].left < 1, "no more than two that were saved up, and one a second"
+        if pacing.available_resends(1, WELL, now):
+            pacing.resend_started(1, now)
+            pacing.resend_ended(1)
+    assert pacing.destinations[1].tokens < 1, "no more than two that were saved up, and one a second"
     fast = changed(quota=10_000.0)
     for destination in range(2, 10):
-        room = pacing.room(destination, fast, NOW + 60 * SECOND)
+        room = pacing.available_resends(destination, fast, NOW + 60 * SECOND)
         for _ in range(room):
-            pacing.began(destination, NOW + 60 * SECOND)
-    assert pacing.out == 4
+            pacing.resend_started(destination, NOW + 60 * SECOND)
+    assert pacing.resends_in_flight == 4
 
 
 @pytest.mark.parametrize(
@@ -226,29 +242,29 @@
     ],
 )
 def test_when_none_may_start(condition: DestinationHealth) -> None:
-    assert Pacing(0.1, 40).room(1, condition, NOW) == 0
+    assert ResendPacing(0.1, 40).available_resends(1, condition, NOW) == 0
 
 
 def test_a_sick_partner_without_traffic_is_tried_at_growing_gaps() -> None:
-    pacing, now, tries = Pacing(0.1, 40), NOW, []
+    pacing, now, tries = ResendPacing(0.1, 40), NOW, []
     sick = changed(unhealthy=True, quota=0.0, last_sent_at=NOW)
     while now < NOW + 3600 * SECOND:
-        if pacing.room(1, sick, now):
+        if pacing.available_resends(1, sick, now):
             tries.append(now)
-            pacing.began(1, now)
-            pacing.ended(1)
+            pacing.resend_started(1, now)
+            pacing.resend_ended(1)
         now += SECOND
     gaps = [after - before for before, after in zip([NOW, *tries], tries, strict=False)]
-    assert gaps[0] == QUIET
+    assert gaps[0] == MIN_PROBE_INTERVAL
     assert gaps == sorted(gaps)
-    assert gaps[-1] == MOST_GAP
-    assert pacing.healthy(1, now) == 0
-    pacing.look(1, WELL, now)
-    assert pacing.healthy(1, now + 5 * SECOND) == 5 * SECOND
+    assert gaps[-1] == MAX_PROBE_INTERVAL
+    assert pacing.healthy_duration(1, now) == 0
+    pacing.observe(1, WELL, now)
+    assert pacing.healthy_duration(1, now + 5 * SECOND) == 5 * SECOND
 
 
 def test_a_rule_keeps_its_rate() -> None:
-    rates = Rates()
-    taken = sum(rates.take("r", 2.0, NOW + i * SECOND // 100) for i in range(1000))
+    rates = RuleRates()
+    taken = sum(rates.try_acquire("r", 2.0, NOW + i * SECOND // 100) for i in range(1000))
     assert 19 <= taken <= 22
-    assert sum(rates.take("slow", 0.01, NOW + i * SECOND) for i in range(250)) == 3
+    assert sum(rates.try_acquire("slow", 0.01, NOW + i * SECOND) for i in range(250)) == 3
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -8,12 +8,13 @@
 
 import pytest
 
-from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.filters import RecordFilter
+from honeyhitch.dead_letters.record_export import export_record
 from honeyhitch.dead_letters.records import Record
 from honeyhitch.journal.transactions import Ending
 from honeyhitch.policy.events import Outcome
 
-from .keeping_rig import KeepingStand, Killed, Points
+from .dead_letters_rig import KeepingStand, Killed, Points
 from .rig import VirtualTime
 from .world import SECOND
 
@@ -21,7 +22,7 @@
 
 
 def kept(stand: KeepingStand) -> list[Record]:
-    found = stand.store.page(Filter(), most=1000)
+    found = stand.store.page(RecordFilter(), limit=1000)
     assert not [one.fault for one in found if one.fault]
     return [one.record for one in found]
 
@@ -39,21 +40,26 @@
     began = stand.time.now()
     failed(stand, "a", Outcome.TIMEOUT, tenant=0, key="invoice-7")
     (record,) = kept(stand)
-    assert (record.id, record.key, record.cls, record.tenant) == ("a", "invoice-7", "standard", "studio")
-    assert (record.destination, record.front, record.body) == (1, "resp", b"body")
-    assert (record.ending, record.reason, record.effect) == (
+    assert (record.id, record.key, record.class_name, record.tenant) == (
+        "a",
+        "invoice-7",
+        "standard",
+        "studio",
+    )
+    assert (record.destination, record.frontend, record.body) == (1, "resp", b"body")
+    assert (record.ending, record.reason, record.idempotency) == (
         stand.answers[0].ending.value,
         "timeout",
         "keyed",
     )  # type: ignore[union-attr]
-    assert record.came_at == began
-    assert record.first_ran is not None
-    assert record.first_ran >= began
-    assert record.ended_at > record.came_at
+    assert record.accepted_at == began
+    assert record.first_possible_execution is not None
+    assert record.first_possible_execution >= began
+    assert record.ended_at > record.accepted_at
     assert record.deadline == began + 20 * SECOND
-    assert [one.number for one in record.tries] == list(range(len(stand.calls)))
-    assert {(one.endpoint, one.outcome) for one in record.tries} == {("s-1", "timeout")}
-    assert all(one.elapsed > 0 for one in record.tries)
+    assert [one.number for one in record.attempts] == list(range(len(stand.calls)))
+    assert {(one.endpoint, one.outcome) for one in record.attempts} == {("s-1", "timeout")}
+    assert all(one.elapsed > 0 for one in record.attempts)
     assert not stand.journal.messages.pending_dead_letters
     assert not stand.journal.messages.by_id
     assert not stand.journal.dead_letter_bytes
@@ -82,9 +88,9 @@
             stand.end(call, Outcome.REJECTED)
     stand.run(0.1)
     (record,) = kept(stand)
-    assert not record.may_have_run
-    assert record.tries[0].retry_after == 2 * SECOND
-    assert not [one["may_have_run"] for one in record.public()["attempts"] if one["may_have_run"]]
+    assert not record.may_have_executed
+    assert record.attempts[0].retry_after == 2 * SECOND
+    assert not [one["may_have_run"] for one in export_record(record)["attempts"] if one["may_have_run"]]
 
 
 def test_the_answer_is_not_held_back_for_the_store(tmp_path: Path) -> None:
@@ -110,14 +116,14 @@
         for call in stand.run(1):
             stand.end(call, Outcome.REJECTED)
     assert stand.journal.dead_letter_bytes <= 0.25 * 100_000
-    assert stand.moving.figures.let_go[False] > 0
-    assert stand.moving.figures.let_go[True] == 0
+    assert stand.moving.counts.discarded[False] > 0
+    assert stand.moving.counts.discarded[True] == 0
     assert "ran" in {one.id for one in stand.journal.messages.pending_dead_letters.values()}
     stand.worker.broken = None
     stand.run(120)
     left = {one.id for one in kept(stand)}
     assert "ran" in left
-    assert len(left) + stand.moving.figures.let_go[False] == 61
+    assert len(left) + stand.moving.counts.discarded[False] == 61
 
 
 def test_the_same_id_handed_in_again_later_is_another_record(tmp_path: Path) -> None:
