--- a/tests/test_dead_letters_record_codec.py
+++ b/tests/test_dead_letters_record_codec.py
@@ -1,4 +1,4 @@
-"""The sealed and exported forms of records and audit entries equal those of earlier releases, byte for byte."""
+"""The sealed and exported forms of records and audit entries equal earlier releases', byte for byte."""
 
 from __future__ import annotations
 
