--- a/benchmarks/fleet_watchers.py
+++ b/benchmarks/fleet_watchers.py
@@ -37,15 +37,15 @@
         settings = FleetSettings(name, zone, f"127.0.0.1:{port}", fleet_regions())
         self.fleet, self.in_force, self.has_view = Fleet(settings), list[float](), False
         self.makes_ranks = zone not in self.shared
-        for other, candidates in self.fleet._zones.items():
-            self.fleet._zones[other] = (
+        for other, candidates in self.fleet._zone_candidates.items():
+            self.fleet._zone_candidates[other] = (
                 self.shared.setdefault(other, candidates) if other == zone else candidates
             )
 
     def take(self, told: dict[str, Any]) -> None:
         """As a dispatcher's service does."""
         began = time.process_time()
-        self.fleet.take(told, time.time_ns())
+        self.fleet.apply_update(told, time.time_ns())
         if self.makes_ranks and not self.has_view:
             self.first_views.append(time.process_time() - began)
         self.has_view = True
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -282,7 +282,7 @@
             regions = self.regions
             given = FleetSettings(one.name, one.zone, "127.0.0.1:1", regions, partitions=self.partitions)
             one.fleet = Fleet(given)
-            one.fleet._zones = self.shared  # as each would compute them for itself
+            one.fleet._zone_candidates = self.shared  # as each would compute them for itself
             one.clock_off = self.rng.randint(-given.clock_skew // 2, given.clock_skew // 2)
             if saved is not None:
                 one.fleet.restore(saved, self._clock(one))
@@ -312,7 +312,7 @@
         if not with_folder:
             self.totals.lost_with_machine += len(one.held)
             one.held.clear()
-        return one.fleet.saved() if one.fleet is not None and with_folder else None
+        return one.fleet.snapshot() if one.fleet is not None and with_folder else None
 
     def _feed(self, one: Hollow, *events: Event) -> None:
         incarnation, sends = one.incarnation, dict[str, list[str]]()
@@ -442,8 +442,8 @@
         def read() -> None:
             if one.alive and one.incarnation == incarnation and one.fleet is not None:
                 before = one.fleet.view
-                one.fleet.take(told, self._clock(one))
-                lasts = one.fleet.lease_lasts(self._clock(one))
+                one.fleet.apply_update(told, self._clock(one))
+                lasts = one.fleet.lease_valid(self._clock(one))
                 if before is not one.fleet.view or lasts is not one.lease_lasted:
                     self._refresh(one)
                 if published is not None:
@@ -465,15 +465,15 @@
         """As the service does: the module is told of parts that changed, and what is lost is handed back."""
         assert one.fleet is not None
         now, entries, lost = self._clock(one), list[EndpointListing](), set[int]()
-        one.look_at, one.lease_lasted = one.fleet.next_change(now), one.fleet.lease_lasts(now)
+        one.look_at, one.lease_lasted = one.fleet.next_quota_change(now), one.fleet.lease_valid(now)
         for number in self.partners:
-            if not one.fleet.keeps(number):
+            if not one.fleet.is_candidate(number):
                 continue
             portion = one.fleet.quota_fraction(number, now)
             if portion != one.portions.get(number, 0.0):
                 one.portions[number] = portion
                 entries.append(EndpointListing(f"e{number}", number, listed_rate=LIMIT * portion))
-            if not portion and not one.fleet.awaits(number, now):
+            if not portion and not one.fleet.awaits_lease(number, now):
                 lost.add(number)
         if entries:
             self._feed(one, EndpointListUpdate(UpdateMode.CHANGES, tuple(entries)))
--- a/benchmarks/real_fleet.py
+++ b/benchmarks/real_fleet.py
@@ -78,7 +78,7 @@
 
     def _fleet(self, name: str) -> Fleet:
         fleet = Fleet(FleetSettings(name, self.zone, "127.0.0.1:1", fleet_regions()))
-        fleet.take({"revision": 1, "complete": True, "members": self.view}, 0)
+        fleet.apply_update({"revision": 1, "complete": True, "members": self.view}, 0)
         return fleet
 
     @contextlib.contextmanager
--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -22,56 +22,61 @@
 
 FORMATS = ("console", "json")
 LEVELS = ("debug", "info", "warning", "error")
-BURST, SPAN = 5, 10.0  # events of one name and key that pass, and the seconds after which as many pass again
-MOST_KEYS = 1024  # names and keys that are told apart; the one unheard for longest is forgotten first
+BURST_EVENTS, BURST_SECONDS = (
+    5,
+    10.0,
+)  # events of one name and key that pass, and the seconds after which as many pass again
+MAX_KEYS = 1024  # names and keys that are told apart; the one unheard for longest is forgotten first
 
 Event = structlog.typing.EventDict
 
 
 @dataclass(slots=True)
-class _Heard:
+class _EventCount:
     since: float
     passed: int = 0
     left_out: int = 0
 
 
-class Limiter:
+class EventLimiter:
     """Lets the first events of each name and key pass, and counts the rest; its clock gives seconds."""
 
-    def __init__(self, clock: Callable[[], float], burst: int = BURST, span: float = SPAN) -> None:
-        self.clock, self.burst, self.span = clock, burst, span
-        self.heard: OrderedDict[tuple[str, str], _Heard] = OrderedDict()
+    def __init__(
+        self, clock: Callable[[], float], burst: int = BURST_EVENTS, burst_seconds: float = BURST_SECONDS
+    ) -> None:
+        self.clock, self.burst, self.burst_seconds = clock, burst, burst_seconds
+        self.counts: OrderedDict[tuple[str, str], _EventCount] = OrderedDict()
 
     def __call__(self, logger: Any, method: str, event: Event) -> Event:
         """As a structlog processor: the event, or DropEvent for one too many."""
         now, name = self.clock(), (str(event.get("event", "")), str(event.get("key", "")))
-        one = self.heard.get(name)
-        if one is None or now - one.since >= self.span:
+        one = self.counts.get(name)
+        if one is None or now - one.since >= self.burst_seconds:
             left_out = one.left_out if one is not None else 0
-            one = self.heard[name] = _Heard(now)
+            one = self.counts[name] = _EventCount(now)
             if left_out:
                 event["left_out"] = left_out
-        self.heard.move_to_end(name)
-        if len(self.heard) > MOST_KEYS:
-            self.heard.popitem(last=False)
+        self.counts.move_to_end(name)
+        if len(self.counts) > MAX_KEYS:
+            self.counts.popitem(last=False)
         if one.passed >= self.burst:
             one.left_out += 1
             raise structlog.DropEvent
         one.passed += 1
         return event
 
-    def overdue(self, everything: bool = False) -> list[tuple[str, str, int]]:
+    def take_suppressed(self, everything: bool = False) -> list[tuple[str, str, int]]:
         """Names, keys and counts of what was left out and whose span has passed; each is told once."""
         now, told = self.clock(), []
-        for (name, key), one in list(self.heard.items()):
-            if everything or now - one.since >= self.span:
+        for (name, key), one in list(self.counts.items()):
+            if everything or now - one.since >= self.burst_seconds:
                 if one.left_out:
                     told.append((name, key, one.left_out))
-                del self.heard[name, key]
+                del self.counts[name, key]
         return told
 
 
-_limiter = Limiter(time.monotonic)
+_limiter = EventLimiter(time.monotonic)
 
 
 def setup(form: str = "console", level: str = "info", stream: TextIO | None = None) -> None:
@@ -84,7 +89,7 @@
     if level not in LEVELS:
         raise ValueError(f"log level: expected one of {', '.join(LEVELS)}, got {level!r}")
     global _limiter
-    _limiter = Limiter(time.monotonic)
+    _limiter = EventLimiter(time.monotonic)
     shape: list[structlog.typing.Processor]
     if form == "json":
         shape = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=str)]
@@ -114,7 +119,7 @@
 
 def flush(everything: bool = False) -> None:
     """Say of each name and key whose span has passed how many events were left out; at the end, of all."""
-    for name, key, count in _limiter.overdue(everything):
+    for name, key, count in _limiter.take_suppressed(everything):
         get().info(name, key=key, left_out=count)
 
 
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -27,9 +27,9 @@
 class RejectedError(Exception):
     """The message was not done; handing it in again after `come_back` seconds is harmless."""
 
-    def __init__(self, come_back: float) -> None:
-        super().__init__(f"rejected; come back after {come_back:g} s")
-        self.retry_after = come_back
+    def __init__(self, retry_after: float) -> None:
+        super().__init__(f"rejected; come back after {retry_after:g} s")
+        self.retry_after = retry_after
 
 
 class UndeliverableError(Exception):
@@ -44,11 +44,11 @@
             dispatcher,
             MessageFields(dispatcher.settings, dispatcher.pool.has_destination),
         )
-        self.waiting: dict[str, asyncio.Future[Transaction]] = {}
+        self.pending: dict[str, asyncio.Future[Transaction]] = {}
 
     def answer(self, transaction: Transaction) -> None:
         """A final answer; after a restart of the process nobody waits for it any more."""
-        waiter = self.waiting.pop(transaction.id, None)
+        waiter = self.pending.pop(transaction.id, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(transaction)
         self.dispatcher.answer_sent(transaction)
@@ -87,14 +87,14 @@
         A caller that is cancelled withdraws the message: nothing more is tried for it.
         """
         name = self.submit(destination, body, **more)
-        waiter = self.waiting[name] = asyncio.get_running_loop().create_future()
+        waiter = self.pending[name] = asyncio.get_running_loop().create_future()
         try:
             ended = await waiter
         except asyncio.CancelledError:
             self.dispatcher.withdraw(name)
             raise
         finally:
-            self.waiting.pop(name, None)
+            self.pending.pop(name, None)
         if ended.ending is Ending.REJECTED:
             raise RejectedError(ended.retry_after / SECOND)
         if ended.ending is not Ending.DELIVERED:
@@ -113,16 +113,16 @@
     def __init__(self, app: App, config: configuration.Config | None = None, listen: bool = False) -> None:
         self.app, self.config, self.listen = app, config, listen
         self.service: Service | None = None
-        self.front: AppFrontend | None = None
+        self.frontend: AppFrontend | None = None
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
         """One ASGI scope."""
         if scope["type"] == "lifespan":
             await self._lifespan(scope, receive, send)
             return
-        if self.front is None:
+        if self.frontend is None:
             raise RuntimeError("the dispatcher is not running: the server must run the lifespan")
-        scope.setdefault("state", {})["honeyhitch"] = self.front
+        scope.setdefault("state", {})["honeyhitch"] = self.frontend
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
@@ -151,10 +151,10 @@
         except BaseException:
             await service.close()
             raise
-        self.service, self.front = service, front
+        self.service, self.frontend = service, front
 
     async def _stop(self) -> None:
-        service, self.service, self.front = self.service, None, None
+        service, self.service, self.frontend = self.service, None, None
         if service is not None:
             await shutdown.drain_and_stop(service)
             await service.close()
@@ -169,7 +169,7 @@
             if message["type"] == "lifespan.startup":
                 asked = True
                 await self._start()
-                scope.setdefault("state", {})["honeyhitch"] = self.front
+                scope.setdefault("state", {})["honeyhitch"] = self.frontend
             return message
 
         async def inner_send(message: Message) -> None:
--- a/honeyhitch/partitioning/ownership.py
+++ b/honeyhitch/partitioning/ownership.py
@@ -16,10 +16,10 @@
 
 
 @lru_cache(maxsize=1 << 14)
-def partition_of(destination: int, partitions: int) -> int:
+def partition_of(destination: int, partition_count: int) -> int:
     """The partition of a destination."""
     text = b"destination %d" % destination
-    return int.from_bytes(blake2b(text, digest_size=HASH_BYTES).digest()) % partitions
+    return int.from_bytes(blake2b(text, digest_size=HASH_BYTES).digest()) % partition_count
 
 
 def rank(partition: int, name: str) -> Rank:
@@ -32,7 +32,7 @@
     """The candidates for each partition in one zone, kept up to date as instances join and leave."""
 
     def __init__(self, partitions: int, count: int) -> None:
-        self.partitions, self.count = partitions, count
+        self.partition_count, self.max_candidates = partitions, count
         self.names: frozenset[str] = frozenset()
         self._ranks: dict[int, tuple[Rank, ...]] = {}  # highest first; what was not asked for is not here
 
@@ -48,16 +48,18 @@
                 del self._ranks[partition]  # somebody from further down moves up
             elif joined:
                 merged = {*ranks, *(rank(partition, name) for name in joined)}
-                self._ranks[partition] = tuple(sorted(merged, reverse=True)[: self.count])
+                self._ranks[partition] = tuple(sorted(merged, reverse=True)[: self.max_candidates])
 
-    def of(self, partition: int) -> tuple[str, ...]:
+    def for_partition(self, partition: int) -> tuple[str, ...]:
         """The candidates for one partition, best first."""
         ranks = self._ranks.get(partition)
         if ranks is None:
             every = sorted((rank(partition, name) for name in self.names), reverse=True)
-            ranks = self._ranks[partition] = tuple(every[: self.count])
+            ranks = self._ranks[partition] = tuple(every[: self.max_candidates])
         return tuple(name for _, name in ranks)
 
     def partitions_of(self, name: str) -> frozenset[int]:
         """The partitions for which an instance is a candidate."""
-        return frozenset(partition for partition in range(self.partitions) if name in self.of(partition))
+        return frozenset(
+            partition for partition in range(self.partition_count) if name in self.for_partition(partition)
+        )
--- a/honeyhitch/partitioning/shares.py
+++ b/honeyhitch/partitioning/quotas.py
@@ -27,24 +27,24 @@
     reserved: bool = False
     leased: bool = False
 
-    def quota_fraction(self, reserve: float) -> float:
+    def quota_fraction(self, reserve_fraction: float) -> float:
         """The part of the share, 0 to 1."""
-        return reserve * self.reserved + (1 - reserve) * self.leased
+        return reserve_fraction * self.reserved + (1 - reserve_fraction) * self.leased
 
 
-NOTHING = HeldQuota()
+NO_QUOTA = HeldQuota()
 
 
 def held_quota(
-    settings: FleetSettings, candidates: Sequence[Instance], now: int, heard: int | None
+    settings: FleetSettings, candidates: Sequence[Instance], now: int, last_heartbeat: int | None
 ) -> HeldQuota:
     """What `settings.name` holds now, with the partition's candidates in its zone, best first, and the time
     at which the last heartbeat that it heard was issued. Times are Unix times in nanoseconds.
     """
-    if heard is None or not any(one.name == settings.name for one in candidates):
-        return NOTHING
-    reserve_lasts = now < heard + settings.reserve_lease - settings.clock_skew
-    lease_lasts = now < heard + settings.lease - settings.clock_skew
+    if last_heartbeat is None or not any(one.name == settings.name for one in candidates):
+        return NO_QUOTA
+    reserve_lasts = now < last_heartbeat + settings.reserve_lease - settings.clock_skew
+    lease_lasts = now < last_heartbeat + settings.lease - settings.clock_skew
     return HeldQuota(
         reserved=reserve_lasts and _is_home(settings, candidates, now),
         leased=lease_lasts and _is_owner(settings, candidates, now),
@@ -53,7 +53,7 @@
 
 def _is_home(settings: FleetSettings, candidates: Sequence[Instance], now: int) -> bool:
     for one in candidates:
-        starts = one.joined + settings.reserve_lease if one.joined else 0
+        starts = one.joined_at + settings.reserve_lease if one.joined_at else 0
         if now >= starts + settings.clock_skew:
             return one.name == settings.name
         if now >= starts - settings.clock_skew:  # it may have begun, by its own clock
@@ -65,14 +65,14 @@
     owner = first_ready(candidates)
     if owner is None or owner.name != settings.name:
         return False
-    return now >= _leased_from(settings, candidates, owner)
+    return now >= _lease_starts_at(settings, candidates, owner)
 
 
-def _leased_from(settings: FleetSettings, candidates: Sequence[Instance], owner: Instance) -> int:
+def _lease_starts_at(settings: FleetSettings, candidates: Sequence[Instance], owner: Instance) -> int:
     """When the leases of all who may have owned the leased part before have certainly run out."""
     latest = 0
     for one in candidates:
-        latest = max(latest, one.since, one.joined)
+        latest = max(latest, one.phase_since, one.joined_at)
         if one is owner:
             break
     return latest + settings.lease + settings.clock_skew if latest else 0
@@ -83,7 +83,7 @@
     return next((one for one in candidates if one.ready), None)
 
 
-def likely_holder(
+def expected_holder(
     settings: FleetSettings, candidates: Sequence[Instance], now: int, leases_last: bool
 ) -> tuple[Instance | None, bool]:
     """The instance that takes messages for a partition in a zone, as far as the view tells, and whether it
@@ -93,5 +93,5 @@
     owner = first_ready(candidates)
     if owner is None:
         return None, False
-    leased = leases_last and now >= _leased_from(settings, candidates, owner)
+    leased = leases_last and now >= _lease_starts_at(settings, candidates, owner)
     return owner, owner is candidates[0] or leased
--- a/honeyhitch/partitioning/settings.py
+++ b/honeyhitch/partitioning/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 SECOND = 1_000_000_000  # ns
-MOST_PARTITIONS = 1 << 16
+MAX_PARTITIONS = 1 << 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +41,8 @@
             (self.zone in zones, f"zone: not a zone of any region: {self.zone!r}"),
             (bool(self.name), "name: must not be empty"),
             (
-                1 <= self.partitions <= MOST_PARTITIONS,
-                f"partitions: expected 1 to {MOST_PARTITIONS}, got {self.partitions}",
+                1 <= self.partitions <= MAX_PARTITIONS,
+                f"partitions: expected 1 to {MAX_PARTITIONS}, got {self.partitions}",
             ),
             (1 <= self.candidates <= 8, f"candidates: expected 1 to 8, got {self.candidates}"),
             (0 <= self.reserve <= 1, f"reserve: expected 0 to 1, got {self.reserve:g}"),
--- a/honeyhitch/partitioning/view.py
+++ b/honeyhitch/partitioning/view.py
@@ -16,9 +16,9 @@
 from honeyhitch.partitioning.settings import FleetSettings
 
 MS = 1_000_000  # ns
-MOST_INSTANCES = 10_000
-MOST_NAME = 128  # characters
-LATEST_MS = 1 << 53  # what a JSON number holds exactly
+MAX_INSTANCES = 10_000
+MAX_NAME_LENGTH = 128  # characters
+MAX_JSON_INTEGER = 1 << 53  # what a JSON number holds exactly
 
 
 class FleetViewError(ValueError):
@@ -33,7 +33,7 @@
     TERMINATING = "Terminating"
 
 
-GONE = "Gone"  # only among changes
+GONE_PHASE = "Gone"  # only among changes
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +45,8 @@
     region: str
     zone: str
     phase: InstancePhase = InstancePhase.READY
-    since: int = 0  # when its phase was published
-    joined: int = 0  # when it was first listed
+    phase_since: int = 0  # when its phase was published
+    joined_at: int = 0  # when it was first listed
 
     @property
     def ready(self) -> bool:
@@ -61,32 +61,32 @@
     revision: int = 0
     instances: Mapping[str, Instance] = field(default_factory=lambda: MappingProxyType({}))
 
-    def updated(self, told: Mapping[str, Any], settings: FleetSettings) -> FleetView:
+    def updated(self, update: Mapping[str, Any], settings: FleetSettings) -> FleetView:
         """The view after a list or a change in discovery's form. Raises FleetViewError, and changes nothing,
         where it is older than this one or cannot be read.
         """
-        revision = _whole(told.get("revision"), "revision")
+        revision = _parse_integer(update.get("revision"), "revision")
         if revision < self.revision:
             raise FleetViewError(f"revision: {revision} is older than {self.revision}")
-        rows = told.get("members")
+        rows = update.get("members")
         if not isinstance(rows, list):
             raise FleetViewError("members: expected a list")
-        complete = told.get("complete") is True
+        complete = update.get("complete") is True
         instances = {} if complete else dict(self.instances)
         named = set[str]()
         for number, row in enumerate(rows):
-            name = _name(row, number)
+            name = _parse_name(row, number)
             if name in named:
                 raise FleetViewError(f"members.{number}.id: {name!r} is named twice")
             named.add(name)
-            if row.get("phase") == GONE:
+            if row.get("phase") == GONE_PHASE:
                 instances.pop(name, None)
             else:
-                instances[name] = _instance(row, name, settings, self.instances.get(name))
+                instances[name] = _parse_instance(row, name, settings, self.instances.get(name))
         if not instances:
             raise FleetViewError("members: a fleet has one instance at least")
-        if len(instances) > MOST_INSTANCES:
-            raise FleetViewError(f"members: at most {MOST_INSTANCES} instances, got {len(instances)}")
+        if len(instances) > MAX_INSTANCES:
+            raise FleetViewError(f"members: at most {MAX_INSTANCES} instances, got {len(instances)}")
         return FleetView(revision, MappingProxyType(instances))
 
     def in_zone(self, zone: str) -> Iterable[Instance]:
@@ -94,20 +94,20 @@
         return (one for one in self.instances.values() if one.zone == zone)
 
 
-def _whole(value: object, name: str) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= LATEST_MS:
+def _parse_integer(value: object, name: str) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_JSON_INTEGER:
         raise FleetViewError(f"{name}: expected a whole number of 0 or more, got {value!r}")
     return value
 
 
-def _name(row: object, number: int) -> str:
+def _parse_name(row: object, number: int) -> str:
     name = row.get("id") if isinstance(row, dict) else None
-    if not isinstance(name, str) or not 0 < len(name) <= MOST_NAME or not name.isprintable():
-        raise FleetViewError(f"members.{number}.id: expected 1 to {MOST_NAME} characters, got {name!r}")
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
+        raise FleetViewError(f"members.{number}.id: expected 1 to {MAX_NAME_LENGTH} characters, got {name!r}")
     return name
 
 
-def _instance(
+def _parse_instance(
     row: Mapping[str, Any], name: str, settings: FleetSettings, before: Instance | None
 ) -> Instance:
     zone, region = row.get("locality"), row.get("flavor")
@@ -125,6 +125,6 @@
     host, _, port = str(address).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 1 << 16:
         raise FleetViewError(f"{name}: host_port: expected HOST:PORT, got {address!r}")
-    since = _whole(row.get("up_since_ms", 0), f"{name}: up_since_ms")
-    joined = _whole(row.get("joined_ms", 0), f"{name}: joined_ms")
+    since = _parse_integer(row.get("up_since_ms", 0), f"{name}: up_since_ms")
+    joined = _parse_integer(row.get("joined_ms", 0), f"{name}: joined_ms")
     return Instance(name, str(address), str(region), str(zone), phase, since * MS, joined * MS)
--- a/honeyhitch/service/descriptors.py
+++ b/honeyhitch/service/descriptors.py
@@ -6,9 +6,12 @@
 
 from honeyhitch.config import FIXED_SOCKETS, Config
 
-BESIDE_SOCKETS = 16  # connections at once to the agent-check, and as many to health and to management
-CONTROL_FILES, STORE_FILES = 10, 10  # descriptors: a listener and its connections; database, log, lock
-FLEET_FILES = 2  # the view's watch, and its file as it is written
+MONITORING_CONNECTIONS = 16  # connections at once to the agent-check, and as many to health and to management
+CONTROL_DESCRIPTORS, STORE_DESCRIPTORS = (
+    10,
+    10,
+)  # descriptors: a listener and its connections; database, log, lock
+FLEET_DESCRIPTORS = 2  # the view's watch, and its file as it is written
 
 
 class DescriptorBudget(NamedTuple):
@@ -18,17 +21,17 @@
     idle: int  # at rest, to members
 
 
-def budget(config: Config, processes: int = 1) -> DescriptorBudget:
+def descriptor_budget(config: Config, processes: int = 1) -> DescriptorBudget:
     """How many clients and how many idle connections to members there may be; with the calls out and what
     is always open they stay under the limit of descriptors. Connections in a TLS handshake count as idle
     ones. While an upgrade lasts two processes have one limit.
     """
     beside = config.operator
     listeners = (beside.agent_check, beside.health, config.management)
-    others = BESIDE_SOCKETS * sum(address is not None for address in listeners)
-    others += CONTROL_FILES if beside.control is not None else 0
-    others += STORE_FILES if beside.undelivered is not None else 0
-    others += beside.fleet.peer_connections + FLEET_FILES if beside.fleet is not None else 0
+    others = MONITORING_CONNECTIONS * sum(address is not None for address in listeners)
+    others += CONTROL_DESCRIPTORS if beside.control is not None else 0
+    others += STORE_DESCRIPTORS if beside.undelivered is not None else 0
+    others += beside.fleet.peer_connections + FLEET_DESCRIPTORS if beside.fleet is not None else 0
     left = config.limits.sockets - config.settings.max_concurrent_calls - processes * (FIXED_SOCKETS + others)
     left //= processes
     most_idle = max(1, left // 4)
--- a/honeyhitch/service/features.py
+++ b/honeyhitch/service/features.py
@@ -71,11 +71,11 @@
 
 def add_fleet(service: Service, settings: FleetSettings, listen: bool) -> None:
     """Partitioned destinations. Callers in this process could not be sent to another instance."""
-    from honeyhitch.service.fleet import MOST_SAVED, FleetService
+    from honeyhitch.service.fleet import MAX_SAVED_VIEW_BYTES, FleetService
 
     if not listen:
         raise ConfigError("fleet: cannot be had by a library's dispatcher, which nothing is handed in to")
-    set_aside = 2 * MOST_SAVED  # the view's file, and the one that takes its place
+    set_aside = 2 * MAX_SAVED_VIEW_BYTES  # the view's file, and the one that takes its place
     if service.config.limits.disk < 2 * set_aside:
         raise ConfigError(f"limits.disk_mb: expected {2 * set_aside / 1e6:g} at least with [fleet]")
     service.journal.max_bytes -= set_aside
@@ -90,7 +90,7 @@
         service.discovery.refetch,
     )
     service.discovery.reads_partial_lists = True
-    service.background_work += [service.fleet.watch, service.fleet.care]
+    service.background_work += [service.fleet.watch, service.fleet.watch_expiry]
 
 
 def add_undelivered(service: Service, setup: DeadLetterSettings) -> None:
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -22,11 +22,11 @@
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
 log = logs.get()
-FILE = "fleet-view.json"  # in the state folder
-MOST_SAVED = 250_000  # bytes of it
-SAVE_EVERY = 60 * SECOND  # ns; a restart while control is silent counts its leases from the last one
-LOOK_EVERY = 0.25  # seconds between looks at what has changed with the time
-REFUSAL = b"-BUSY %d\r\n" % (BUSY_RETRY_AFTER // MS)
+VIEW_FILE_NAME = "fleet-view.json"  # in the state folder
+MAX_SAVED_VIEW_BYTES = 250_000  # bytes of it
+SAVE_INTERVAL = 60 * SECOND  # ns; a restart while control is silent counts its leases from the last one
+REFRESH_CHECK_SECONDS = 0.25  # seconds between looks at what has changed with the time
+NO_OWNER_REPLY = b"-BUSY %d\r\n" % (BUSY_RETRY_AFTER // MS)
 
 
 class FleetService:
@@ -47,18 +47,23 @@
         """`refetch` asks discovery for its whole list anew, after more partitions are kept than before."""
         self.fleet = Fleet(settings)
         self.settings, self.dispatcher, self.scheduler = settings, dispatcher, scheduler
-        self.loop, self.path, self.rng, self.refetch = loop, state / FILE, rng, refetch
+        self.loop, self.path, self.rng, self.refetch = loop, state / VIEW_FILE_NAME, rng, refetch
         self.connections = PeerConnections(loop, settings.peer_connections)
         self.forwarder = Forwarder(
-            dispatcher.settings, settings.name, self._addresses, self.connections, scheduler.now, REFUSAL
+            dispatcher.settings,
+            settings.name,
+            self._addresses,
+            self.connections,
+            scheduler.now,
+            NO_OWNER_REPLY,
         )
-        self._portions: dict[int, float] = {}  # by partition, as the module was told last
-        self._lost = set[int]()  # partitions without a portion, of which messages are held
+        self._quota_fractions: dict[int, float] = {}  # by partition, as the module was told last
+        self.lost_partitions = set[int]()  # partitions without a portion, of which messages are held
         self._saved_at = 0
-        self._look_at: int | None = 0  # when a portion may change though nothing is heard
-        self._lease_lasted = False  # at the last look
+        self._refresh_at: int | None = 0  # when a portion may change though nothing is heard
+        self._lease_was_valid = False  # at the last look
         dispatcher.quota_source = self
-        dispatcher.pool.keeps_destination = self.fleet.keeps
+        dispatcher.pool.keeps_destination = self.fleet.is_candidate
         dispatcher.pool.quota_fraction = lambda destination: self.quota_fraction(destination, scheduler.now())
 
     # What others ask.
@@ -72,9 +77,9 @@
         """The part of its zone's share of a limit that this instance may use."""
         return self.fleet.quota_fraction(destination, now)
 
-    def serves(self, destination: int) -> bool:
+    def has_destination(self, destination: int) -> bool:
         """Whether there is such a destination, as far as can be told: of others their owners know."""
-        return not self.fleet.keeps(destination) or self.dispatcher.pool.has_destination(destination)
+        return not self.fleet.is_candidate(destination) or self.dispatcher.pool.has_destination(destination)
 
     def route(self, transaction: Transaction, forwarded: bool) -> Route:
         """Where a transaction goes. One that is held here already stays: it is answered as accepted."""
@@ -93,12 +98,12 @@
             "zone": self.settings.zone,
             "region": self.settings.region,
             "revision": status.revision,
-            "instances": status.instances,
-            "ready": status.ready,
-            "heartbeat_age_ms": status.age // MS if status.age is not None else None,
+            "instances": status.instance_count,
+            "ready": status.ready_count,
+            "heartbeat_age_ms": status.heartbeat_age // MS if status.heartbeat_age is not None else None,
             "partitions": self.settings.partitions,
-            "holds": status.partitions,
-            "keeps": status.candidate_for,
+            "holds": status.held_partitions,
+            "keeps": status.candidate_partitions,
             "problem": status.problem,
         }
 
@@ -132,69 +137,74 @@
         size, lease = max(1, len(self.fleet.view.instances)), self.settings.lease / SECOND
         asking = WatchBackoff(self.rng, size, self.ready, False, lease)
         await ListWatch(
-            self.settings.view, self.loop, asking, lambda: self.fleet.view.revision, self.take
+            self.settings.view, self.loop, asking, lambda: self.fleet.view.revision, self.apply_update
         ).run()
 
-    def take(self, told: dict[str, Any]) -> None:
+    def apply_update(self, update: dict[str, Any]) -> None:
         """Take over a list, a change or a heartbeat. Raises FleetViewError where it cannot be used."""
-        before, kept = self.fleet.view, self.fleet.kept
+        before, kept = self.fleet.view, self.fleet.candidate_partitions
         now = self.scheduler.now()
         try:
-            self.fleet.take(told, now)
+            self.fleet.apply_update(update, now)
         except ClockError as error:  # the view is good, the heartbeat is not
             log.warning("fleet.clock-rejected", error=str(error), key=self.settings.view)
         if before.revision != self.fleet.view.revision:
             log.info("fleet.view-applied", revision=self.fleet.view.revision, key=self.settings.view)
-        if not self.fleet.kept <= kept:
+        if not self.fleet.candidate_partitions <= kept:
             self.refetch()
-        if before.instances != self.fleet.view.instances or now - self._saved_at >= SAVE_EVERY:
+        if before.instances != self.fleet.view.instances or now - self._saved_at >= SAVE_INTERVAL:
             self._save(now)
-        if before is not self.fleet.view or self._lease_lasted is not self.fleet.lease_lasts(now):
-            self.look()
+        if before is not self.fleet.view or self._lease_was_valid is not self.fleet.lease_valid(now):
+            self.refresh_quotas()
 
-    async def care(self) -> None:
+    async def watch_expiry(self) -> None:
         """Follow what changes with the time alone: leases that run out, and those that were waited for."""
         while True:
-            await asyncio.sleep(LOOK_EVERY)
-            self.look_if_due()
+            await asyncio.sleep(REFRESH_CHECK_SECONDS)
+            self.refresh_if_due()
 
-    def look_if_due(self) -> None:
+    def refresh_if_due(self) -> None:
         """Look if a portion may have changed with the time, or if messages of lost partitions are held."""
-        due = self._look_at is not None and self.scheduler.now() >= self._look_at
-        if due or self._lost:
-            self.look()
+        due = self._refresh_at is not None and self.scheduler.now() >= self._refresh_at
+        if due or self.lost_partitions:
+            self.refresh_quotas()
 
-    def look(self) -> None:
+    def refresh_quotas(self) -> None:
         """Tell the module of portions that have changed, and hand back what is another instance's now."""
         now, changed = self.scheduler.now(), set[int]()
-        self._look_at, self._lease_lasted = self.fleet.next_change(now), self.fleet.lease_lasts(now)
-        for partition in self.fleet.kept | self._portions.keys():
-            portion = self.fleet.held(partition, now).quota_fraction(self.settings.reserve)
-            if portion != self._portions.get(partition, 0.0):
+        self._refresh_at, self._lease_was_valid = (
+            self.fleet.next_quota_change(now),
+            self.fleet.lease_valid(now),
+        )
+        for partition in self.fleet.candidate_partitions | self._quota_fractions.keys():
+            portion = self.fleet.held_quota(partition, now).quota_fraction(self.settings.reserve)
+            if portion != self._quota_fractions.get(partition, 0.0):
                 changed.add(partition)
-                self._portions[partition] = portion
-        self._lost = {one for one in self._lost | changed if not self._portions[one]}
+                self._quota_fractions[partition] = portion
+        self.lost_partitions = {
+            one for one in self.lost_partitions | changed if not self._quota_fractions[one]
+        }
         if changed:
             pool = self.dispatcher.pool
             news = pool.changed_listings(lambda destination: self.fleet.partition(destination) in changed)
             if news.listings:
                 self.dispatcher.apply_list_update(news)
-        if self._lost:
-            self._hand_back(now)
+        if self.lost_partitions:
+            self._return_lost_messages(now)
 
-    def _hand_back(self, now: int) -> None:
+    def _return_lost_messages(self, now: int) -> None:
         """Of partitions that were lost; those of which nothing is held any more need no further look."""
         held = {one.destination for one in self.dispatcher.messages.by_id.values()}
-        held = {one for one in held if self.fleet.partition(one) in self._lost}
+        held = {one for one in held if self.fleet.partition(one) in self.lost_partitions}
         for destination in held:
-            if not self.fleet.awaits(destination, now):
+            if not self.fleet.awaits_lease(destination, now):
                 self.dispatcher.return_unattempted(destination, BUSY_RETRY_AFTER)
-        self._lost = {self.fleet.partition(destination) for destination in held}
+        self.lost_partitions = {self.fleet.partition(destination) for destination in held}
 
     def _save(self, now: int) -> None:
-        data = json.dumps(self.fleet.saved(), separators=(",", ":")).encode()
-        if len(data) > MOST_SAVED:
-            log.warning("fleet.view-not-saved", bytes=len(data), most=MOST_SAVED)
+        data = json.dumps(self.fleet.snapshot(), separators=(",", ":")).encode()
+        if len(data) > MAX_SAVED_VIEW_BYTES:
+            log.warning("fleet.view-not-saved", bytes=len(data), most=MAX_SAVED_VIEW_BYTES)
             return
         spare = self.path.with_suffix(".new")
         try:
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -16,7 +16,10 @@
 from honeyhitch.policy.events import Event, RetryAfterReceived
 
 log = logs.get()
-LOOK, REST = 0.02, 0.25  # seconds between looks while another process is there, and while none is
+PEER_POLL_SECONDS, IDLE_POLL_SECONDS = (
+    0.02,
+    0.25,
+)  # seconds between looks while another process is there, and while none is
 
 
 class ProcessHandover:
@@ -26,28 +29,28 @@
 
     def __init__(
         self,
-        folder: StateDirectory,
+        state_directory: StateDirectory,
         journal: Journal,
         dispatcher: Dispatcher,
-        changed: Callable[[bool, int | None], None],
+        on_change: Callable[[bool, int | None], None],
     ) -> None:
-        self.state_directory, self.journal, self.dispatcher, self.changed = (
-            folder,
+        self.state_directory, self.journal, self.dispatcher, self.on_change = (
+            state_directory,
             journal,
             dispatcher,
-            changed,
+            on_change,
         )
-        self.follower = self._fresh()
-        self.peer_running = self.resumed = (
+        self.follower = self._new_follower()
+        self.peer_running = self.recovered = (
             False  # the latter: the dispatcher goes on with what the journal held
         )
-        self.out: int | None = None
+        self.peer_calls_in_flight: int | None = None
 
-    def _fresh(self) -> JournalFollower:
+    def _new_follower(self) -> JournalFollower:
         path = self.state_directory.journal_path(self.state_directory.other_slot)
         return JournalFollower(path, self.journal.messages.max_remembered, self.journal.retention)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The first look, before the dispatcher goes on with what the journal holds."""
         self.check_peer()
         if not self.peer_running:
@@ -60,34 +63,37 @@
             self.state_directory.slot == FIRST_SLOT
             and not self.state_directory.journal_path(SECOND_SLOT).exists()
         ):
-            self._now(False)
+            self._set_peer_running(False)
             return
         with self.state_directory.exclusive():
             gone = self.state_directory.lock_slot(self.state_directory.other_slot)
             if gone:
-                self._inherit()
+                self._take_over_journal()
         if not gone:
-            self._now(True)
-            self._read()
-            if self.resumed and self.dispatcher.sending:
-                self._take_up()
+            self._set_peer_running(True)
+            self._read_peer_journal()
+            if self.recovered and self.dispatcher.sending:
+                self._receive_messages()
 
-    def _now(self, there: bool) -> None:
+    def _set_peer_running(self, there: bool) -> None:
         if there != self.peer_running:
             self.peer_running = there
             self.dispatcher.peer_process = self if there else None
-            log.info("handover.peer-started" if there else "handover.peer-ended", place=self.state_directory.other_slot)
-            self.out = None
-            self.changed(there, None)
-
-    def _take_up(self) -> None:
+            log.info(
+                "handover.peer-started" if there else "handover.peer-ended",
+                place=self.state_directory.other_slot,
+            )
+            self.peer_calls_in_flight = None
+            self.on_change(there, None)
+
+    def _receive_messages(self) -> None:
         """Go on with what the other one passes on: from here on it is in this process's journal, too.
 
         One that passes on takes up nothing more: what was passed on to it and it does not know comes back.
         """
-        if self.follower.calls_in_flight != self.out:
-            self.out = self.follower.calls_in_flight
-            self.changed(True, self.out)
+        if self.follower.calls_in_flight != self.peer_calls_in_flight:
+            self.peer_calls_in_flight = self.follower.calls_in_flight
+            self.on_change(True, self.peer_calls_in_flight)
         came, mine, theirs = [], self.journal, self.follower
         back = (
             {}
@@ -112,7 +118,7 @@
             log.info("handover.messages-received", messages=len(came))
             self.dispatcher.take_over(came, [])
 
-    def _inherit(self) -> None:
+    def _take_over_journal(self) -> None:
         """Nobody writes the other journal any more, and the lock keeps it so."""
         self.follower.read()
         first, second = (
@@ -128,18 +134,18 @@
         self.state_directory.slot = FIRST_SLOT
         self.state_directory.unlock_slot(SECOND_SLOT)
         self.follower.close()
-        waits, self.follower, self.journal.peer_bytes = self._waits(), self._fresh(), 0
-        self._now(False)
+        waits, self.follower, self.journal.peer_bytes = self._retry_after_events(), self._new_follower(), 0
+        self._set_peer_running(False)
         self.dispatcher.apply_retry_after(waits)
         if new:
             log.info("handover.journal-taken-over", messages=len(new))
-        if self.resumed:
+        if self.recovered:
             self.dispatcher.take_over(new, late)
 
     async def watch(self) -> None:
         """Look for ever."""
         while True:
-            await asyncio.sleep(LOOK if self.peer_running else REST)
+            await asyncio.sleep(PEER_POLL_SECONDS if self.peer_running else IDLE_POLL_SECONDS)
             self.check_peer()
 
     def close(self) -> None:
@@ -150,14 +156,14 @@
 
     def retry_after_events(self) -> list[Event]:
         """The waits that the other process was told, all that last: a member may be listed here only now."""
-        self._read()
-        return self._waits()
+        self._read_peer_journal()
+        return self._retry_after_events()
 
-    def _read(self) -> None:
+    def _read_peer_journal(self) -> None:
         self.follower.read()
         self.journal.peer_bytes = self.follower.reserved_bytes()
 
-    def _waits(self) -> list[Event]:
+    def _retry_after_events(self) -> list[Event]:
         now = self.journal.clock()
         waits = self.follower.retry_after_until.items()
         return [
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -27,7 +27,7 @@
 from honeyhitch.protocols.management import ManagementSession
 from honeyhitch.service import features as optional_parts
 from honeyhitch.service import shutdown
-from honeyhitch.service.descriptors import BESIDE_SOCKETS, budget
+from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
 from honeyhitch.service.handover import ProcessHandover
 from honeyhitch.service.signals import StopSignal, on_reload
 from honeyhitch.transports import sockets
@@ -70,7 +70,7 @@
         pool = EndpointPool(settings)
         self.dispatcher = Dispatcher(settings, config.seed, pool, self.journal, self.scheduler)
         self.handover = ProcessHandover(self.state_directory, self.journal, self.dispatcher, self._shared)
-        self.max_clients, most_idle = budget(config)
+        self.max_clients, most_idle = descriptor_budget(config)
         secure = config.operator.tls is not None  # then both carriers keep idle connections
         most_plain = max(1, most_idle // 2) if secure else most_idle
         carrier = HttpTransport(self.dispatcher, self.scheduler, self.tasks, most_plain)
@@ -125,7 +125,7 @@
         self.dispatcher.policy.limit_concurrent_calls(
             max(1, slots // (1 + shared) if out is None else slots - out)
         )
-        self.max_clients, most_idle = budget(self.config, 1 + shared)
+        self.max_clients, most_idle = descriptor_budget(self.config, 1 + shared)
         for carrier in self.idle_pools:
             carrier.limit(max(1, most_idle // len(self.idle_pools)))
         if self.clients is not None:
@@ -158,7 +158,7 @@
             dispatcher.apply_list_update(dispatcher.pool.update(config.known, cached=True))
         except PoolError as error:
             log.warning("list.known-rejected", error=str(error))
-        self.handover.begin()
+        self.handover.start()
         if self.handover.peer_running:
             if (other := self.handover.follower.name) != config.name:
                 raise ConfigError(f"name: the state folder is held by {other!r}, which runs")
@@ -169,7 +169,7 @@
         else:
             self._resume()
         if listen:
-            served = dispatcher.pool.has_destination if self.fleet is None else self.fleet.serves
+            served = dispatcher.pool.has_destination if self.fleet is None else self.fleet.has_destination
             fields = resp.MessageFields(config.settings, served, dispatcher.metrics.message_invalid)
             self.clients = self._listen(
                 "listen",
@@ -199,7 +199,7 @@
         )
         for name, address, session in calls:
             if address is not None:
-                self._listen(name, address, session, BESIDE_SOCKETS, once=name == "management")
+                self._listen(name, address, session, MONITORING_CONNECTIONS, once=name == "management")
         if beside.control is not None:
             self._control(beside.control)
         for work in self.background_work:
@@ -230,7 +230,7 @@
     def _resume(self) -> None:
         self.dispatcher.accepting = not self.dispatcher.draining and self.dispatcher.sending
         self.dispatcher.recover()
-        self.handover.resumed = True
+        self.handover.recovered = True
 
     def _control(self, setup: ControlSettings) -> None:
         from honeyhitch.transports.control import ControlServer, ControlSocketError
@@ -291,7 +291,7 @@
     async def report_suppressed_events(self) -> None:
         """Say from time to time which repeated events were left out of the log."""
         while True:
-            await asyncio.sleep(logs.SPAN)
+            await asyncio.sleep(logs.BURST_SECONDS)
             logs.flush()
 
     async def close(self) -> None:
--- a/honeyhitch/service/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -8,9 +8,13 @@
 if TYPE_CHECKING:
     from honeyhitch.service.service import Service
 
-ACCEPT_ON, SEND_ON, LEAVE_AT = 0.6, 2.8, 3.3  # seconds after SIGTERM; SIGKILL comes after 3.7 at the soonest
-BACK_AT = 4.3  # seconds after SIGTERM; the next process starts 0.6 s after SIGKILL
-LOOK = 0.02  # seconds between looks at what is still out
+STOP_ACCEPTING_SECONDS, STOP_SENDING_SECONDS, EXIT_SECONDS = (
+    0.6,
+    2.8,
+    3.3,
+)  # seconds after SIGTERM; SIGKILL comes after 3.7 at the soonest
+SUCCESSOR_SECONDS = 4.3  # seconds after SIGTERM; the next process starts 0.6 s after SIGKILL
+POLL_SECONDS = 0.02  # seconds between looks at what is still out
 NS = 10**9
 
 
@@ -25,7 +29,7 @@
     for server in service.servers:
         server.drain()
     service.handover.check_peer()
-    while service.handover.peer_running and service.loop.time() - began < LEAVE_AT:
+    while service.handover.peer_running and service.loop.time() - began < EXIT_SECONDS:
         dispatcher.hand_over()
         if (
             not dispatcher.calls_in_flight
@@ -33,13 +37,13 @@
             and service.servers_settled()
         ):
             return
-        await asyncio.sleep(LOOK)
-    while (gone := service.loop.time() - began) < LEAVE_AT:
-        dispatcher.accepting = gone <= ACCEPT_ON
+        await asyncio.sleep(POLL_SECONDS)
+    while (gone := service.loop.time() - began) < EXIT_SECONDS:
+        dispatcher.accepting = gone <= STOP_ACCEPTING_SECONDS
         done = not dispatcher.messages.by_id
-        if gone > SEND_ON:
-            dispatcher.stop_deciding(int((BACK_AT - gone) * NS))
+        if gone > STOP_SENDING_SECONDS:
+            dispatcher.stop_deciding(int((SUCCESSOR_SECONDS - gone) * NS))
             done = not dispatcher.calls_in_flight and not service.discovery.pending_notices
-        if gone > ACCEPT_ON and done and service.servers_settled():
+        if gone > STOP_ACCEPTING_SECONDS and done and service.servers_settled():
             return
-        await asyncio.sleep(LOOK)
+        await asyncio.sleep(POLL_SECONDS)
--- a/honeyhitch/service/signals.py
+++ b/honeyhitch/service/signals.py
@@ -16,6 +16,6 @@
             loop.add_signal_handler(number, self.received.set)
 
 
-def on_reload(loop: asyncio.AbstractEventLoop, what: Callable[[], None]) -> None:
+def on_reload(loop: asyncio.AbstractEventLoop, callback: Callable[[], None]) -> None:
     """Call it on each SIGHUP, which would end the process otherwise."""
-    loop.add_signal_handler(signal.SIGHUP, what)
+    loop.add_signal_handler(signal.SIGHUP, callback)
--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -89,7 +89,7 @@
         """It ends; what it saved last stays."""
         process = self.processes.pop(name)
         if process.fleet.view.instances:
-            self.saved[name] = process.fleet.saved()
+            self.saved[name] = process.fleet.snapshot()
 
     def open(self, name: str) -> None:
         """A new watch: what is on its way on the old one is lost, and the whole list comes."""
@@ -103,7 +103,7 @@
     def hand(self, process: Process, told: dict[str, Any]) -> None:
         """A process reads one line. One that it refuses changes nothing."""
         try:
-            process.fleet.take(told, self.now + process.clock_off)
+            process.fleet.apply_update(told, self.now + process.clock_off)
         except FleetViewError as error:
             assert "revision" in str(error) or "saved" in told.get("form", "saved"), error
 
@@ -182,6 +182,6 @@
         total: dict[str, float] = {}
         for process in self.processes.values():
             zone = process.fleet.settings.zone
-            held = process.fleet.held(partition, self.now + process.clock_off)
+            held = process.fleet.held_quota(partition, self.now + process.clock_off)
             total[zone] = total.get(zone, 0.0) + held.quota_fraction(process.fleet.settings.reserve)
         return total
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -17,7 +17,7 @@
 from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.buffer import Buffer
-from honeyhitch.service.descriptors import budget
+from honeyhitch.service.descriptors import descriptor_budget
 from honeyhitch.transports import client_server as virtual_server
 from honeyhitch.transports import sockets
 from honeyhitch.transports.client_server import ClientServer
@@ -141,7 +141,7 @@
     path.write_text(json.dumps({**told, "limits": {"sockets": sockets}}))
     read = config.read({}, str(path))
     for processes in (1, 2):
-        clients, idle = budget(read, processes)
+        clients, idle = descriptor_budget(read, processes)
         assert clients > 0
         assert idle > 0
         each = clients + idle + config.FIXED_SOCKETS
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -89,9 +89,9 @@
         self.beside = ProcessHandover(
             self.folder, self.journal, self.core, lambda _, out: self.shares.append(out)
         )
-        self.beside.begin()
+        self.beside.start()
         self.core.recover()
-        self.beside.resumed = True
+        self.beside.recovered = True
 
     def kill(self) -> None:
         self.core.sending = self.core.accepting = False
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -61,7 +61,7 @@
 
 def test_repeats_are_limited_by_name_and_key_and_counted() -> None:
     now = [0.0]
-    limiter = logs.Limiter(lambda: now[0], burst=2, span=10.0)
+    limiter = logs.EventLimiter(lambda: now[0], burst=2, burst_seconds=10.0)
 
     def passes(name: str, key: str = "") -> bool:
         try:
@@ -76,25 +76,25 @@
     assert limiter(None, "info", {"event": "a", "key": "x"}) == {"event": "a", "key": "x", "left_out": 3}
     assert [passes("a", "x") for _ in range(2)] == [True, False]
     now[0] = 20.0
-    assert limiter.overdue() == [("a", "x", 1)]
-    assert limiter.overdue() == []
+    assert limiter.take_suppressed() == [("a", "x", 1)]
+    assert limiter.take_suppressed() == []
 
 
 def test_the_table_of_keys_is_bounded() -> None:
-    limiter = logs.Limiter(lambda: 0.0)
-    for i in range(3 * logs.MOST_KEYS):
+    limiter = logs.EventLimiter(lambda: 0.0)
+    for i in range(3 * logs.MAX_KEYS):
         limiter(None, "info", {"event": "a", "key": str(i)})
-    assert len(limiter.heard) == logs.MOST_KEYS
+    assert len(limiter.counts) == logs.MAX_KEYS
 
 
 def test_what_was_left_out_is_told_at_the_end() -> None:
     stream = io.StringIO()
     logs.setup("json", "info", stream)
-    for _ in range(logs.BURST + 7):
+    for _ in range(logs.BURST_EVENTS + 7):
         logs.get().warning("accept.failed", error="no descriptor")
     logs.flush(everything=True)
     told = events(stream)
-    assert len(told) == logs.BURST + 1
+    assert len(told) == logs.BURST_EVENTS + 1
     assert told[-1]["left_out"] == 7
 
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -21,7 +21,7 @@
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.management import MOST_LINE, ManagementSession
-from honeyhitch.service.descriptors import BESIDE_SOCKETS, budget
+from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
 from honeyhitch.service.service import run
 
 from .program import Peer, free_port, play, started, write
@@ -128,7 +128,9 @@
     async def work() -> None:
         at, agent = free_port(), await Peer().start()
         async with started(tmp_path, agent.port, [row("s", 1)], management=f"127.0.0.1:{at}"):
-            crowd = [await asyncio.open_connection("127.0.0.1", at) for _ in range(2 * BESIDE_SOCKETS)]
+            crowd = [
+                await asyncio.open_connection("127.0.0.1", at) for _ in range(2 * MONITORING_CONNECTIONS)
+            ]
             for _, writer in crowd:
                 writer.write(b"stat")  # and never the rest
             began = asyncio.get_running_loop().time()
@@ -191,7 +193,7 @@
     told = config.read({"ROUTER_MANAGEMENT": "127.0.0.1:9"}, path)
     assert without.management is None
     assert str(told.management) == "127.0.0.1:9"
-    assert sum(budget(without)) - sum(budget(told)) == BESIDE_SOCKETS
+    assert sum(descriptor_budget(without)) - sum(descriptor_budget(told)) == MONITORING_CONNECTIONS
 
 
 def test_an_address_that_is_taken_ends_the_start_with_its_key(tmp_path: Path) -> None:
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -106,7 +106,7 @@
         """A destination that an instance is home to."""
         fleet = Fleet(FleetSettings(name, INSTANCES[name], "127.0.0.1:1", REGIONS, partitions=64))
         members = [self.entry(one) for one in INSTANCES]
-        fleet.take({"revision": 1, "complete": True, "members": members}, 0)
+        fleet.apply_update({"revision": 1, "complete": True, "members": members}, 0)
         for number in DESTINATIONS:
             candidates = fleet.candidates(INSTANCES[name], fleet.partition(number))
             if candidates[0].name == name:
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -15,7 +15,7 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.resp import Route
 from honeyhitch.service import fleet as service
-from honeyhitch.service.fleet import FILE, FleetService
+from honeyhitch.service.fleet import VIEW_FILE_NAME, FleetService
 
 from .fleet_control import LEASE, MS, SKEW, entry, fleet_settings
 from .rig import SETTINGS, Stand, row
@@ -50,7 +50,7 @@
     def hear(self, revision: int = 1, complete: bool = True, members: Any = ROWS, **more: Any) -> None:
         """A list, a change or a heartbeat comes from the control machines."""
         told = {"revision": revision, "complete": complete, "members": members, "issued_ms": self.now // MS}
-        self.fleet.take({**told, **more})
+        self.fleet.apply_update({**told, **more})
 
     @property
     def now(self) -> int:
@@ -61,7 +61,7 @@
         for _ in range(seconds):
             self.hear(revision, False, [])
             self.time.run(1)
-            self.fleet.look_if_due()
+            self.fleet.refresh_if_due()
 
     def home(self, second: str | None = None) -> int:
         """A destination that this instance is home to, or the second candidate of, behind that one."""
@@ -81,9 +81,9 @@
     """With the view of an earlier process at hand, as after a restart."""
     first = FleetStand(folder / "first", **more)
     first.hear()
-    saved = (folder / "first" / FILE).read_bytes()
+    saved = (folder / "first" / VIEW_FILE_NAME).read_bytes()
     (folder / "next").mkdir()
-    (folder / "next" / FILE).write_bytes(saved)
+    (folder / "next" / VIEW_FILE_NAME).write_bytes(saved)
     return FleetStand(folder / "next", **more)
 
 
@@ -109,10 +109,10 @@
 def test_only_what_may_become_its_own_is_kept_of_a_list(tmp_path: Path) -> None:
     one = stand(tmp_path)
     kept = {member.destination for member in one.core.pool.endpoints.values()}
-    assert kept == {number for number in range(1, 60) if one.fleet.fleet.keeps(number)}
+    assert kept == {number for number in range(1, 60) if one.fleet.fleet.is_candidate(number)}
     assert 0 < len(kept) < 59
     other = next(number for number in range(1, 60) if number not in kept)
-    assert one.fleet.serves(other), "its owner knows it"
+    assert one.fleet.has_destination(other), "its owner knows it"
     change = {"revision": 2, "complete": False, "members": [row("s-9999", other)]}
     assert not one.core.pool.update(change).listings
 
@@ -138,18 +138,18 @@
     away = entry("a1-1", "a1", "Terminating", since=one.now)
     one.hear(2, False, [away])
     assert one.fleet.quota_fraction(number, one.now) == 0
-    assert one.fleet.fleet.awaits(destination=number, now=one.now)
+    assert one.fleet.fleet.awaits_lease(destination=number, now=one.now)
     one.beats(4, 2)
     assert one.fleet.quota_fraction(number, one.now) == 0.25
     one.hear(2, False, [])
     assert one.hand_in("sent", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED)
-    lease_ends = one.fleet.fleet.heard + LEASE - SKEW  # type: ignore[operator]
+    lease_ends = one.fleet.fleet.last_heartbeat + LEASE - SKEW  # type: ignore[operator]
     one.time.run((lease_ends - one.now) / SECOND + 0.001)
     assert one.hand_in("late", number)
     assert not one.run(1), "its share has run out before the first byte"
-    one.fleet.look_if_due()
+    one.fleet.refresh_if_due()
     late = next(answer for answer in one.answers if answer.id == "late")
     assert late.ending is Ending.REJECTED
     assert late.retry_after > 0
@@ -183,14 +183,14 @@
     gone = next(row for row in ROWS if row["id"] == NAME)
     one.hear(2, False, [{**gone, "phase": "Gone"}])
     one.time.run(1)
-    one.fleet.look_if_due()
+    one.fleet.refresh_if_due()
     assert "out" in one.core.messages.by_id, "its call is out"
     one.end(call, Outcome.REJECTED)
     one.time.run(0.2)
-    one.fleet.look_if_due()
+    one.fleet.refresh_if_due()
     assert [answer.ending for answer in one.answers] == [Ending.REJECTED]
-    one.fleet.look_if_due()
-    assert not one.fleet._lost, "and nothing more is looked for"
+    one.fleet.refresh_if_due()
+    assert not one.fleet.lost_partitions, "and nothing more is looked for"
 
 
 def test_the_module_is_told_the_part_of_listed_and_of_reported_limits(tmp_path: Path) -> None:
@@ -205,7 +205,7 @@
     one.run(0.1)
     assert lane.part() == 5.0
     one.time.run(LEASE / SECOND)
-    one.fleet.look_if_due()
+    one.fleet.refresh_if_due()
     one.run(0.1)
     assert one.hand_in("b", number)
     (call,) = one.run(0.1)
@@ -216,18 +216,18 @@
 
 def test_a_saved_view_that_cannot_be_read_is_as_good_as_none(tmp_path: Path) -> None:
     for text in ("", "{", "[]", '{"form": 9}', json.dumps({"form": 1, "revision": 1, "members": 3})):
-        (tmp_path / "first" / FILE).write_text(text)
+        (tmp_path / "first" / VIEW_FILE_NAME).write_text(text)
         assert not FleetStand(tmp_path / "first").fleet.ready
 
 
 def test_a_view_too_large_to_save_is_used_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service, "MOST_SAVED", 100)
+    monkeypatch.setattr(service, "MAX_SAVED_VIEW_BYTES", 100)
     one = FleetStand(tmp_path / "first")
     one.hear()
     assert one.fleet.ready
-    assert not (tmp_path / "first" / FILE).exists()
+    assert not (tmp_path / "first" / VIEW_FILE_NAME).exists()
 
 
 def test_a_request_that_is_passed_on_says_what_is_left_of_its_time_and_who_passed_it_on() -> None:
--- a/tests/test_partitioning_shares.py
+++ b/tests/test_partitioning_shares.py
@@ -115,10 +115,10 @@
         control = self.control
         for one in control.processes.values():
             fleet, now = one.fleet, control.now + one.clock_off
-            until = fleet.next_change(now)
-            before = [fleet.held(partition, now) for partition in range(PARTITIONS)]
+            until = fleet.next_quota_change(now)
+            before = [fleet.held_quota(partition, now) for partition in range(PARTITIONS)]
             last = until - 1 if until is not None else now + 10 * RESERVE_LEASE
-            assert before == [fleet.held(partition, last) for partition in range(PARTITIONS)]
+            assert before == [fleet.held_quota(partition, last) for partition in range(PARTITIONS)]
 
     @invariant()
     def no_share_is_held_twice(self) -> None:
@@ -151,7 +151,7 @@
     """What each live process holds, where it holds anything."""
     found = {}
     for name, one in control.processes.items():
-        held = one.fleet.held(partition, control.now + one.clock_off)
+        held = one.fleet.held_quota(partition, control.now + one.clock_off)
         if portion := held.quota_fraction(one.fleet.settings.reserve):
             found[name] = portion
     return found
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -24,7 +24,7 @@
 
 def fleet(name: str = "a1-0") -> Fleet:
     one = Fleet(fleet_settings(name, name.split("-")[0]))
-    one.take(view(), START)
+    one.apply_update(view(), START)
     return one
 
 
@@ -61,36 +61,38 @@
 )
 def test_a_view_that_cannot_be_used_is_named_and_changes_nothing(told: dict[str, Any], field: str) -> None:
     one = fleet()
-    before = one.view, one.heard, one.kept
+    before = one.view, one.last_heartbeat, one.candidate_partitions
     with pytest.raises(FleetViewError) as error:
-        one.take(told, START)
+        one.apply_update(told, START)
     assert field in str(error.value)
     assert one.problem == str(error.value)
-    assert (one.view, one.heard, one.kept) == before
+    assert (one.view, one.last_heartbeat, one.candidate_partitions) == before
 
 
 def test_an_instance_listed_in_another_zone_than_it_is_set_up_in_is_refused() -> None:
     one = Fleet(fleet_settings("a2-0", "a1"))
     with pytest.raises(FleetViewError, match="a2-0: locality: 'a2', but 'a1' is set up here"):
-        one.take(view(), START)
+        one.apply_update(view(), START)
 
 
 def test_a_heartbeat_from_a_clock_too_far_ahead_renews_nothing_and_its_view_counts() -> None:
     one, ahead = fleet(), START + SECOND
     with pytest.raises(ClockError, match="later than this machine's clock"):
-        one.take(view(revision=6, issued_ms=ahead // MS), START)
+        one.apply_update(view(revision=6, issued_ms=ahead // MS), START)
     assert one.view.revision == 6
-    assert one.heard == START
-    one.take(view(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # inside the skew
-    assert one.heard == START + SECOND // 8
-    one.take(view(revision=6, issued_ms=START // MS), START)  # one that was overtaken takes nothing back
-    assert one.heard == START + SECOND // 8
+    assert one.last_heartbeat == START
+    one.apply_update(view(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # inside the skew
+    assert one.last_heartbeat == START + SECOND // 8
+    one.apply_update(
+        view(revision=6, issued_ms=START // MS), START
+    )  # one that was overtaken takes nothing back
+    assert one.last_heartbeat == START + SECOND // 8
     assert not one.problem
 
 
 def test_an_instance_that_is_not_listed_owns_nothing_and_knows_who_does() -> None:
     one = fleet("a1-9")
-    assert not one.kept
+    assert not one.candidate_partitions
     assert not any(one.quota_fraction(number, START) for number in range(100))
     assert len(one.owners(7, START)) == 4
     assert one.owners(7, START)[0].zone == "a1"
@@ -112,21 +114,25 @@
         (first, *rest) = [owner for owner in one.owners(destination, START) if owner.zone == "a1"]
         away = entry(first.name, "a1", "Terminating", since=START)
         other = fleet("a2-0")
-        other.take(view(revision=6, complete=False, members=[away]), START)
+        other.apply_update(view(revision=6, complete=False, members=[away]), START)
         assert other.owners(destination, START)[-1].zone == "a1"
         assert not rest
         later = START + other.settings.lease + other.settings.clock_skew
         assert other.owners(destination, later)[-1].zone == "a1", "control is silent: it holds nothing yet"
-        other.take(view(revision=6, complete=False, members=[], issued_ms=later // MS), later)
+        other.apply_update(view(revision=6, complete=False, members=[], issued_ms=later // MS), later)
         assert other.owners(destination, later)[-1].zone != "a1"
 
 
 def test_what_was_saved_is_restored_and_a_form_that_is_not_known_is_refused() -> None:
     one, other = fleet(), Fleet(fleet_settings("a1-0", "a1"))
-    other.restore(one.saved(), START)
-    assert (other.view, other.heard, other.kept) == (one.view, one.heard, one.kept)
+    other.restore(one.snapshot(), START)
+    assert (other.view, other.last_heartbeat, other.candidate_partitions) == (
+        one.view,
+        one.last_heartbeat,
+        one.candidate_partitions,
+    )
     with pytest.raises(FleetViewError, match="form"):
-        other.restore({**one.saved(), "form": 99}, START)
+        other.restore({**one.snapshot(), "form": 99}, START)
 
 
 @pytest.mark.parametrize(
@@ -161,7 +167,7 @@
 
 
 def first(zone: ZoneCandidates) -> list[str]:
-    return [zone.of(partition)[0] for partition in range(PARTITIONS)]
+    return [zone.for_partition(partition)[0] for partition in range(PARTITIONS)]
 
 
 def test_partitions_and_destinations_are_spread_evenly(zone: ZoneCandidates) -> None:
@@ -184,16 +190,18 @@
     other.update(NAMES)
     for partition in range(0, PARTITIONS, 16):
         best = sorted((rank(partition, name) for name in NAMES), reverse=True)[:2]
-        assert zone.of(partition) == other.of(partition) == tuple(name for _, name in best)
+        assert (
+            zone.for_partition(partition) == other.for_partition(partition) == tuple(name for _, name in best)
+        )
 
 
 def test_one_that_leaves_moves_its_own_partitions_alone_to_those_next_in_rank() -> None:
     one = ZoneCandidates(PARTITIONS, 2)
     one.update(NAMES)
-    before = {partition: one.of(partition) for partition in range(PARTITIONS)}
+    before = {partition: one.for_partition(partition) for partition in range(PARTITIONS)}
     one.update(name for name in NAMES if name != "d7")
     for partition, (owner, second) in before.items():
-        assert one.of(partition)[0] == (second if owner == "d7" else owner)
+        assert one.for_partition(partition)[0] == (second if owner == "d7" else owner)
 
 
 def test_one_that_joins_takes_its_part_and_nothing_moves_between_others() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -24,9 +24,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, held: bool
 ) -> None:
     """The process may end from a moment on if nothing is held, and from a later one on in any case."""
-    monkeypatch.setattr(shutdown, "ACCEPT_ON", -1.0)
+    monkeypatch.setattr(shutdown, "STOP_ACCEPTING_SECONDS", -1.0)
     if held:
-        monkeypatch.setattr(shutdown, "SEND_ON", -1.0)
+        monkeypatch.setattr(shutdown, "STOP_SENDING_SECONDS", -1.0)
 
     async def work() -> None:
         agent = await Agent([]).start()
