--- a/honeyhitch/protocols/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -168,6 +168,13 @@
         raise FieldError("fields: expected name=value, set apart by commas") from error
 
 
+def busy_reply(retry_after: int) -> bytes:
+    """The reply to a message that is not accepted; `retry_after` is in nanoseconds, 0 where none is known."""
+    if not retry_after:
+        return b"-BUSY\r\n"
+    return b"-BUSY %d\r\n" % (retry_after // MS)
+
+
 class Route(Enum):
     """What becomes of a transaction where a fleet shares the destinations."""
 
@@ -268,8 +275,8 @@
                 self.forward = transaction
                 return b""
             if route is Route.REFUSE:
-                return b"-BUSY %d\r\n" % (self.router.retry_after // MS)
+                return busy_reply(self.router.retry_after)
         admission = self.offer(transaction)
         if admission.accepted:
             return b"+OK\r\n"
-        return b"-BUSY %d\r\n" % (admission.retry_after // MS) if admission.retry_after else b"-BUSY\r\n"
+        return busy_reply(admission.retry_after)
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -17,7 +17,7 @@
 from honeyhitch.partitioning.fleet import ClockError, Fleet
 from honeyhitch.partitioning.settings import SECOND, FleetSettings
 from honeyhitch.protocols.discovery_backoff import WatchBackoff
-from honeyhitch.protocols.resp import MS, Route
+from honeyhitch.protocols.resp import MS, Route, busy_reply
 from honeyhitch.transports.list_watch import ListWatch
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
@@ -26,7 +26,7 @@
 MAX_SAVED_VIEW_BYTES = 250_000  # bytes of it
 SAVE_INTERVAL = 60 * SECOND  # ns; a restart while control is silent counts its leases from the last one
 REFRESH_CHECK_SECONDS = 0.25  # seconds between looks at what has changed with the time
-NO_OWNER_REPLY = b"-BUSY %d\r\n" % (BUSY_RETRY_AFTER // MS)
+NO_OWNER_REPLY = busy_reply(BUSY_RETRY_AFTER)
 
 
 class FleetService:
