--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from honeyhitch.addresses import split_host_port
 from honeyhitch.dead_letters.settings import DeadLetterSettings
 from honeyhitch.partitioning.settings import FleetSettings
 from honeyhitch.tls.settings import Partner, TlsSettings
@@ -27,10 +28,10 @@
     @classmethod
     def parse(cls, text: object, name: str) -> Address:
         """From HOST:PORT."""
-        host, _, port = str(text).rpartition(":")
-        if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-            raise ConfigError(f"{name}: expected HOST:PORT, got {text!r}")
-        return cls(host, int(port))
+        try:
+            return cls(*split_host_port(str(text)))
+        except ValueError:
+            raise ConfigError(f"{name}: expected HOST:PORT, got {text!r}") from None
 
     def __str__(self) -> str:
         return f"{self.host}:{self.port}"
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -7,10 +7,12 @@
 from math import inf
 from typing import Any
 
+from honeyhitch.addresses import split_host_port
 from honeyhitch.policy.events import EndpointListing, EndpointListUpdate, EndpointStatus, UpdateMode
 from honeyhitch.policy.settings import Settings
 
 TLS_TRANSPORT = "tls"  # the carrier whose members take calls on connections that are open already
+MAX_PORT_DIGITS = 5
 PHASES = {
     "Ready": EndpointStatus.READY,
     "Terminating": EndpointStatus.DRAINING,
@@ -43,8 +45,11 @@
     """A list from discovery that cannot be read."""
 
 
-def _is_port(text: str) -> bool:
-    return text.isascii() and text.isdigit() and len(text) <= 5 and int(text) < 1 << 16
+def _check_address(address: str) -> None:
+    try:
+        split_host_port(address, min_port=0, max_digits=MAX_PORT_DIGITS)
+    except ValueError:
+        raise PoolError(f"host_port: expected HOST:PORT, got {address!r}") from None
 
 
 def _index(names: tuple[str, ...], value: object, default: int = 0) -> int:
@@ -139,9 +144,8 @@
         cell = row.get("cell")
         destination = int(cell) if cell is not None else old.destination if old else -1
         address = str(row.get("host_port") or (old.address if old else ""))
-        host, _, port = address.rpartition(":")
-        if status is not EndpointStatus.GONE and not (host and _is_port(port)):
-            raise PoolError(f"host_port: expected HOST:PORT, got {address!r}")
+        if status is not EndpointStatus.GONE:
+            _check_address(address)
         size = float(row.get("size", 1.0))
         if not 0 <= size < inf:  # nor a NaN, which would spoil every pace computed from it
             raise PoolError(f"size: expected a number of 0 or more, got {size}")
--- a/honeyhitch/partitioning/view.py
+++ b/honeyhitch/partitioning/view.py
@@ -13,6 +13,7 @@
 from types import MappingProxyType
 from typing import Any
 
+from honeyhitch.addresses import split_host_port
 from honeyhitch.partitioning.settings import FleetSettings
 
 MS = 1_000_000  # ns
@@ -122,9 +123,10 @@
     except ValueError:
         raise FleetViewError(f"{name}: phase: unknown phase {row.get('phase')!r}") from None
     address = row.get("host_port")
-    host, _, port = str(address).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 1 << 16:
-        raise FleetViewError(f"{name}: host_port: expected HOST:PORT, got {address!r}")
+    try:
+        split_host_port(str(address))
+    except ValueError:
+        raise FleetViewError(f"{name}: host_port: expected HOST:PORT, got {address!r}") from None
     since = _parse_integer(row.get("up_since_ms", 0), f"{name}: up_since_ms")
     joined = _parse_integer(row.get("joined_ms", 0), f"{name}: joined_ms")
     return Instance(name, str(address), str(region), str(zone), phase, since * MS, joined * MS)
