--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -39,7 +39,7 @@
 from tests.agent import Agent
 from tests.authority import Authority
 from tests.program import SETTINGS, free_port, started, write
-from tests.rig import row
+from tests.rig import endpoint_row
 from tests.tls_partner import OK, Session, TlsPartner, asking, server_context
 from tests.world import settings
 
@@ -157,7 +157,7 @@
     members = []
     for dest, server in ((1, secure), (2, plain)):
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        members.append({**row(f"p{dest}", dest), "host_port": address, "size": 100000.0})
+        members.append({**endpoint_row(f"p{dest}", dest), "host_port": address, "size": 100000.0})
     agent = await Agent(members).start()
     port = free_port()
     # A budget that lets as many connections up as plain ones: it is the kept ones that are compared.
@@ -222,7 +222,7 @@
 @contextlib.asynccontextmanager
 async def dispatcher(folder: Path, partner: TlsPartner, more: str = "") -> Any:
     """The program with one partner that speaks TLS; the load and the agent."""
-    members = [{**row("p0", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 200.0}]
+    members = [{**endpoint_row("p0", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 200.0}]
     agent = await Agent(members).start()
     async with started(folder, agent.port, members, more, settings=BIG) as port:
         yield Load(port, partner), agent
--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -45,7 +45,7 @@
 from tests.partner import Partner
 from tests.program import SETTINGS, free_port, write
 from tests.resend_world import day
-from tests.rig import row
+from tests.rig import endpoint_row
 
 ROOT = Path(__file__).parent.parent
 SECOND = 10**9  # ns
@@ -155,7 +155,7 @@
 @contextlib.asynccontextmanager
 async def program(folder: Path, operator: str | None, partner: Partner) -> AsyncIterator[tuple[int, Any]]:
     """The port, and the process."""
-    member = {**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
+    member = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
     agent, port = await Agent([member]).start(), free_port()
     path, told = write(folder, port, agent.port, [member], operator, settings=BIG)
     words = [sys.executable, __file__, "--serve", path, *([told] if told else [])]
@@ -451,7 +451,7 @@
 async def killed(folder: Path, seed: int) -> tuple[int, int, int, int, int]:
     """Messages, kills, resends, applied twice, and resendable ones that were not settled."""
     rng, partner = random.Random(seed), await Mixed(seed).start()
-    member = {**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
+    member = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
     agent, port, sent, kills = await Agent([member]).start(), free_port(), 0, 0
     classes = [{**SETTINGS["classes"][0], "window": 60 * SECOND, "deadline": 3 * SECOND}, UNSAFE]
     path, told = write(folder, port, agent.port, [member], KILLS, settings={**BIG, "classes": classes})
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -96,7 +96,9 @@
     def take_over(self, owed: list[Transaction], unmoved: list[Transaction]) -> None:
         """Go on with what a process left: it is in the journal, and nobody else goes on with it."""
         if unmoved and self.dead_letter_sink is None:
-            log.warning("dead-letter.store-missing", waiting=len(unmoved))  # they stay for a start with a keeper
+            log.warning(
+                "dead-letter.store-missing", waiting=len(unmoved)
+            )  # they stay for a start with a keeper
         if self.dead_letter_sink is not None:
             for transaction in unmoved:
                 self.dead_letter_sink.store(transaction)
--- a/honeyhitch/journal/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from honeyhitch.journal.state import JournalState, unpack
+from honeyhitch.journal.state import JournalState, decode_records
 from honeyhitch.journal.transactions import Transaction
 
 
@@ -34,7 +34,7 @@
             self.fd, self.read_bytes = os.open(self.path, os.O_RDONLY), 0
         if there.st_size > self.read_bytes:  # half a record is read again: its writer may cut it back
             done = 0
-            for fields, body, end in unpack(
+            for fields, body, end in decode_records(
                 os.pread(self.fd, there.st_size - self.read_bytes, self.read_bytes)
             ):
                 self._apply(fields, body)
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -13,24 +13,30 @@
 
 from honeyhitch import logs
 from honeyhitch.journal.state import (
-    LARGEST,
+    MAX_RECORD_BYTES,
     STORED_DETAIL,
     STORED_FIELDS,
     STORED_STATE,
     JournalState,
-    pack,
-    unpack,
+    decode_records,
+    encode_record,
 )
 from honeyhitch.journal.transactions import Attempt, Ending, Transaction
 
 log = logs.get()
-DISK_A_NAME = 600  # bytes of the disk for each id or key that is remembered; it takes some 45 of them
-PIECE = 1000  # ids or keys in one record
-BLOCK = 512  # the disk counts files in whole blocks
-TAKE_SHARE, WRITE_SHARE, COMPACT_SHARE = 0.75, 0.95, 0.3  # of the disk: take, write at all, tidy up
-WORTH = 0.125  # of the file; for less it is not written anew, which costs milliseconds
+DISK_BYTES_PER_REMEMBERED_ID = (
+    600  # bytes of the disk for each id or key that is remembered; it takes some 45 of them
+)
+MAX_IDS_PER_RECORD = 1000  # ids or keys in one record
+DISK_BLOCK_BYTES = 512  # the disk counts files in whole blocks
+ACCEPT_FRACTION, WRITE_FRACTION, COMPACT_FRACTION = (
+    0.75,
+    0.95,
+    0.3,
+)  # of the disk: take, write at all, tidy up
+MIN_COMPACTION_GAIN = 0.125  # of the file; for less it is not written anew, which costs milliseconds
 
-VERSION = 1  # of the records' form
+JOURNAL_VERSION = 1  # of the records' form
 
 
 def _stored(transaction: Transaction, names: dict[str, str]) -> dict[str, object]:
@@ -64,16 +70,16 @@
         )
         self.peer_bytes = 0  # bytes that another process uses of the same disk
         self.compaction_overhead = 0  # bytes of the last compaction's file beyond `live`
-        super().__init__(max_bytes // DISK_A_NAME, retention)
+        super().__init__(max_bytes // DISK_BYTES_PER_REMEMBERED_ID, retention)
         self.clock, self.detailed = clock, detailed  # members, outcomes and times are there for later readers
         self.new_path.unlink(missing_ok=True)  # a compaction that was cut short; the old file still holds all
         self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         self.size = 0
         self._replay()
-        if self.version > VERSION:
+        if self.version > JOURNAL_VERSION:
             self.close()
             raise JournalVersionError(
-                f"{self.path} has form {self.version}, this program knows {VERSION} at most"
+                f"{self.path} has form {self.version}, this program knows {JOURNAL_VERSION} at most"
             )
 
     def close(self) -> None:
@@ -84,7 +90,7 @@
 
     def record_accepted(self, transaction: Transaction) -> None:
         """Before a client hears that it was taken on; refused for lack of room with JournalFull."""
-        self._write(self._accepted_record(transaction), transaction.body, TAKE_SHARE)
+        self.append(self._accepted_record(transaction), transaction.body, ACCEPT_FRACTION)
         self._add_message(transaction)
 
     def record_attempt(self, transaction: Transaction, at: int, zone: int, member: str = "") -> None:
@@ -92,7 +98,7 @@
         number = transaction.attempt_count
         fields: dict[str, object] = {"t": "attempt", "id": transaction.id, "n": number}
         fields |= {"at": at, "zone": zone}
-        self._write(fields | ({"to": member} if self.detailed else {}))
+        self.append(fields | ({"to": member} if self.detailed else {}))
         transaction.attempt_count += 1
         transaction.possible_executions.append((number, at, zone))
         if self.detailed:
@@ -155,8 +161,8 @@
 
     def record_owner(self, name: str) -> None:
         """Write down whose it is and in which form, for a process that comes beside this one."""
-        if (self.name, self.version) != (name, VERSION):
-            self.name, self.version = name, VERSION
+        if (self.name, self.version) != (name, JOURNAL_VERSION):
+            self.name, self.version = name, JOURNAL_VERSION
             self._write_if_possible(self._owner_record())
 
     def record_retry_after(self, destination: int, member: str, until: int) -> None:
@@ -173,9 +179,9 @@
         """
         if self.calls_in_flight is None:
             self.compact()
-        for at in range(0, len(transactions), PIECE):
-            part = {one.id: one for one in transactions[at : at + PIECE]}
-            self._write({"t": "passed", "ids": list(part)})
+        for at in range(0, len(transactions), MAX_IDS_PER_RECORD):
+            part = {one.id: one for one in transactions[at : at + MAX_IDS_PER_RECORD]}
+            self.append({"t": "passed", "ids": list(part)})
             self.handed_over |= part
         self.record_calls_in_flight(out)
 
@@ -241,7 +247,7 @@
         known.concluded = other.messages.concluded | known.concluded
         known.delivered_keys = other.messages.delivered_keys | known.delivered_keys
         spare = path.with_name(f"{path.name}.new")
-        if not self._rewrite(self._snapshot(), path, spare):
+        if not self.replace_file(self.snapshot(), path, spare):
             known.by_id, known.concluded, known.delivered_keys, known.pending_dead_letters = before
             self.handed_over, self.calls_in_flight, self.live_bytes, self.dead_letter_bytes, self.sizes = sums
             raise JournalFullError("no room for what another process left")
@@ -260,7 +266,7 @@
 
     def _replay(self) -> None:
         data = self.path.read_bytes()
-        for fields, body, end in unpack(data):
+        for fields, body, end in decode_records(data):
             self._apply(fields, body)
             self.size = end
         if self.size < len(data):  # the torn tail of a process that was killed in a write
@@ -273,18 +279,24 @@
     def _write_if_possible(self, fields: dict[str, object]) -> None:
         """A record that only lessens what is owed: left out for lack of room, a replay repeats harmlessly."""
         try:
-            self._write(fields)
+            self.append(fields)
         except JournalFullError as error:
             log.error("journal.failed", error=str(error))
 
-    def _write(self, fields: dict[str, object], body: bytes = b"", share: float = WRITE_SHARE) -> None:
-        record = pack(fields, body)
-        if len(record) > LARGEST:
+    def append(self, fields: dict[str, object], body: bytes = b"", share: float = WRITE_FRACTION) -> None:
+        record = encode_record(fields, body)
+        if len(record) > MAX_RECORD_BYTES:
             raise JournalFullError("the record is too long")
-        if self.size > max(COMPACT_SHARE * self.max_bytes, 2 * self.live_bytes):
+        if self.size > max(COMPACT_FRACTION * self.max_bytes, 2 * self.live_bytes):
             self._compact_if_worthwhile(0)
         # Old and new file lie side by side while one is compacted, so both must always fit.
-        least = self.live_bytes + self.peer_bytes + 2 * len(record) + 4 * BLOCK - share * self.max_bytes
+        least = (
+            self.live_bytes
+            + self.peer_bytes
+            + 2 * len(record)
+            + 4 * DISK_BLOCK_BYTES
+            - share * self.max_bytes
+        )
         if self.size + least > 0:
             self._compact_if_worthwhile(self.size + least)
             if self.size + least > 0:
@@ -303,39 +315,54 @@
         written anew for every message that it refuses otherwise.
         """
         gain = self.size - self.live_bytes - self.compaction_overhead
-        if self.calls_in_flight is None and gain >= max(wanted, WORTH * self.size):
+        if self.calls_in_flight is None and gain >= max(wanted, MIN_COMPACTION_GAIN * self.size):
             self.compact()
 
     def compact(self) -> None:
         """Write what is still of use to a new file and put it in the old one's place at one stroke."""
-        data = self._snapshot()
+        data = self.snapshot()
         self.compaction_overhead = len(data) - self.live_bytes
         if len(data) < self.size:
-            self._rewrite(data, self.path, self.new_path)
+            self.replace_file(data, self.path, self.new_path)
 
-    def _snapshot(self) -> bytes:
+    def snapshot(self) -> bytes:
         self.messages.drop_expired(self.clock())
         self.retry_after_until = {
             key: until for key, until in self.retry_after_until.items() if until > self.clock()
         }
         ended, keys = list(self.messages.concluded.items()), list(self.messages.delivered_keys.items())
-        parts = [pack(self._owner_record())] if self.version else []
+        parts = [encode_record(self._owner_record())] if self.version else []
         parts += [  # in pieces, so that no record outgrows what a replay accepts
-            pack({"t": "past", "ended": dict(ended[at : at + PIECE]), "keys": dict(keys[at : at + PIECE])})
-            for at in range(0, max(len(ended), len(keys)), PIECE)
+            encode_record(
+                {
+                    "t": "past",
+                    "ended": dict(ended[at : at + MAX_IDS_PER_RECORD]),
+                    "keys": dict(keys[at : at + MAX_IDS_PER_RECORD]),
+                }
+            )
+            for at in range(0, max(len(ended), len(keys)), MAX_IDS_PER_RECORD)
+        ]
+        parts += [
+            encode_record(self._accepted_record(known), known.body) for known in self.messages.by_id.values()
         ]
-        parts += [pack(self._accepted_record(known), known.body) for known in self.messages.by_id.values()]
         late = self.messages.pending_dead_letters.values()
-        parts += [pack(self._accepted_record(known) | {"over": True}, known.body) for known in late]
+        parts += [encode_record(self._accepted_record(known) | {"over": True}, known.body) for known in late]
         names = list(self.handed_over)
-        parts += [pack({"t": "passed", "ids": names[at : at + PIECE]}) for at in range(0, len(names), PIECE)]
-        parts += [pack({"t": "out", "n": self.calls_in_flight})] if self.calls_in_flight is not None else []
+        parts += [
+            encode_record({"t": "passed", "ids": names[at : at + MAX_IDS_PER_RECORD]})
+            for at in range(0, len(names), MAX_IDS_PER_RECORD)
+        ]
+        parts += (
+            [encode_record({"t": "out", "n": self.calls_in_flight})]
+            if self.calls_in_flight is not None
+            else []
+        )
         for (destination, member), until in self.retry_after_until.items():
-            parts.append(pack({"t": "wait", "dest": destination, "of": member, "until": until}))
+            parts.append(encode_record({"t": "wait", "dest": destination, "of": member, "until": until}))
         return b"".join(parts)
 
-    def _rewrite(self, data: bytes, path: Path, spare: Path) -> bool:
-        if self.size + self.peer_bytes + len(data) + 4 * BLOCK > self.max_bytes:
+    def replace_file(self, data: bytes, path: Path, spare: Path) -> bool:
+        if self.size + self.peer_bytes + len(data) + 4 * DISK_BLOCK_BYTES > self.max_bytes:
             return False
         try:
             fd = os.open(spare, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
--- a/honeyhitch/journal/state.py
+++ b/honeyhitch/journal/state.py
@@ -13,8 +13,8 @@
 
 from honeyhitch.journal.transactions import Attempt, Ending, MessageTable, Transaction
 
-HEAD = struct.Struct("<II")  # length and checksum of what follows
-SPLIT = struct.Struct("<I")  # length of the JSON in a record; the body follows it
+RECORD_HEADER = struct.Struct("<II")  # length and checksum of what follows
+FIELDS_LENGTH = struct.Struct("<I")  # length of the JSON in a record; the body follows it
 # How fields of a transaction are called in a stored record, in the order in which they are written.
 STORED_FIELDS = {
     "id": "id",
@@ -34,31 +34,35 @@
     "moved": "dead_letter_stored",
 }
 FIELD_OF_STORED = STORED_FIELDS | STORED_STATE | STORED_DETAIL
-LARGEST = 1 << 20  # bytes in one record; a greater length is a torn one
+MAX_RECORD_BYTES = 1 << 20  # bytes in one record; a greater length is a torn one
 
 
-def pack(fields: dict[str, object], body: bytes = b"") -> bytes:
+def encode_record(fields: dict[str, object], body: bytes = b"") -> bytes:
     """One record as it lies in the file."""
     text = json.dumps(fields, separators=(",", ":")).encode()
-    payload = SPLIT.pack(len(text)) + text + body
-    return HEAD.pack(len(payload), zlib.crc32(payload)) + payload
+    payload = FIELDS_LENGTH.pack(len(text)) + text + body
+    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def unpack(data: bytes) -> Iterator[tuple[dict[str, object], bytes, int]]:
+def decode_records(data: bytes) -> Iterator[tuple[dict[str, object], bytes, int]]:
     """The whole records at the front of `data`: fields, body and where each ends."""
     at = 0
-    while at + HEAD.size <= len(data):
-        length, checksum = HEAD.unpack_from(data, at)
-        payload = data[at + HEAD.size : at + HEAD.size + length]
-        if not SPLIT.size <= length <= LARGEST or len(payload) < length or zlib.crc32(payload) != checksum:
+    while at + RECORD_HEADER.size <= len(data):
+        length, checksum = RECORD_HEADER.unpack_from(data, at)
+        payload = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
+        if (
+            not FIELDS_LENGTH.size <= length <= MAX_RECORD_BYTES
+            or len(payload) < length
+            or zlib.crc32(payload) != checksum
+        ):
             return
-        (split,) = SPLIT.unpack_from(payload)
+        (split,) = FIELDS_LENGTH.unpack_from(payload)
         try:
-            fields = json.loads(payload[SPLIT.size : SPLIT.size + split])
+            fields = json.loads(payload[FIELDS_LENGTH.size : FIELDS_LENGTH.size + split])
         except ValueError:
             return
-        at += HEAD.size + length
-        yield fields, payload[SPLIT.size + split :], at
+        at += RECORD_HEADER.size + length
+        yield fields, payload[FIELDS_LENGTH.size + split :], at
 
 
 class JournalState:
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -76,7 +76,10 @@
         if there != self.peer_running:
             self.peer_running = there
             self.dispatcher.peer_process = self if there else None
-            log.info("handover.peer-started" if there else "handover.peer-ended", place=self.state_directory.other_slot)
+            log.info(
+                "handover.peer-started" if there else "handover.peer-ended",
+                place=self.state_directory.other_slot,
+            )
             self.out = None
             self.changed(there, None)
 
--- a/tests/keeping_rig.py
+++ b/tests/keeping_rig.py
@@ -15,7 +15,7 @@
 from honeyhitch.journal import journal as journal_module
 from honeyhitch.journal.journal import Journal
 
-from .rig import Stand, VirtualTime
+from .rig import DispatcherRig, VirtualTime
 from .world import SECOND
 
 
@@ -44,13 +44,13 @@
 
     points = Points()
 
-    def _write(self, fields: dict[str, object], body: bytes = b"", share: float = 0.95) -> None:
+    def append(self, fields: dict[str, object], body: bytes = b"", share: float = 0.95) -> None:
         self.points.strike()
         if self.points():
-            record = journal_module.pack(fields, body)
+            record = journal_module.encode_record(fields, body)
             os.write(self.fd, record[: len(record) // 2])
             raise Killed
-        super()._write(fields, body, share)
+        super().append(fields, body, share)
         self.points.strike()
 
 
@@ -100,7 +100,7 @@
             self.store = None
 
 
-class KeepingStand(Stand):
+class KeepingStand(DispatcherRig):
     """A stand with a store. `points` decides where it is killed."""
 
     terms = Terms()
@@ -127,9 +127,9 @@
     def prepare(self) -> None:
         self.worker = Inline(self._store, self.time)
         self.moving = JournalTransfer(
-            self.s, self.journal, self.time, self.worker.submit, self.core.dead_letter_stored
+            self.settings, self.journal, self.time, self.worker.submit, self.dispatcher.dead_letter_stored
         )
-        self.core.dead_letter_sink = self.moving
+        self.dispatcher.dead_letter_sink = self.moving
 
     @property
     def store(self) -> Store:
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -24,20 +24,20 @@
 from honeyhitch.policy.settings import Idempotency
 
 from .keeping_rig import KeepingStand, Killed, Points
-from .rig import NAMED, VirtualTime
+from .rig import STANDARD_CLASS, VirtualTime
 from .world import SECOND
 
 CLASSES = (
     dataclasses.replace(
-        NAMED,
+        STANDARD_CLASS,
         name="safe",
         idempotency=Idempotency.IDEMPOTENT,
         deadline=6 * SECOND,
         deduplication_window=0,
     ),
-    dataclasses.replace(NAMED, name="keyed", deadline=6 * SECOND, deduplication_window=90 * SECOND),
+    dataclasses.replace(STANDARD_CLASS, name="keyed", deadline=6 * SECOND, deduplication_window=90 * SECOND),
     dataclasses.replace(
-        NAMED,
+        STANDARD_CLASS,
         name="unsafe",
         idempotency=Idempotency.NON_IDEMPOTENT,
         deadline=6 * SECOND,
@@ -98,14 +98,14 @@
     def prepare(self) -> None:
         super().prepare()
         setup = DeadLetterSettings(rules=self.rule, terms=self.terms)
-        self.resending = ResendScheduler(setup, self.core, self.time, self.worker.submit)
+        self.resending = ResendScheduler(setup, self.dispatcher, self.time, self.worker.submit)
         self.moving.after.append(self.resending.kept)
-        self.core.accepting = False
+        self.dispatcher.accepting = False
 
     def resume(self) -> None:
         def ready() -> None:
-            self.core.accepting = True
-            self.core.recover()
+            self.dispatcher.accepting = True
+            self.dispatcher.recover()
 
         self.resending.begin(ready)
 
@@ -138,7 +138,7 @@
         from honeyhitch.dispatcher.delivery import CallResult
 
         told = [(one, one is Outcome.DELIVERED) for one in results]
-        self.core.call_ended(call, CallResult(told))
+        self.dispatcher.call_ended(call, CallResult(told))
 
 
 @dataclass
@@ -176,13 +176,13 @@
 def step(stand: ResendStand, clients: list[Client], rng: random.Random, fresh: bool) -> None:
     """A fifth of a second of the clients' day: new messages, and copies of what they were told to bring."""
     now = stand.time.now()
-    if fresh and rng.random() < 0.25 and stand.core.accepting:
+    if fresh and rng.random() < 0.25 and stand.dispatcher.accepting:
         name = f"m{len(clients)}"
         client = Client(f"key-{name}", rng.randrange(3), rng.choice((1, 2)), [name])
         clients.append(client)
         hand_in(stand, client, name)
     for client in clients:
-        if client.copy_at is not None and client.copy_at <= now and stand.core.accepting:
+        if client.copy_at is not None and client.copy_at <= now and stand.dispatcher.accepting:
             client.copy_at = None
             name = f"{client.ids[0]}-{len(client.ids)}"
             client.ids.append(name)
@@ -215,7 +215,7 @@
     one = Transaction(
         name, client.cls, client.dest, stand.time.time + 6 * SECOND, b"body", key=client.key, frontend="mqtt"
     )
-    if not stand.core.submit(one).accepted:
+    if not stand.dispatcher.submit(one).accepted:
         client.ids.remove(name)
         client.copy_at = stand.time.time + SECOND
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -19,11 +19,11 @@
 from .world import SECOND, settings
 
 START = 1_700_000_000 * SECOND
-NAMED = dataclasses.replace(
+STANDARD_CLASS = dataclasses.replace(
     settings().classes[1], name="standard", deadline=20 * SECOND, deduplication_window=5 * SECOND
 )  # keyed, a repeat is dropped inside the window
 SETTINGS: dict[str, Any] = {
-    "classes": (NAMED,),
+    "classes": (STANDARD_CLASS,),
     "kinds": (DestinationKind(max_messages_per_call=3, name="large"), DestinationKind(name="small")),
     "tenant_names": ("studio",),
     "zone_names": ("hq",),
@@ -37,15 +37,15 @@
     """The core's scheduler in virtual time."""
 
     def __init__(self, now: int = START) -> None:
-        self.time, self.seq = now, 0
+        self.time, self.sequence = now, 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
 
     def now(self) -> int:
         return self.time
 
     def call_at(self, when: int, what: Callable[[], None]) -> None:
-        self.seq += 1
-        heapq.heappush(self.heap, (when, self.seq, what))
+        self.sequence += 1
+        heapq.heappush(self.heap, (when, self.sequence, what))
 
     def run(self, seconds: float) -> None:
         """Let that much time pass."""
@@ -57,7 +57,7 @@
         self.time = until
 
 
-class Stand:
+class DispatcherRig:
     """One dispatcher between a stand-in carrier and a stand-in front."""
 
     def __init__(
@@ -68,24 +68,26 @@
         known: dict[str, Any] | None = None,
         **more: Any,
     ) -> None:
-        self.s = settings(**{**SETTINGS, **more})
+        self.settings = settings(**{**SETTINGS, **more})
         self.time = time or VirtualTime()
         self.journal = self.make_journal(folder, disk)
         self.calls: list[Call] = []
-        self.closed: list[str] = []  # members whose idle connections were closed
+        self.closed_endpoints: list[str] = []  # members whose idle connections were closed
         self.answers: list[Transaction] = []
-        self.confirm = True
-        self.core = Dispatcher(self.s, 7, EndpointPool(self.s), self.journal, self.time)
+        self.confirms_answers = True
+        self.dispatcher = Dispatcher(self.settings, 7, EndpointPool(self.settings), self.journal, self.time)
         for name in ("http", "mqtt"):
-            self.core.transports[name] = self
+            self.dispatcher.transports[name] = self
         for name in ("resp", "mqtt"):
-            self.core.frontends[name] = self
+            self.dispatcher.frontends[name] = self
         self.prepare()
-        self.core.apply_list_update(self.core.pool.update(LIST if known is None else known, cached=True))
+        self.dispatcher.apply_list_update(
+            self.dispatcher.pool.update(ENDPOINT_LIST if known is None else known, cached=True)
+        )
         self.resume()
 
     def resume(self) -> None:
-        self.core.recover()
+        self.dispatcher.recover()
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
         return Journal(folder, disk, self.time.now, lambda ended: 20 * SECOND)
@@ -95,32 +97,32 @@
 
     def start(self, call: Call) -> None:
         """Its connection is up at once."""
-        if self.core.start_call(call):
+        if self.dispatcher.start_call(call):
             self.calls.append(call)
         else:
-            self.core.call_ended(call, CallResult([]))
+            self.dispatcher.call_ended(call, CallResult([]))
 
     def cancel(self, call: Call) -> None:
         self.end(call, Outcome.CANCELLED)
 
     def close_idle(self, member: PoolEndpoint) -> None:
-        self.closed.append(member.id)
+        self.closed_endpoints.append(member.id)
 
     def answer(self, transaction: Transaction) -> None:
         self.answers.append(transaction)
-        if self.confirm:
-            self.core.answer_sent(transaction)
+        if self.confirms_answers:
+            self.dispatcher.answer_sent(transaction)
 
-    def hand_in(self, name: str, dest: int = 1, left: int = 20 * SECOND, **more: Any) -> bool:
+    def submit(self, name: str, dest: int = 1, left: int = 20 * SECOND, **more: Any) -> bool:
         more.setdefault("key", f"k-{name}")
         transaction = Transaction(name, 0, dest, self.time.time + left, b"body", **more)
-        return self.core.submit(transaction).accepted
+        return self.dispatcher.submit(transaction).accepted
 
     def end(self, call: Call, outcome: Outcome, **more: Any) -> None:
         result = CallResult.uniform(outcome, len(call.messages), outcome is Outcome.DELIVERED)
         for name, value in more.items():
             setattr(result, name, value)
-        self.core.call_ended(call, result)
+        self.dispatcher.call_ended(call, result)
 
     def run(self, seconds: float) -> list[Call]:
         """Let time pass; the calls made meanwhile."""
@@ -129,9 +131,13 @@
         return self.calls[before:]
 
 
-def row(name: str, cell: int, flavor: str = "small", phase: str = "Ready") -> dict[str, Any]:
+def endpoint_row(name: str, cell: int, flavor: str = "small", phase: str = "Ready") -> dict[str, Any]:
     address = {"host_port": "127.0.0.1:9", "locality": "hq", "size": 10.0, "up_since_ms": 0}
     return {"id": name, "flavor": flavor, "cell": cell, "phase": phase, **address}
 
 
-LIST = {"revision": 1, "complete": True, "members": [row("s-1", 1), row("s-2", 2, "large")]}
+ENDPOINT_LIST = {
+    "revision": 1,
+    "complete": True,
+    "members": [endpoint_row("s-1", 1), endpoint_row("s-2", 2, "large")],
+}
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -15,7 +15,7 @@
 from .agent import Agent
 from .processes import PING, PONG, Partner, ask, killed, listening_port, spawn, until_ready
 from .program import enqueue, play, write
-from .rig import row
+from .rig import endpoint_row
 from .test_upgrade import Events
 
 SOCKETS = 72  # descriptors of the process, as its configuration says
@@ -40,7 +40,7 @@
         events, port = Events(), listening_port()
         partner = await Partner(events.tell).start()
         agent = await Agent(
-            [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}, row("s-2", 2)]
+            [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}, endpoint_row("s-2", 2)]
         ).start()
         agent.told = agent.watched = events.tell
         path, _ = write(tmp_path, port, agent.port, agent.members, limits={"sockets": SOCKETS})
@@ -59,7 +59,7 @@
             lost = enqueue("two", left=300).replace(b"dest=1", b"dest=2")  # nobody listens there
             assert await ask(port, lost) == b"+OK\r\n"
             await events.until(lambda: "two" in agent.notices)  # and a notice
-            agent.change({**row("s-3", 3), "host_port": f"127.0.0.1:{partner.port}"})
+            agent.change({**endpoint_row("s-3", 3), "host_port": f"127.0.0.1:{partner.port}"})
             other = enqueue("three").replace(b"dest=1", b"dest=3")
             while await ask(port, other) != b"+OK\r\n":  # until the change has arrived
                 await asyncio.sleep(0.02)
@@ -75,7 +75,7 @@
     async def work() -> None:
         events = Events()
         partner = await Partner(events.tell, answers=False).start()
-        agent = await Agent([{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]).start()
+        agent = await Agent([{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]).start()
         paths: dict[int, str] = {}
         for number in range(RESTARTED):
             folder, port = tmp_path / str(number), listening_port()
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -44,10 +44,10 @@
         return ResendStand(self.folder, self.clock, self.partner, self.rng, points)
 
     def hand_in(self, name: str) -> None:
-        if name not in self.handed and self.stand.core.accepting:
+        if name not in self.handed and self.stand.dispatcher.accepting:
             self.handed.add(name)
             at = self.clock.time + 6 * SECOND
-            self.stand.core.submit(Transaction(name, UNSAFE, 1, at, b"body", key="k", frontend="mqtt"))
+            self.stand.dispatcher.submit(Transaction(name, UNSAFE, 1, at, b"body", key="k", frontend="mqtt"))
 
     def step(self) -> None:
         gone = (self.clock.time - self.began) / SECOND
@@ -72,8 +72,8 @@
         applied = self.partner.ledger.get("k", [])
         assert len(applied) <= 1, "applied twice"
         assert len([one for one in found if one.standing in OPEN]) <= 1, "a message stands twice"
-        assert not self.stand.core.messages.by_id
-        assert not self.stand.core.messages.pending_dead_letters
+        assert not self.stand.dispatcher.messages.by_id
+        assert not self.stand.dispatcher.messages.pending_dead_letters
         assert not self.stand.resending.under_way
         assert not any(self.stand.resending.parked.values())
         assert list(self.stand.store.verify()) == []
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -32,7 +32,7 @@
 from .broker import Broker
 from .partner import Partner
 from .program import free_port, play, started, write
-from .rig import START, row
+from .rig import START, endpoint_row
 from .test_dead_letters_store import record
 from .test_program import Client
 
@@ -69,7 +69,7 @@
 def test_a_message_that_fails_is_kept_and_shown_by_the_running_program(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         control = tmp_path / "state" / "control.sock"
         async with started(tmp_path, agent.port, members, OPERATOR) as port:
@@ -148,7 +148,7 @@
 def test_a_store_that_cannot_be_opened_does_not_touch_live_traffic(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         (tmp_path / "file").write_text("in the way")
         operator = f'[undelivered]\nfolder = "{tmp_path}/file"\n'
@@ -349,7 +349,7 @@
         partner, broker = await Partner(200, holds=True).start(), Broker()
         await broker.start()
         client = Client(asyncio.get_running_loop())
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         store = Store(tmp_path / "state" / "undelivered")
         now = time.time_ns()
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -23,7 +23,7 @@
 from honeyhitch.policy.health import DestinationHealth, destination_health
 
 from .resend_world import KEYED, RULE, SAFE, TERMS, UNSAFE, Partner, ResendStand, day, records
-from .rig import VirtualTime, row
+from .rig import VirtualTime, endpoint_row
 from .world import SECOND
 
 
@@ -38,7 +38,7 @@
     assert not told.stand.resending.under_way
     assert not told.stand.resending.parked
     assert not told.stand.journal.messages.pending_dead_letters
-    assert not told.stand.core.messages.by_id
+    assert not told.stand.dispatcher.messages.by_id
     assert not told.stand.resending.copies.live
     assert list(told.stand.store.verify()) == []
     told.stand.gone()
@@ -92,7 +92,7 @@
     def hand_in(self, name: str, cls: int = KEYED, key: str = "k", front: str = "mqtt") -> None:
         now = self.stand.time.now()
         told = Transaction(name, cls, 1, now + 6 * SECOND, b"body", key=key, frontend=front)
-        assert self.stand.core.submit(told).accepted
+        assert self.stand.dispatcher.submit(told).accepted
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 5)):
@@ -225,7 +225,7 @@
     tmp_path: Path, cls: int, mode: str, front: str
 ) -> None:
     one = One(tmp_path)
-    one.stand.core.frontends["app"] = one.stand
+    one.stand.dispatcher.frontends["app"] = one.stand
     one.fail("m", cls=cls)
     one.stand.modes = (mode,)
     sent = len(one.stand.sent)
@@ -235,11 +235,11 @@
     assert len(one.stand.sent) == sent + 1
     one.stand.modes = ("deliver",)
     out: list[str] = []
-    while one.stand.core.messages.by_id.get("copy") is not None:
+    while one.stand.dispatcher.messages.by_id.get("copy") is not None:
         out = [
             name
-            for name in one.stand.core.calls_in_flight
-            if one.stand.core.calls_in_flight[name].messages[0].key == "k"
+            for name in one.stand.dispatcher.calls_in_flight
+            if one.stand.dispatcher.calls_in_flight[name].messages[0].key == "k"
         ]
         assert len(out) <= 1, "the copy and the resend are out together"
         one.run(0.2)
@@ -265,7 +265,7 @@
     one.hand_in("copy", cls=UNSAFE)
     one.run(3)
     one.stand.modes = (ends,)
-    while one.stand.core.messages.by_id.get("copy") is not None:
+    while one.stand.dispatcher.messages.by_id.get("copy") is not None:
         assert one.record("m").standing is RecordStatus.KEPT
         one.run(0.2)
     one.stand.modes = ("deliver",)
@@ -311,7 +311,7 @@
     one.fail("m", cls=UNSAFE)
     now = one.stand.time.now()
     other = Transaction("copy", UNSAFE, 1, now + 6 * SECOND, b"other", key="k", frontend="mqtt")
-    assert one.stand.core.submit(other).accepted
+    assert one.stand.dispatcher.submit(other).accepted
     one.run(100)
     record = one.record("m")
     assert record.standing is RecordStatus.KEPT
@@ -326,7 +326,7 @@
     one.stand.modes = ("late-lost",)
     one.until_out()
     now = one.stand.time.now()
-    assert one.stand.core.submit(
+    assert one.stand.dispatcher.submit(
         Transaction("copy", UNSAFE, 1, now + SECOND, b"body", key="k", frontend="mqtt")
     ).accepted
     one.run(1)
@@ -343,7 +343,7 @@
     one.stand.modes = ("late-lost",)
     one.until_out()
     one.hand_in("copy", cls=UNSAFE)
-    one.stand.core.withdraw("copy")
+    one.stand.dispatcher.withdraw("copy")
     one.run(30)
     assert "copy" not in one.answers()
     assert not one.stand.resending.copies.live
@@ -354,7 +354,7 @@
     """The client brings it itself between the claim and the first byte."""
     one = One(tmp_path)
     one.fail("m", cls=UNSAFE)
-    with patch.object(type(one.stand.core), "release", lambda *_: None):
+    with patch.object(type(one.stand.dispatcher), "release", lambda *_: None):
         one.until_sending("m")
     one.hand_in("copy", cls=UNSAFE)
     one.run(5)
@@ -384,13 +384,13 @@
     one.until_sending("m")
     one.stand.worker.broken = sqlite3.OperationalError("disk I/O error")
     one.run(20)
-    (held,) = one.stand.core.messages.by_id.values()
+    (held,) = one.stand.dispatcher.messages.by_id.values()
     assert held.frontend == "resend"
     assert held.ending is Ending.DELIVERED
     one.stand.worker.broken = None
     one.run(70)
     assert one.record("m").standing is RecordStatus.SETTLED
-    assert not one.stand.core.messages.by_id
+    assert not one.stand.dispatcher.messages.by_id
     assert len(one.partner.ledger["k"]) == 1
 
 
@@ -432,12 +432,12 @@
 def test_a_drained_member_gets_no_resend(tmp_path: Path) -> None:
     one = One(tmp_path)
     one.fail("m", cls=UNSAFE)
-    told = {"revision": 2, "complete": False, "members": [row("s-1", 1, phase="Terminating")]}
-    one.stand.core.apply_list_update(one.stand.core.pool.update(told))
+    told = {"revision": 2, "complete": False, "members": [endpoint_row("s-1", 1, phase="Terminating")]}
+    one.stand.dispatcher.apply_list_update(one.stand.dispatcher.pool.update(told))
     one.run(100)
     assert one.record("m").resends == 0
     assert one.record("m").standing is RecordStatus.KEPT
-    assert destination_health(one.stand.core.policy, 1, one.stand.time.now()) == DestinationHealth(
+    assert destination_health(one.stand.dispatcher.policy, 1, one.stand.time.now()) == DestinationHealth(
         False, True, False, 0, False, 0, 0, 0
     )
 
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -28,7 +28,7 @@
 
 def failed(stand: KeepingStand, name: str, outcome: Outcome = Outcome.ERROR, **more: object) -> None:
     """A message that fails with this outcome till it is given up."""
-    assert stand.hand_in(name, **more)  # type: ignore[arg-type]
+    assert stand.submit(name, **more)  # type: ignore[arg-type]
     for _ in range(60):
         for call in stand.run(0.5):
             stand.end(call, outcome)
@@ -61,12 +61,12 @@
 
 def test_what_was_delivered_or_withdrawn_is_not_kept(tmp_path: Path) -> None:
     stand = KeepingStand(tmp_path)
-    stand.hand_in("a")
-    stand.hand_in("b")
+    stand.submit("a")
+    stand.submit("b")
     for call in stand.run(1):
         stand.end(call, Outcome.DELIVERED)
-    stand.hand_in("c", dest=2)
-    stand.core.withdraw("c")
+    stand.submit("c", dest=2)
+    stand.dispatcher.withdraw("c")
     stand.run(30)
     assert kept(stand) == []
     assert not stand.journal.messages.pending_dead_letters
@@ -74,7 +74,7 @@
 
 def test_what_proves_that_it_never_ran_is_in_the_record(tmp_path: Path) -> None:
     stand = KeepingStand(tmp_path)
-    stand.hand_in("a")
+    stand.submit("a")
     (call,) = stand.run(0.1)
     stand.end(call, Outcome.REJECTED, retry_after=2 * SECOND, failure_reason="")
     while not stand.answers:
@@ -93,7 +93,7 @@
     failed(stand, "a")
     assert [one.id for one in stand.answers] == ["a"]
     assert len(stand.journal.messages.pending_dead_letters) == 1
-    assert stand.core.state().message_count == 0
+    assert stand.dispatcher.state().message_count == 0
     stand.worker.broken = None
     stand.run(70)
     assert [one.id for one in kept(stand)] == ["a"]
@@ -106,7 +106,7 @@
     stand.worker.broken = sqlite3.OperationalError("database or disk is full")
     failed(stand, "ran", Outcome.ERROR)
     for i in range(60):
-        assert stand.hand_in(f"m{i}", left=SECOND // 2), "a live message was turned away"
+        assert stand.submit(f"m{i}", left=SECOND // 2), "a live message was turned away"
         for call in stand.run(1):
             stand.end(call, Outcome.REJECTED)
     assert stand.journal.dead_letter_bytes <= 0.25 * 100_000
@@ -164,7 +164,7 @@
             for _ in range(50):
                 for name in sorted({f"m{i}" for i in range(4)} - taken):
                     taken.add(name)
-                    stand.hand_in(name, left=6 * SECOND)
+                    stand.submit(name, left=6 * SECOND)
                 for call in stand.run(0.5):
                     stand.end(call, rng.choice(OUTCOMES))
             struck = False
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -14,13 +14,13 @@
 from honeyhitch.policy.events import EndpointStatus
 
 from .program import SETTINGS, write
-from .rig import row
+from .rig import endpoint_row
 from .world import settings
 
 
 def pool() -> EndpointPool:
     made = EndpointPool(settings())
-    made.update({"revision": 5, "complete": True, "members": [row("a", 1), row("b", 1)]})
+    made.update({"revision": 5, "complete": True, "members": [endpoint_row("a", 1), endpoint_row("b", 1)]})
     return made
 
 
@@ -30,10 +30,10 @@
 
 def test_a_late_change_does_not_bring_back_what_went_since() -> None:
     one = pool()
-    one.update(change(6, row("a", 1, phase="Terminating")))
-    one.update(change(7, row("b", 1, phase="Gone")))
+    one.update(change(6, endpoint_row("a", 1, phase="Terminating")))
+    one.update(change(7, endpoint_row("b", 1, phase="Gone")))
     with pytest.raises(PoolError, match="revision"):  # the watch breaks, and the whole list is asked for
-        one.update(change(4, row("a", 1), row("b", 1)))
+        one.update(change(4, endpoint_row("a", 1), endpoint_row("b", 1)))
     assert one.revision == 7
     assert one.endpoints["a"].status is EndpointStatus.DRAINING
     assert "b" not in one.endpoints
@@ -42,9 +42,11 @@
 def test_a_repeated_change_is_harmless_and_a_whole_list_of_any_revision_holds() -> None:
     one = pool()
     for _ in range(2):
-        one.update(change(6, row("c", 2)))
+        one.update(change(6, endpoint_row("c", 2)))
     assert sorted(one.endpoints) == ["a", "b", "c"]
-    one.update({"revision": 2, "complete": True, "members": [row("a", 1)]})  # an agent that counts anew
+    one.update(
+        {"revision": 2, "complete": True, "members": [endpoint_row("a", 1)]}
+    )  # an agent that counts anew
     assert sorted(one.endpoints) == ["a"]
     assert one.revision == 2
 
@@ -66,7 +68,7 @@
 def test_a_row_that_cannot_be_read_is_named_and_changes_nothing(bad: dict[str, Any], named: str) -> None:
     one = pool()
     with pytest.raises(PoolError, match=named):
-        one.update(change(6, row("c", 1), {**row("d", 1), **bad}))
+        one.update(change(6, endpoint_row("c", 1), {**endpoint_row("d", 1), **bad}))
     assert sorted(one.endpoints) == ["a", "b"]
     assert one.revision == 5
 
@@ -74,7 +76,7 @@
 @pytest.mark.parametrize("revision", [None, "x", float("inf"), float("nan"), [1]])
 def test_a_revision_that_is_no_number_is_no_crash(revision: object) -> None:
     with pytest.raises(PoolError):
-        pool().update(change(revision, row("c", 1)))
+        pool().update(change(revision, endpoint_row("c", 1)))
 
 
 @pytest.mark.parametrize("value", [0, -3])
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -19,7 +19,7 @@
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.journal.journal import Journal
-from honeyhitch.journal.state import unpack
+from honeyhitch.journal.state import decode_records
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
@@ -28,7 +28,7 @@
 from honeyhitch.transports.mqtt_transport import MqttTransport
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
-from .rig import SETTINGS, row
+from .rig import SETTINGS, endpoint_row
 from .world import SECOND, settings
 
 
@@ -90,7 +90,7 @@
         self.core.transports["http"], self.core.frontends["resp"] = self.carrier, self
         self.answers: dict[str, Ending | None] = {}
         at = [f"127.0.0.1:{one.port}" for one in members]
-        self.rows = [{**row(f"s-{i}", 1, kind), "host_port": where} for i, where in enumerate(at)]
+        self.rows = [{**endpoint_row(f"s-{i}", 1, kind), "host_port": where} for i, where in enumerate(at)]
         told = {"revision": 1, "complete": True, "members": self.rows}
         self.core.apply_list_update(self.core.pool.update(told, cached=True))
         self.core.recover()
@@ -120,7 +120,7 @@
         self.journal.close()
 
     def records(self, kind: str) -> list[dict[str, object]]:
-        told = [fields for fields, _, _ in unpack(self.journal.path.read_bytes())]
+        told = [fields for fields, _, _ in decode_records(self.journal.path.read_bytes())]
         return [fields for fields in told if fields["t"] == kind]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,7 +25,7 @@
 from honeyhitch.transports import sockets
 
 from .program import Peer, play, started, write
-from .rig import START, Stand, VirtualTime, row
+from .rig import START, DispatcherRig, VirtualTime, endpoint_row
 from .world import SECOND as S
 
 KEEP = 20 * S
@@ -72,7 +72,7 @@
     assert new.folder.slot == FIRST_SLOT
 
 
-class Process(Stand):
+class Process(DispatcherRig):
     """A stand-in process of an upgrade; `kill` ends it as the kernel would, with the file as it is."""
 
     def __init__(self, folder: Path, time: VirtualTime, **more: Any) -> None:
@@ -87,38 +87,38 @@
         self.shares: list[int | None] = []  # calls that the other one had out, as they were told
         self.journal.record_owner("n0")
         self.beside = ProcessHandover(
-            self.folder, self.journal, self.core, lambda _, out: self.shares.append(out)
+            self.folder, self.journal, self.dispatcher, lambda _, out: self.shares.append(out)
         )
         self.beside.begin()
-        self.core.recover()
+        self.dispatcher.recover()
         self.beside.resumed = True
 
     def kill(self) -> None:
-        self.core.sending = self.core.accepting = False
+        self.dispatcher.sending = self.dispatcher.accepting = False
         self.folder.close()
         self.beside.close()
         self.journal.close()
 
     def held(self) -> set[str]:
-        return self.core.messages.by_id.keys() - self.journal.handed_over.keys()
+        return self.dispatcher.messages.by_id.keys() - self.journal.handed_over.keys()
 
 
 def test_what_the_old_one_leaves_is_the_new_ones_and_goes_on(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
-    assert new.core.peer_process is not None
+    assert new.dispatcher.peer_process is not None
     assert not new.held()
     assert not new.run(0.5)
     old.end(call, Outcome.CONNECT_FAILED)
-    old.core.hand_over()
-    assert old.hand_in("b") and not old.run(0.5), "nothing new goes out"
+    old.dispatcher.hand_over()
+    assert old.submit("b") and not old.run(0.5), "nothing new goes out"
     old.kill()
     new.beside.check_peer()
     assert new.held() == {"a", "b"}
-    assert new.core.peer_process is None
+    assert new.dispatcher.peer_process is None
     assert new.folder.slot == FIRST_SLOT
     sent = [part.id for call in new.run(2) for part in call.messages]
     assert sorted(sent) == ["a", "b"]
@@ -129,46 +129,46 @@
     """A member's table of connections is shared by both: what is idle here would be missing there."""
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     (call,) = old.run(0.1)
-    assert not old.closed
-    old.core.hand_over()
-    assert sorted(old.closed) == ["s-1", "s-2"]
-    old.core.hand_over()
-    assert len(old.closed) == 2, "once"
+    assert not old.closed_endpoints
+    old.dispatcher.hand_over()
+    assert sorted(old.closed_endpoints) == ["s-1", "s-2"]
+    old.dispatcher.hand_over()
+    assert len(old.closed_endpoints) == 2, "once"
     old.end(call, Outcome.DELIVERED)
-    assert old.closed[2:] == ["s-1"], "and each that its last call leaves"
+    assert old.closed_endpoints[2:] == ["s-1"], "and each that its last call leaves"
 
 
 def test_what_waits_goes_on_in_the_new_one_while_calls_of_the_old_one_are_out(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     (call,) = old.run(0.1)
-    old.hand_in("b")
+    old.submit("b")
     new = Process(tmp_path, time)
     new.beside.check_peer()
     assert not new.held() and new.shares == [None], "nothing is passed on before the old one is told to stop"
-    old.core.hand_over()
+    old.dispatcher.hand_over()
     new.beside.check_peer()
     assert (old.held(), new.held()) == ({"a"}, {"b"}) and new.shares == [None, 1], "with the slots left over"
     assert [part.id for call in new.run(0.5) for part in call.messages] == ["b"]
-    assert old.core.metrics_snapshot()["active"] == new.core.metrics_snapshot()["active"] == 1
-    old.hand_in("c")
+    assert old.dispatcher.metrics_snapshot()["active"] == new.dispatcher.metrics_snapshot()["active"] == 1
+    old.submit("c")
     old.end(call, Outcome.CONNECT_FAILED)  # no end of its own: on it goes in the new one
-    old.core.hand_over()
+    old.dispatcher.hand_over()
     new.beside.check_peer()
     assert (old.held(), new.held()) == (set(), {"a", "b", "c"})
     assert new.shares == [None, 1, 0]
     assert not old.run(1), "the old one does nothing more for them"
-    old.core.withdraw("b")
-    old.core.conclude(old.core.messages.by_id["c"], Ending.FAILED)
+    old.dispatcher.withdraw("b")
+    old.dispatcher.conclude(old.dispatcher.messages.by_id["c"], Ending.FAILED)
     assert not old.answers, "and answers none of them"
     for call in new.calls:
         new.end(call, Outcome.DELIVERED)
     old.kill()
     new.beside.check_peer()
-    assert "b" in new.core.messages.concluded
+    assert "b" in new.dispatcher.messages.concluded
     assert "b" not in new.held()
     assert new.shares[-1] is None
 
@@ -182,15 +182,15 @@
 ) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     new = Process(tmp_path, time)
-    old.core.hand_over()
+    old.dispatcher.hand_over()
     if compact:
-        old.journal._rewrite(old.journal._snapshot(), old.journal.path, old.journal.new_path)
+        old.journal.replace_file(old.journal.snapshot(), old.journal.path, old.journal.new_path)
     if adopted:
         new.beside.check_peer()
         if ended:
-            new.core.conclude(new.core.messages.by_id["a"], Ending.DELIVERED)
+            new.dispatcher.conclude(new.dispatcher.messages.by_id["a"], Ending.DELIVERED)
     one, other = (old, new) if first == "old" else (new, old)
     one.kill()
     other.beside.check_peer()
@@ -208,8 +208,8 @@
 def test_a_start_alone_takes_back_what_was_passed_on_to_one_that_never_wrote_it(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
-    old.hand_in("a")
-    old.core.hand_over()
+    old.submit("a")
+    old.dispatcher.hand_over()
     old.kill()
     new.kill()
     (tmp_path / "journal-2").unlink()
@@ -222,27 +222,27 @@
     """Both hold the same messages for a while: half as many as fit alone must fit in both."""
     time, disk, count = VirtualTime(), 200_000, 0
     old = Process(tmp_path, time, disk=disk, max_messages=1000)
-    while old.hand_in(f"m{count}"):
+    while old.submit(f"m{count}"):
         if count % 4:  # most of the file is of what has ended
-            old.core.conclude(old.core.messages.by_id[f"m{count}"], Ending.REJECTED)
+            old.dispatcher.conclude(old.dispatcher.messages.by_id[f"m{count}"], Ending.REJECTED)
         count += 1
     for name in sorted(old.held())[::2]:
-        old.core.conclude(old.core.messages.by_id[name], Ending.REJECTED)
+        old.dispatcher.conclude(old.dispatcher.messages.by_id[name], Ending.REJECTED)
     new, owed = Process(tmp_path, time, disk=disk, max_messages=1000), old.held()
     new.beside.retry_after_events()  # as in a round: it sees how full the disk is
-    old.core.hand_over()
+    old.dispatcher.hand_over()
     new.beside.check_peer()
     assert new.held() == owed
     assert not old.held()
-    assert new.hand_in("one more")
+    assert new.submit("one more")
     assert sum(file.stat().st_size for file in tmp_path.iterdir()) < disk
 
 
 def test_a_start_in_the_place_of_one_that_passed_on_does_not_pass_on_itself(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
-    old.hand_in("a")
-    old.core.hand_over()
+    old.submit("a")
+    old.dispatcher.hand_over()
     new.beside.check_peer()
     old.kill()
     again = Process(tmp_path, time)  # before the new one has looked
@@ -257,14 +257,14 @@
 def test_without_room_for_the_record_a_message_stays_where_it_is(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     old.journal.max_bytes = 1000
-    old.core.hand_over()
+    old.dispatcher.hand_over()
     new.beside.check_peer()
     assert old.held() == {"a"}
     assert not new.held()
     old.journal.max_bytes, new.journal.max_bytes = 3_000_000, 1000
-    old.core.hand_over()
+    old.dispatcher.hand_over()
     new.beside.check_peer()
     assert not new.held(), "no room there: it is not taken, and not lost"
     new.journal.max_bytes = 3_000_000
@@ -278,26 +278,26 @@
     old = Process(tmp_path, time)
     new = Process(tmp_path, time)
     old.beside.check_peer()
-    assert old.core.peer_process is not None
-    new.hand_in("a")
+    assert old.dispatcher.peer_process is not None
+    new.submit("a")
     new.kill()
     old.beside.check_peer()
     assert old.held() == {"a"}
-    assert old.core.peer_process is None
+    assert old.dispatcher.peer_process is None
     assert not (tmp_path / "journal-2").exists()
 
 
 def test_a_wait_told_to_one_binds_the_other_at_once_and_after_its_end(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
     told = time.time
-    new.hand_in("b")
+    new.submit("b")
     assert not new.run(1)
-    old.core.hand_over()
+    old.dispatcher.hand_over()
     old.kill()
     new.beside.check_peer()
     sent = new.run(4)
@@ -308,12 +308,12 @@
 def test_a_wait_told_before_the_new_one_came_binds_it(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     (call,) = old.run(0.1)
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
     old.journal.compact()
     new = Process(tmp_path, time)
-    new.hand_in("b")
+    new.submit("b")
     assert not new.run(1.9)
     assert new.run(2)
 
@@ -321,15 +321,15 @@
 def test_a_wait_told_by_a_member_that_has_gone_binds_those_in_its_place(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
-    new.core.apply_list_update(
-        new.core.pool.update({"revision": 2, "complete": True, "members": [row("s-9", 1)]})
+    new.dispatcher.apply_list_update(
+        new.dispatcher.pool.update({"revision": 2, "complete": True, "members": [endpoint_row("s-9", 1)]})
     )
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
     told = time.time
-    new.hand_in("b")
+    new.submit("b")
     assert not new.run(1.9)
     assert all(call.sent_at >= told + 2 * S and call.endpoint.id == "s-9" for call in new.run(2))
 
@@ -337,23 +337,23 @@
 def test_an_id_that_comes_to_both_is_taken_once(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
-    old.hand_in("a")
+    old.submit("a")
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
-    assert new.hand_in("a") and not new.held(), "the other one owes it"
+    assert new.submit("a") and not new.held(), "the other one owes it"
     old.end(call, Outcome.DELIVERED)
-    assert new.hand_in("a") and not new.held() and not new.run(1), "also once it ended"
+    assert new.submit("a") and not new.held() and not new.run(1), "also once it ended"
 
 
 def test_a_kill_between_the_two_strokes_of_a_take_over_leaves_one_owner(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
-    old.hand_in("a")
-    new.hand_in("b")
+    old.submit("a")
+    new.submit("b")
     stale = (tmp_path / "journal-2").read_bytes()
     old.kill()
     new.beside.check_peer()
-    new.core.conclude(new.core.messages.by_id["b"], Ending.UNANSWERED)
+    new.dispatcher.conclude(new.dispatcher.messages.by_id["b"], Ending.UNANSWERED)
     new.kill()
     (tmp_path / "journal-2").write_bytes(stale)  # as if it had not been removed yet
     again = Process(tmp_path, time)
@@ -362,7 +362,7 @@
 
 def test_a_journal_of_a_later_form_is_refused(tmp_path: Path) -> None:
     journal = opened(tmp_path)
-    journal._write({"t": "born", "v": 99, "name": "n0"})
+    journal.append({"t": "born", "v": 99, "name": "n0"})
     with pytest.raises(JournalVersionError, match="form 99"):
         opened(tmp_path)
 
@@ -396,7 +396,7 @@
     def take(self, data: st.DataObject) -> None:
         name = f"m{self.count}"
         self.count += 1
-        if data.draw(st.sampled_from(self.alive)).hand_in(name):
+        if data.draw(st.sampled_from(self.alive)).submit(name):
             self.owed.add(name)
 
     @precondition(lambda self: self.alive)
@@ -405,14 +405,14 @@
         process = data.draw(st.sampled_from(self.alive))
         if process.held():
             name = data.draw(st.sampled_from(sorted(process.held())))
-            process.core.conclude(process.core.messages.by_id[name], ending)
+            process.dispatcher.conclude(process.dispatcher.messages.by_id[name], ending)
             self.owed.discard(name)
 
     @precondition(lambda self: self.alive)
     @rule(data=st.data())
     def attempt(self, data: st.DataObject) -> None:
         process = data.draw(st.sampled_from(self.alive))
-        for held in list(process.core.messages.by_id.values())[:1]:
+        for held in list(process.dispatcher.messages.by_id.values())[:1]:
             process.journal.record_attempt(held, self.time.time, 0)
 
     @precondition(lambda self: self.alive)
@@ -439,7 +439,7 @@
     @precondition(lambda self: len(self.alive) == 2)
     @rule(data=st.data())
     def hand_over(self, data: st.DataObject) -> None:
-        data.draw(st.sampled_from(self.alive)).core.hand_over()
+        data.draw(st.sampled_from(self.alive)).dispatcher.hand_over()
 
     @precondition(lambda self: self.alive)
     @rule()
@@ -449,7 +449,7 @@
         holds = [process.held() for process in self.alive]
         assert len(holds) < 2 or not holds[0] & holds[1], "never two owners"
         passed = set().union(*(process.journal.handed_over for process in self.alive))
-        going = any(process.core.sending for process in self.alive)
+        going = any(process.dispatcher.sending for process in self.alive)
         assert set().union(*holds) == self.owed if going else self.owed <= passed.union(*holds)
         size = sum(file.stat().st_size for file in self.folder.iterdir())
         assert size <= 3_000_000
@@ -543,10 +543,12 @@
 
     async def work() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, [row("s", 1)]) as port:
+        async with started(tmp_path, agent.port, [endpoint_row("s", 1)]) as port:
             beside = tmp_path / "beside"
             beside.mkdir()
-            path = write(beside, port, agent.port, [row("s", 1)], operator, **{"name": "n0", **change})
+            path = write(
+                beside, port, agent.port, [endpoint_row("s", 1)], operator, **{"name": "n0", **change}
+            )
             told = json.loads(Path(path[0]).read_text()) | {"state": str(tmp_path / "state")}
             Path(path[0]).write_text(json.dumps(told))
             task = asyncio.ensure_future(run(config.read({}, *path), lambda before: before))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -8,7 +8,7 @@
 import pytest
 
 from honeyhitch.journal.journal import Journal, JournalFullError
-from honeyhitch.journal.state import unpack
+from honeyhitch.journal.state import decode_records
 from honeyhitch.journal.transactions import Ending, Transaction
 
 NOW = 1_000
@@ -113,15 +113,15 @@
 
 @pytest.mark.parametrize("data", [b"", b"\x00" * 64, b"\xff" * 64, b"\x04\x00\x00\x00" + b"\x00" * 60])
 def test_what_is_no_record_is_not_read(data: bytes) -> None:
-    assert not list(unpack(data))
+    assert not list(decode_records(data))
 
 
 def test_a_full_journal_is_not_written_anew_for_each_message_that_it_refuses(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal, times = opened(tmp_path, 100_000), list[int]()
-    whole = Journal._snapshot
-    monkeypatch.setattr(Journal, "_snapshot", lambda self: times.append(self.size) or whole(self))
+    whole = Journal.snapshot
+    monkeypatch.setattr(Journal, "snapshot", lambda self: times.append(self.size) or whole(self))
 
     def refused(count: int, after: str) -> int:
         found = 0
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -12,11 +12,11 @@
 from honeyhitch.protocols.discovery import Watch, WatchError
 from honeyhitch.protocols.list_parser import MOST_PART, ListError, ListParser
 
-from .rig import row
+from .rig import endpoint_row
 
 texts = st.text(max_size=8)
 rows = st.builds(
-    lambda name, cell, more: {**row(name, cell), "note": more, "inner": {"members": [1, "]"]}},
+    lambda name, cell, more: {**endpoint_row(name, cell), "note": more, "inner": {"members": [1, "]"]}},
     texts,
     st.integers(0, 9),
     texts,
@@ -59,7 +59,7 @@
 
 def test_a_watch_that_keeps_what_is_wanted_takes_a_list_over_every_bound_and_then_changes() -> None:
     """25 MB, of which it keeps one member in a thousand, and never more than a piece besides."""
-    members = [row(f"s-{number:08x}", number) for number in range(190_000)]
+    members = [endpoint_row(f"s-{number:08x}", number) for number in range(190_000)]
     whole = json.dumps({"revision": 7, "complete": True, "members": members}).encode()
     assert len(whole) > 20_000_000
     watch, found = Watch(lambda row: row["cell"] % 1000 == 0), list[dict[str, Any]]()
@@ -72,7 +72,7 @@
     assert found[0]["complete"]
     assert watch.reader is not None
     assert len(watch.reader._text) <= piece
-    change = json.dumps({"revision": 8, "complete": False, "members": [row("s-1", 1000)]}).encode()
+    change = json.dumps({"revision": 8, "complete": False, "members": [endpoint_row("s-1", 1000)]}).encode()
     for text in (b"\n", change, b"\n"):
         found += watch.feed(b"%x\r\n%s\r\n" % (len(text), text))
     assert found[1]["revision"] == 8
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -15,7 +15,7 @@
 from honeyhitch.cli.main import main
 
 from .program import Peer, play, started
-from .rig import row
+from .rig import endpoint_row
 from .test_exchanges import raw
 from .test_program import ENQUEUE, receive
 
@@ -104,7 +104,7 @@
 
     async def work() -> None:
         agent, member, client = await Peer().start(), await Peer().start(), Peer()
-        members = [{**row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
+        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
         async with started(tmp_path, agent.port, members) as port:
             stream.truncate(0)
             await client.dial(port)
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -23,7 +23,7 @@
 from honeyhitch.service.service import run
 
 from .program import free_port, play, write
-from .rig import LIST, Stand, VirtualTime, row
+from .rig import ENDPOINT_LIST, DispatcherRig, VirtualTime, endpoint_row
 from .world import SECOND
 
 OUTCOMES = (Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED)
@@ -46,19 +46,23 @@
 
 def test_memory_stays_over_100_000_messages_ids_keys_and_replaced_endpoints(tmp_path: Path) -> None:
     stand, chance, weights, number = (
-        Stand(tmp_path, max_messages=60),
+        DispatcherRig(tmp_path, max_messages=60),
         random.Random(3),
         list[tuple[int, int]](),
         0,
     )
     open_calls = list[Call]()
     for revision in range(2, 402):
-        stand.core.apply_list_update(
-            stand.core.pool.update(
+        stand.dispatcher.apply_list_update(
+            stand.dispatcher.pool.update(
                 {
                     "revision": revision,
                     "complete": True,
-                    "members": [row(f"s-{revision}", 1), row(f"t-{revision}", 2, "large"), row("u", 3)],
+                    "members": [
+                        endpoint_row(f"s-{revision}", 1),
+                        endpoint_row(f"t-{revision}", 2, "large"),
+                        endpoint_row("u", 3),
+                    ],
                 }
             )
         )
@@ -66,7 +70,7 @@
             for _ in range(10):
                 number += 1
                 name = f"{number:016x}"
-                stand.hand_in(name, 1 + number % 3, left=chance.randrange(1, 20) * SECOND, key=f"k{number}")
+                stand.submit(name, 1 + number % 3, left=chance.randrange(1, 20) * SECOND, key=f"k{number}")
             open_calls += stand.run(0.05)
             chance.shuffle(open_calls)
             late = [call for call in open_calls if call.sent_at + call.timeout <= stand.time.time]
@@ -78,19 +82,19 @@
             open_calls = [call for call in open_calls if any(call.pending)]
         stand.calls.clear()
         stand.answers.clear()
-        stand.closed.clear()
+        stand.closed_endpoints.clear()
         if revision in (101, 201, 301, 401):
             stand.journal.compact()  # ended ids and keys pile up between two of them
-            weights.append(weight(stand.core))
+            weights.append(weight(stand.dispatcher))
     assert number == 100_000
-    assert stand.core.metrics_snapshot()["responses"]["standard"]["ok"] > 5_000
+    assert stand.dispatcher.metrics_snapshot()["responses"]["standard"]["ok"] > 5_000
     (_, first), (_, last) = weights[0], weights[-1]
     assert last <= 1.1 * first, weights
-    assert len(stand.core.pool.endpoints) == 3
+    assert len(stand.dispatcher.pool.endpoints) == 3
     assert sum(file.stat().st_size for file in tmp_path.iterdir()) <= 3_000_000
 
 
-class Node(Stand):
+class Node(DispatcherRig):
     """One dispatcher of a fleet: its calls end by chance, or with its process."""
 
     def __init__(self, folder: Path, time: VirtualTime, books: Books) -> None:
@@ -132,7 +136,7 @@
             for part, is_open in zip(call.messages, call.pending, strict=True):
                 if is_open:
                     self.books.ends(part.id)
-        self.core.sending = self.core.accepting = False
+        self.dispatcher.sending = self.dispatcher.accepting = False
         self.journal.close()
 
 
@@ -167,7 +171,7 @@
         for i, node in enumerate(nodes):
             if node is not None and step < 800 and books.chance.random() < 0.3:
                 name, left = f"m{step}-{i}", books.chance.randrange(3, 20) * SECOND
-                if node.hand_in(name, books.chance.choice((1, 2)), left=left):
+                if node.submit(name, books.chance.choice((1, 2)), left=left):
                     due[name] = time.time + left
         if step % 10 == 0 and step < 1000:
             i = books.chance.randrange(6)
@@ -189,28 +193,36 @@
 
 def test_lists_repeated_late_and_out_of_order_leave_a_fleet_with_the_newest(tmp_path: Path) -> None:
     chance, time = random.Random(5), VirtualTime()
-    whole = {"revision": 20, "complete": True, "members": [row("s-9", 1), row("s-2", 2, "large")]}
-    gone = {"revision": 12, "complete": False, "members": [row("s-1", 1, phase="Gone")]}
-    drains = {"revision": 11, "complete": False, "members": [row("s-1", 1, phase="Terminating")]}
-    again = {"revision": 10, "complete": False, "members": [row("s-1", 1)]}  # late: it has gone since
+    whole = {
+        "revision": 20,
+        "complete": True,
+        "members": [endpoint_row("s-9", 1), endpoint_row("s-2", 2, "large")],
+    }
+    gone = {"revision": 12, "complete": False, "members": [endpoint_row("s-1", 1, phase="Gone")]}
+    drains = {"revision": 11, "complete": False, "members": [endpoint_row("s-1", 1, phase="Terminating")]}
+    again = {
+        "revision": 10,
+        "complete": False,
+        "members": [endpoint_row("s-1", 1)],
+    }  # late: it has gone since
     for i in range(12):
         folder = tmp_path / str(i)
         folder.mkdir()
-        stand = Stand(folder, time)
+        stand = DispatcherRig(folder, time)
         told = [gone, drains, again, again, gone]
         chance.shuffle(told)
-        stand.core.apply_list_update(stand.core.pool.update(gone))
+        stand.dispatcher.apply_list_update(stand.dispatcher.pool.update(gone))
         for one in told:
             with contextlib.suppress(PoolError):  # a change from before one that came is refused
-                stand.core.apply_list_update(stand.core.pool.update(one))
-            stand.hand_in(f"m{i}-{len(stand.core.messages)}")
+                stand.dispatcher.apply_list_update(stand.dispatcher.pool.update(one))
+            stand.submit(f"m{i}-{len(stand.dispatcher.messages)}")
             assert not stand.run(0.5), "nothing goes to what has gone"
-        stand.core.apply_list_update(stand.core.pool.update(whole))
-        stand.core.apply_list_update(stand.core.pool.update(whole))
+        stand.dispatcher.apply_list_update(stand.dispatcher.pool.update(whole))
+        stand.dispatcher.apply_list_update(stand.dispatcher.pool.update(whole))
         assert {call.endpoint.id for call in stand.run(2)} == {"s-9"}
-        members: dict[str, PoolEndpoint] = stand.core.pool.endpoints
+        members: dict[str, PoolEndpoint] = stand.dispatcher.pool.endpoints
         assert set(members) == {"s-9", "s-2"}
-    assert LIST["revision"] == 1
+    assert ENDPOINT_LIST["revision"] == 1
 
 
 @pytest.mark.parametrize("how", ["under a file", "a folder in the journal's place", "no such device"])
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -25,58 +25,60 @@
 from honeyhitch.service.service import run
 
 from .program import Peer, free_port, play, started, write
-from .rig import Stand, row
+from .rig import DispatcherRig, endpoint_row
 from .world import SECOND
 
 
 def test_each_end_is_counted_once_where_it_belongs(tmp_path: Path) -> None:
-    stand = Stand(tmp_path, max_messages=4)
+    stand = DispatcherRig(tmp_path, max_messages=4)
     for name in "abcd":
-        assert stand.hand_in(name)
-    assert not stand.hand_in("e"), "full: turned away"
+        assert stand.submit(name)
+    assert not stand.submit("e"), "full: turned away"
     (first, *_) = stand.run(0.1)
-    stand.core.call_written(first)
+    stand.dispatcher.call_written(first)
     stand.end(first, Outcome.DELIVERED)
-    assert stand.core.metrics_snapshot()["responses"]["standard"] == {
+    assert stand.dispatcher.metrics_snapshot()["responses"]["standard"] == {
         "ok": 1,
         "shed": 1,
         "errors": 0,
         "tries": 1,
     }
-    assert stand.core.metrics_snapshot() | {"responses": 0} == {
+    assert stand.dispatcher.metrics_snapshot() | {"responses": 0} == {
         "responses": 0,
         "tries": 1,
         "active": 3,
         "pool_size": 2,
         "pool_ejected": 0,
     }
-    left = list(stand.core.messages.by_id)
-    stand.core.withdraw(left[0])  # nobody waits for it: it counts under nothing
-    stand.core.conclude(stand.core.messages.by_id[left[1]], Ending.FAILED)
-    stand.core.conclude(stand.core.messages.by_id[left[2]], Ending.REJECTED)
-    told = stand.core.metrics_snapshot()
+    left = list(stand.dispatcher.messages.by_id)
+    stand.dispatcher.withdraw(left[0])  # nobody waits for it: it counts under nothing
+    stand.dispatcher.conclude(stand.dispatcher.messages.by_id[left[1]], Ending.FAILED)
+    stand.dispatcher.conclude(stand.dispatcher.messages.by_id[left[2]], Ending.REJECTED)
+    told = stand.dispatcher.metrics_snapshot()
     assert told["responses"]["standard"] == {"ok": 1, "shed": 2, "errors": 1, "tries": 1}
     assert told["active"] == 0
 
 
 def test_a_message_that_fails_at_the_door_is_an_error_of_its_class(tmp_path: Path) -> None:
-    stand = Stand(tmp_path)
-    fields = resp.MessageFields(stand.s, stand.core.pool.has_destination, stand.core.metrics.message_invalid)
+    stand = DispatcherRig(tmp_path)
+    fields = resp.MessageFields(
+        stand.settings, stand.dispatcher.pool.has_destination, stand.dispatcher.metrics.message_invalid
+    )
     for told in ({"c": "standard", "d": "8000"}, {"c": "standard", "d": "9" * 9, "dest": "1", "k": "k"}, {}):
         with pytest.raises(resp.FieldError):
             fields.transaction(b"id", told, b"", 0)
-    assert stand.core.metrics_snapshot()["responses"]["standard"]["errors"] == 2, (
+    assert stand.dispatcher.metrics_snapshot()["responses"]["standard"]["errors"] == 2, (
         "the last one names no class"
     )
 
 
 def test_a_process_counts_from_nothing_and_what_it_took_up_is_active(tmp_path: Path) -> None:
-    stand = Stand(tmp_path)
+    stand = DispatcherRig(tmp_path)
     for name in "abc":
-        stand.hand_in(name)
-    again = Stand(tmp_path, stand.time)
-    assert again.core.metrics_snapshot()["active"] == 3
-    assert again.core.metrics_snapshot()["responses"]["standard"] == {
+        stand.submit(name)
+    again = DispatcherRig(tmp_path, stand.time)
+    assert again.dispatcher.metrics_snapshot()["active"] == 3
+    assert again.dispatcher.metrics_snapshot()["responses"]["standard"] == {
         "ok": 0,
         "shed": 0,
         "errors": 0,
@@ -85,25 +87,25 @@
 
 
 def test_an_endpoint_that_told_a_wait_is_avoided_till_its_end(tmp_path: Path) -> None:
-    stand = Stand(tmp_path)
-    stand.hand_in("a")
+    stand = DispatcherRig(tmp_path)
+    stand.submit("a")
     (call,) = stand.run(0.1)
     stand.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
     stand.run(0.1)
-    assert stand.core.metrics_snapshot()["pool_ejected"] == 1
+    assert stand.dispatcher.metrics_snapshot()["pool_ejected"] == 1
     stand.run(2)
-    assert stand.core.metrics_snapshot()["pool_ejected"] == 0
+    assert stand.dispatcher.metrics_snapshot()["pool_ejected"] == 0
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_figures_agree_with_an_independent_count(tmp_path: Path, seed: int) -> None:
     """Random runs in virtual time: what the members and clients saw, against what the process says."""
-    rng, stand = random.Random(seed), Stand(tmp_path, max_messages=20)
+    rng, stand = random.Random(seed), DispatcherRig(tmp_path, max_messages=20)
     saw = {"ok": 0, "shed": 0, "errors": 0, "tries": 0}
     taken, over = 0, set[str]()
     ends = (Outcome.DELIVERED, Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
     for number in range(300):
-        if stand.hand_in(f"m{number}", dest=rng.choice((1, 2)), left=rng.choice((1, 4, 20)) * SECOND):
+        if stand.submit(f"m{number}", dest=rng.choice((1, 2)), left=rng.choice((1, 4, 20)) * SECOND):
             taken += 1
         else:
             saw["shed"] += 1
@@ -111,13 +113,13 @@
             written = rng.random() < 0.9
             if written:
                 saw["tries"] += len(call.messages)
-                stand.core.call_written(call)
+                stand.dispatcher.call_written(call)
             outcome = rng.choice(ends) if written else Outcome.CONNECT_FAILED
             if outcome is Outcome.DELIVERED:
                 saw["ok"] += len([part for part in call.messages if part.id not in over])
                 over |= {part.id for part in call.messages}
             stand.end(call, outcome)
-    told = stand.core.metrics_snapshot()
+    told = stand.dispatcher.metrics_snapshot()
     for answer in stand.answers:
         saw["errors" if answer.ending is Ending.FAILED else "shed"] += 1
     assert told["responses"]["standard"] == saw
@@ -127,7 +129,7 @@
 def test_callers_who_stall_keep_nobody_from_an_answer(tmp_path: Path) -> None:
     async def work() -> None:
         at, agent = free_port(), await Peer().start()
-        async with started(tmp_path, agent.port, [row("s", 1)], management=f"127.0.0.1:{at}"):
+        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{at}"):
             crowd = [await asyncio.open_connection("127.0.0.1", at) for _ in range(2 * BESIDE_SOCKETS)]
             for _, writer in crowd:
                 writer.write(b"stat")  # and never the rest
@@ -154,7 +156,7 @@
         code, output = await call("status")
         assert code == 1
         assert "no answer" in output
-        async with started(tmp_path, agent.port, [row("s", 1)], management=where[1]):
+        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=where[1]):
             assert await call("status") == (0, f"{where[1]}: ready\n")
             code, output = await call("status", "--json")
             assert code == 0
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -19,7 +19,7 @@
 from honeyhitch.middleware import DispatcherMiddleware
 
 from .program import Peer, free_port, play, write
-from .rig import row
+from .rig import endpoint_row
 
 
 async def deliver(request: Request) -> Response:
@@ -67,8 +67,8 @@
 
 
 def configured(folder: Path, agent: Peer, member: Peer) -> config.Config:
-    members = [{**row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
-    members.append(row("leaving", 9, phase="Terminating"))
+    members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
+    members.append(endpoint_row("leaving", 9, phase="Terminating"))
     return config.read({}, *write(folder, free_port(), agent.port, members))
 
 
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -27,7 +27,7 @@
 from .agent import Agent
 from .processes import Partner, ask, listening_port, spawn, until_ready
 from .program import enqueue, play, write
-from .rig import row
+from .rig import endpoint_row
 from .test_upgrade import Events
 
 REGIONS = (Region("east", ("a1",)), Region("west", ("b1",)))
@@ -61,7 +61,7 @@
     async def start(self) -> None:
         await self.partner.start()
         listed = [
-            {**row(f"s-{number}", number), "host_port": f"127.0.0.1:{self.partner.port}"}
+            {**endpoint_row(f"s-{number}", number), "host_port": f"127.0.0.1:{self.partner.port}"}
             for number in DESTINATIONS
         ]
         agent = await Agent(listed).start()
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -18,29 +18,29 @@
 from honeyhitch.service.fleet import FILE, FleetService
 
 from .fleet_control import LEASE, MS, SKEW, entry, fleet_settings
-from .rig import SETTINGS, Stand, row
+from .rig import SETTINGS, DispatcherRig, endpoint_row
 from .world import SECOND, settings
 
 ROWS = [entry(f"{zone}-{number}", zone) for zone in ("a1", "a2", "b1", "b2") for number in range(3)]
 NAME = "a1-0"
 
 
-class FleetStand(Stand):
+class FleetStand(DispatcherRig):
     """One dispatcher of a fleet; its heartbeats come when a test says so."""
 
     refetched = 0
 
     def prepare(self) -> None:
-        self.core.scheduler = self.time
+        self.dispatcher.scheduler = self.time
         loop = cast(Any, None)  # of the connections to other instances, which are not used here
         self.fleet = FleetService(
-            fleet_settings(NAME, "a1"), self.core, self.time, loop, self.folder, Random(1), self.refetch
+            fleet_settings(NAME, "a1"), self.dispatcher, self.time, loop, self.folder, Random(1), self.refetch
         )
         self.fleet.restore()
 
     def __init__(self, folder: Path, **more: Any) -> None:
         self.folder = folder
-        listed = [{**row(f"s-{number}", number), "size": 40.0} for number in range(1, 60)]
+        listed = [{**endpoint_row(f"s-{number}", number), "size": 40.0} for number in range(1, 60)]
         known = {"revision": 1, "complete": True, "members": listed}
         super().__init__(folder, known=known, instance_count=4, **more)
 
@@ -98,7 +98,7 @@
     one = FleetStand(tmp_path / "first")
     assert not one.fleet.ready
     assert one.route(1) is Route.REFUSE
-    assert not one.core.pool.endpoints
+    assert not one.dispatcher.pool.endpoints
     one.hear()
     assert one.fleet.ready
     assert one.refetched == 1
@@ -108,13 +108,13 @@
 
 def test_only_what_may_become_its_own_is_kept_of_a_list(tmp_path: Path) -> None:
     one = stand(tmp_path)
-    kept = {member.destination for member in one.core.pool.endpoints.values()}
+    kept = {member.destination for member in one.dispatcher.pool.endpoints.values()}
     assert kept == {number for number in range(1, 60) if one.fleet.fleet.keeps(number)}
     assert 0 < len(kept) < 59
     other = next(number for number in range(1, 60) if number not in kept)
     assert one.fleet.serves(other), "its owner knows it"
-    change = {"revision": 2, "complete": False, "members": [row("s-9999", other)]}
-    assert not one.core.pool.update(change).listings
+    change = {"revision": 2, "complete": False, "members": [endpoint_row("s-9999", other)]}
+    assert not one.dispatcher.pool.update(change).listings
 
 
 def test_messages_are_taken_for_what_is_held_and_passed_on_for_the_rest(tmp_path: Path) -> None:
@@ -125,7 +125,7 @@
     assert one.route(mine, forwarded=True) is Route.LOCAL
     assert one.route(other) is Route.FORWARD
     assert one.route(other, forwarded=True) is Route.REFUSE
-    assert one.hand_in("held", mine)
+    assert one.submit("held", mine)
     held = Transaction("held", 0, mine, one.now + SECOND, b"")
     one.time.run(LEASE / SECOND + 30)
     assert one.fleet.route(held, False) is Route.LOCAL, "its reserved part, also while control is silent"
@@ -142,49 +142,49 @@
     one.beats(4, 2)
     assert one.fleet.quota_fraction(number, one.now) == 0.25
     one.hear(2, False, [])
-    assert one.hand_in("sent", number)
+    assert one.submit("sent", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED)
     lease_ends = one.fleet.fleet.heard + LEASE - SKEW  # type: ignore[operator]
     one.time.run((lease_ends - one.now) / SECOND + 0.001)
-    assert one.hand_in("late", number)
+    assert one.submit("late", number)
     assert not one.run(1), "its share has run out before the first byte"
     one.fleet.look_if_due()
     late = next(answer for answer in one.answers if answer.id == "late")
     assert late.ending is Ending.REJECTED
     assert late.retry_after > 0
-    assert "late" not in one.core.messages.by_id
+    assert "late" not in one.dispatcher.messages.by_id
 
 
 def test_a_call_that_is_out_keeps_its_end_and_what_may_have_run_is_not_handed_back(tmp_path: Path) -> None:
     one = stand(tmp_path)
     number = one.home()
     one.hear()
-    assert one.hand_in("out", number)
-    assert one.hand_in("ran", number)
+    assert one.submit("out", number)
+    assert one.submit("ran", number)
     calls = one.run(0.1)
     one.end(calls[-1], Outcome.ERROR)
     gone_from = next(row for row in ROWS if row["id"] == NAME)
     one.hear(2, False, [{**gone_from, "phase": "Gone"}])
     assert one.fleet.quota_fraction(number, one.now) == 0
     names = {part.id for call in calls for part in call.messages}
-    assert names <= set(one.core.messages.by_id), "neither is answered for it"
+    assert names <= set(one.dispatcher.messages.by_id), "neither is answered for it"
     assert not one.run(2), "and neither is sent again"
     one.end(calls[0], Outcome.DELIVERED)
-    assert calls[0].messages[0].id not in one.core.messages.by_id
+    assert calls[0].messages[0].id not in one.dispatcher.messages.by_id
 
 
 def test_what_was_out_as_its_share_was_lost_and_never_ran_is_handed_back_then(tmp_path: Path) -> None:
     one = stand(tmp_path)
     number = one.home()
     one.hear()
-    assert one.hand_in("out", number)
+    assert one.submit("out", number)
     (call,) = one.run(0.1)
     gone = next(row for row in ROWS if row["id"] == NAME)
     one.hear(2, False, [{**gone, "phase": "Gone"}])
     one.time.run(1)
     one.fleet.look_if_due()
-    assert "out" in one.core.messages.by_id, "its call is out"
+    assert "out" in one.dispatcher.messages.by_id, "its call is out"
     one.end(call, Outcome.REJECTED)
     one.time.run(0.2)
     one.fleet.look_if_due()
@@ -197,9 +197,9 @@
     one = stand(tmp_path)
     number = one.home()
     one.beats(2)
-    lane = one.core.policy.dests[number].lane
+    lane = one.dispatcher.policy.dests[number].lane
     assert (lane is not None and lane.part() == 40.0 / 1.0 / 4 / 1) or lane.part() == 10.0
-    assert one.hand_in("a", number)
+    assert one.submit("a", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
@@ -207,7 +207,7 @@
     one.time.run(LEASE / SECOND)
     one.fleet.look_if_due()
     one.run(0.1)
-    assert one.hand_in("b", number)
+    assert one.submit("b", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,13 +22,13 @@
 from paho.mqtt.packettypes import PacketTypes
 from paho.mqtt.properties import Properties
 
-from honeyhitch.journal.state import unpack
+from honeyhitch.journal.state import decode_records
 from honeyhitch.protocols import calls
 from honeyhitch.protocols.mqtt_packets import Kind, Packet
 
 from .broker import Broker
 from .program import Peer, free_port, play, started, write
-from .rig import row
+from .rig import endpoint_row
 from .test_exchanges import raw
 from .world import MS
 
@@ -51,8 +51,8 @@
         peers = {name: await Peer().start() for name in ("agent", "watch", "next", "one", "two")}
         members = []
         for name, kind, cell in (("one", "small", 1), ("two", "large", 2)):
-            members.append({**row(name, cell, kind), "host_port": f"127.0.0.1:{peers[name].port}"})
-        members.append(row("leaving", 9, phase="Terminating"))
+            members.append({**endpoint_row(name, cell, kind), "host_port": f"127.0.0.1:{peers[name].port}"})
+        members.append(endpoint_row("leaving", 9, phase="Terminating"))
         client, port = Peer(), free_port()
         peers["client"] = client
         script = [line for line in file.read_text().splitlines() if line and line[0] != "#"]
@@ -130,7 +130,7 @@
 
     async def work() -> None:
         agent, member, client = await Peer().start(), await Peer().start(), Peer()
-        members = [{**row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
+        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
         async with started(tmp_path, agent.port, members) as port:
             await client.dial(port)
             assert client.now is not None
@@ -363,7 +363,7 @@
         broker, agent, member, client = Broker(), await Peer().start(), await Peer().start(), Peer()
         await broker.start()
         ended(broker, {})
-        members = [{**row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
+        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
         async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
             while "n0-calls" not in broker.kept:
                 await asyncio.sleep(0.01)
@@ -376,7 +376,7 @@
             writer.write(b"HTTP/1.1 429 No\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n")
             while not any(packet.topic == "partner/1" for packet in broker.published):
                 await asyncio.sleep(0.01)
-        records = [fields for fields, _, _ in unpack((tmp_path / "state" / "journal").read_bytes())]
+        records = [fields for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())]
         attempts = [int(str(fields["at"])) for fields in records if fields["t"] == "attempt"]
         assert len(attempts) == 2
         assert attempts[1] - attempts[0] >= 800 * MS
@@ -411,7 +411,7 @@
             broker._write(broker.kept["n0-calls"], wait)
             while not any(
                 fields["t"] == "wait"
-                for fields, _, _ in unpack((tmp_path / "state" / "journal").read_bytes())
+                for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())
             ):
                 await asyncio.sleep(0.01)
             client.hand_in("next", 1)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -19,16 +19,20 @@
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.settings import Idempotency, MessageClass
 
-from .rig import LIST, NAMED, Stand, VirtualTime
+from .rig import ENDPOINT_LIST, STANDARD_CLASS, DispatcherRig, VirtualTime
 from .world import MS, SECOND
 
 CLASSES = (
     dataclasses.replace(
-        NAMED, name="safe", idempotency=Idempotency.IDEMPOTENT, deduplication_window=0, deadline=8 * SECOND
+        STANDARD_CLASS,
+        name="safe",
+        idempotency=Idempotency.IDEMPOTENT,
+        deduplication_window=0,
+        deadline=8 * SECOND,
     ),
-    dataclasses.replace(NAMED, name="keyed", deduplication_window=3 * SECOND, deadline=12 * SECOND),
+    dataclasses.replace(STANDARD_CLASS, name="keyed", deduplication_window=3 * SECOND, deadline=12 * SECOND),
     dataclasses.replace(
-        NAMED,
+        STANDARD_CLASS,
         name="unsafe",
         idempotency=Idempotency.NON_IDEMPOTENT,
         deduplication_window=0,
@@ -38,7 +42,9 @@
 TOOK = 40 * MS  # a call to a partner that is well
 LATE = 300 * MS  # an end may be late by
 READY = int(1.5 * SECOND)  # and by so long after a start, where its time ended meanwhile
-MEMBERS = [{**one, "size": 200.0} for one in LIST["members"]]  # calls a second: enough for all, cold too
+MEMBERS = [
+    {**one, "size": 200.0} for one in ENDPOINT_LIST["members"]
+]  # calls a second: enough for all, cold too
 WHOLE = {"revision": 1, "complete": True, "members": MEMBERS}
 EMPTY = {"revision": 0, "complete": True, "members": []}
 STATES = ("well", "waits", "out", "shut", "slow")
@@ -77,14 +83,14 @@
         name, time = f"m{number}", self.time.time
         left = int(CLASSES[cls].deadline * self.rng.uniform(0.85, 1.0))
         one = Transaction(name, cls, self.rng.choice((1, 2)), time + left, b"body", key=f"k-{name}")
-        if self.node.core.submit(one).accepted:
+        if self.node.dispatcher.submit(one).accepted:
             self.known[name] = Known(CLASSES[cls], time, one.deadline)
 
     def restart(self, how: str) -> None:
         """The process ends by SIGTERM or without one, and the next one starts on what it left."""
         if how == "term":  # as lifecycle.serve: decisions end, calls out have a moment
-            self.node.core.draining, self.node.core.accepting = True, False
-            self.node.core.stop_deciding(int(1.5 * SECOND))
+            self.node.dispatcher.draining, self.node.dispatcher.accepting = True, False
+            self.node.dispatcher.stop_deciding(int(1.5 * SECOND))
             self.time.run(0.5)
         self.node.kill()
         self.time.run(0.6)
@@ -99,7 +105,8 @@
             late = self.rng.uniform(0.2, 2.0) if self.listed == "late" else 6.0
             node, when = self.node, self.started + int(late * SECOND)
             self.time.call_at(
-                when, lambda: node.dead or node.core.apply_list_update(node.core.pool.update(WHOLE))
+                when,
+                lambda: node.dead or node.dispatcher.apply_list_update(node.dispatcher.pool.update(WHOLE)),
             )
 
     def ends(self, name: str, delivered: bool) -> None:
@@ -108,7 +115,7 @@
             one.ended, one.delivered = self.time.time, delivered
 
 
-class Node(Stand):
+class Node(DispatcherRig):
     """One process: its carrier asks the world what becomes of a call."""
 
     def __init__(self, world: World, known: dict[str, Any]) -> None:
@@ -173,7 +180,9 @@
                 self.world.ends(part.id, True)
 
     def cancel(self, call: Call) -> None:
-        self.over(call, Outcome.CANCELLED) if call.started else self.core.call_ended(call, CallResult([]))
+        self.over(call, Outcome.CANCELLED) if call.started else self.dispatcher.call_ended(
+            call, CallResult([])
+        )
 
     def answer(self, transaction: Transaction) -> None:
         self.world.ends(transaction.id, transaction.ending is Ending.DELIVERED)
@@ -181,10 +190,10 @@
 
     def kill(self) -> None:
         """What is out may have run, and nobody hears of it."""
-        for call in {id(one): one for one in self.core.calls_in_flight.values()}.values():
+        for call in {id(one): one for one in self.dispatcher.calls_in_flight.values()}.values():
             self.books(call, Outcome.RESET)
         self.dead = True
-        self.core.accepting = self.core.sending = False
+        self.dispatcher.accepting = self.dispatcher.sending = False
         self.journal.close()
 
 
@@ -192,7 +201,7 @@
     """400 messages in 2 s, most of them held back; then two restarts, and all that is owed ends."""
     world = World(folder, seed, state, listed)
     world.sick_until = world.time.time + 10 * SECOND if state != "well" else 0
-    world.node.core.policy.limit_concurrent_calls(1)  # most wait for a slot
+    world.node.dispatcher.policy.limit_concurrent_calls(1)  # most wait for a slot
     for number in range(400):
         world.hand_in(number)
         world.time.run(0.005)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 
 from .agent import Agent
 from .program import enqueue, play, started
-from .rig import Stand, row
+from .rig import DispatcherRig, endpoint_row
 from .world import MS, SECOND
 
 
@@ -30,7 +30,7 @@
 
     async def work() -> None:
         agent = await Agent([]).start()
-        members = [row("s-1", 1)]
+        members = [endpoint_row("s-1", 1)]
         async with started(tmp_path, agent.port, members, stopped=True) as port:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             if held:  # its member's port is closed: it waits for a further try
@@ -55,26 +55,28 @@
     """Nothing was sent before the end; afterwards each message with time left gets its call."""
     rng = Random(seed)
     more = {"max_messages": 400, "max_concurrent_calls": 12}
-    one = Stand(tmp_path, **more)
-    one.core.policy.used = one.s.max_concurrent_calls  # as if all slots were taken by calls that hang
+    one = DispatcherRig(tmp_path, **more)
+    one.dispatcher.policy.used = (
+        one.settings.max_concurrent_calls
+    )  # as if all slots were taken by calls that hang
     names = [f"m{i}" for i in range(300)]
     for name in names:
         dest = rng.choice((1, 2))
-        assert one.hand_in(name, dest=dest, left=int(rng.uniform(8, 20) * SECOND), key=f"k-{name}")
+        assert one.submit(name, dest=dest, left=int(rng.uniform(8, 20) * SECOND), key=f"k-{name}")
         assert not one.run(0.001)
     if how == "leave":
-        one.core.stop_deciding(int(1.5 * SECOND))
+        one.dispatcher.stop_deciding(int(1.5 * SECOND))
     assert not one.answers, "none is given up early"
     one.time.time += int(rng.uniform(0.6, 2.0) * SECOND)
-    again = Stand(tmp_path, one.time, **more)
+    again = DispatcherRig(tmp_path, one.time, **more)
     tried: set[str] = set()
     taken = 40 * MS
     for _ in range(int(20 * SECOND / taken)):
         for call in again.run(taken / SECOND):
             tried |= {part.id for part in call.messages}
             again.time.call_at(again.time.time + taken, lambda call=call: again.end(call, Outcome.DELIVERED))
-        if not again.core.messages.by_id:
+        if not again.dispatcher.messages.by_id:
             break
-    assert not again.core.messages.by_id
+    assert not again.dispatcher.messages.by_id
     assert not again.answers
     assert tried == set(names), f"{len(names) - len(tried)} of {len(names)} ended without a call"
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -13,7 +13,7 @@
 from honeyhitch.protocols import notices
 
 from .program import Peer, enqueue, play, started
-from .rig import row
+from .rig import endpoint_row
 from .test_program import listed, watched
 
 NEVER = 3600.0  # seconds
@@ -36,7 +36,7 @@
 
     async def work() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, [row("s-1", 1)]) as port:  # nobody listens at s-1
+        async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]) as port:  # nobody listens at s-1
             await watched(agent, agent.port)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(enqueue("id", left=500))
@@ -61,7 +61,7 @@
 
     async def work() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, [row("s-1", 1)]):
+        async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]):
             dead = await agent.came.get()
             again = await agent.came.get()
             assert await dead[0].read() != b"", "its request, and then its end"
@@ -81,6 +81,6 @@
             dead = await agent.came.get()
             agent.now = await agent.came.get()
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
-            await listed(agent, agent.port, [row("s-1", 1)])
+            await listed(agent, agent.port, [endpoint_row("s-1", 1)])
 
     play(work())
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -16,7 +16,7 @@
 
 from .authority import Authority
 from .program import write
-from .rig import row
+from .rig import endpoint_row
 from .tls_partner import TlsPartner, asking, server_context
 
 
@@ -80,7 +80,7 @@
     picky = start(loop, asking(server_context(pki.issue(), version, version), pki.file))
     members = []
     for i, partner in enumerate((good, bad, picky), 1):
-        members.append({**row(f"p{i}", i), "host_port": f"127.0.0.1:{partner.port}"})
+        members.append({**endpoint_row(f"p{i}", i), "host_port": f"127.0.0.1:{partner.port}"})
     text = "".join(
         f'[[tls.partner]]\ndest = {i}\nca = "{pki.file}"\nserver-name = "localhost"\n' for i in (1, 2, 3)
     )
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -19,7 +19,7 @@
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.handshake_budget import RESUMED, HandshakeBudget
 
-from .rig import LIST, START, Stand, VirtualTime, row
+from .rig import ENDPOINT_LIST, START, DispatcherRig, VirtualTime, endpoint_row
 from .world import MS, SECOND
 
 COLD, COLD_SHARE = 14 * SECOND, 0.3
@@ -180,21 +180,23 @@
     assert (up.capacity, up.connect_failed, door.failures) == (1, False, 0)
 
 
-class Gated(Stand):
+class Gated(DispatcherRig):
     """A dispatcher whose destination 1 is reached over connections opened ahead of calls."""
 
     def __init__(self, folder: Path, time: VirtualTime | None = None, **more: object) -> None:
         self.asked: list[int] = []
         super().__init__(folder, time, **more)  # type: ignore[arg-type]
-        self.core.transports[TLS_TRANSPORT] = self
-        self.core.connection_openers[TLS_TRANSPORT] = self
-        self.core.pool.transport_of = lambda member: TLS_TRANSPORT if member.destination == 1 else "http"
+        self.dispatcher.transports[TLS_TRANSPORT] = self
+        self.dispatcher.connection_openers[TLS_TRANSPORT] = self
+        self.dispatcher.pool.transport_of = lambda member: (
+            TLS_TRANSPORT if member.destination == 1 else "http"
+        )
 
     def open(self, member: PoolEndpoint, calls: int) -> None:
         self.asked.append(calls)
 
     def tell(self, calls: int, **more: int) -> list[Call]:
-        self.core.apply_connection_capacity(ConnectionCapacity("s-1", 1, calls, **more))  # type: ignore[arg-type]
+        self.dispatcher.apply_connection_capacity(ConnectionCapacity("s-1", 1, calls, **more))  # type: ignore[arg-type]
         return self.run(0.05)
 
 
@@ -202,11 +204,13 @@
 def gated(tmp_path: Path) -> Gated:
     stand = Gated(tmp_path)
     # The list of the start was read before the partner's table was known: list it anew.
-    stand.core.apply_list_update(
-        stand.core.pool.update({"revision": 3, "complete": True, "members": [row("s-2", 2)]})
+    stand.dispatcher.apply_list_update(
+        stand.dispatcher.pool.update({"revision": 3, "complete": True, "members": [endpoint_row("s-2", 2)]})
     )
-    stand.core.apply_list_update(
-        stand.core.pool.update({"revision": 4, **{k: v for k, v in LIST.items() if k != "revision"}})
+    stand.dispatcher.apply_list_update(
+        stand.dispatcher.pool.update(
+            {"revision": 4, **{k: v for k, v in ENDPOINT_LIST.items() if k != "revision"}}
+        )
     )
     stand.run(0.1)
     return stand
@@ -214,11 +218,11 @@
 
 def test_messages_wait_for_connections_without_slots_or_attempts(gated: Gated) -> None:
     for i in range(3):
-        assert gated.hand_in(f"m{i}")
+        assert gated.submit(f"m{i}")
     assert gated.run(1) == []
     assert gated.asked
     assert max(gated.asked) >= 1
-    assert gated.core.policy.used == 0, "no slot is held by a handshake"
+    assert gated.dispatcher.policy.used == 0, "no slot is held by a handshake"
     calls = gated.tell(2)
     assert len(calls) == 2
     assert all(call.attempt_numbers == [0] for call in calls)
@@ -229,18 +233,18 @@
     gated.end(third, Outcome.DELIVERED)
     gated.end(calls[1], Outcome.DELIVERED)
     gated.run(0.1)
-    assert not gated.core.messages.by_id
+    assert not gated.dispatcher.messages.by_id
 
 
 def test_failed_handshakes_are_an_outage_with_trials_but_no_attempts(gated: Gated) -> None:
-    gated.hand_in("m")
+    gated.submit("m")
     gated.run(0.1)
     asked = []
     for _ in range(6):
         asked.append(len(gated.asked))
         gated.tell(0, connect_failed=True, elapsed=10 * MS)
         gated.run(1)
-    assert gated.core.messages.by_id["m"].attempt_count == 0
+    assert gated.dispatcher.messages.by_id["m"].attempt_count == 0
     gaps = [b - a for a, b in itertools.pairwise(asked)]
     assert all(gap <= 2 for gap in gaps), "single trials, no storm"
     (call,) = gated.tell(1) or gated.run(5)
@@ -248,13 +252,13 @@
 
 
 def test_a_told_wait_is_not_overtaken_by_a_handshake(gated: Gated) -> None:
-    gated.hand_in("m")
+    gated.submit("m")
     gated.run(0.1)
     (call,) = gated.tell(1)
     gated.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
     gated.tell(0)
     before = len(gated.asked)
-    gated.hand_in("n")
+    gated.submit("n")
     gated.run(1.8)
     assert len(gated.asked) == before, "no connection is even asked for"
     gated.run(0.5)
@@ -264,13 +268,13 @@
 def test_what_no_connection_will_be_tried_for_is_given_up_at_once_with_a_time_to_come_back(
     gated: Gated,
 ) -> None:
-    gated.hand_in("short", left=5 * SECOND)
-    gated.hand_in("long", left=20 * SECOND)
+    gated.submit("short", left=5 * SECOND)
+    gated.submit("long", left=20 * SECOND)
     gated.run(0.1)
     gated.tell(0, connect_blocked_for=8 * SECOND)
     assert [one.id for one in gated.answers] == ["short"], "and not near its deadline"
     assert gated.answers[0].retry_after > 0
-    gated.hand_in("new", left=5 * SECOND)
+    gated.submit("new", left=5 * SECOND)
     gated.run(0.1)
     assert [one.id for one in gated.answers] == ["short", "new"]
     gated.run(8)
@@ -280,11 +284,11 @@
 
 
 def test_a_connection_that_went_unnoticed_costs_no_lesson(gated: Gated) -> None:
-    gated.hand_in("m")
+    gated.submit("m")
     gated.run(0.1)
     (call,) = gated.tell(1)
     gated.end(call, Outcome.CONNECT_FAILED, connection_stale=True)
     gated.tell(0)
-    lane = gated.core.policy.dests[1].endpoints["s-1"].lane
+    lane = gated.dispatcher.policy.dests[1].endpoints["s-1"].lane
     assert not lane.out
     assert lane.run == 0
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -17,13 +17,13 @@
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
 from honeyhitch import logs
-from honeyhitch.journal.state import unpack
+from honeyhitch.journal.state import decode_records
 
 from .agent import Agent
 from .authority import Authority, Issued
 from .broker import Broker
 from .program import SETTINGS, Peer, free_port, play, started, write
-from .rig import row
+from .rig import endpoint_row
 from .test_program import OPERATOR, Client, ended, receive
 from .tls_partner import OK, Session, TlsPartner, asking, server_context
 
@@ -83,7 +83,8 @@
 
 def members_of(partners: list[TlsPartner]) -> list[dict[str, Any]]:
     return [
-        {**row(f"p{i}", 1), "host_port": f"127.0.0.1:{partner.port}"} for i, partner in enumerate(partners)
+        {**endpoint_row(f"p{i}", 1), "host_port": f"127.0.0.1:{partner.port}"}
+        for i, partner in enumerate(partners)
     ]
 
 
@@ -208,7 +209,7 @@
         assert partner.applied == {"k-m": 1}
         told = log.events("tls.call-broken") + log.events("tls.connection-rejected")
         assert {one["failure"] for one in told} == {"our-certificate-refused"}
-        records = [fields for fields, _, _ in unpack((tmp_path / "state" / "journal").read_bytes())]
+        records = [fields for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())]
         tried = [fields for fields in records if fields["t"] == "attempt"]
         never = [fields for fields in records if fields["t"] == "never"]
         # One that ended before its first byte has no record of its own: that it never ran says it all.
@@ -243,7 +244,7 @@
         assert set(good.applied.values()) == {1}
         stalled = {one["failure"] for one in log.events("tls.handshake-failed")}
         assert stalled <= {"stalled"}
-        records = [fields for fields, _, _ in unpack((tmp_path / "state" / "journal").read_bytes())]
+        records = [fields for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())]
         assert len([fields for fields in records if fields["t"] == "attempt"]) == 8, "no attempt was used up"
 
     play(work())
@@ -407,7 +408,8 @@
         few = {"sockets": 60, "disk_mb": 3}
         agent, client = await Peer().start(), Peer()
         members = [
-            {**row(f"p{i}", i), "host_port": f"127.0.0.1:{one.port}"} for i, one in enumerate(partners)
+            {**endpoint_row(f"p{i}", i), "host_port": f"127.0.0.1:{one.port}"}
+            for i, one in enumerate(partners)
         ]
         async with started(tmp_path, agent.port, members, operator, limits=few) as port:
             await client.dial(port)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 
 from .agent import Agent
 from .program import free_port, play, write
-from .rig import row
+from .rig import endpoint_row
 
 ROOT = Path(__file__).parent.parent
 CLIENTS = 6
@@ -175,7 +175,9 @@
     """
     rig = Rig(folder, seed)
     await rig.books.start()
-    rig.agent.members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{rig.books.port}", "size": 400.0}]
+    rig.agent.members = [
+        {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{rig.books.port}", "size": 400.0}
+    ]
     await rig.agent.start()
     rig.agent.told = rig.events.tell
     await rig.start()
