--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -90,7 +90,7 @@
             self.folder, self.journal, self.dispatcher, lambda _, out: self.shares.append(out)
         )
         self.beside.start()
-        self.core.recover()
+        self.dispatcher.recover()
         self.beside.recovered = True
 
     def kill(self) -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -129,7 +129,7 @@
 def test_callers_who_stall_keep_nobody_from_an_answer(tmp_path: Path) -> None:
     async def work() -> None:
         at, agent = free_port(), await Peer().start()
-        async with started(tmp_path, agent.port, [row("s", 1)], management=f"127.0.0.1:{at}"):
+        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{at}"):
             crowd = [
                 await asyncio.open_connection("127.0.0.1", at) for _ in range(2 * MONITORING_CONNECTIONS)
             ]
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -108,13 +108,13 @@
 
 def test_only_what_may_become_its_own_is_kept_of_a_list(tmp_path: Path) -> None:
     one = stand(tmp_path)
-    kept = {member.destination for member in one.core.pool.endpoints.values()}
+    kept = {member.destination for member in one.dispatcher.pool.endpoints.values()}
     assert kept == {number for number in range(1, 60) if one.fleet.fleet.is_candidate(number)}
     assert 0 < len(kept) < 59
     other = next(number for number in range(1, 60) if number not in kept)
     assert one.fleet.has_destination(other), "its owner knows it"
-    change = {"revision": 2, "complete": False, "members": [row("s-9999", other)]}
-    assert not one.core.pool.update(change).listings
+    change = {"revision": 2, "complete": False, "members": [endpoint_row("s-9999", other)]}
+    assert not one.dispatcher.pool.update(change).listings
 
 
 def test_messages_are_taken_for_what_is_held_and_passed_on_for_the_rest(tmp_path: Path) -> None:
@@ -184,7 +184,7 @@
     one.hear(2, False, [{**gone, "phase": "Gone"}])
     one.time.run(1)
     one.fleet.refresh_if_due()
-    assert "out" in one.core.messages.by_id, "its call is out"
+    assert "out" in one.dispatcher.messages.by_id, "its call is out"
     one.end(call, Outcome.REJECTED)
     one.time.run(0.2)
     one.fleet.refresh_if_due()
