--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -115,14 +115,16 @@
         before, began = service.cpu(), time.monotonic()
         service.process.send_signal(signal.SIGHUP)
         in_force = other.watched.wait(120)
-        assert in_force or count * 130 > discovery.MOST_LINE, "only a list over the limit is never taken"
+        assert in_force or count * 130 > discovery.MAX_LIST_BYTES, "only a list over the limit is never taken"
         took = time.monotonic() - began
         per = "destination listed"
         if in_force:
             self.note("SIGHUP: until the new agent is watched", "s", per, count, took)
             self.note("SIGHUP: CPU", "s", per, count, service.cpu() - before)
         else:
-            print(f"SIGHUP at {count}: the whole list is over {discovery.MOST_LINE} bytes", file=sys.stderr)
+            print(
+                f"SIGHUP at {count}: the whole list is over {discovery.MAX_LIST_BYTES} bytes", file=sys.stderr
+            )
 
     def lists(self) -> None:
         """Bytes and CPU of a whole list as it is read, in this process."""
@@ -132,11 +134,11 @@
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
             for _ in range(self.plays):
                 began = time.process_time()
-                machine = http1.ResponseParser(most=2 * len(body) + 4096)
+                machine = http1.ResponseParser(max_bytes=2 * len(body) + 4096)
                 answer = machine.feed(head + body)
                 assert answer is not None
                 pool = EndpointPool(settings(kinds=settings().kinds))
-                news = pool.update(discovery.whole_list(answer))
+                news = pool.update(discovery.parse_complete_list(answer))
                 DeliveryPolicy(settings(), 1).handle(1, [news])
                 per = "destination listed"
                 self.note("whole list: CPU to take it over", "s", per, count, time.process_time() - began)
--- a/honeyhitch/cli/management.py
+++ b/honeyhitch/cli/management.py
@@ -12,7 +12,7 @@
 import click
 
 from honeyhitch import config as configuration
-from honeyhitch.protocols.management import Answer
+from honeyhitch.protocols.management import ManagementReply
 
 PATIENCE = 3.0  # seconds; an answer is owed within 1
 COLUMNS = ("ok", "shed", "errors", "tries")
@@ -33,13 +33,13 @@
 
 
 def _call(at: configuration.Address, call: str) -> tuple[bool, str, dict[str, Any]]:
-    answer = Answer()
+    answer = ManagementReply()
     try:
         with socket.create_connection((at.host, at.port), timeout=PATIENCE) as sock:
             sock.sendall(call.encode() + b"\r\n")
             while (data := sock.recv(65536)) and not answer.feed(data):
                 pass
-        return answer.told()
+        return answer.result()
     except (OSError, ValueError) as error:
         raise click.ClickException(f"no answer from {at}: {error}") from error
 
--- a/honeyhitch/cli/undelivered/access.py
+++ b/honeyhitch/cli/undelivered/access.py
@@ -14,7 +14,7 @@
 
 from honeyhitch import config as configuration
 from honeyhitch.dead_letters.settings import Limits, Terms
-from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
+from honeyhitch.transports.control_client import ControlClient, ControlCommandError
 
 
 class Access:
@@ -42,8 +42,8 @@
         """Have an operation done (undelivered/operations.py)."""
         if self.client is not None:
             try:
-                return self.client.ask("POST", f"/undelivered/{name}", told)
-            except ControlRefusedError as error:
+                return self.client.request("POST", f"/undelivered/{name}", told)
+            except ControlCommandError as error:
                 raise click.ClickException(str(error)) from error
             except OSError:
                 self.client = None  # no dispatcher runs: the store is there all the same
@@ -54,8 +54,8 @@
         if self.client is None:
             raise click.ClickException("state: name the configuration of a running dispatcher")
         try:
-            return self.client.ask("GET", "/state")
-        except (ControlRefusedError, OSError) as error:
+            return self.client.request("GET", "/state")
+        except (ControlCommandError, OSError) as error:
             raise click.ClickException(f"state: no dispatcher answers: {error}") from error
 
     def _directly(self, name: str, told: dict[str, Any]) -> dict[str, Any]:
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -13,7 +13,7 @@
 from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.protocols.resp import MessageFields
+from honeyhitch.protocols.resp import TransactionParser
 from honeyhitch.service import shutdown
 from honeyhitch.service.service import Service
 
@@ -42,7 +42,7 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher, self.fields = (
             dispatcher,
-            MessageFields(dispatcher.settings, dispatcher.pool.has_destination),
+            TransactionParser(dispatcher.settings, dispatcher.pool.has_destination),
         )
         self.waiting: dict[str, asyncio.Future[Transaction]] = {}
 
@@ -74,7 +74,7 @@
         told |= {"k": key or name, "d": str(max(0, int(left * 1000)))}
         told["t"] = tenant if tenant is not None else next(iter(settings.tenant_names), "")
         now = self.dispatcher.scheduler.now()
-        transaction = self.fields.transaction(name.encode(), told, body, now)
+        transaction = self.fields.parse(name.encode(), told, body, now)
         transaction.frontend = "app"
         admission: Admission = self.dispatcher.submit(transaction)
         if not admission.accepted:
--- a/honeyhitch/protocols/agent_check.py
+++ b/honeyhitch/protocols/agent_check.py
@@ -11,18 +11,18 @@
 from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.protocols.buffer import Buffer
 
-MOST_REQUEST = 8192  # bytes
+MAX_REQUEST_BYTES = 8192  # bytes
 
 
-def weight(state: DispatcherState) -> int:
+def weight_percent(state: DispatcherState) -> int:
     """Per cent of its room that is left; a ready one keeps at least 1, as 0 would mean drain."""
     return max(1, 100 - 100 * state.message_count // max(1, state.max_messages))
 
 
-def agent_line(state: DispatcherState) -> bytes:
+def encode_agent_state(state: DispatcherState) -> bytes:
     """HAProxy's words for a state: `ready` ends an earlier drain, and the percentage sets the weight."""
     if state.phase is Phase.READY:
-        return b"up ready %d%%\n" % weight(state)
+        return b"up ready %d%%\n" % weight_percent(state)
     return b"down #not serving\n" if state.phase is Phase.DOWN else b"drain\n"
 
 
@@ -32,35 +32,46 @@
     forward = None
 
     def __init__(self, state: Callable[[], DispatcherState]) -> None:
-        self.opening, self.closing, self.more, self.half = agent_line(state()), True, False, False
+        self.greeting, self.closing, self.has_more_requests, self.has_partial_request = (
+            encode_agent_state(state()),
+            True,
+            False,
+            False,
+        )
 
     def receive(self, buffer: Buffer) -> bytes:
         """Nothing is read."""
-        buffer.take()
+        buffer.consume_all()
         return b""
 
 
 class HealthSession:
     """HTTP health: `/health` says whether to send work here, `/live` whether the process answers at all."""
 
-    opening = b""
+    greeting = b""
     forward = None
 
     def __init__(self, state: Callable[[], DispatcherState]) -> None:
-        self.state, self.closing, self.more, self.half, self.seen = state, False, False, False, 0
+        self.state, self.closing, self.has_more_requests, self.has_partial_request, self.request_bytes = (
+            state,
+            False,
+            False,
+            False,
+            0,
+        )
         self.parser = httptools.HttpRequestParser(self)
         self.path, self.replies = b"", list[bytes]()
 
     def receive(self, buffer: Buffer) -> bytes:
         """Replies to the requests that came."""
-        data = buffer.take()
-        self.seen += len(data)
+        data = buffer.consume_all()
+        self.request_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._reply(HTTPStatus.BAD_REQUEST, {})
             self.closing = True
-        if self.seen > MOST_REQUEST:
+        if self.request_bytes > MAX_REQUEST_BYTES:
             self._reply(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, {})
             self.closing = True
         replies, self.replies = b"".join(self.replies), []
@@ -79,7 +90,7 @@
         self.path += url
 
     def on_message_complete(self) -> None:
-        path, self.path, self.seen = self.path.partition(b"?")[0], b"", 0
+        path, self.path, self.request_bytes = self.path.partition(b"?")[0], b"", 0
         method, self.closing = self.parser.get_method(), not self.parser.should_keep_alive()
         state, wanted = self.state(), method != b"HEAD"
         told: dict[str, object] = {
--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -10,28 +10,30 @@
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.list_parser import ListError, ListParser
 
-MOST_LINE = 4 << 20  # bytes of one list
-TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # what tells where an object ends: strings and brackets
+MAX_LIST_BYTES = 4 << 20  # bytes of one list
+JSON_TOKEN = re.compile(
+    rb'"(?:[^"\\]|\\.)*"|[{}\[\]]'
+)  # what tells where an object ends: strings and brackets
 
 
 class WatchError(Exception):
     """The watch gave what cannot be read, or ended; `status` is what was answered, if that is why."""
 
-    def __init__(self, text: str, status: int = 0) -> None:
-        super().__init__(text)
+    def __init__(self, message: str, status: int = 0) -> None:
+        super().__init__(message)
         self.status = status
 
 
-def list_request(host: str) -> bytes:
+def encode_list_request(host: str) -> bytes:
     """Ask for the whole list."""
-    return http1.request("GET", "/api/targets", host, {"Accept": "application/json"})
+    return http1.encode_request("GET", "/api/targets", host, {"Accept": "application/json"})
 
 
-def whole_list(answer: http1.Response) -> dict[str, Any]:
+def parse_complete_list(response: http1.Response) -> dict[str, Any]:
     """The list that an answer holds, in discovery's form."""
-    if answer.status != 200:
-        raise WatchError(f"list: answered {answer.status}", answer.status)
-    return _object(answer.body, "list")
+    if response.status != 200:
+        raise WatchError(f"list: answered {response.status}", response.status)
+    return _object(response.body, "list")
 
 
 def _object(text: bytes, name: str) -> dict[str, Any]:
@@ -44,66 +46,66 @@
     return value
 
 
-def watch_request(host: str, revision: int) -> bytes:
+def encode_watch_request(host: str, revision: int) -> bytes:
     """Ask for all changes after a revision."""
-    return http1.request(
+    return http1.encode_request(
         "GET", f"/api/targets?stream=1&index={revision}", host, {"Accept": "application/json"}
     )
 
 
-class Watch:
+class WatchParser:
     """One watch: fed bytes, it gives the lists and changes that they hold. Empty lines are heartbeats; an
     object may come on one line or indented over several, none of them empty.
 
     With `wanted`, lists may be of any length, and of their members only those for which it is true are kept.
     """
 
-    def __init__(self, wanted: Callable[[dict[str, Any]], bool] | None = None) -> None:
-        self.reader = ListParser(wanted) if wanted is not None else None
-        self.line = bytearray()
-        self.object, self.depth = bytearray(), 0  # one that has begun, and its brackets open
-        self.news: list[dict[str, Any]] = []
-        self.ended = False  # the answer is whole, and its last object was given
-        self.machine = http1.ResponseParser(self._piece)
+    def __init__(self, keep_member: Callable[[dict[str, Any]], bool] | None = None) -> None:
+        self.list_parser = ListParser(keep_member) if keep_member is not None else None
+        self.partial_line = bytearray()
+        self.partial_object, self.bracket_depth = bytearray(), 0  # one that has begun, and its brackets open
+        self.updates: list[dict[str, Any]] = []
+        self.complete = False  # the answer is whole, and its last object was given
+        self.response_parser = http1.ResponseParser(self._on_body_chunk)
 
-    def _piece(self, data: bytes) -> None:
-        if self.reader is not None:
+    def _on_body_chunk(self, data: bytes) -> None:
+        if self.list_parser is not None:
             try:
-                self.news += self.reader.feed(data)
+                self.updates += self.list_parser.feed(data)
             except ListError as error:
                 raise WatchError(f"watch: {error}") from error
             return
-        self.line += data
-        if len(self.line) + len(self.object) > MOST_LINE:
+        self.partial_line += data
+        if len(self.partial_line) + len(self.partial_object) > MAX_LIST_BYTES:
             raise WatchError("watch: a line is too long")
-        *lines, rest = bytes(self.line).split(b"\n")
-        self.line = bytearray(rest)
+        *lines, rest = bytes(self.partial_line).split(b"\n")
+        self.partial_line = bytearray(rest)
         for line in lines:
             if line.strip():
-                self._take(line)
-            elif self.object:
-                raise WatchError(f"watch: an object that does not end: {bytes(self.object[:80])!r}")
-
-    def _take(self, line: bytes) -> None:
-        marks = [found[0] for found in TOKEN.finditer(line)]
-        self.depth += sum((mark in b"{[") - (mark in b"}]") for mark in marks if len(mark) == 1)
-        self.object += line + b"\n"
-        if self.depth <= 0:
-            whole, self.object, self.depth = bytes(self.object), bytearray(), 0
-            self.news.append(_object(whole.strip(), "watch"))
+                self._add_line(line)
+            elif self.partial_object:
+                raise WatchError(f"watch: an object that does not end: {bytes(self.partial_object[:80])!r}")
+
+    def _add_line(self, line: bytes) -> None:
+        marks = [found[0] for found in JSON_TOKEN.finditer(line)]
+        self.bracket_depth += sum((mark in b"{[") - (mark in b"}]") for mark in marks if len(mark) == 1)
+        self.partial_object += line + b"\n"
+        if self.bracket_depth <= 0:
+            whole, self.partial_object, self.bracket_depth = bytes(self.partial_object), bytearray(), 0
+            self.updates.append(_object(whole.strip(), "watch"))
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
         """Take bytes; the lists and changes read so far, each given once."""
-        self.news = []
+        self.updates = []
         try:
-            answer = self.machine.feed(data)
+            answer = self.response_parser.feed(data)
         except http1.HttpError as error:
             cause = error.__cause__.__context__ if error.__cause__ else None
             raise (cause if isinstance(cause, WatchError) else WatchError(str(error))) from error
-        status = self.machine.answer.status
-        if self.machine.in_body and status != 200:
+        status = self.response_parser.response.status
+        if self.response_parser.headers_complete and status != 200:
             raise WatchError(f"watch: answered {status}", status)
-        self.ended = answer is not None
-        if self.ended and not self.news:
+        self.complete = answer is not None
+        if self.complete and not self.updates:
             raise WatchError("watch: ended", status)
-        return self.news
+        return self.updates
--- a/honeyhitch/protocols/forwarding.py
+++ b/honeyhitch/protocols/forwarding.py
@@ -10,9 +10,10 @@
 
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.settings import Settings
-from honeyhitch.protocols.resp import FORWARDED, MOST_LINE, MS
+from honeyhitch.protocols.resp import FORWARDED_BY_FIELD, MAX_LINE_BYTES
+from honeyhitch.time_units import MILLISECOND
 
-KEY = b"0" * 16  # the first argument, which means nothing
+UNUSED_KEY = b"0" * 16  # the first argument, which means nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,11 +46,11 @@
 ForwardOutcome = Relayed | NothingWritten | Unanswered | ConnectionEnded
 
 
-def request(settings: Settings, transaction: Transaction, instance: str, now: int) -> bytes | None:
+def encode_request(settings: Settings, transaction: Transaction, instance: str, now: int) -> bytes | None:
     """The request as it is passed on by `instance`, or None where no time is left. `now` is a Unix time in
     nanoseconds; the time passed since the client sent it counts against `d`.
     """
-    left = (transaction.deadline - now) // MS
+    left = (transaction.deadline - now) // MILLISECOND
     if left < 1:
         return None
     fields = {"c": settings.classes[transaction.class_index].name, "d": str(left)}
@@ -60,9 +61,9 @@
         fields["k"] = transaction.key
     if transaction.recovered_from_journal:
         fields["again"] = "1"
-    fields[FORWARDED] = instance
+    fields[FORWARDED_BY_FIELD] = instance
     text = ",".join(f"{name}={value}" for name, value in fields.items())
-    parts = (b"ENQUEUE", KEY, transaction.id.encode(), text.encode(), transaction.body)
+    parts = (b"ENQUEUE", UNUSED_KEY, transaction.id.encode(), text.encode(), transaction.body)
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
@@ -81,8 +82,8 @@
         if self._data[:1] not in (b"+", b"-"):
             raise ValueError(f"reply: expected a line with + or -, got {self._data[:40]!r}")
         end = self._data.find(b"\r\n")
-        if end < 0 and len(self._data) > MOST_LINE:
-            raise ValueError(f"reply: longer than {MOST_LINE} bytes")
+        if end < 0 and len(self._data) > MAX_LINE_BYTES:
+            raise ValueError(f"reply: longer than {MAX_LINE_BYTES} bytes")
         if 0 <= end < len(self._data) - 2:
             raise ValueError(f"reply: more than one line: {self._data[:40]!r}")
         return self._data if end >= 0 else None
--- a/honeyhitch/protocols/management.py
+++ b/honeyhitch/protocols/management.py
@@ -9,10 +9,10 @@
 from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.protocols.buffer import Buffer
 
-MOST_DIGITS = 15  # of a destination's number
-MOST_LINE = 256  # bytes of a call, its line end included
-CALLS = ("status", "stats")
-FLEET_CALLS = ("fleet", "owner NUMBER")  # where a fleet is set up
+MAX_DESTINATION_DIGITS = 15  # of a destination's number
+MAX_LINE_BYTES = 256  # bytes of a call, its line end included
+COMMANDS = ("status", "stats")
+FLEET_COMMANDS = ("fleet", "owner NUMBER")  # where a fleet is set up
 
 
 class FleetDescription(Protocol):
@@ -31,30 +31,30 @@
     `+OK` or `-ERR` opens each answer but those with figures: a line of JSON, and a line `.`.
     """
 
-    opening = b""
+    greeting = b""
     forward = None
 
     def __init__(
         self,
         state: Callable[[], DispatcherState],
-        figures: Callable[[], dict[str, Any]],
+        statistics: Callable[[], dict[str, Any]],
         fleet: FleetDescription | None = None,
     ) -> None:
-        self.state, self.figures, self.fleet = state, figures, fleet
-        self.closing = self.more = self.half = False
+        self.state, self.statistics, self.fleet = state, statistics, fleet
+        self.closing = self.has_more_requests = self.has_partial_request = False
 
     def receive(self, buffer: Buffer) -> bytes:
         """The answer once the line is whole, nothing before."""
-        end = buffer.find(b"\n", 0, MOST_LINE)
-        self.half = end < 0 and 0 < len(buffer) < MOST_LINE
-        if self.half or not len(buffer):
+        end = buffer.find(b"\n", 0, MAX_LINE_BYTES)
+        self.has_partial_request = end < 0 and 0 < len(buffer) < MAX_LINE_BYTES
+        if self.has_partial_request or not len(buffer):
             return b""
         self.closing = True
-        line = buffer.take()[: max(0, end)]
+        line = buffer.consume_all()[: max(0, end)]
         return (
             self._answer(line.strip().decode("latin-1"))
             if end >= 0
-            else _error(f"call: longer than {MOST_LINE} bytes")
+            else _error(f"call: longer than {MAX_LINE_BYTES} bytes")
         )
 
     def _answer(self, call: str) -> bytes:
@@ -64,17 +64,17 @@
                 return b"+OK ready\r\n"
             return _error(f"status: {state.phase.value}")
         if call == "stats":
-            return _figures(self.figures())
+            return _figures(self.statistics())
         name, _, number = call.partition(" ")
         if name in ("fleet", "owner") and self.fleet is None:
             return _error(f"{name}: no fleet is set up here")
         if call == "fleet" and self.fleet is not None:
             return _figures(self.fleet.describe())
         if name == "owner" and self.fleet is not None:
-            if not number.isascii() or not number.isdigit() or len(number) > MOST_DIGITS:
+            if not number.isascii() or not number.isdigit() or len(number) > MAX_DESTINATION_DIGITS:
                 return _error(f"owner: expected the number of a destination, got {number[:40]!r}")
             return _figures(self.fleet.describe_owners(int(number)))
-        known = CALLS + (FLEET_CALLS if self.fleet is not None else ())
+        known = COMMANDS + (FLEET_COMMANDS if self.fleet is not None else ())
         return _error(f"call: unknown, expected {' or '.join(known)}, got {call[:40]!r}")
 
 
@@ -87,21 +87,21 @@
     return f"-ERR {why}\r\n".encode("ascii", "backslashreplace")
 
 
-class Answer:
+class ManagementReply:
     """One answer read from its bytes, for those who call."""
 
     def __init__(self) -> None:
-        self.text = b""
+        self.data = b""
 
     def feed(self, data: bytes) -> bool:
         """Take bytes; true once the answer is whole."""
-        self.text += data
-        lines = self.text.split(b"\r\n")
+        self.data += data
+        lines = self.data.split(b"\r\n")
         return len(lines) > 1 and (not lines[0].startswith(b"{") or b"." in lines[1:-1])
 
-    def told(self) -> tuple[bool, str, dict[str, Any]]:
+    def result(self) -> tuple[bool, str, dict[str, Any]]:
         """Whether it says yes, its first line's words, and the figures if it brought some."""
-        line = self.text.decode("ascii", "replace").partition("\r\n")[0]
+        line = self.data.decode("ascii", "replace").partition("\r\n")[0]
         if line.startswith("{"):
             return True, "", json.loads(line)
         mark, _, words = line.partition(" ")
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -7,7 +7,7 @@
 
 from honeyhitch.protocols.buffer import Buffer
 
-LARGEST = 1 << 18  # bytes of one packet that is read; told to the server in CONNECT
+MAX_PACKET_BYTES = 1 << 18  # bytes of one packet that is read; told to the server in CONNECT
 
 
 class Kind(IntEnum):
@@ -288,7 +288,7 @@
     return packet
 
 
-def decode(buffer: Buffer, largest: int = LARGEST) -> Packet | None:
+def decode(buffer: Buffer, largest: int = MAX_PACKET_BYTES) -> Packet | None:
     """The next whole packet, which is consumed; None while some of it is still to come."""
     head = buffer.peek(0, 5)
     length = shift = 0
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -17,7 +17,8 @@
 from honeyhitch.partitioning.fleet import ClockError, Fleet
 from honeyhitch.partitioning.settings import SECOND, FleetSettings
 from honeyhitch.protocols.discovery_backoff import WatchBackoff
-from honeyhitch.protocols.resp import MS, Route
+from honeyhitch.protocols.resp import Route
+from honeyhitch.time_units import MILLISECOND
 from honeyhitch.transports.list_watch import ListWatch
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
@@ -26,7 +27,7 @@
 MOST_SAVED = 250_000  # bytes of it
 SAVE_EVERY = 60 * SECOND  # ns; a restart while control is silent counts its leases from the last one
 LOOK_EVERY = 0.25  # seconds between looks at what has changed with the time
-REFUSAL = b"-BUSY %d\r\n" % (BUSY_RETRY_AFTER // MS)
+REFUSAL = b"-BUSY %d\r\n" % (BUSY_RETRY_AFTER // MILLISECOND)
 
 
 class FleetService:
@@ -82,7 +83,7 @@
         if self.dispatcher.journal.has_accepted(transaction.id) or self.quota_fraction(destination, now) > 0:
             return Route.LOCAL
         if forwarded or not self.ready:
-            return Route.REFUSE
+            return Route.REJECT
         return Route.FORWARD  # where there is no owner to ask, the forwarder refuses it as well
 
     def describe(self) -> dict[str, Any]:
@@ -95,7 +96,7 @@
             "revision": status.revision,
             "instances": status.instances,
             "ready": status.ready,
-            "heartbeat_age_ms": status.age // MS if status.age is not None else None,
+            "heartbeat_age_ms": status.age // MILLISECOND if status.age is not None else None,
             "partitions": self.settings.partitions,
             "holds": status.partitions,
             "keeps": status.candidate_for,
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -111,7 +111,7 @@
             raise ConfigError(f"state: {error}") from error
         if listen and folder.slot == FIRST_SLOT:
             try:
-                sockets.refuse_strangers((config.listen.host, config.listen.port))
+                sockets.check_address_unused((config.listen.host, config.listen.port))
             except OSError as error:
                 folder.close()
                 raise ConfigError(f"listen: cannot listen on {config.listen}: {error.strerror}") from error
@@ -127,9 +127,9 @@
         )
         self.max_clients, most_idle = budget(self.config, 1 + shared)
         for carrier in self.idle_pools:
-            carrier.limit(max(1, most_idle // len(self.idle_pools)))
+            carrier.set_max_idle(max(1, most_idle // len(self.idle_pools)))
         if self.clients is not None:
-            self.clients.limit(self.max_clients)
+            self.clients.set_max_clients(self.max_clients)
 
     def state(self) -> DispatcherState:
         """Whether it accepts new work; before a fleet's first view it cannot tell what is its own."""
@@ -170,7 +170,7 @@
             self._resume()
         if listen:
             served = dispatcher.pool.has_destination if self.fleet is None else self.fleet.serves
-            fields = resp.MessageFields(config.settings, served, dispatcher.metrics.message_invalid)
+            fields = resp.TransactionParser(config.settings, served, dispatcher.metrics.message_invalid)
             self.clients = self._listen(
                 "listen",
                 config.listen,
@@ -186,7 +186,9 @@
                 forward=None if self.fleet is None else self.fleet.forwarder.forward,
             )
             if self.handover.peer_running:
-                log.info("listen.address-shared", steered=sockets.steer(self.clients.listener))
+                log.info(
+                    "listen.address-shared", steered=sockets.prefer_second_listener(self.clients.listener)
+                )
         beside, state = config.operator, self.state
         calls: tuple[tuple[str, Address | None, Callable[[], ServerSession]], ...] = (
             ("beside.agent-check", beside.agent_check, lambda: AgentSession(state)),
@@ -286,7 +288,7 @@
 
     def servers_settled(self) -> bool:
         """No client of this process has a request on its way."""
-        return self.clients is None or self.clients.settled
+        return self.clients is None or self.clients.quiescent
 
     async def report_suppressed_events(self) -> None:
         """Say from time to time which repeated events were left out of the log."""
--- a/honeyhitch/tls/certificates.py
+++ b/honeyhitch/tls/certificates.py
@@ -9,7 +9,8 @@
 from cryptography import x509
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat
 
-SECOND = 10**9  # ns
+from honeyhitch.time_units import SECOND
+
 DAY = 24 * 3600 * SECOND
 
 
--- a/honeyhitch/tls/handshake_budget.py
+++ b/honeyhitch/tls/handshake_budget.py
@@ -17,7 +17,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-SECOND = 10**9  # ns
+from honeyhitch.time_units import SECOND
+
 WINDOW, MARGIN = SECOND, 1.25  # ns; times as long as the window that the setting speaks of
 RESUMED = 0.25  # of a full handshake's cost, for a partner that only checks a ticket and one key exchange
 LEAST_LOST = 2  # connections lost at once that can mean a restart
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -15,6 +15,7 @@
 
 from honeyhitch import logs
 from honeyhitch.policy.settings import Settings
+from honeyhitch.time_units import SECOND
 from honeyhitch.tls import material
 from honeyhitch.tls.certificates import Facts, of_der
 from honeyhitch.tls.failures import Failure, TlsError
@@ -25,7 +26,6 @@
 from honeyhitch.tls.settings import Partner, TlsSettings
 
 log = logs.get()
-SECOND = 10**9  # ns
 DAY = 24 * 3600 * SECOND
 FIRST_PAUSE, MOST_PAUSE, SPREAD = SECOND, 60 * SECOND, 0.2  # ns, ns, share; between tries
 MOST_PEERS = 1024  # certificates whose facts are remembered, to spare reading them at each handshake
--- a/honeyhitch/tls/sessions.py
+++ b/honeyhitch/tls/sessions.py
@@ -12,7 +12,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-SECOND = 10**9  # ns
+from honeyhitch.time_units import SECOND
+
 DAY = 24 * 3600 * SECOND
 MOST_LIFE = 7 * DAY  # RFC 8446, 4.6.1: no ticket lives longer
 
--- a/honeyhitch/tls/settings.py
+++ b/honeyhitch/tls/settings.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from pathlib import Path
 
-SECOND = 10**9  # ns
+from honeyhitch.time_units import SECOND
 
 
 class Scope(Enum):
--- a/honeyhitch/transports/channel.py
+++ b/honeyhitch/transports/channel.py
@@ -27,10 +27,10 @@
     async def receive(self, buffer: Buffer) -> bytes:
         """The same for one who takes all at once: the bytes, none at the peer's own end."""
 
-    def arrived(self, buffer: Buffer) -> bytes:
+    def read_available(self, buffer: Buffer) -> bytes:
         """What has come and was not read, without waiting for more."""
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Alive, with nothing come that nobody asked for: safe to use again."""
 
     def close(self) -> None:
@@ -55,15 +55,15 @@
 
     async def receive(self, buffer: Buffer) -> bytes:
         """The bytes of one read, by way of the buffer; none at the peer's end."""
-        return buffer.take() if await sockets.read(self.loop, self.sock, buffer) else b""
+        return buffer.consume_all() if await sockets.read(self.loop, self.sock, buffer) else b""
 
-    def arrived(self, buffer: Buffer) -> bytes:
+    def read_available(self, buffer: Buffer) -> bytes:
         """What has come and was not read, without waiting for more."""
-        return buffer.take() if sockets.arrived(self.sock, buffer) > 0 else b""
+        return buffer.consume_all() if sockets.read_available(self.sock, buffer) > 0 else b""
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Alive, with nothing come that nobody asked for."""
-        return sockets.quiet(self.sock)
+        return sockets.is_reusable(self.sock)
 
     def close(self) -> None:
         """Close it at once."""
--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -20,23 +20,29 @@
 from honeyhitch.transports.tasks import Tasks
 
 log = logs.get()
-BACKLOG = 1024
-PAUSE = 0.05  # seconds before accepting again when no descriptor was left
-PATIENCE = 2.0  # seconds for a first request, for the rest of a half one, and for replies to be read
-MUTE = 0.1  # seconds without a first byte after which one may make room: a request would have come with it
-FRESH = 0.3  # seconds that a new connection is given to begin, where another process takes the next ones
-SWEEP = 0.25  # seconds between looks at connections that are out of time
-LOOK = 0.01  # seconds between looks for a place when all are taken
-SLOW = b"-ERR request: not whole in time\r\n"
+LISTEN_BACKLOG = 1024
+ACCEPT_RETRY_SECONDS = 0.05  # seconds before accepting again when no descriptor was left
+REQUEST_TIMEOUT_SECONDS = (
+    2.0  # seconds for a first request, for the rest of a half one, and for replies to be read
+)
+IDLE_CLIENT_SECONDS = (
+    0.1  # seconds without a first byte after which one may make room: a request would have come with it
+)
+NEW_CLIENT_SECONDS = (
+    0.3  # seconds that a new connection is given to begin, where another process takes the next ones
+)
+SWEEP_INTERVAL_SECONDS = 0.25  # seconds between looks at connections that are out of time
+SLOT_POLL_SECONDS = 0.01  # seconds between looks for a place when all are taken
+REQUEST_TIMEOUT_REPLY = b"-ERR request: not whole in time\r\n"
 
 
 class ServerSession(Protocol):
     """What answers on one connection."""
 
-    opening: bytes  # sent before anything is read
+    greeting: bytes  # sent before anything is read
     closing: bool
-    more: bool  # whole requests are left in the buffer
-    half: bool  # a request has come in part
+    has_more_requests: bool  # whole requests are left in the buffer
+    has_partial_request: bool  # a request has come in part
 
     @property
     def forward(self) -> Transaction | None:
@@ -51,21 +57,31 @@
     """One client's connection, and since when it has stood as it stands."""
 
     sock: socket.socket
-    since: float
+    state_since: float
     answered: bool = False
-    half: bool = False
+    has_partial_request: bool = False
     sending: bool = False
-    over: bool = False  # it was ended: nothing more is read
+    closed: bool = False  # it was ended: nothing more is read
 
     @property
-    def resting(self) -> bool:
+    def between_requests(self) -> bool:
         """Nothing is open on it: it may be closed, and the client's next request goes elsewhere."""
-        return self.answered and not self.half and not self.sending and sockets.quiet(self.sock)
+        return (
+            self.answered
+            and not self.has_partial_request
+            and not self.sending
+            and sockets.is_reusable(self.sock)
+        )
 
     @property
-    def mute(self) -> bool:
+    def idle(self) -> bool:
         """It has not said anything yet."""
-        return not self.answered and not self.half and not self.sending and sockets.quiet(self.sock)
+        return (
+            not self.answered
+            and not self.has_partial_request
+            and not self.sending
+            and sockets.is_reusable(self.sock)
+        )
 
 
 class ClientServer:
@@ -74,27 +90,32 @@
     def __init__(
         self,
         address: tuple[str, int],
-        session: Callable[[], ServerSession],
-        most: int,
+        create_session: Callable[[], ServerSession],
+        max_clients: int,
         tasks: Tasks,
-        once: bool = False,
-        shared: bool = False,
+        single_request: bool = False,
+        reuse_port: bool = False,
         forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
     ) -> None:
         """`forward` brings the reply of the instance that owns a transaction's destination, or None where it
         got none: then the connection is closed without one, as by a dispatcher that did not answer.
         """
         self.forward = forward
-        self.session, self.most, self.tasks, self.loop = session, most, tasks, tasks.loop
+        self.create_session, self.max_clients, self.tasks, self.loop = (
+            create_session,
+            max_clients,
+            tasks,
+            tasks.loop,
+        )
         self.clients: dict[Client, None] = {}  # those that have stood as they stand for longest come first
-        self.draining, self.once = False, once
-        self.placing = False  # one was accepted and waits for a place
-        self.listener = sockets.fresh()
+        self.draining, self.single_request = False, single_request
+        self.awaiting_slot = False  # one was accepted and waits for a place
+        self.listener = sockets.new_tcp_socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
+        if reuse_port:
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self.listener.bind(address)
-        self.listener.listen(BACKLOG)
+        self.listener.listen(LISTEN_BACKLOG)
 
     @property
     def port(self) -> int:
@@ -104,96 +125,103 @@
     async def accept(self) -> None:
         """Accept clients for ever."""
         while True:
-            await sockets.readable(self.loop, self.listener)
+            await sockets.wait_readable(self.loop, self.listener)
             try:
                 sock, _ = self.listener.accept()
             except (BlockingIOError, InterruptedError):  # it went away meanwhile
                 continue
             except OSError as error:  # no descriptor left: those in use will come free
                 log.warning("accept.failed", error=str(error))
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
             # Closing it now would fail a request that may be on its way: it waits for a place instead, and
             # those behind it wait in the backlog.
-            self.placing = True
-            while len(self.clients) >= self.most and not self._make_room():
-                await asyncio.sleep(LOOK)
-            self.placing = False
+            self.awaiting_slot = True
+            while len(self.clients) >= self.max_clients and not self._free_slot():
+                await asyncio.sleep(SLOT_POLL_SECONDS)
+            self.awaiting_slot = False
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             client = Client(sock, self.loop.time())
             self.clients[client] = None
             self.tasks.start(self._serve(client))
 
-    def _make_room(self) -> bool:
+    def _free_slot(self) -> bool:
         """Close the connection that has stood unused for longest, if any may be closed.
 
         One that was answered may be closed at any time, since its client asks again on a new one; waiting for
         it to have rested would leave a crowd of new clients out. Where a connection brings `once` a line, one
         that has not brought it whole makes room as a mute one does.
         """
-        mute_since = self.loop.time() - MUTE
+        mute_since = self.loop.time() - IDLE_CLIENT_SECONDS
         for one in self.clients:
-            if one.resting or (one.since < mute_since and (one.mute or (self.once and not one.sending))):
-                self._end(one)
+            if one.between_requests or (
+                one.state_since < mute_since and (one.idle or (self.single_request and not one.sending))
+            ):
+                self._close_client(one)
                 return True
         return False
 
-    def limit(self, most: int) -> None:
+    def set_max_clients(self, max_clients: int) -> None:
         """So many places there are from now on; those too many are taken from who does not use them."""
-        self.most = most
-        while len(self.clients) > most and self._make_room():
+        self.max_clients = max_clients
+        while len(self.clients) > max_clients and self._free_slot():
             pass
 
     async def sweep(self) -> None:
         """Close what is out of time: its place is needed, and whoever is behind it waits for a word."""
         while True:
-            await asyncio.sleep(SWEEP)
-            late = self.loop.time() - PATIENCE
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
+            late = self.loop.time() - REQUEST_TIMEOUT_SECONDS
             for one in list(self.clients):
-                if one.since < late and (one.sending or one.half or not one.answered):
+                if one.state_since < late and (one.sending or one.has_partial_request or not one.answered):
                     if not one.sending:
                         with contextlib.suppress(OSError):
-                            one.sock.send(SLOW)
-                    self._end(one)
+                            one.sock.send(REQUEST_TIMEOUT_REPLY)
+                    self._close_client(one)
 
     def _touch(self, client: Client) -> None:
-        client.since = self.loop.time()
+        client.state_since = self.loop.time()
         if client in self.clients:
             del self.clients[client]
             self.clients[client] = None
 
-    def _end(self, client: Client) -> None:
+    def _close_client(self, client: Client) -> None:
         """What comes from now on is not read: the client hands it in again, and hears of that."""
         self.clients.pop(client, None)
-        client.over = True
+        client.closed = True
         with contextlib.suppress(OSError):
             client.sock.shutdown(socket.SHUT_RDWR)  # its task reads the end, and closes it
 
     async def _serve(self, client: Client) -> None:
-        session, buffer, sock = self.session(), Buffer(), client.sock
+        session, buffer, sock = self.create_session(), Buffer(), client.sock
         try:
-            if session.opening:
-                await self.loop.sock_sendall(sock, session.opening)
+            if session.greeting:
+                await self.loop.sock_sendall(sock, session.greeting)
             while not session.closing:
-                if session.more:  # the other connections have their turn first
+                if session.has_more_requests:  # the other connections have their turn first
                     await asyncio.sleep(0)
-                elif not await sockets.read(self.loop, sock, buffer) or client.over:
+                elif not await sockets.read(self.loop, sock, buffer) or client.closed:
                     break
                 replies = session.receive(buffer)
                 if replies:
                     await self._send(client, replies)
                 if session.forward is not None:
-                    client.half = True  # it is in use: neither a drain nor a newcomer ends it
+                    client.has_partial_request = True  # it is in use: neither a drain nor a newcomer ends it
                     self._touch(client)
                     reply = await self.forward(session.forward) if self.forward is not None else None
                     if reply is None:
                         break
                     await self._send(client, reply)
-                elif not replies and session.half and not client.half and client.answered:
+                elif (
+                    not replies
+                    and session.has_partial_request
+                    and not client.has_partial_request
+                    and client.answered
+                ):
                     self._touch(client)
-                client.half = session.half or session.more
-                if self.draining and client.resting:
+                client.has_partial_request = session.has_partial_request or session.has_more_requests
+                if self.draining and client.between_requests:
                     break
         except (OSError, BufferOverflowError):
             pass  # the client went away, or kept sending without end
@@ -209,21 +237,21 @@
         self._touch(client)
 
     @property
-    def settled(self) -> bool:
+    def quiescent(self) -> bool:
         """No request is on its way here, as far as can be told: none in part or unread, nobody new, and
         nobody whose connection still waits to be accepted or to get a place.
         """
-        if self.placing or sockets.waited_at(self.listener):
+        if self.awaiting_slot or sockets.has_pending_connection(self.listener):
             return False
-        fresh = self.loop.time() - FRESH
-        return all(one.resting or (one.mute and one.since <= fresh) for one in self.clients)
+        fresh = self.loop.time() - NEW_CLIENT_SECONDS
+        return all(one.between_requests or (one.idle and one.state_since <= fresh) for one in self.clients)
 
     def drain(self) -> None:
         """Close each connection once nothing is open on it: the client's next request goes elsewhere."""
         self.draining = True
         for client in list(self.clients):
-            if client.resting:
-                self._end(client)
+            if client.between_requests:
+                self._close_client(client)
 
     def close(self) -> None:
         """Stop listening."""
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -19,23 +19,23 @@
 from honeyhitch.transports.tasks import Tasks
 
 log = logs.get()
-MOST = 8  # connections at once
-IDLE = 30.0  # seconds a connection may say nothing
-PAUSE = 0.05  # seconds before accepting again when no descriptor was left
-CREDENTIALS = struct.Struct("3i")  # pid, uid, gid, as SO_PEERCRED gives them (unix(7))
+MAX_CONNECTIONS = 8  # connections at once
+IDLE_TIMEOUT_SECONDS = 30.0  # seconds a connection may say nothing
+ACCEPT_RETRY_SECONDS = 0.05  # seconds before accepting again when no descriptor was left
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid, as SO_PEERCRED gives them (unix(7))
 
 
 class ControlSocketError(Exception):
     """The socket cannot be made; the message says why."""
 
 
-def peer(sock: socket.socket) -> int:
+def peer_uid(sock: socket.socket) -> int:
     """The uid of who is at the other end."""
-    told = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-    return int(CREDENTIALS.unpack(told)[1])
+    told = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    return int(PEER_CREDENTIALS.unpack(told)[1])
 
 
-def name_of(uid: int) -> str:
+def user_name(uid: int) -> str:
     """A user's name, or the number where there is none."""
     try:
         return pwd.getpwuid(uid).pw_name
@@ -46,9 +46,9 @@
 class ControlServer:
     """One control socket and its connections."""
 
-    def __init__(self, path: Path, verbs: CommandRegistry, tasks: Tasks) -> None:
-        self.path, self.verbs, self.tasks, self.loop = path, verbs, tasks, tasks.loop
-        self.open = 0
+    def __init__(self, path: Path, commands: CommandRegistry, tasks: Tasks) -> None:
+        self.path, self.commands, self.tasks, self.loop = path, commands, tasks, tasks.loop
+        self.open_connections = 0
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.listener.setblocking(False)
         try:
@@ -68,7 +68,7 @@
             self.listener.bind(str(self.path))
         finally:
             os.umask(before)
-        self.listener.listen(MOST)
+        self.listener.listen(MAX_CONNECTIONS)
 
     async def accept(self) -> None:
         """Accept connections for ever."""
@@ -77,31 +77,31 @@
                 sock, _ = await self.loop.sock_accept(self.listener)
             except OSError as error:
                 log.warning("control.accept-failed", error=str(error))
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
             sock.setblocking(False)
-            uid = peer(sock)
+            uid = peer_uid(sock)
             if uid not in (os.getuid(), 0):
                 log.warning("control.refused", uid=uid, key=str(uid))
-            if uid not in (os.getuid(), 0) or self.open >= MOST:
+            if uid not in (os.getuid(), 0) or self.open_connections >= MAX_CONNECTIONS:
                 sock.close()
                 continue
-            self.open += 1
-            self.tasks.start(self._serve(sock, name_of(uid)))
+            self.open_connections += 1
+            self.tasks.start(self._serve(sock, user_name(uid)))
 
     async def _serve(self, sock: socket.socket, who: str) -> None:
-        machine, buffer = control.ControlMachine(who), Buffer()
+        machine, buffer = control.ControlRequestParser(who), Buffer()
         try:
             while not machine.closing:
-                async with asyncio.timeout(IDLE):
+                async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
                     if not await sockets.read(self.loop, sock, buffer):
                         return
                 broken: ControlError | None = None
                 try:
-                    machine.feed(buffer.take())
+                    machine.feed(buffer.consume_all())
                 except ControlError as error:
                     broken = error
-                asked, machine.asked = machine.asked, []
+                asked, machine.requests = machine.requests, []
                 for i, one in enumerate(asked):
                     last = machine.closing and broken is None and i == len(asked) - 1
                     await self.loop.sock_sendall(sock, await self._answer(one, last))
@@ -110,18 +110,18 @@
         except (OSError, BufferOverflowError, TimeoutError):
             pass  # it went away, or says nothing
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             sock.close()
 
     async def _answer(self, asked: control.ControlRequest, close: bool) -> bytes:
         try:
-            return control.answer(HTTPStatus.OK, await self.verbs.execute(asked), close)
+            return control.encode_response(HTTPStatus.OK, await self.commands.execute(asked), close)
         except ControlError as error:
             return _refused(error, close)
         except Exception as error:
             log.error("control.failed", path=asked.path, exc_info=error)
             why = f"{type(error).__name__}: {error}"
-            return control.answer(HTTPStatus.INTERNAL_SERVER_ERROR, {"error": why}, close)
+            return control.encode_response(HTTPStatus.INTERNAL_SERVER_ERROR, {"error": why}, close)
 
     def close(self) -> None:
         """Stop listening, and take the socket away."""
@@ -130,4 +130,4 @@
 
 
 def _refused(error: ControlError, close: bool) -> bytes:
-    return control.answer(error.status, {"error": error.reason}, close)
+    return control.encode_response(error.status, {"error": error.reason}, close)
--- a/honeyhitch/transports/control_client.py
+++ b/honeyhitch/transports/control_client.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-PATIENCE = 60.0  # seconds for an answer
+RESPONSE_TIMEOUT_SECONDS = 60.0  # seconds for an answer
 
 
-class ControlRefusedError(Exception):
+class ControlCommandError(Exception):
     """The dispatcher answered that it cannot or will not; the message says why."""
 
 
@@ -19,7 +19,7 @@
     """HTTP over a Unix-domain socket."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__("localhost", timeout=PATIENCE)
+        super().__init__("localhost", timeout=RESPONSE_TIMEOUT_SECONDS)
         self.path = path
 
     def connect(self) -> None:
@@ -39,21 +39,21 @@
     def __init__(self, path: Path) -> None:
         self.connection = ControlConnection(path)
 
-    def ask(self, method: str, path: str, told: dict[str, Any] | None = None) -> dict[str, Any]:
+    def request(self, method: str, path: str, arguments: dict[str, Any] | None = None) -> dict[str, Any]:
         """The answer. Raises ControlRefused, and OSError where nobody answers there."""
-        body = json.dumps(told).encode() if told is not None else None
+        body = json.dumps(arguments).encode() if arguments is not None else None
         try:
             self.connection.request(method, path, body, {"Content-Type": "application/json"})
             response = self.connection.getresponse()
             text = response.read()
         except http.client.HTTPException as error:
-            raise ControlRefusedError(f"the dispatcher's answer cannot be read: {error!r}") from error
+            raise ControlCommandError(f"the dispatcher's answer cannot be read: {error!r}") from error
         try:
             answer = json.loads(text)
         except ValueError as error:
-            raise ControlRefusedError(f"the dispatcher's answer is not JSON: {error}") from error
+            raise ControlCommandError(f"the dispatcher's answer is not JSON: {error}") from error
         if response.status != http.client.OK:
-            raise ControlRefusedError(str(answer.get("error", response.status)))
+            raise ControlCommandError(str(answer.get("error", response.status)))
         return dict(answer)
 
     def close(self) -> None:
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -11,12 +11,12 @@
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.discovery import (
-    MOST_LINE,
-    Watch,
+    MAX_LIST_BYTES,
     WatchError,
-    list_request,
-    watch_request,
-    whole_list,
+    WatchParser,
+    encode_list_request,
+    encode_watch_request,
+    parse_complete_list,
 )
 from honeyhitch.protocols.discovery_backoff import WatchBackoff
 from honeyhitch.transports import sockets
@@ -35,19 +35,19 @@
         self,
         address: str,
         loop: asyncio.AbstractEventLoop,
-        asking: WatchBackoff,
+        backoff: WatchBackoff,
         revision: Callable[[], int],
-        take: Callable[[dict[str, Any]], None],
-        wanted: Callable[[dict[str, Any]], bool] | None = None,
+        on_update: Callable[[dict[str, Any]], None],
+        keep_member: Callable[[dict[str, Any]], bool] | None = None,
     ) -> None:
         """With `wanted`, only those members of lists are kept for which it is true."""
-        self.address, self.loop, self.backoff = address, loop, asking
-        self.revision, self.take, self.wanted = revision, take, wanted
+        self.address, self.loop, self.backoff = address, loop, backoff
+        self.revision, self.on_update, self.keep_member = revision, on_update, keep_member
 
     async def run(self) -> None:
         """Watch for ever; what was taken stays in use while the agent is silent."""
         asking = self.backoff
-        await asyncio.sleep(asking.first())
+        await asyncio.sleep(asking.first_pause())
         while True:
             began, answered = self.loop.time(), False
             try:
@@ -56,73 +56,75 @@
                 # A break, an end, or an agent that is busy leaves our revision good; nothing else need.
                 answered = not isinstance(error, OSError)
                 if isinstance(error, TimeoutError):
-                    asking.silent()
+                    asking.timed_out()
                 if answered and getattr(error, "status", 0) not in (200, 503):
-                    asking.unheard()
+                    asking.request_full_list()
                 log.warning("watch.broken", error=f"{type(error).__name__}: {error}", key=self.address)
             await asyncio.sleep(asking.next_pause(self.loop.time() - began, answered))
 
     async def _watch(self) -> None:
         """One watch, till it breaks or falls silent."""
-        asking, watch, buffer = self.backoff, Watch(self.wanted), Buffer()
-        asking.opens()
-        until = self.loop.time() + asking.within
-        sock = await connect_by(self.loop, self.address, until)
+        asking, watch, buffer = self.backoff, WatchParser(self.keep_member), Buffer()
+        asking.watch_opened()
+        until = self.loop.time() + asking.read_timeout
+        sock = await connect_before(self.loop, self.address, until)
         try:
             if asking.full_list:
                 # An agent that took another's place need not go on with its revisions, and would take the old
                 # one's number for news that this process has had.
-                self.take(await self._whole_list(sock, buffer, until))
-                asking.listed()
-                until = self.loop.time() + asking.within
-            await self.loop.sock_sendall(sock, watch_request(self.address, self.revision()))
+                self.on_update(await self._fetch_complete_list(sock, buffer, until))
+                asking.list_received()
+                until = self.loop.time() + asking.read_timeout
+            await self.loop.sock_sendall(sock, encode_watch_request(self.address, self.revision()))
             while True:
                 async with asyncio.timeout_at(until):
                     count = await sockets.read(self.loop, sock, buffer)
                 if not count:
                     raise ConnectionResetError("the watch ended")
-                asking.heard()
-                for told in watch.feed(buffer.take()):
-                    self.take(told)
-                until = self.loop.time() + asking.within
+                asking.data_received()
+                for told in watch.feed(buffer.consume_all()):
+                    self.on_update(told)
+                until = self.loop.time() + asking.read_timeout
         finally:
             sock.close()
 
-    async def _whole_list(self, sock: socket.socket, buffer: Buffer, until: float) -> dict[str, Any]:
+    async def _fetch_complete_list(self, sock: socket.socket, buffer: Buffer, until: float) -> dict[str, Any]:
         """The whole list; one that is read piece by piece has to begin by then, and to go on."""
-        if self.wanted is None:
+        if self.keep_member is None:
             async with asyncio.timeout_at(until):
-                return whole_list(await ask(self.loop, sock, buffer, list_request(self.address)))
-        watch, found = Watch(self.wanted), list[dict[str, Any]]()
-        await self.loop.sock_sendall(sock, list_request(self.address))
-        while not watch.ended:
+                return parse_complete_list(
+                    await send_request(self.loop, sock, buffer, encode_list_request(self.address))
+                )
+        watch, found = WatchParser(self.keep_member), list[dict[str, Any]]()
+        await self.loop.sock_sendall(sock, encode_list_request(self.address))
+        while not watch.complete:
             async with asyncio.timeout_at(until):
                 count = await sockets.read(self.loop, sock, buffer)
             if not count:
                 raise ConnectionResetError("the agent ended the connection before its answer")
-            self.backoff.heard()
-            found += watch.feed(buffer.take())
-            until = self.loop.time() + self.backoff.within
+            self.backoff.data_received()
+            found += watch.feed(buffer.consume_all())
+            until = self.loop.time() + self.backoff.read_timeout
         if len(found) != 1:
             raise WatchError(f"list: expected one object, got {len(found)}")
         return found[0]
 
 
-async def connect_by(loop: asyncio.AbstractEventLoop, address: str, by: float) -> socket.socket:
+async def connect_before(loop: asyncio.AbstractEventLoop, address: str, deadline: float) -> socket.socket:
     """Connect to HOST:PORT until a time of the loop's clock; TimeoutError after it."""
-    async with asyncio.timeout_at(by):
+    async with asyncio.timeout_at(deadline):
         return await sockets.connect(loop, address)
 
 
-async def ask(
+async def send_request(
     loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer, request: bytes
 ) -> http1.Response:
     """Send one request on an open connection, and read its answer."""
-    machine = http1.ResponseParser(most=MOST_LINE)
+    machine = http1.ResponseParser(max_bytes=MAX_LIST_BYTES)
     await loop.sock_sendall(sock, request)
     while True:
         count = await sockets.read(loop, sock, buffer)
-        answer = machine.feed(buffer.take()) if count else machine.ended()
+        answer = machine.feed(buffer.consume_all()) if count else machine.connection_closed()
         if answer is not None:
             return answer
         if not count:
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -18,19 +18,22 @@
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import mqtt_messages as messages
 from honeyhitch.protocols.buffer import Buffer
-from honeyhitch.protocols.mqtt import Outgoing, Session
+from honeyhitch.protocols.mqtt import OutgoingPublish, Session
 from honeyhitch.protocols.mqtt_packets import Packet
-from honeyhitch.protocols.resp import FieldError, MessageFields
+from honeyhitch.protocols.resp import FieldError, TransactionParser
 from honeyhitch.transports import sockets
 from honeyhitch.transports.channel import Channel, PlainChannel
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 log = logs.get()
-FLIGHT, LOOK = 20.0, 0.05  # seconds that calls in flight have before a link is made anew, and between looks
-GREETING = 5.0  # seconds to connect, and for the server's CONNACK
-BAD = 0x83  # PUBACK: implementation specific error
-MOST_REJECTED = 10_000  # ids of which a redelivery is told
-AGAIN = 1_000_000_000  # ns before an answer goes again that the broker had no room for
+DRAIN_TIMEOUT_SECONDS, DRAIN_POLL_SECONDS = (
+    20.0,
+    0.05,
+)  # seconds that calls in flight have before a link is made anew, and between looks
+CONNECT_TIMEOUT_SECONDS = 5.0  # seconds to connect, and for the server's CONNACK
+IMPLEMENTATION_SPECIFIC_ERROR = 0x83  # PUBACK: implementation specific error
+MAX_REJECTED_IDS = 10_000  # ids of which a redelivery is told
+QUOTA_RETRY_DELAY = 1_000_000_000  # ns before an answer goes again that the broker had no room for
 
 
 class BrokerConnector(Protocol):
@@ -39,7 +42,7 @@
     async def connect(self, address: str) -> Channel:
         """A new one; OSError if it does not come up."""
 
-    async def outdated(self, channel: Channel) -> None:
+    async def wait_until_outdated(self, channel: Channel) -> None:
         """Returns once it should make room for a new one."""
 
 
@@ -51,10 +54,10 @@
 
     async def connect(self, address: str) -> Channel:
         """A new one."""
-        async with asyncio.timeout(GREETING):
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             return PlainChannel(self.loop, await sockets.connect(self.loop, address))
 
-    async def outdated(self, channel: Channel) -> None:
+    async def wait_until_outdated(self, channel: Channel) -> None:
         """Never."""
         await asyncio.Event().wait()
 
@@ -63,15 +66,15 @@
     """One session's connection to the broker, made anew when it breaks."""
 
     def __init__(
-        self, address: str, session: Session, tasks: Tasks, way: BrokerConnector | None = None
+        self, address: str, session: Session, tasks: Tasks, connector: BrokerConnector | None = None
     ) -> None:
         self.address, self.session, self.loop = address, session, tasks.loop
-        self.way = way or PlainConnector(tasks.loop)
+        self.connector = connector or PlainConnector(tasks.loop)
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
         """One connection, till it breaks."""
-        channel = await self.way.connect(self.address)
+        channel = await self.connector.connect(self.address)
         self.session.open()
         try:
             async with asyncio.TaskGroup() as group:
@@ -81,21 +84,21 @@
             raise several.exceptions[0] from None
         finally:
             channel.close()
-            self.session.broke()
+            self.session.connection_lost()
 
     async def _renew(self, channel: Channel) -> None:
         """Leave a connection that holds no more, once nothing is in flight on it."""
-        await self.way.outdated(channel)
-        self.session.held = True  # nothing new goes out on it
-        until = self.loop.time() + FLIGHT
+        await self.connector.wait_until_outdated(channel)
+        self.session.paused = True  # nothing new goes out on it
+        until = self.loop.time() + DRAIN_TIMEOUT_SECONDS
         while self.session.outgoing and self.loop.time() < until:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
         raise ConnectionAbortedError("made anew: what it was verified with has changed")
 
     async def _read(self, channel: Channel) -> None:
         buffer = Buffer()
         while True:
-            patience = 1.5 * self.session.keep_alive if self.session.up else GREETING
+            patience = 1.5 * self.session.keep_alive if self.session.connected else CONNECT_TIMEOUT_SECONDS
             async with asyncio.timeout(patience or None):
                 count = await channel.read(buffer)
             if not count:
@@ -105,7 +108,7 @@
 
     async def _write(self, channel: Channel) -> None:
         while True:
-            if data := self.session.take_out():
+            if data := self.session.take_output():
                 await channel.send(data)
             else:
                 self.wake.clear()
@@ -113,8 +116,8 @@
 
     async def _ping(self) -> None:
         while True:
-            await asyncio.sleep(self.session.keep_alive / 2 or GREETING)
-            if self.session.up and self.session.keep_alive:
+            await asyncio.sleep(self.session.keep_alive / 2 or CONNECT_TIMEOUT_SECONDS)
+            if self.session.connected and self.session.keep_alive:
                 self.session.ping()
                 self.wake.set()
 
@@ -124,48 +127,52 @@
 
     def __init__(
         self,
-        setup: MqttSettings,
+        settings: MqttSettings,
         dispatcher: Dispatcher,
         scheduler: LoopScheduler,
         tasks: Tasks,
-        way: BrokerConnector | None = None,
+        connector: BrokerConnector | None = None,
     ) -> None:
         self.dispatcher, self.scheduler = dispatcher, scheduler
-        self.fields = MessageFields(
+        self.transaction_parser = TransactionParser(
             dispatcher.settings, dispatcher.pool.has_destination, dispatcher.metrics.message_invalid
         )
-        self.intake = Session(f"{setup.client_id}-intake", setup.session_expiry, setup.keep_alive, anew=False)
-        self.intake.subscriptions, self.intake.on_publish = [setup.intake], self._taken
-        self.replies = Session(f"{setup.client_id}-answers", setup.session_expiry, setup.keep_alive)
+        self.intake = Session(
+            f"{settings.client_id}-intake", settings.session_expiry, settings.keep_alive, clean_start=False
+        )
+        self.intake.subscriptions, self.intake.on_publish = [settings.intake], self._on_publish
+        self.replies = Session(f"{settings.client_id}-answers", settings.session_expiry, settings.keep_alive)
         for session in (self.intake, self.replies):
-            session.username, session.password = setup.username, setup.password
+            session.username, session.password = settings.username, settings.password
         self.links = [
-            BrokerLink(setup.broker, session, tasks, way) for session in (self.intake, self.replies)
+            BrokerLink(settings.broker, session, tasks, connector) for session in (self.intake, self.replies)
         ]
         self.rejected: dict[str, None] = {}  # the latest ids answered without being taken on
 
-    def _taken(self, packet: Packet) -> None:
+    def _on_publish(self, packet: Packet) -> None:
         if self.dispatcher.draining or not self.dispatcher.accepting:
             return  # not acknowledged: the broker hands it to the next process, or to another dispatcher
         now = self.scheduler.now()
         name = dict(packet.user).get("id", "")
         try:
-            reply = messages.reply_to(packet)
+            reply = messages.encode_reply_context(packet)
         except FieldError as error:  # there is no place to answer
             log.warning("intake.rejected", error=str(error))
-            self.intake.acknowledge(packet, BAD)
+            self.intake.acknowledge(packet, IMPLEMENTATION_SPECIFIC_ERROR)
             return
         if name not in self.rejected:
             try:
-                admission = self.dispatcher.submit(messages.transaction(self.fields, packet, now))
+                admission = self.dispatcher.submit(
+                    messages.parse_transaction(self.transaction_parser, packet, now)
+                )
                 more: dict[str, object] = {"again_ms": admission.retry_after // 1_000_000}
-                answer = None if admission.accepted else messages.final(reply, name, "deferred", more)
+                answer = None if admission.accepted else messages.encode_answer(reply, name, "deferred", more)
             except FieldError as error:
-                answer = messages.final(reply, name, "error", {"reason": str(error)})
+                answer = messages.encode_answer(reply, name, "error", {"reason": str(error)})
             if answer is not None:
                 if name:  # what names no id cannot be told from another such, and is answered each time
                     self.rejected[name] = None
-                if len(self.rejected) > MOST_REJECTED:
+                if len(self.rejected) > MAX_REJECTED_IDS:
                     del self.rejected[next(iter(self.rejected))]
                 self._publish(answer, None)
         # Only now: what was taken on is in the journal, so the broker may forget it.
@@ -174,13 +181,13 @@
 
     def answer(self, transaction: Transaction) -> None:
         """Send the final answer of a transaction that was taken on."""
-        self._publish(messages.answer(transaction), transaction)
+        self._publish(messages.encode_final_answer(transaction), transaction)
 
     def _publish(self, answer: Packet, transaction: Transaction | None) -> None:
         def done(ack: Packet | None, _: bool) -> None:
-            if ack is not None and ack.reason == messages.QUOTA:
+            if ack is not None and ack.reason == messages.QUOTA_EXCEEDED:
                 self.scheduler.call_at(
-                    self.scheduler.now() + AGAIN, lambda: self._publish(answer, transaction)
+                    self.scheduler.now() + QUOTA_RETRY_DELAY, lambda: self._publish(answer, transaction)
                 )
                 return
             if ack is None or ack.reason >= 0x80:
@@ -198,36 +205,36 @@
 
     def __init__(
         self,
-        setup: MqttSettings,
+        settings: MqttSettings,
         dispatcher: Dispatcher,
         scheduler: LoopScheduler,
         tasks: Tasks,
-        way: BrokerConnector | None = None,
+        connector: BrokerConnector | None = None,
     ) -> None:
         self.dispatcher, self.scheduler = dispatcher, scheduler
-        self.session = Session(f"{setup.client_id}-calls", 0, setup.keep_alive)
-        self.session.username, self.session.password = setup.username, setup.password
-        self.link = BrokerLink(setup.broker, self.session, tasks, way)
-        self.running: dict[Call, Outgoing | None] = {}
+        self.session = Session(f"{settings.client_id}-calls", 0, settings.keep_alive)
+        self.session.username, self.session.password = settings.username, settings.password
+        self.link = BrokerLink(settings.broker, self.session, tasks, connector)
+        self.running: dict[Call, OutgoingPublish | None] = {}
 
     def start(self, call: Call) -> None:
         """Publish it; without a connection it cannot have run."""
         self.running[call] = None
-        if not self.session.up:
+        if not self.session.connected:
             result = CallResult.uniform(Outcome.CONNECT_FAILED, len(call.messages))
             self.scheduler.call_at(self.scheduler.now(), lambda: self._finish(call, result))
             return
 
         def done(ack: Packet | None, left: bool) -> None:
-            self._finish(call, messages.outcome(call, ack, left))
+            self._finish(call, messages.interpret_acknowledgement(call, ack, left))
 
         def begin() -> Packet | None:
             if self.dispatcher.start_call(call):
-                return messages.call(call, call.sent_at + call.timeout - self.scheduler.now())
+                return messages.encode_call(call, call.sent_at + call.timeout - self.scheduler.now())
             self._finish(call, CallResult([]))
             return None
 
-        one = self.session.publish(messages.call(call, call.timeout), done, begin)
+        one = self.session.publish(messages.encode_call(call, call.timeout), done, begin)
         if call in self.running:  # it may have ended by now
             self.running[call] = one
         self.link.wake.set()
@@ -246,7 +253,7 @@
 
             def late(ack: Packet | None, left: bool) -> None:
                 self.dispatcher.retry_after_received(
-                    call.endpoint, messages.outcome(call, ack, left).retry_after
+                    call.endpoint, messages.interpret_acknowledgement(call, ack, left).retry_after
                 )
 
             self.session.withdraw(one, late)
--- a/honeyhitch/transports/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -23,8 +23,8 @@
 from honeyhitch.transports import sockets
 
 log = logs.get()
-CONNECT_WITHIN = 0.1  # seconds; owners are on the same network
-ANSWER_WITHIN = 0.35  # seconds for all of it: a client waits 0.4 s for its reply (protocol page)
+CONNECT_TIMEOUT_SECONDS = 0.1  # seconds; owners are on the same network
+FORWARD_TIMEOUT_SECONDS = 0.35  # seconds for all of it: a client waits 0.4 s for its reply (protocol page)
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,14 +33,14 @@
 
     sock: socket.socket
     address: str
-    kept: bool
+    reused: bool
 
 
 class PeerConnections:
     """A bounded number of connections, one request at a time on each; those that rest are used again."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, most: int) -> None:
-        self.loop, self.most, self.in_use = loop, most, 0
+    def __init__(self, loop: asyncio.AbstractEventLoop, max_connections: int) -> None:
+        self.loop, self.max_connections, self.in_use = loop, max_connections, 0
         self.idle: dict[str, deque[socket.socket]] = {}
 
     @property
@@ -48,23 +48,23 @@
         """Connections in use and at rest."""
         return self.in_use + sum(map(len, self.idle.values()))
 
-    async def acquire(self, address: str, by: float, fresh: bool = False) -> PeerConnection | None:
+    async def acquire(self, address: str, deadline: float, fresh: bool = False) -> PeerConnection | None:
         """A connection on which nothing is open, a new one if it has to be `fresh`; None where none can be
         had until then.
         """
         resting = self.idle.get(address, deque())
         while resting and not fresh:
             sock = resting.pop()
-            if sockets.quiet(sock):
+            if sockets.is_reusable(sock):
                 self.in_use += 1
-                return PeerConnection(sock, address, kept=True)
+                return PeerConnection(sock, address, reused=True)
             sock.close()
-        if self.open >= self.most and not self._close_one():
+        if self.open >= self.max_connections and not self._close_idle():
             return None
         self.in_use += 1
         try:
-            async with asyncio.timeout_at(by):
-                return PeerConnection(await sockets.connect(self.loop, address), address, kept=False)
+            async with asyncio.timeout_at(deadline):
+                return PeerConnection(await sockets.connect(self.loop, address), address, reused=False)
         except OSError:  # a TimeoutError is one
             self.in_use -= 1
             return None
@@ -80,7 +80,7 @@
         else:
             connection.sock.close()
 
-    def _close_one(self) -> bool:
+    def _close_idle(self) -> bool:
         """Close the connection at rest that has been there for longest at the address with most of them."""
         fullest = max(self.idle.values(), key=len, default=None)
         if not fullest:
@@ -105,24 +105,24 @@
         owners: Callable[[int], Sequence[str]],
         connections: PeerConnections,
         clock: Callable[[], int],
-        refusal: bytes,
+        rejection: bytes,
     ) -> None:
         """`owners` gives the addresses of a destination's owners in the order in which to ask them, and
         `refusal` is the reply where none of them can be reached.
         """
         self.settings, self.instance, self.owners = settings, instance, owners
-        self.connections, self.clock, self.refusal = connections, clock, refusal
+        self.connections, self.clock, self.rejection = connections, clock, rejection
         self.loop = connections.loop
 
     async def forward(self, transaction: Transaction) -> bytes | None:
         """The reply for the client; None where an owner got bytes of the request and gave no reply."""
-        by = self.loop.time() + ANSWER_WITHIN
+        by = self.loop.time() + FORWARD_TIMEOUT_SECONDS
         for address in self.owners(transaction.destination):
             if self.loop.time() >= by:
                 break
-            outcome = await self._ask(address, transaction, by)
+            outcome = await self._forward_to(address, transaction, by)
             if isinstance(outcome, ConnectionEnded):
-                outcome = await self._ask(address, transaction, by, fresh=True)
+                outcome = await self._forward_to(address, transaction, by, fresh=True)
                 if isinstance(outcome, NothingWritten):
                     outcome = Unanswered()  # the first bytes were: nobody else may have it
             match outcome:
@@ -132,18 +132,18 @@
                     log.warning("forward.unanswered", message=transaction.id, key=address)
                     return None
         log.warning("forward.unreachable", message=transaction.id, key=str(transaction.destination))
-        return self.refusal
+        return self.rejection
 
-    async def _ask(
+    async def _forward_to(
         self, address: str, transaction: Transaction, by: float, fresh: bool = False
     ) -> ForwardOutcome:
-        connect_by = min(by, self.loop.time() + CONNECT_WITHIN)
+        connect_by = min(by, self.loop.time() + CONNECT_TIMEOUT_SECONDS)
         connection = await self.connections.acquire(address, connect_by, fresh)
         if connection is None:
             return NothingWritten()
         outcome: ForwardOutcome = NothingWritten()
         try:
-            request = forwarding.request(self.settings, transaction, self.instance, self.clock())
+            request = forwarding.encode_request(self.settings, transaction, self.instance, self.clock())
             if request is None:
                 return outcome
             outcome = Unanswered()  # from here on bytes may be on their way
@@ -162,8 +162,8 @@
             await self.loop.sock_sendall(sock, request)
             while await sockets.read(self.loop, sock, buffer):
                 began = True
-                if (reply := reader.feed(buffer.take())) is not None:
+                if (reply := reader.feed(buffer.consume_all())) is not None:
                     return Relayed(reply)
         except ConnectionError as error:
             log.warning("forward.failed", error=str(error), key=connection.address)
-        return ConnectionEnded() if connection.kept and not began else Unanswered()
+        return ConnectionEnded() if connection.reused and not began else Unanswered()
--- a/honeyhitch/transports/sockets.py
+++ b/honeyhitch/transports/sockets.py
@@ -14,7 +14,7 @@
 SO_ATTACH_REUSEPORT_CBPF, BPF_RET_K = 51, 0x06  # asm-generic/socket.h; linux/filter.h
 
 
-def fresh() -> socket.socket:
+def new_tcp_socket() -> socket.socket:
     """A non-blocking TCP socket that sends at once."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
@@ -23,14 +23,14 @@
     return sock
 
 
-def refuse_strangers(address: tuple[str, int]) -> None:
+def check_address_unused(address: tuple[str, int]) -> None:
     """OSError if anything listens there already, also one that would share the address."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
 
 
-def steer(listener: socket.socket) -> bool:
+def prefer_second_listener(listener: socket.socket) -> bool:
     """New connections to an address that two listeners share go to the second one, this: the older one's
     queue can run empty. False where the system has no such thing; they are then shared out by chance.
 
@@ -49,7 +49,7 @@
 async def connect(loop: asyncio.AbstractEventLoop, address: str) -> socket.socket:
     """Connect to HOST:PORT; the socket is closed if that fails or is cancelled."""
     host, _, port = address.rpartition(":")
-    sock = fresh()
+    sock = new_tcp_socket()
     try:
         await loop.sock_connect(sock, (host, int(port)))
     except BaseException:
@@ -58,7 +58,7 @@
     return sock
 
 
-async def readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
     """Wait till something has come, a connection at a listener too, and leave it where it is.
 
     uvloop's sock_recv_into and sock_accept take what comes in one turn of the loop and wake their task in
@@ -81,30 +81,30 @@
 async def read(loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer) -> int:
     """Read once into the buffer; 0 at the end of the connection. Others have their turn before."""
     while True:
-        await readable(loop, sock)
-        if (count := arrived(sock, buffer)) >= 0:
+        await wait_readable(loop, sock)
+        if (count := read_available(sock, buffer)) >= 0:
             return count
 
 
-def arrived(sock: socket.socket, buffer: Buffer) -> int:
+def read_available(sock: socket.socket, buffer: Buffer) -> int:
     """Read once what has come already; 0 at the end of the connection, -1 if there is nothing."""
-    with buffer.room() as room:
+    with buffer.free_space() as room:
         try:
             count = sock.recv_into(room)
         except (BlockingIOError, InterruptedError):
             return -1
-    buffer.filled(count)
+    buffer.advance(count)
     return count
 
 
-def waited_at(listener: socket.socket) -> bool:
+def has_pending_connection(listener: socket.socket) -> bool:
     """True if a connection waits there to be accepted: closing the listener would reset it."""
     poll = select.poll()  # no limit on the descriptor's number, as select(2) has
     poll.register(listener, select.POLLIN)
     return bool(poll.poll(0))
 
 
-def quiet(sock: socket.socket) -> bool:
+def is_reusable(sock: socket.socket) -> bool:
     """True if the connection is alive and nothing has come on it: safe to use again."""
     try:
         sock.recv(1, socket.MSG_PEEK)
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -8,10 +8,13 @@
 from typing import Any
 
 from honeyhitch import logs
+from honeyhitch.time_units import SECOND
 
 log = logs.get()
-NS = 1_000_000_000
-FIRST_PAUSE, MOST_PAUSE = 0.05, 2.0  # seconds between tries to reach something again
+INITIAL_RESTART_PAUSE_SECONDS, MAX_RESTART_PAUSE_SECONDS = (
+    0.05,
+    2.0,
+)  # seconds between tries to reach something again
 
 
 class LoopScheduler:
@@ -25,13 +28,13 @@
         """Unix time in nanoseconds; a step of the system's clock after the start is not followed."""
         return time.monotonic_ns() + self.offset
 
-    def call_at(self, when: int, what: Callable[[], None]) -> None:
+    def call_at(self, when: int, callback: Callable[[], None]) -> None:
         """Call it then, or as soon as may be."""
         left = when - self.now()
         if left <= 0:
-            self.loop.call_soon(what)
+            self.loop.call_soon(callback)
         else:
-            self.loop.call_later(left / NS, what)
+            self.loop.call_later(left / SECOND, callback)
 
 
 class Tasks:
@@ -40,19 +43,19 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.running, self.stopping = loop, set[asyncio.Task[None]](), False
 
-    def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run something that ends by itself."""
-        task = self.loop.create_task(work)
+        task = self.loop.create_task(coroutine)
         self.running.add(task)
         task.add_done_callback(self._done)
         return task
 
-    def run_forever(self, work: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
+    def run_forever(self, function: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
         """Run something that should not end; when it does, it starts again after a growing pause."""
-        return self.start(self._kept(work))
+        return self.start(self._restart_forever(function))
 
-    async def _kept(self, work: Callable[[], Awaitable[None]]) -> None:
-        pause = FIRST_PAUSE
+    async def _restart_forever(self, work: Callable[[], Awaitable[None]]) -> None:
+        pause = INITIAL_RESTART_PAUSE_SECONDS
         while True:
             began = self.loop.time()
             try:
@@ -67,10 +70,10 @@
                 )
             if self.stopping:  # a group of tasks that fails as it is cancelled raises its failure instead
                 return
-            if self.loop.time() - began > MOST_PAUSE:
-                pause = FIRST_PAUSE
+            if self.loop.time() - began > MAX_RESTART_PAUSE_SECONDS:
+                pause = INITIAL_RESTART_PAUSE_SECONDS
             await asyncio.sleep(pause)
-            pause = min(2 * pause, MOST_PAUSE)
+            pause = min(2 * pause, MAX_RESTART_PAUSE_SECONDS)
 
     def _done(self, task: asyncio.Task[None]) -> None:
         self.running.discard(task)
--- a/honeyhitch/transports/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -5,6 +5,7 @@
 import asyncio
 
 from honeyhitch import logs
+from honeyhitch.time_units import SECOND
 from honeyhitch.tls.failures import TlsError
 from honeyhitch.tls.handshake_budget import Start
 from honeyhitch.tls.partners import Known, Partners
@@ -13,7 +14,6 @@
 from honeyhitch.transports.tls_open import open_verified
 
 log = logs.get()
-NS = 1_000_000_000
 LOOK = 0.25  # seconds between looks for new trust or a new certificate
 
 
@@ -28,7 +28,7 @@
         """A new one, as soon as the budget allows. TlsError names what failed, after the pause it earns."""
         known = self.known
         while (wait := known.budget.ready_at(self.partners.now()) - self.partners.now()) > 0:
-            await asyncio.sleep(wait / NS)
+            await asyncio.sleep(wait / SECOND)
         start = known.budget.start(self.partners.now())
         try:
             opened = await open_verified(self.loop, self.partners, known, address)
@@ -60,12 +60,12 @@
             while generation == known.generation and self.partners.now() < until:
                 await asyncio.sleep(LOOK)
 
-    async def outdated(self, channel: Channel) -> None:
+    async def wait_until_outdated(self, channel: Channel) -> None:
         """Returns once files have changed, or what was verified has come to its end."""
         assert isinstance(channel, TlsChannel)
         generation, until = self.made.pop(channel)
         while generation == self.known.generation and self.partners.now() < until:
             await asyncio.sleep(LOOK)
         if generation != self.known.generation:  # each link goes at a moment of its own
-            within = self.known.partner.terms.retire_within / NS / 2
+            within = self.known.partner.terms.retire_within / SECOND / 2
             await asyncio.sleep(self.partners.rng.uniform(0, within))
--- a/honeyhitch/transports/tls_channel.py
+++ b/honeyhitch/transports/tls_channel.py
@@ -34,7 +34,7 @@
             except OSError as error:
                 raise machine.failure or TlsError(Failure.HANDSHAKE_CUT, str(error)) from error
             if count:
-                machine.feed(self.raw.take())
+                machine.feed(self.raw.consume_all())
             else:
                 machine.eof()
         if machine.failure is not None:
@@ -67,19 +67,19 @@
                 return b""
             count = await sockets.read(self.loop, self.sock, self.raw)
             if count:
-                machine.feed(self.raw.take())
+                machine.feed(self.raw.consume_all())
                 if machine.outgoing.pending:  # what a KeyUpdate asks for
                     await self._flush()
             else:
                 machine.eof()
         return machine.take_plain()
 
-    def arrived(self, buffer: Buffer) -> bytes:
+    def read_available(self, buffer: Buffer) -> bytes:
         """What has come and was not read, without waiting for more."""
         self._drain()
         return self.machine.take_plain()
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Alive and at rest, once what has come has been read: tickets and KeyUpdates are no answer."""
         return self.alive() and self.machine.at_rest
 
--- a/honeyhitch/transports/tls_open.py
+++ b/honeyhitch/transports/tls_open.py
@@ -7,14 +7,13 @@
 import asyncio
 from dataclasses import dataclass
 
+from honeyhitch.time_units import SECOND
 from honeyhitch.tls.certificates import Facts
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.partners import Known, Partners
 from honeyhitch.tls.sessions import Key
 from honeyhitch.transports.tls_channel import TlsChannel, open_tls
 
-NS = 1_000_000_000
-
 
 @dataclass(slots=True)
 class Opened:
@@ -33,7 +32,7 @@
     """
     key = partners.key(known, address)
     try:
-        async with asyncio.timeout(known.partner.terms.handshake_timeout / NS):
+        async with asyncio.timeout(known.partner.terms.handshake_timeout / SECOND):
             machine = partners.machine(known, key)
             channel = await open_tls(loop, address, machine)
     except TimeoutError:
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -16,6 +16,7 @@
 from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.time_units import SECOND
 from honeyhitch.tls import retirement
 from honeyhitch.tls.certificates import Facts
 from honeyhitch.tls.connection_gate import EndpointConnections
@@ -25,12 +26,11 @@
 from honeyhitch.tls.partners import Known, Partners
 from honeyhitch.tls.sessions import Key
 from honeyhitch.transports.http_transport import (
-    MOST_ANSWER,
-    NS,
+    MAX_RESPONSE_BYTES,
+    CallProgress,
     Connection,
     HttpTransport,
     NoConnectionError,
-    Progress,
 )
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 from honeyhitch.transports.tls_channel import TlsChannel
@@ -42,8 +42,8 @@
 ENDS = 3600.0  # seconds between looks at our own certificates' ends
 NOT_THE_SESSIONS = (Failure.UNREACHABLE, Failure.STALLED, Failure.HANDSHAKE_CUT, Failure.OVERLOADED)
 SOON = 0.01  # seconds for which an idle connection is not yet watched
-HALT = 2 * NS  # ns that an idle connection has for the rest of a record
-REPLACE = 10 * NS  # ns; one used within this is replaced before it goes
+HALT = 2 * SECOND  # ns that an idle connection has for the rest of a record
+REPLACE = 10 * SECOND  # ns; one used within this is replaced before it goes
 
 
 @dataclass(slots=True, eq=False)
@@ -63,9 +63,14 @@
     """The carrier for members that a partner's table in the operator's file matches."""
 
     def __init__(
-        self, dispatcher: Dispatcher, scheduler: LoopScheduler, tasks: Tasks, most: int, partners: Partners
+        self,
+        dispatcher: Dispatcher,
+        scheduler: LoopScheduler,
+        tasks: Tasks,
+        max_idle: int,
+        partners: Partners,
     ) -> None:
-        super().__init__(dispatcher, scheduler, tasks, most)  # connections idle or in a handshake
+        super().__init__(dispatcher, scheduler, tasks, max_idle)  # connections idle or in a handshake
         self.partners = partners
         self.doors: dict[str, tuple[EndpointConnections, Known]] = {}
         self.conns: dict[TlsConnection, str] = {}  # all that are up, and whose
@@ -104,7 +109,7 @@
         """Whether a descriptor is left for a connection; the longest idle of all makes room."""
         idle = sum(len(ones) for ones in self.idle.values())
         opening = sum(door.opening for door, _ in self.doors.values())
-        if idle + opening < self.most_idle:
+        if idle + opening < self.max_idle:
             return True
         if not idle:
             return False
@@ -138,7 +143,7 @@
                 opened.channel,
                 member.address,
                 Buffer(),
-                http1.ResponseParser(most=MOST_ANSWER),
+                http1.ResponseParser(max_bytes=MAX_RESPONSE_BYTES),
                 tls=opened.channel,
                 known=known,
                 key=key,
@@ -177,7 +182,7 @@
             self.loop.call_later(SOON, self._watch)
         self.unwatched[connection] = name
         self._stirred(name, connection)  # what came with the handshake or behind the answer
-        self._shed()
+        self._enforce_idle_limit()
 
     def _watch(self) -> None:
         """Those that the next call has not taken at once, as it does under load, are watched from now on."""
@@ -259,7 +264,7 @@
         now, idle = self.scheduler.now(), self.idle.get(member.id, [])
         for connection in reversed(idle[:]):
             assert isinstance(connection, TlsConnection)
-            if connection.retire_at <= now or not self._fresh(connection, member):
+            if connection.retire_at <= now or not self._may_reuse(connection, member):
                 self._drop(member.id, connection)
             elif not connection.tls.alive():
                 self._ended(member.id, connection)
@@ -271,7 +276,7 @@
                 return connection
         raise NoConnectionError(f"{member.id}: its last connection has gone")
 
-    def _keep(self, member: PoolEndpoint, connection: Connection) -> None:
+    def _release(self, member: PoolEndpoint, connection: Connection) -> None:
         assert isinstance(connection, TlsConnection)
         now = self.scheduler.now()
         connection.idle_since = now
@@ -288,7 +293,7 @@
         door.ready, door.busy = door.ready + 1, door.busy - 1
         self._rest(member.id, connection)
 
-    def _close(self, member: PoolEndpoint, progress: Progress) -> None:
+    def _close(self, member: PoolEndpoint, progress: CallProgress) -> None:
         connection, name = progress.connection, member.id
         if isinstance(connection, TlsConnection):
             if (failure := connection.tls.machine.failure) is not None:
@@ -346,7 +351,7 @@
                 self._drop(name, connection)
             elif not self.doors[name][0].opening:
                 self.open(member, 1)  # its replacement first; it goes in any case at `retire_at`
-        elif not self._fresh(connection, member) or self._halting(connection, now):
+        elif not self._may_reuse(connection, member) or self._halting(connection, now):
             self._drop(name, connection)
         elif not connection.tls.alive():
             self._ended(name, connection)
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -32,7 +32,7 @@
 
 
 def session() -> resp.Session:
-    fields = resp.MessageFields(SET, lambda _: True)
+    fields = resp.TransactionParser(SET, lambda _: True)
     return resp.Session(fields, lambda _: Admission(True), lambda: True, lambda: START)
 
 
@@ -81,17 +81,17 @@
 
     async def work() -> None:
         async with served(1) as server:
-            assert server.settled
+            assert server.quiescent
             half = await dial(server)
             half[1].write(b"*1\r\n$4\r\nPI")
             await asyncio.sleep(0.05)
             queued = [await dial(server) for _ in range(3)]
             half[1].write(b"NG\r\n")
             assert await half[0].readline() == PONG
-            assert not server.settled, "one waits for a place, two to be accepted"
+            assert not server.quiescent, "one waits for a place, two to be accepted"
             for one in queued:
                 await ping(one)
-            assert server.settled
+            assert server.quiescent
 
     play(work())
 
@@ -99,8 +99,8 @@
 def test_a_connection_that_never_ends_what_it_began_is_told_and_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(virtual_server, "PATIENCE", 0.1)
-    monkeypatch.setattr(virtual_server, "SWEEP", 0.02)
+    monkeypatch.setattr(virtual_server, "REQUEST_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(virtual_server, "SWEEP_INTERVAL_SECONDS", 0.02)
 
     async def work() -> None:
         async with served(10) as server:
@@ -109,7 +109,7 @@
             for begun, told in ((b"", b""), (b"*1\r\n$4\r\nPI", b""), (PING + b"*", PONG)):
                 reader, writer = await dial(server)
                 writer.write(begun)
-                assert await reader.read() == told + virtual_server.SLOW
+                assert await reader.read() == told + virtual_server.REQUEST_TIMEOUT_REPLY
             await ping(used)  # one that was answered may rest
 
     play(work())
@@ -118,8 +118,8 @@
 def test_a_flood_on_one_connection_leaves_the_others_their_turns() -> None:
     one, buffer = session(), Buffer()
     buffer.feed(PING * 1000)
-    assert one.receive(buffer).count(PONG) == resp.TURN
-    assert one.more
+    assert one.receive(buffer).count(PONG) == resp.MAX_REPLIES_PER_TURN
+    assert one.has_more_requests
 
     async def work() -> None:
         async with served(10) as server:
@@ -155,9 +155,9 @@
             for stream in streams[:3]:
                 await ping(stream)
             streams[3][1].write(b"*1\r\n$4\r\nPI")  # half a command: this one is in use
-            while not any(one.half for one in server.clients):
+            while not any(one.has_partial_request for one in server.clients):
                 await asyncio.sleep(0)
-            server.limit(2)
+            server.set_max_clients(2)
             assert len(server.clients) == 2
             assert await streams[0][0].read() == await streams[1][0].read() == b""
             await ping(streams[2])
@@ -218,10 +218,10 @@
     async def work() -> None:
         async with served(10) as server:
             (await plain(server)).close()
-            while not server.settled:
+            while not server.quiescent:
                 await asyncio.sleep(0)
             settled: list[bool] = []
-            crossing = Crossing(lambda: settled.append(server.settled))
+            crossing = Crossing(lambda: settled.append(server.quiescent))
             sock = socket.socket()
             sock.setblocking(False)
             await crossing.follow(lambda: sock.connect_ex(("127.0.0.1", server.port)))
@@ -240,14 +240,14 @@
 
     def spied() -> resp.Session:
         made = session()
-        made.offer = lambda one: taken.append(one) or Admission(True)  # type: ignore[func-returns-value]
+        made.submit = lambda one: taken.append(one) or Admission(True)  # type: ignore[func-returns-value]
         return made
 
     async def work() -> None:
         async with served(1) as server:
-            server.session = spied
+            server.create_session = spied
             sock = await plain(server)
-            quiet = sockets.quiet
+            quiet = sockets.is_reusable
 
             def crossed(one: socket.socket) -> bool:
                 found = quiet(one)
@@ -256,13 +256,13 @@
                 return found
 
             with monkeypatch.context() as patch:
-                patch.setattr(sockets, "quiet", crossed)
+                patch.setattr(sockets, "is_reusable", crossed)
                 if moment == "drain":
                     server.drain()
                 elif moment == "room":
-                    assert server._make_room()
+                    assert server._free_slot()
                 else:
-                    server.limit(0)
+                    server.set_max_clients(0)
             reader, _ = await asyncio.open_connection(sock=sock)
             with contextlib.suppress(ConnectionResetError):  # unread bytes make a reset of its end
                 assert await reader.read() == b""
@@ -298,9 +298,9 @@
             while not client.sending:
                 await asyncio.sleep(0)
             server.drain()
-            server.limit(0)
+            server.set_max_clients(0)
             assert len(server.clients) == 1
-            assert not server.settled
+            assert not server.quiescent
             stuck.go.set()
             reader, _ = await asyncio.open_connection(sock=sock)
             assert await reader.read() == PONG, "whole, and then the end"
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -26,7 +26,7 @@
 from honeyhitch.dead_letters.settings import Terms
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.service.service import run
-from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
+from honeyhitch.transports.control_client import ControlClient, ControlCommandError
 
 from .agent import Agent
 from .broker import Broker
@@ -102,7 +102,7 @@
             assert state["undelivered"]["moved"] == 1
             assert state["undelivered"]["loaded"]
             client = ControlClient(control)
-            state = await asyncio.to_thread(client.ask, "GET", "/state")
+            state = await asyncio.to_thread(client.request, "GET", "/state")
             assert state["phase"] == "ready"
             assert state["pid"] == os.getpid()
             for method, path, body, error in (
@@ -111,8 +111,8 @@
                 ("POST", "/undelivered/list", {"most": -1}, "most: expected a whole number"),
             ):
                 try:
-                    await asyncio.to_thread(client.ask, method, path, body)
-                except ControlRefusedError as refused:
+                    await asyncio.to_thread(client.request, method, path, body)
+                except ControlCommandError as refused:
                     assert str(refused).startswith(error)
                 else:
                     raise AssertionError(f"{path} was not refused")
@@ -264,13 +264,13 @@
         with socket.socket(socket.AF_UNIX) as left:
             left.bind(f"{tmp_path}/c.sock")
         async with started(tmp_path, agent.port, [], operator):
-            state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+            state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert state["phase"] == "ready"
             (tmp_path / "second").mkdir()
             async with started(tmp_path / "second", agent.port, [], operator):
-                again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+                again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
                 assert again == state
-            again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+            again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert again == state, "the second one's end must not take the first one's socket away"
 
     play(work())
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -10,15 +10,15 @@
 from honeyhitch.policy.actions import Subscribe
 from honeyhitch.policy.events import EndpointListUpdate, UpdateMode
 from honeyhitch.protocols import notices
-from honeyhitch.protocols.discovery import Watch, WatchError
+from honeyhitch.protocols.discovery import WatchError, WatchParser
 from honeyhitch.protocols.discovery_backoff import (
-    CALM,
-    FEW,
-    FIRST,
-    MOST,
-    SILENCE,
-    TOLD,
-    UNASKED,
+    DRAIN_GRACE_FRACTION,
+    HEARTBEAT_TIMEOUT_SECONDS,
+    INITIAL_BACKOFF_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    MAX_INSTANCES_WITHOUT_SPREAD,
+    NOTIFICATION_DEADLINE_SECONDS,
+    STABLE_WATCH_SECONDS,
     WatchBackoff,
 )
 
@@ -67,20 +67,20 @@
 
 
 def test_starts_are_spread_where_a_list_is_at_hand() -> None:
-    firsts = [asking(Random(i), 40).first() for i in range(40)]
+    firsts = [asking(Random(i), 40).first_pause() for i in range(40)]
     assert max(firsts) > 0.8
     assert len({round(first, 1) for first in firsts}) > 5
-    assert asking(Random(1), FEW).first() == 0
-    assert asking(Random(1), 40, known=False).first() == 0
-    assert asking(Random(1), 40, moved=True).first() == 0
+    assert asking(Random(1), MAX_INSTANCES_WITHOUT_SPREAD).first_pause() == 0
+    assert asking(Random(1), 40, known=False).first_pause() == 0
+    assert asking(Random(1), 40, moved=True).first_pause() == 0
 
 
 def test_the_whole_list_is_asked_for_only_where_changes_will_not_do() -> None:
     one = asking(Random(1), 40)
     assert not one.full_list
-    one.unheard()
+    one.request_full_list()
     assert one.full_list
-    one.listed()
+    one.list_received()
     one.next_pause(1.0, False)
     assert not one.full_list
     assert asking(Random(1), 2, moved=True).full_list
@@ -91,12 +91,12 @@
     one = asking(Random(3), 40)
     bounds = []
     for _ in range(8):
-        assert 0 <= one.next_pause(0.1, True) <= one.bound
-        bounds.append(one.bound)
+        assert 0 <= one.next_pause(0.1, True) <= one.backoff_limit
+        bounds.append(one.backoff_limit)
     assert bounds == sorted(bounds)
-    assert bounds[-1] == MOST
-    one.next_pause(CALM, True)
-    assert one.bound == FIRST
+    assert bounds[-1] == MAX_BACKOFF_SECONDS
+    one.next_pause(STABLE_WATCH_SECONDS, True)
+    assert one.backoff_limit == INITIAL_BACKOFF_SECONDS
 
 
 @pytest.mark.parametrize("instances", [*range(1, 50), 100, 196, 500, 1000])
@@ -104,26 +104,26 @@
     """What the agent has counts as told. Only where it turned us away has it nothing for us."""
     for seed in range(20):
         one = asking(Random(seed), instances)
-        pauses = [one.first(), *(one.next_pause(0.1 * (seed % 3), False) for _ in range(10))]
-        assert max(pauses) <= UNASKED * GRACE
+        pauses = [one.first_pause(), *(one.next_pause(0.1 * (seed % 3), False) for _ in range(10))]
+        assert max(pauses) <= DRAIN_GRACE_FRACTION * GRACE
         one.next_pause(0.1, True)
-        assert one.next_pause(0.1, False) <= UNASKED * GRACE
+        assert one.next_pause(0.1, False) <= DRAIN_GRACE_FRACTION * GRACE
 
 
 def test_a_list_that_cannot_be_used_is_not_asked_for_in_a_flood() -> None:
     fleet = [asking(Random(i), 200) for i in range(200)]
     late = [[one.next_pause(0.05, True) for _ in range(12)][-1] for one in fleet]
-    assert sum(late) / len(late) >= MOST / 3
+    assert sum(late) / len(late) >= MAX_BACKOFF_SECONDS / 3
 
 
 def test_an_agent_that_cannot_be_reached_is_never_asked_in_a_loop() -> None:
     one = WatchBackoff(Random(1), 200, True, False, 0.0)
-    assert sum(one.next_pause(0.0, False) for _ in range(100)) >= 100 * FIRST / 4
+    assert sum(one.next_pause(0.0, False) for _ in range(100)) >= 100 * INITIAL_BACKOFF_SECONDS / 4
 
 
 def test_an_error_says_what_was_answered() -> None:
     """Only a busy agent, or one that ends a good watch, leaves the revision worth asking by."""
-    machine = Watch()
+    machine = WatchParser()
     with pytest.raises(WatchError) as told:
         machine.feed(b"HTTP/1.1 410 Gone\r\nContent-Length: 1\r\n\r\n")
     assert told.value.status == 410
@@ -144,8 +144,8 @@
     one = WatchBackoff(Longest(), instances, True, False, 0.0)
     for _ in range(20):
         pause = one.next_pause(0.05, True)
-        one.opens()
-        assert pause + one.within < TOLD
+        one.watch_opened()
+        assert pause + one.read_timeout < NOTIFICATION_DEADLINE_SECONDS
 
 
 def test_the_module_asks_again_before_a_change_counts_as_told() -> None:
@@ -154,10 +154,10 @@
     for _ in range(12):
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
         failed, before = world.now, len(world.log)
-        world.run(world.now + int(TOLD * SECOND))
+        world.run(world.now + int(NOTIFICATION_DEADLINE_SECONDS * SECOND))
         asked = [at for at, action in world.log[before:] if isinstance(action, Subscribe)]
         assert asked
-        assert asked[0] - failed < TOLD * SECOND
+        assert asked[0] - failed < NOTIFICATION_DEADLINE_SECONDS * SECOND
 
 
 @pytest.mark.parametrize("instances", [1, 6, 200])
@@ -165,47 +165,49 @@
 def test_a_silent_watch_after_a_silent_one_is_over_before_a_drain_is(grace: float, instances: int) -> None:
     """What the first one misses counts as told 6 s after it fell silent; the third one answers."""
     one = WatchBackoff(Longest(), instances, True, False, grace)
-    one.opens()
-    one.heard()
-    one.silent()
-    gone = SILENCE + one.next_pause(SILENCE, False)  # it had heard its list a moment before
-    one.opens()
-    gone += one.within
-    one.silent()
-    gone += one.next_pause(one.within, False)
-    assert gone < TOLD + grace - 0.1, "and there is time for the answer"
+    one.watch_opened()
+    one.data_received()
+    one.timed_out()
+    gone = HEARTBEAT_TIMEOUT_SECONDS + one.next_pause(
+        HEARTBEAT_TIMEOUT_SECONDS, False
+    )  # it had heard its list a moment before
+    one.watch_opened()
+    gone += one.read_timeout
+    one.timed_out()
+    gone += one.next_pause(one.read_timeout, False)
+    assert gone < NOTIFICATION_DEADLINE_SECONDS + grace - 0.1, "and there is time for the answer"
 
 
 def test_an_agent_that_stays_silent_is_asked_less_and_less_and_in_the_end_for_its_whole_list() -> None:
     one, waited = asking(Random(1), 200), list[float]()
     for _ in range(6):
-        one.opens()
-        waited.append(one.within)
-        one.silent()
-        assert one.full_list is (waited[-1] == SILENCE)
+        one.watch_opened()
+        waited.append(one.read_timeout)
+        one.timed_out()
+        assert one.full_list is (waited[-1] == HEARTBEAT_TIMEOUT_SECONDS)
     assert waited == sorted(waited)
     assert waited[0] < 1.1
-    assert waited[-1] == SILENCE
-    one.opens()
-    one.heard()
-    assert one.within == SILENCE, "from its first bytes on heartbeats come"
-    one.opens()
-    assert one.within == waited[0]
+    assert waited[-1] == HEARTBEAT_TIMEOUT_SECONDS
+    one.watch_opened()
+    one.data_received()
+    assert one.read_timeout == HEARTBEAT_TIMEOUT_SECONDS, "from its first bytes on heartbeats come"
+    one.watch_opened()
+    assert one.read_timeout == waited[0]
 
 
 def test_two_dead_connections_leave_a_notice_in_time() -> None:
-    one, gone = notices.patience(), 0.0
+    one, gone = notices.response_timeout(), 0.0
     for _ in range(2):
-        gone += one.within
-        one.failed()
-        gone += one.pause
-    assert gone <= 0.8 * notices.LATE
+        gone += one.current
+        one.record_failure()
+        gone += one.retry_pause
+    assert gone <= 0.8 * notices.MAX_NOTICE_DELAY_SECONDS
     pauses = []
     for _ in range(40):
-        one.failed()
-        pauses.append(one.pause)
+        one.record_failure()
+        pauses.append(one.retry_pause)
     assert pauses == sorted(pauses)
-    assert pauses[-1] == one.within == notices.ANSWER
-    one.heard()
-    assert one.within < notices.LATE
-    assert one.pause == 0
+    assert pauses[-1] == one.current == notices.MAX_RESPONSE_SECONDS
+    one.record_response()
+    assert one.current < notices.MAX_NOTICE_DELAY_SECONDS
+    assert one.retry_pause == 0
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -53,13 +53,13 @@
 
         self.seen: list[Transaction] = []
         self.buffer = Buffer()
-        fields = resp.MessageFields(SET, lambda destination: destination != 404)
+        fields = resp.TransactionParser(SET, lambda destination: destination != 404)
         self.session = resp.Session(fields, offer, lambda: True, lambda: START)
 
     def feed(self, data: bytes) -> Out:
         self.buffer.feed(data)
         yield self.session.receive(self.buffer)
-        while self.session.more and not self.session.closing:
+        while self.session.has_more_requests and not self.session.closing:
             yield self.session.receive(self.buffer)
 
     def end(self) -> Out:
@@ -73,14 +73,14 @@
                 one.body,
             ]
             yield f"took {' '.join(map(str, words))}\n".encode()
-        yield b"closes\n" if self.session.closing else b"half\n" if self.session.half else b""
+        yield b"closes\n" if self.session.closing else b"half\n" if self.session.has_partial_request else b""
 
 
 class HttpCall:
     """A call's answer; the argument is how many messages it carries."""
 
     def __init__(self, count: str) -> None:
-        self.parts, self.machine, self.spoilt = parts(int(count)), http1.ResponseParser(most=4096), False
+        self.parts, self.machine, self.spoilt = parts(int(count)), http1.ResponseParser(max_bytes=4096), False
         self.answer: http1.Response | None = None
 
     def feed(self, data: bytes) -> Out:
@@ -91,7 +91,7 @@
         yield b""
 
     def show(self, answer: http1.Response) -> bytes:
-        result = calls.read(answer, self.parts)
+        result = calls.interpret_response(answer, self.parts)
         told = f" wait {result.retry_after // 10**6}" if result.retry_after else ""
         told += f" {result.reported}" if result.reported else ""
         ends = " ".join(outcome.value + "+" * over for outcome, over in result.outcomes)
@@ -99,9 +99,9 @@
 
     def end(self) -> Out:
         ended = self.answer is None
-        answer = None if self.spoilt else self.answer or self.machine.ended()
+        answer = None if self.spoilt else self.answer or self.machine.connection_closed()
         if answer is None:
-            result = calls.broken(self.machine.status, self.parts, Outcome.RESET)
+            result = calls.interpret_failure(self.machine.status, self.parts, Outcome.RESET)
             yield f"broken: {' '.join(outcome.value for outcome, _ in result.outcomes)}\n".encode()
         else:
             yield self.show(answer)
@@ -117,13 +117,13 @@
     def feed(self, data: bytes) -> Out:
         name, _, number = data.decode().partition(" ")
         if name == "call":
-            yield calls.encode(parts(int(number)), 1_500_000_000, "127.0.0.1:80")
+            yield calls.encode_call(parts(int(number)), 1_500_000_000, "127.0.0.1:80")
         elif name == "watch":
-            yield discovery.watch_request("127.0.0.1:85", int(number))
+            yield discovery.encode_watch_request("127.0.0.1:85", int(number))
         else:
             failed, back = parts(2)
             failed.ending, back.ending, back.retry_after = Ending.FAILED, Ending.REJECTED, int(number)
-            yield notices.encode([failed, back], "127.0.0.1:85")
+            yield notices.encode_request([failed, back], "127.0.0.1:85")
 
     def end(self) -> Out:
         yield b""
@@ -133,7 +133,7 @@
     """Discovery's watch and the pool behind it."""
 
     def __init__(self, _: str) -> None:
-        self.watch, self.pool = discovery.Watch(), EndpointPool(SET)
+        self.watch, self.pool = discovery.WatchParser(), EndpointPool(SET)
 
     def feed(self, data: bytes) -> Out:
         for told in self.watch.feed(data):
@@ -158,7 +158,7 @@
             self.session.subscriptions = ["in"]
         self.session.on_publish = self.taken
         self.session.open()
-        self.session.take_out()  # CONNECT; test_mqtt.py has another library read it
+        self.session.take_output()  # CONNECT; test_mqtt.py has another library read it
         for qos in (1, 2) if "sends" in words else ():
             packet = mqtt.Packet(mqtt.Kind.PUBLISH, topic="t", payload=b"x", qos=qos)
             self.session.publish(packet, lambda ack, left: self.said.append(f"{ack and ack.reason} {left}\n"))
@@ -169,14 +169,14 @@
 
     def feed(self, data: bytes) -> Out:
         if data == b"break":
-            self.session.broke()
+            self.session.connection_lost()
         elif data == b"again":
             self.session.open()
-            self.session.take_out()
+            self.session.take_output()
         else:
             self.buffer.feed(data)
             self.session.receive(self.buffer)
-        yield self.session.take_out().hex().encode()
+        yield self.session.take_output().hex().encode()
 
     def end(self) -> Out:
         yield "".join(self.said).encode()
@@ -193,7 +193,7 @@
         buffer = Buffer()
         buffer.feed(data)
         ack = None if data in (b"none", b"left") else mqtt.decode(buffer)
-        result = mqtt_messages.outcome(self.call, ack, data == b"left")
+        result = mqtt_messages.interpret_acknowledgement(self.call, ack, data == b"left")
         words = [outcome.value + "+" * over for outcome, over in result.outcomes]
         yield f"{' '.join(words)} wait {result.retry_after // 10**6} {result.reported}\n".encode()
 
@@ -213,7 +213,7 @@
         yield b"" if self.session.closing else self.session.receive(self.buffer)
 
     def end(self) -> Out:
-        yield self.session.opening + b"closes\n" * self.session.closing
+        yield self.session.greeting + b"closes\n" * self.session.closing
 
 
 class Management(Beside):
@@ -224,14 +224,14 @@
 
     def end(self) -> Out:
         yield from super().end()
-        yield b"half\n" * self.session.half
+        yield b"half\n" * self.session.has_partial_request
 
 
 class Control:
     """The control socket's side of a connection."""
 
     def __init__(self, _: str) -> None:
-        self.machine = control.ControlMachine("me")
+        self.machine = control.ControlRequestParser("me")
 
     def feed(self, data: bytes) -> Out:
         if self.machine.closing:
@@ -241,7 +241,7 @@
             self.machine.feed(data)
         except control.ControlError as error:
             wrong = f"{error.status.value} {error.reason}\n"
-        asked, self.machine.asked = self.machine.asked, []
+        asked, self.machine.requests = self.machine.requests, []
         for one in asked:
             assert one.actor == "me"
             yield f"{one.method} {one.path} {json.dumps(one.arguments)}\n".encode()
@@ -262,9 +262,9 @@
         assert packet is not None
         packet.payload = b"body"
         packet.user = [(name, value) for name, value in packet.user]
-        taken = mqtt_messages.transaction(resp.MessageFields(SET, lambda _: True), packet, START)
+        taken = mqtt_messages.parse_transaction(resp.TransactionParser(SET, lambda _: True), packet, START)
         taken.ending, taken.retry_after = Ending.REJECTED, 250_000_000
-        answer = mqtt_messages.answer(taken)
+        answer = mqtt_messages.encode_final_answer(taken)
         left = (taken.deadline - START) // 10**6
         yield f"{taken.id} {taken.key} {left} -> {answer.topic} {answer.payload.decode()}\n".encode()
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -374,12 +374,12 @@
 
         def published() -> list[Packet]:
             sent = Buffer()
-            sent.feed(session.take_out())
+            sent.feed(session.take_output())
             found = list(iter(lambda: decode(sent), None))
             return [packet for packet in found if packet.kind is Kind.PUBLISH]
 
         session.open()
-        session.take_out()
+        session.take_output()
         receive(Packet(Kind.CONNACK, properties={"receive_maximum": 1}))
         rig.hand_in("a")
         rig.hand_in("b")
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -134,7 +134,7 @@
         for number, owner in enumerate(owners):
             one.owners = lambda destination, port=owner.port: [f"127.0.0.1:{port}"]  # type: ignore[misc]
             assert await one.forward(message(f"m{number}")) == b"+OK\r\n"
-            assert one.connections.open <= one.connections.most == 4
+            assert one.connections.open <= one.connections.max_connections == 4
         one.connections.close()
         assert one.connections.open == 0
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -46,8 +46,8 @@
 
 def answer(data: bytes) -> None:
     machine = http1.ResponseParser()
-    if (found := machine.feed(data) or machine.ended()) is not None:
-        result = calls.read(found, parts(2))
+    if (found := machine.feed(data) or machine.connection_closed()) is not None:
+        result = calls.interpret_response(found, parts(2))
         assert len(result.outcomes) == 2
         assert result.retry_after >= 0
 
@@ -58,7 +58,7 @@
     one.publish(mqtt.Packet(mqtt.Kind.PUBLISH, topic="t", qos=2), lambda ack, left: None)
     buffer.feed(b"\x20\x03\x00\x00\x00" + data)
     one.receive(buffer)
-    one.broke()
+    one.connection_lost()
 
 
 def front(data: bytes) -> None:
@@ -72,7 +72,7 @@
 MACHINES: list[Callable[[bytes], Any]] = [
     front,
     answer,
-    lambda data: discovery.Watch().feed(data),
+    lambda data: discovery.WatchParser().feed(data),
     session,
     health,
 ]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -500,7 +500,7 @@
     address = old.getsockname()
     clients = [socket.create_connection(address) for _ in range(8)]
     new = listener(address[1])
-    if not sockets.steer(new):
+    if not sockets.prefer_second_listener(new):
         pytest.skip("this system cannot steer")
     clients += [socket.create_connection(address) for _ in range(32)]
     assert (accepted(old), accepted(new)) == (8, 32)
--- a/tests/test_http_transport.py
+++ b/tests/test_http_transport.py
@@ -13,7 +13,7 @@
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.transports.channel import PlainChannel
-from honeyhitch.transports.http_transport import Connection, HttpTransport, Progress
+from honeyhitch.transports.http_transport import CallProgress, Connection, HttpTransport
 
 from .rig import START
 from .test_exchanges import parts
@@ -38,10 +38,10 @@
     if came:
         machine.feed(came)
     with socket.socket() as sock:
-        progress = Progress()
+        progress = CallProgress()
         channel = PlainChannel(uvloop.new_event_loop(), sock)
         progress.connection = Connection(channel, member.address, Buffer(), machine, START if kept else 0)
         progress.written = written
         call = Call(member, parts(1), [0], [0], START, [True])
-        result = HttpTransport._cut(call, progress, outcome)
+        result = HttpTransport._failed_result(call, progress, outcome)
     assert (result.outcomes[0][0], result.connection_stale) == (told, stale)
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from honeyhitch.protocols.discovery import Watch, WatchError
-from honeyhitch.protocols.list_parser import MOST_PART, ListError, ListParser
+from honeyhitch.protocols.discovery import WatchError, WatchParser
+from honeyhitch.protocols.list_parser import MAX_FRAGMENT_LENGTH, ListError, ListParser
 
 from .rig import row
 
@@ -46,9 +46,9 @@
     [
         (b"[1]", "expected an object"),
         (b'{"members":[7]}', "members: expected an object"),
-        (b'{"members":[{"id": ' + b"x" * (MOST_PART + 1), "one part is longer"),
-        (b'{"note": "' + b"x" * (MOST_PART + 1), "one part is longer"),
-        (b'{"members":[]' + b" " * (MOST_PART + 1), "one part is longer"),
+        (b'{"members":[{"id": ' + b"x" * (MAX_FRAGMENT_LENGTH + 1), "one part is longer"),
+        (b'{"note": "' + b"x" * (MAX_FRAGMENT_LENGTH + 1), "one part is longer"),
+        (b'{"members":[]' + b" " * (MAX_FRAGMENT_LENGTH + 1), "one part is longer"),
         (b'{"members":[{"id":"\xff"', "not UTF-8"),
     ],
 )
@@ -62,7 +62,7 @@
     members = [row(f"s-{number:08x}", number) for number in range(190_000)]
     whole = json.dumps({"revision": 7, "complete": True, "members": members}).encode()
     assert len(whole) > 20_000_000
-    watch, found = Watch(lambda row: row["cell"] % 1000 == 0), list[dict[str, Any]]()
+    watch, found = WatchParser(lambda row: row["cell"] % 1000 == 0), list[dict[str, Any]]()
     found += watch.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     piece = 1 << 16
     for at in range(0, len(whole), piece):
@@ -70,8 +70,8 @@
         found += watch.feed(b"%x\r\n%s\r\n" % (len(part), part))
     assert [len(one["members"]) for one in found] == [190]
     assert found[0]["complete"]
-    assert watch.reader is not None
-    assert len(watch.reader._text) <= piece
+    assert watch.list_parser is not None
+    assert len(watch.list_parser._text) <= piece
     change = json.dumps({"revision": 8, "complete": False, "members": [row("s-1", 1000)]}).encode()
     for text in (b"\n", change, b"\n"):
         found += watch.feed(b"%x\r\n%s\r\n" % (len(text), text))
@@ -80,7 +80,7 @@
 
 
 def test_a_watch_says_what_was_wrong_with_a_list() -> None:
-    watch = Watch(lambda row: True)
+    watch = WatchParser(lambda row: True)
     watch.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     with pytest.raises(WatchError, match="members: expected an object"):
         watch.feed(b'd\r\n{"members":[7\r\n3\r\n]}\n\r\n')
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -20,7 +20,7 @@
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.buffer import Buffer
-from honeyhitch.protocols.management import MOST_LINE, ManagementSession
+from honeyhitch.protocols.management import MAX_LINE_BYTES, ManagementSession
 from honeyhitch.service.descriptors import BESIDE_SOCKETS, budget
 from honeyhitch.service.service import run
 
@@ -61,10 +61,12 @@
 
 def test_a_message_that_fails_at_the_door_is_an_error_of_its_class(tmp_path: Path) -> None:
     stand = Stand(tmp_path)
-    fields = resp.MessageFields(stand.s, stand.core.pool.has_destination, stand.core.metrics.message_invalid)
+    fields = resp.TransactionParser(
+        stand.s, stand.core.pool.has_destination, stand.core.metrics.message_invalid
+    )
     for told in ({"c": "standard", "d": "8000"}, {"c": "standard", "d": "9" * 9, "dest": "1", "k": "k"}, {}):
         with pytest.raises(resp.FieldError):
-            fields.transaction(b"id", told, b"", 0)
+            fields.parse(b"id", told, b"", 0)
     assert stand.core.metrics_snapshot()["responses"]["standard"]["errors"] == 2, (
         "the last one names no class"
     )
@@ -228,9 +230,9 @@
 
     whole, cut = b"".join(pieces), answered(pieces)
     line, end, _ = whole.partition(b"\n")
-    if not end and len(whole) < MOST_LINE:
+    if not end and len(whole) < MAX_LINE_BYTES:
         assert not cut, "nothing before the line is whole"
         return
     assert cut == answered([bytes([byte]) for byte in whole])
-    figures = line.strip() == b"stats" and len(line) < MOST_LINE
+    figures = line.strip() == b"stats" and len(line) < MAX_LINE_BYTES
     assert cut == b'{"active":0}\r\n.\r\n' if figures else re.fullmatch(rb"(\+OK|-ERR) [ -~]*\r\n", cut)
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -103,9 +103,9 @@
 
 
 def test_the_library_reads_the_properties_that_the_machine_writes() -> None:
-    session = Session("c", keep=60)
+    session = Session("c", session_expiry=60)
     session.open()
-    data = session.take_out()
+    data = session.take_output()
     read = Properties(PacketTypes.CONNECT)
     read.unpack(data[2 + 10 :])
     assert (read.SessionExpiryInterval, read.ReceiveMaximum) == (60, 1024)
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -97,7 +97,7 @@
 ) -> None:
     one = FleetStand(tmp_path / "first")
     assert not one.fleet.ready
-    assert one.route(1) is Route.REFUSE
+    assert one.route(1) is Route.REJECT
     assert not one.core.pool.endpoints
     one.hear()
     assert one.fleet.ready
@@ -124,7 +124,7 @@
     assert one.route(mine) is Route.LOCAL
     assert one.route(mine, forwarded=True) is Route.LOCAL
     assert one.route(other) is Route.FORWARD
-    assert one.route(other, forwarded=True) is Route.REFUSE
+    assert one.route(other, forwarded=True) is Route.REJECT
     assert one.hand_in("held", mine)
     held = Transaction("held", 0, mine, one.now + SECOND, b"")
     one.time.run(LEASE / SECOND + 30)
@@ -234,15 +234,15 @@
     given = settings(**SETTINGS)
     now = 1_700_000_000 * SECOND
     one = Transaction("id", 0, 7, now + 900 * MS, b"a\r\nb", key="k", recovered_from_journal=True)
-    data = forwarding.request(given, one, NAME, now + 100 * MS)
+    data = forwarding.encode_request(given, one, NAME, now + 100 * MS)
     assert data is not None
     command, buffer = resp.CommandReader(), Buffer()
-    with buffer.room() as room:
+    with buffer.free_space() as room:
         room[: len(data)] = data
-    buffer.filled(len(data))
-    parts = command.next(buffer)
+    buffer.advance(len(data))
+    parts = command.read_command(buffer)
     assert parts is not None
-    fields = resp.pairs(parts[3])
+    fields = resp.parse_fields(parts[3])
     assert fields == {
         "c": "standard",
         "t": "studio",
@@ -252,6 +252,6 @@
         "again": "1",
         "via": NAME,
     }
-    read = resp.MessageFields(given, lambda number: True).transaction(parts[2], fields, parts[4], now)
+    read = resp.TransactionParser(given, lambda number: True).parse(parts[2], fields, parts[4], now)
     assert (read.id, read.body, read.key, read.recovered_from_journal) == ("id", b"a\r\nb", "k", True)
-    assert forwarding.request(given, one, NAME, one.deadline - MS // 2) is None
+    assert forwarding.encode_request(given, one, NAME, one.deadline - MS // 2) is None
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -121,7 +121,7 @@
 
 
 def test_a_fault_of_ours_in_a_call_frees_its_slot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    encode, faults = calls.encode, [RuntimeError("a fault")]
+    encode, faults = calls.encode_call, [RuntimeError("a fault")]
 
     def faulty(*given: Any) -> bytes:
         if faults:
@@ -143,7 +143,7 @@
             reader, _ = await member.accepted()
             assert await reader.readuntil(b"body")
 
-    monkeypatch.setattr(calls, "encode", faulty)
+    monkeypatch.setattr(calls, "encode_call", faulty)
     play(work())
 
 
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -32,7 +32,7 @@
 def test_a_notice_on_a_connection_that_fell_silent_goes_again_on_another(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, dead: int
 ) -> None:
-    monkeypatch.setattr(notices, "ANSWER", NEVER)
+    monkeypatch.setattr(notices, "MAX_RESPONSE_SECONDS", NEVER)
 
     async def work() -> None:
         agent = await Peer().start()
@@ -56,8 +56,8 @@
 def test_a_watch_that_never_answers_is_given_up_before_a_silent_one_would_be(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(asking, "SILENCE", NEVER)
-    monkeypatch.setattr(asking, "TOLD", NEVER + 1.0)
+    monkeypatch.setattr(asking, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
+    monkeypatch.setattr(asking, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
 
     async def work() -> None:
         agent = await Peer().start()
@@ -72,8 +72,8 @@
 
 
 def test_a_list_that_never_comes_is_asked_for_anew(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(asking, "SILENCE", NEVER)
-    monkeypatch.setattr(asking, "TOLD", NEVER + 1.0)
+    monkeypatch.setattr(asking, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
+    monkeypatch.setattr(asking, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
 
     async def work() -> None:
         agent = await Peer().start()
