--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -87,7 +87,7 @@
         if self.dispatcher.journal.has_accepted(transaction.id) or self.quota_fraction(destination, now) > 0:
             return Route.LOCAL
         if forwarded or not self.ready:
-            return Route.REFUSE
+            return Route.REJECT
         return Route.FORWARD  # where there is no owner to ask, the forwarder refuses it as well
 
     def describe(self) -> dict[str, Any]:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -232,9 +232,9 @@
 
     whole, cut = b"".join(pieces), answered(pieces)
     line, end, _ = whole.partition(b"\n")
-    if not end and len(whole) < MOST_LINE:
+    if not end and len(whole) < MAX_LINE_BYTES:
         assert not cut, "nothing before the line is whole"
         return
     assert cut == answered([bytes([byte]) for byte in whole])
-    figures = line.strip() == b"stats" and len(line) < MOST_LINE
+    figures = line.strip() == b"stats" and len(line) < MAX_LINE_BYTES
     assert cut == b'{"active":0}\r\n.\r\n' if figures else re.fullmatch(rb"(\+OK|-ERR) [ -~]*\r\n", cut)
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -234,15 +234,15 @@
     given = settings(**SETTINGS)
     now = 1_700_000_000 * SECOND
     one = Transaction("id", 0, 7, now + 900 * MS, b"a\r\nb", key="k", recovered_from_journal=True)
-    data = forwarding.request(given, one, NAME, now + 100 * MS)
+    data = forwarding.encode_request(given, one, NAME, now + 100 * MS)
     assert data is not None
     command, buffer = resp.CommandReader(), Buffer()
-    with buffer.room() as room:
+    with buffer.free_space() as room:
         room[: len(data)] = data
-    buffer.filled(len(data))
-    parts = command.next(buffer)
+    buffer.advance(len(data))
+    parts = command.read_command(buffer)
     assert parts is not None
-    fields = resp.pairs(parts[3])
+    fields = resp.parse_fields(parts[3])
     assert fields == {
         "c": "standard",
         "t": "studio",
@@ -252,6 +252,6 @@
         "again": "1",
         "via": NAME,
     }
-    read = resp.MessageFields(given, lambda number: True).transaction(parts[2], fields, parts[4], now)
+    read = resp.TransactionParser(given, lambda number: True).parse(parts[2], fields, parts[4], now)
     assert (read.id, read.body, read.key, read.recovered_from_journal) == ("id", b"a\r\nb", "k", True)
-    assert forwarding.request(given, one, NAME, one.deadline - MS // 2) is None
+    assert forwarding.encode_request(given, one, NAME, one.deadline - MS // 2) is None
