--- a/honeyhitch/protocols/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -190,7 +190,7 @@
     """The reply to a message that is not accepted; `retry_after` is in nanoseconds, 0 where none is known."""
     if not retry_after:
         return b"-BUSY\r\n"
-    return b"-BUSY %d\r\n" % (retry_after // MS)
+    return b"-BUSY %d\r\n" % (retry_after // MILLISECOND)
 
 
 class Route(Enum):
@@ -297,9 +297,9 @@
             if route is Route.FORWARD:
                 self.forward = transaction
                 return b""
-            if route is Route.REFUSE:
+            if route is Route.REJECT:
                 return busy_reply(self.router.retry_after)
-        admission = self.offer(transaction)
+        admission = self.submit(transaction)
         if admission.accepted:
             return b"+OK\r\n"
         return busy_reply(admission.retry_after)
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -170,7 +170,7 @@
             self._resume()
         if listen:
             served = dispatcher.pool.has_destination if self.fleet is None else self.fleet.has_destination
-            fields = resp.MessageFields(config.settings, served, dispatcher.metrics.message_invalid)
+            fields = resp.TransactionParser(config.settings, served, dispatcher.metrics.message_invalid)
             self.clients = self._listen(
                 "listen",
                 config.listen,
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -97,7 +97,7 @@
 ) -> None:
     one = FleetStand(tmp_path / "first")
     assert not one.fleet.ready
-    assert one.route(1) is Route.REFUSE
+    assert one.route(1) is Route.REJECT
     assert not one.dispatcher.pool.endpoints
     one.hear()
     assert one.fleet.ready
@@ -124,7 +124,7 @@
     assert one.route(mine) is Route.LOCAL
     assert one.route(mine, forwarded=True) is Route.LOCAL
     assert one.route(other) is Route.FORWARD
-    assert one.route(other, forwarded=True) is Route.REFUSE
+    assert one.route(other, forwarded=True) is Route.REJECT
     assert one.submit("held", mine)
     held = Transaction("held", 0, mine, one.now + SECOND, b"")
     one.time.run(LEASE / SECOND + 30)
