--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -101,7 +101,9 @@
             "revision": status.revision,
             "instances": status.instance_count,
             "ready": status.ready_count,
-            "heartbeat_age_ms": status.heartbeat_age // MILLISECOND if status.heartbeat_age is not None else None,
+            "heartbeat_age_ms": status.heartbeat_age // MILLISECOND
+            if status.heartbeat_age is not None
+            else None,
             "partitions": self.settings.partitions,
             "holds": status.held_partitions,
             "keeps": status.candidate_partitions,
