--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -40,7 +40,7 @@
 from honeyhitch.dead_letters.settings import Action, Rule, Terms
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.journal.transactions import Attempt
-from honeyhitch.service.service import run
+from honeyhitch.service.run import run
 from tests.agent import Agent
 from tests.partner import Partner
 from tests.program import SETTINGS, free_port, write
--- a/honeyhitch/cli/main.py
+++ b/honeyhitch/cli/main.py
@@ -49,7 +49,7 @@
 @click.option("--log-level", type=click.Choice(logs.LEVELS), help="From which level on.")
 def serve(path: str | None, operator: str | None, log_format: str | None, log_level: str | None) -> None:
     """Run one dispatcher in the foreground till SIGTERM; SIGHUP makes it read its configuration again."""
-    from honeyhitch.service.service import serve as run
+    from honeyhitch.service.run import serve as run
 
     config = _read(path, operator)
     logs.setup(log_format or config.operator.log_format, log_level or config.operator.log_level)
--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -47,7 +47,7 @@
         self.clock, self.burst, self.burst_seconds = clock, burst, burst_seconds
         self.counts: OrderedDict[tuple[str, str], _EventCount] = OrderedDict()
 
-    def __call__(self, logger: Any, method: str, event: Event) -> Event:
+    def __call__(self, _logger: Any, _method: str, event: Event) -> Event:
         """As a structlog processor: the event, or DropEvent for one too many."""
         now, name = self.clock(), (str(event.get("event", "")), str(event.get("key", "")))
         one = self.counts.get(name)
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -14,8 +14,10 @@
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.protocols.resp import MessageFields
-from honeyhitch.service import shutdown
+from honeyhitch.service.assembly import assemble
 from honeyhitch.service.service import Service
+from honeyhitch.service.shutdown import close, drain_and_stop
+from honeyhitch.service.start import start
 
 SECOND = 10**9  # ns
 Message = MutableMapping[str, Any]
@@ -144,20 +146,20 @@
             await send({"type": "http.response.body", "body": b""})
 
     async def _start(self) -> None:
-        service = Service(self.config or configuration.read(os.environ), self.listen)
+        service = assemble(self.config or configuration.read(os.environ), self.listen)
         front = service.dispatcher.frontends["app"] = AppFrontend(service.dispatcher)
         try:
-            service.start(self.listen)
+            start(service, self.listen)
         except BaseException:
-            await service.close()
+            await close(service)
             raise
         self.service, self.frontend = service, front
 
     async def _stop(self) -> None:
         service, self.service, self.frontend = self.service, None, None
         if service is not None:
-            await shutdown.drain_and_stop(service)
-            await service.close()
+            await drain_and_stop(service)
+            await close(service)
 
     async def _lifespan(self, scope: Message, receive: Receive, send: Send) -> None:
         """The application's own lifespan runs inside the dispatcher's, if it has one."""
--- a/honeyhitch/service/__init__.py
+++ b/honeyhitch/service/__init__.py
@@ -1,1 +1,5 @@
-"""The service: assembly of the parts, start, shutdown, signals and the hand-over between two processes."""
+"""One dispatcher process: assembly, start, reload, shutdown, signals and the hand-over between two processes.
+
+`service` holds the parts, `assembly` builds them with one module a feature from `features/`, and `start`,
+`reload` and `shutdown` act on what was built. `run` is the life of the process from its start to its end.
+"""
--- /dev/null
+++ b/honeyhitch/service/assembly.py
@@ -0,0 +1,48 @@
+"""Builds a service from its configuration: what every service has, then each feature that is set up."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from honeyhitch.config import Config
+from honeyhitch.config.deployment import OperatorSettings
+from honeyhitch.service import status
+from honeyhitch.service.service import Service
+
+if TYPE_CHECKING:  # a plain start does not load MQTT
+    from honeyhitch.transports.mqtt_transport import BrokerConnector
+
+
+def assemble(config: Config, listen: bool = True) -> Service:
+    """A service for the running loop, ready to be started; without `listen`, one for callers in this process.
+
+    Raises ConfigError where the configuration cannot be used on this machine.
+    """
+    service = Service(config, listen)
+    operator = config.operator
+    connector = _add_tls(service, operator)
+    if operator.mqtt is not None:
+        from honeyhitch.service.features.mqtt import add_mqtt
+
+        add_mqtt(service, operator.mqtt, connector)
+    service.commands.add("GET", "/state", lambda _: status.state_report(service))
+    if operator.fleet is not None:
+        from honeyhitch.service.features.fleet import add_fleet
+
+        add_fleet(service, operator.fleet, listen)
+    if operator.undelivered is not None:
+        from honeyhitch.service.features.dead_letters import add_dead_letters
+
+        add_dead_letters(service, operator.undelivered)
+    return service
+
+
+def _add_tls(service: Service, operator: OperatorSettings) -> BrokerConnector | None:
+    """Set up TLS where endpoints or the broker are reached by it. Returns what connects to the broker."""
+    endpoints_use_tls = operator.tls is not None and bool(operator.tls.partners)
+    broker_uses_tls = operator.mqtt is not None and operator.mqtt.tls is not None
+    if not endpoints_use_tls and not broker_uses_tls:
+        return None
+    from honeyhitch.service.features.tls import add_tls
+
+    return add_tls(service, operator, service.idle_limits.tls)
--- a/honeyhitch/service/descriptors.py
+++ b/honeyhitch/service/descriptors.py
@@ -1,4 +1,4 @@
-"""How the descriptors that the machine grants are shared out."""
+"""How the descriptors that the machine grants are divided."""
 
 from __future__ import annotations
 
@@ -6,33 +6,55 @@
 
 from honeyhitch.config import FIXED_SOCKETS, Config
 
-MONITORING_CONNECTIONS = 16  # connections at once to the agent-check, and as many to health and to management
-CONTROL_DESCRIPTORS, STORE_DESCRIPTORS = (
-    10,
-    10,
-)  # descriptors: a listener and its connections; database, log, lock
+MONITORING_CONNECTIONS = 16  # at once to the agent-check, and as many to health and to management
+CONTROL_DESCRIPTORS = 10  # the listener and its connections
+STORE_DESCRIPTORS = 10  # database, log, lock
 FLEET_DESCRIPTORS = 2  # the view's watch, and its file as it is written
+IDLE_DIVISOR = 4  # a quarter of the free descriptors is for idle connections
 
 
 class DescriptorBudget(NamedTuple):
-    """How many connections there may be beside those that are always open and the calls out."""
+    """How many connections there may be apart from those that are always open and the calls in flight."""
 
     clients: int
-    idle: int  # at rest, to members
+    idle: int  # pooled, to endpoints
+
+
+class IdleLimits(NamedTuple):
+    """How many idle connections each transport may pool."""
+
+    http: int
+    tls: int
 
 
 def descriptor_budget(config: Config, processes: int = 1) -> DescriptorBudget:
-    """How many clients and how many idle connections to members there may be; with the calls out and what
-    is always open they stay under the limit of descriptors. Connections in a TLS handshake count as idle
-    ones. While an upgrade lasts two processes have one limit.
+    """How many clients and how many idle connections to endpoints there may be.
+
+    With the calls in flight and what is always open they stay under the limit of descriptors. Connections in
+    a TLS handshake count as idle ones. During a hand-over two processes share one limit.
     """
-    beside = config.operator
-    listeners = (beside.agent_check, beside.health, config.management)
-    others = MONITORING_CONNECTIONS * sum(address is not None for address in listeners)
-    others += CONTROL_DESCRIPTORS if beside.control is not None else 0
-    others += STORE_DESCRIPTORS if beside.undelivered is not None else 0
-    others += beside.fleet.peer_connections + FLEET_DESCRIPTORS if beside.fleet is not None else 0
-    left = config.limits.sockets - config.settings.max_concurrent_calls - processes * (FIXED_SOCKETS + others)
-    left //= processes
-    most_idle = max(1, left // 4)
-    return DescriptorBudget(max(1, left - most_idle), most_idle)
+    free = config.limits.sockets - config.settings.max_concurrent_calls
+    free -= processes * (FIXED_SOCKETS + _feature_descriptors(config))
+    free //= processes
+    max_idle = max(1, free // IDLE_DIVISOR)
+    return DescriptorBudget(max(1, free - max_idle), max_idle)
+
+
+def _feature_descriptors(config: Config) -> int:
+    """The descriptors of one process for the features that are set up."""
+    operator = config.operator
+    listeners = (operator.agent_check, operator.health, config.management)
+    count = MONITORING_CONNECTIONS * sum(address is not None for address in listeners)
+    if operator.control is not None:
+        count += CONTROL_DESCRIPTORS
+    if operator.undelivered is not None:
+        count += STORE_DESCRIPTORS
+    if operator.fleet is not None:
+        count += operator.fleet.peer_connections + FLEET_DESCRIPTORS
+    return count
+
+
+def idle_limits(config: Config, max_idle: int) -> IdleLimits:
+    """Divide idle connections between plain and TLS endpoints, where there are both."""
+    http = max(1, max_idle // 2) if config.operator.tls is not None else max_idle
+    return IdleLimits(http, tls=max(1, max_idle - http))
--- /dev/null
+++ b/honeyhitch/service/features/control.py
@@ -0,0 +1,20 @@
+"""The control socket, by which an operator's commands reach the running process."""
+
+from __future__ import annotations
+
+from honeyhitch import logs
+from honeyhitch.config.deployment import ControlSettings
+from honeyhitch.service.service import Service
+from honeyhitch.transports.control import ControlServer, ControlSocketError
+
+log = logs.get()
+
+
+def open_control_socket(service: Service, settings: ControlSettings) -> None:
+    """Listen on the control socket. Where that fails it is logged, and messages are served all the same."""
+    try:
+        service.control = ControlServer(settings.at(service.config.state), service.commands, service.tasks)
+    except ControlSocketError as error:
+        log.error("control.not-opened", error=str(error))
+        return
+    service.tasks.run_forever(service.control.accept)
--- /dev/null
+++ b/honeyhitch/service/features/fleet.py
@@ -0,0 +1,39 @@
+"""Destinations partitioned over a fleet of dispatchers (DESIGN, partitioning)."""
+
+from __future__ import annotations
+
+from random import Random
+
+from honeyhitch.config import ConfigError
+from honeyhitch.partitioning.settings import FleetSettings
+from honeyhitch.service.fleet import MAX_SAVED_VIEW_BYTES, FleetService
+from honeyhitch.service.service import Service
+
+FLEET_SEED = 0xF1EE7  # mixed into the dispatcher's seed, so that each random stream is its own
+RESERVED_BYTES = 2 * MAX_SAVED_VIEW_BYTES  # the saved view, and the file that replaces it
+BYTES_PER_MEGABYTE = 1e6
+
+
+def add_fleet(service: Service, settings: FleetSettings, listen: bool) -> None:
+    """Take part in a fleet. Raises ConfigError where the process or its disk limit does not allow it.
+
+    Without `listen` messages come from callers in this process, who cannot be sent to another instance.
+    """
+    config = service.config
+    if not listen:
+        raise ConfigError("fleet: cannot be had by a library's dispatcher, which nothing is handed in to")
+    if config.limits.disk < 2 * RESERVED_BYTES:
+        least = 2 * RESERVED_BYTES / BYTES_PER_MEGABYTE
+        raise ConfigError(f"limits.disk_mb: expected {least:g} at least with [fleet]")
+    service.journal.max_bytes -= RESERVED_BYTES
+    service.fleet = FleetService(
+        settings,
+        service.dispatcher,
+        service.scheduler,
+        service.loop,
+        config.state,
+        Random(config.seed ^ FLEET_SEED),
+        service.discovery.refetch,
+    )
+    service.discovery.reads_partial_lists = True
+    service.background_work += [service.fleet.watch, service.fleet.watch_expiry]
--- /dev/null
+++ b/honeyhitch/service/features/mqtt.py
@@ -0,0 +1,37 @@
+"""The MQTT frontend, and the endpoints behind its broker."""
+
+from __future__ import annotations
+
+from honeyhitch.config.deployment import MqttEndpoint, MqttSettings
+from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
+from honeyhitch.service.service import Service
+from honeyhitch.transports.mqtt_transport import BrokerConnector, MqttFrontend, MqttTransport
+
+MQTT = "mqtt"  # the name of the frontend and of the transport
+
+
+def add_mqtt(service: Service, settings: MqttSettings, connector: BrokerConnector | None) -> None:
+    """Accept messages from the broker, and send calls to endpoints behind it.
+
+    `connector` opens the connections to the broker; without one they are plain TCP.
+    """
+    dispatcher = service.dispatcher
+    frontend = MqttFrontend(settings, dispatcher, service.scheduler, service.tasks, connector)
+    transport = MqttTransport(settings, dispatcher, service.scheduler, service.tasks, connector)
+    dispatcher.frontends[MQTT] = frontend
+    dispatcher.transports[MQTT] = transport
+    for endpoint in settings.members:
+        dispatcher.pool.pin(_pool_endpoint(endpoint, dispatcher.pool))
+    service.background_work += [link.run for link in (*frontend.links, transport.link)]
+
+
+def _pool_endpoint(endpoint: MqttEndpoint, pool: EndpointPool) -> PoolEndpoint:
+    return PoolEndpoint(
+        endpoint.id,
+        endpoint.topic,
+        endpoint.destination,
+        kind=pool.kinds.index(endpoint.kind),
+        zone=pool.zones.index(endpoint.zone) if endpoint.zone in pool.zones else 0,
+        listed_rate=endpoint.rate,
+        transport=MQTT,
+    )
--- /dev/null
+++ b/honeyhitch/service/listeners.py
@@ -0,0 +1,94 @@
+"""The addresses at which a service listens: for clients, and for those who monitor and manage it."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+from honeyhitch import logs
+from honeyhitch.config import Address, ConfigError
+from honeyhitch.dispatcher.delivery import DispatcherState, Phase
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.protocols import resp
+from honeyhitch.protocols.agent_check import AgentSession, HealthSession
+from honeyhitch.protocols.management import ManagementSession
+from honeyhitch.service.descriptors import MONITORING_CONNECTIONS
+from honeyhitch.service.service import Service
+from honeyhitch.service.status import service_state
+from honeyhitch.transports import sockets
+from honeyhitch.transports.client_server import ClientServer, ServerSession
+
+log = logs.get()
+
+
+def listen_for_clients(service: Service) -> None:
+    """Accept messages by RESP2. Raises ConfigError where the address cannot be had."""
+    dispatcher = service.dispatcher
+    fleet = service.fleet
+    has_destination = dispatcher.pool.has_destination if fleet is None else fleet.has_destination
+    fields = resp.MessageFields(service.config.settings, has_destination, dispatcher.metrics.message_invalid)
+
+    def ready() -> bool:
+        return service_state(service).phase is Phase.READY
+
+    def session() -> resp.Session:
+        return resp.Session(fields, dispatcher.submit, ready, service.scheduler.now, fleet)
+
+    service.clients = _listen(
+        service,
+        "listen",
+        service.config.listen,
+        session,
+        service.max_clients,
+        shared=True,
+        forward=None if fleet is None else fleet.forwarder.forward,
+    )
+    if service.handover.peer_running:
+        log.info("listen.address-shared", steered=sockets.steer(service.clients.listener))
+
+
+def listen_for_monitoring(service: Service) -> None:
+    """Answer agent-checks, health checks and management calls at the addresses that are set up for them.
+
+    Raises ConfigError where one of the addresses cannot be had.
+    """
+    config = service.config
+    dispatcher = service.dispatcher
+
+    def state() -> DispatcherState:
+        return service_state(service)
+
+    def management() -> ManagementSession:
+        return ManagementSession(state, dispatcher.metrics_snapshot, service.fleet)
+
+    if config.operator.agent_check is not None:
+        address = config.operator.agent_check
+        _listen(service, "beside.agent-check", address, lambda: AgentSession(state), MONITORING_CONNECTIONS)
+    if config.operator.health is not None:
+        address = config.operator.health
+        _listen(service, "beside.health", address, lambda: HealthSession(state), MONITORING_CONNECTIONS)
+    if config.management is not None:
+        _listen(service, "management", config.management, management, MONITORING_CONNECTIONS, once=True)
+
+
+def _listen(
+    service: Service,
+    setting: str,
+    address: Address,
+    session: Callable[[], ServerSession],
+    max_connections: int,
+    *,
+    once: bool = False,
+    shared: bool = False,
+    forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
+) -> ClientServer:
+    """Listen at an address; `setting` is its key in the configuration, by which an error names it."""
+    try:
+        server = ClientServer(
+            (address.host, address.port), session, max_connections, service.tasks, once, shared, forward
+        )
+    except OSError as error:
+        raise ConfigError(f"{setting}: cannot listen on {address}: {error.strerror}") from error
+    service.servers.append(server)
+    service.tasks.run_forever(server.accept)
+    service.tasks.run_forever(server.sweep)
+    return server
--- /dev/null
+++ b/honeyhitch/service/reload.py
@@ -0,0 +1,70 @@
+"""What changes in a running service as its configuration is read again."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+
+from honeyhitch import logs
+from honeyhitch.config import Config, ConfigError
+from honeyhitch.service.service import Service
+
+log = logs.get()
+RESTART_REQUIRED = (
+    "name",
+    "listen",
+    "management",
+    "state",
+    "seed",
+    "limits",
+    "known",
+    "settings",
+    "operator",
+)
+
+ConfigReader = Callable[[Config], Config]  # reads the configuration again, given the one in force
+
+
+def reload(service: Service, read: ConfigReader) -> None:
+    """Apply a new configuration. No message is lost, and with a faulty configuration all stays as it is.
+
+    Files of TLS partners are read again in any case; those that cannot be used stay as they were, too.
+    """
+    if service.reload_certificates is not None:
+        service.tasks.start(service.reload_certificates(True))
+    try:
+        config = read(service.config)
+    except Exception as error:  # no fault of a file may end a process that serves
+        reason = str(error) if isinstance(error, ConfigError) else repr(error)
+        log.error("reload.rejected", error=reason, kept="the configuration as it was")
+        return
+    _apply_discovery_address(service, config)
+    _apply_resend_rules(service, config)
+    _warn_of_restart(service.config, config)
+    service.config = config
+
+
+def _apply_discovery_address(service: Service, config: Config) -> None:
+    if config.discovery == service.config.discovery:
+        return
+    log.info("reload.discovery-moved", before=str(service.config.discovery), now=str(config.discovery))
+    service.discovery.move(str(config.discovery))
+
+
+def _apply_resend_rules(service: Service, config: Config) -> None:
+    """Rules for dead letters change at once; the rest of that table needs a restart."""
+    before = service.config.operator.undelivered
+    after = config.operator.undelivered
+    if service.dead_letters is None or before is None or after is None:
+        return
+    if after.rules != before.rules:
+        service.dead_letters.resending.replace_rules(after.rules)
+        log.info("reload.rules-replaced", rules=len(after.rules))
+    operator = replace(service.config.operator, undelivered=replace(before, rules=after.rules))
+    service.config = replace(service.config, operator=operator)
+
+
+def _warn_of_restart(before: Config, after: Config) -> None:
+    for setting in RESTART_REQUIRED:
+        if getattr(after, setting) != getattr(before, setting):
+            log.warning("reload.restart-required", setting=setting, key=setting)
--- /dev/null
+++ b/honeyhitch/service/run.py
@@ -0,0 +1,39 @@
+"""The life of a dispatcher process, from its configuration to the signal that stops it."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+
+import uvloop
+
+from honeyhitch.config import Config
+from honeyhitch.service.assembly import assemble
+from honeyhitch.service.reload import ConfigReader, reload
+from honeyhitch.service.shutdown import close, drain_and_stop
+from honeyhitch.service.signals import StopSignal, on_reload
+from honeyhitch.service.start import start
+
+
+async def run(config: Config, read: ConfigReader) -> None:
+    """Serve until SIGTERM or SIGINT, then drain and stop; on SIGHUP `read` reads the configuration again.
+
+    Raises ConfigError where the service cannot start with this configuration.
+    """
+    loop = asyncio.get_running_loop()
+    # Handlers come first: signals that arrive while the service is assembled wait for it.
+    on_reload(loop, lambda: reload(service, read))
+    stop = StopSignal(loop, (signal.SIGTERM, signal.SIGINT))
+    service = assemble(config)
+    try:
+        start(service)
+        await stop.received.wait()
+        await drain_and_stop(service)
+    finally:
+        await close(service)
+
+
+def serve(config: Config, read: ConfigReader) -> None:
+    """Run on uvloop until a signal stops the process. Raises ConfigError as `run` does."""
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(run(config, read))
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -1,332 +1,141 @@
-"""Starts, runs and stops one dispatcher."""
+"""The components of one dispatcher process, on which `start`, `reload` and `shutdown` act."""
 
 from __future__ import annotations
 
 import asyncio
-import os
-import signal
 from collections.abc import Awaitable, Callable, Coroutine
-from dataclasses import replace
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-import uvloop
-
-from honeyhitch import __version__, logs
+from honeyhitch import logs
 from honeyhitch.config import Config, ConfigError
-from honeyhitch.config.deployment import Address, ControlSettings
-from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.dispatcher.dispatcher import Dispatcher
-from honeyhitch.endpoints.pool import EndpointPool, PoolError
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.journal.directory import FIRST_SLOT, StateDirectory, StateDirectoryInUseError
 from honeyhitch.journal.journal import Journal, JournalVersionError
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.protocols import resp
-from honeyhitch.protocols.agent_check import AgentSession, HealthSession
-from honeyhitch.protocols.control import CommandRegistry, ControlRequest
-from honeyhitch.protocols.management import ManagementSession
-from honeyhitch.service import features as optional_parts
-from honeyhitch.service import shutdown
-from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
+from honeyhitch.protocols.control import CommandRegistry
+from honeyhitch.service.descriptors import descriptor_budget, idle_limits
 from honeyhitch.service.handover import ProcessHandover
-from honeyhitch.service.signals import StopSignal, on_reload
+from honeyhitch.time_units import MINUTE
 from honeyhitch.transports import sockets
-from honeyhitch.transports.client_server import ClientServer, ServerSession
+from honeyhitch.transports.client_server import ClientServer
 from honeyhitch.transports.discovery import Discovery
 from honeyhitch.transports.http_transport import HttpTransport
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
-if TYPE_CHECKING:  # what a start without an operator's file needs none of
+if TYPE_CHECKING:  # a plain start does not load these
     from honeyhitch.dead_letters.service import DeadLetterService
     from honeyhitch.service.fleet import FleetService
     from honeyhitch.transports.control import ControlServer
 
-log = logs.get()
-REDELIVERY = 600 * 10**9  # ns for which ids are remembered that a broker may hand in again
-AT_START_ONLY = ("name", "listen", "management", "state", "seed", "limits", "known", "settings", "operator")
+BROKER_REDELIVERY = 10 * MINUTE  # a broker may deliver a message again so long after; its id is remembered
+DISCOVERY_SEED = 0xD15C  # mixed into the dispatcher's seed, so that each random stream is its own
 
 
 class Service:
-    """One dispatcher with all that stands around it; it belongs to the running loop."""
+    """One dispatcher with its transports, journal and listeners. It belongs to the running event loop."""
 
     def __init__(self, config: Config, listen: bool = True) -> None:
-        self.config, self.loop = config, asyncio.get_running_loop()
-        settings, self.tasks, self.scheduler = config.settings, Tasks(self.loop), LoopScheduler(self.loop)
-        self.state_directory = self._hold(config, listen)
-        longest = max(cls.deadline for cls in settings.classes)
-        # A broker may hand an id in again long after; a client of the other front does so at once or never.
-        try:
-            self.journal = Journal(
-                config.state,
-                config.limits.disk,
-                self.scheduler.now,
-                lambda ended: max(longest, REDELIVERY) if ended.frontend == "mqtt" else longest,
-                detailed=config.operator.undelivered is not None,
-                file_name=self.state_directory.journal_path(self.state_directory.slot).name,
-            )
-        except (JournalVersionError, OSError) as error:
-            raise ConfigError(f"state: {error}") from error
+        """Build what every service has. Raises ConfigError where the state directory cannot be used."""
+        self.config = config
+        self.loop = asyncio.get_running_loop()
+        self.tasks = Tasks(self.loop)
+        self.scheduler = LoopScheduler(self.loop)
+        self.state_directory = _open_state_directory(config, listen)
+        self.journal = _open_journal(config, self.state_directory, self.scheduler.now)
         self.journal.record_owner(config.name)
-        pool = EndpointPool(settings)
-        self.dispatcher = Dispatcher(settings, config.seed, pool, self.journal, self.scheduler)
-        self.handover = ProcessHandover(self.state_directory, self.journal, self.dispatcher, self._shared)
-        self.max_clients, most_idle = descriptor_budget(config)
-        secure = config.operator.tls is not None  # then both carriers keep idle connections
-        most_plain = max(1, most_idle // 2) if secure else most_idle
-        carrier = HttpTransport(self.dispatcher, self.scheduler, self.tasks, most_plain)
-        self.idle_pools = [carrier]  # those that keep idle connections to members, in even parts
-        self.discovery = Discovery(
-            str(config.discovery), self.dispatcher, self.tasks, Random(config.seed ^ 0xD15C)
+        pool = EndpointPool(config.settings)
+        self.dispatcher = Dispatcher(config.settings, config.seed, pool, self.journal, self.scheduler)
+        self.handover = ProcessHandover(
+            self.state_directory, self.journal, self.dispatcher, self.divide_limits
         )
-        self.dispatcher.transports["http"], self.dispatcher.frontends["resp"] = carrier, self.discovery
+        budget = descriptor_budget(config)
+        self.max_clients = budget.clients
+        self.idle_limits = idle_limits(config, budget.idle)
+        http = HttpTransport(self.dispatcher, self.scheduler, self.tasks, self.idle_limits.http)
+        self.idle_pools = [http]  # the transports that keep idle connections to endpoints, in equal numbers
+        discovery_rng = Random(config.seed ^ DISCOVERY_SEED)
+        self.discovery = Discovery(str(config.discovery), self.dispatcher, self.tasks, discovery_rng)
+        self.dispatcher.transports["http"] = http
+        self.dispatcher.frontends["resp"] = self.discovery
         self.background_work: list[Callable[[], Awaitable[None]]] = [
-            carrier.sweep,
-            self.report_suppressed_events,
+            http.sweep,
+            report_suppressed_events,
             self.handover.watch,
         ]
-        self.reload_certificates: Callable[[bool], Coroutine[Any, Any, None]] | None = None
-        way = optional_parts.add_tls(self, max(1, most_idle - most_plain))
-        if config.operator.mqtt is not None:
-            optional_parts.add_mqtt(self, config.operator.mqtt, way)
         self.servers: list[ClientServer] = []
-        self.clients: ClientServer | None = None  # the one of them for clients
+        self.clients: ClientServer | None = None  # the one of the servers that clients submit messages to
         self.commands = CommandRegistry()
         self.control: ControlServer | None = None
-        self.commands.add("GET", "/state", self._state)
         self.dead_letters: DeadLetterService | None = None
         self.fleet: FleetService | None = None
-        if config.operator.fleet is not None:
-            optional_parts.add_fleet(self, config.operator.fleet, listen)
-        if config.operator.undelivered is not None:
-            optional_parts.add_undelivered(self, config.operator.undelivered)
+        self.reload_certificates: Callable[[bool], Coroutine[Any, Any, None]] | None = None
 
-    @staticmethod
-    def _hold(config: Config, listen: bool) -> StateDirectory:
-        """A place in the lasting folder. The first one's holder must find nobody at its address: one that
-        listens there without a place is an earlier version, which shares neither, or another dispatcher.
-        """
-        try:
-            folder = StateDirectory(config.state)
-        except (StateDirectoryInUseError, OSError) as error:
-            raise ConfigError(f"state: {error}") from error
-        if listen and folder.slot == FIRST_SLOT:
-            try:
-                sockets.refuse_strangers((config.listen.host, config.listen.port))
-            except OSError as error:
-                folder.close()
-                raise ConfigError(f"listen: cannot listen on {config.listen}: {error.strerror}") from error
-        return folder
+    def divide_limits(self, peer_running: bool, peer_calls_in_flight: int | None) -> None:
+        """Divide calls and descriptors evenly, as another process of this dispatcher starts or ends.
 
-    def _shared(self, shared: bool, out: int | None) -> None:
-        """Another process of this dispatcher came or went: slots and places are shared out evenly. Once it
-        passes on what it holds, the slots that its last calls do not use are this one's.
+        `peer_calls_in_flight` is None until that process hands over its messages; from then on this one may
+        use every call slot that is not in use there.
         """
-        slots = self.config.settings.max_concurrent_calls
-        self.dispatcher.policy.limit_concurrent_calls(
-            max(1, slots // (1 + shared) if out is None else slots - out)
-        )
-        self.max_clients, most_idle = descriptor_budget(self.config, 1 + shared)
-        for carrier in self.idle_pools:
-            carrier.limit(max(1, most_idle // len(self.idle_pools)))
+        call_slots = self.config.settings.max_concurrent_calls
+        if peer_calls_in_flight is None:
+            own_slots = call_slots // (1 + peer_running)
+        else:
+            own_slots = call_slots - peer_calls_in_flight
+        self.dispatcher.policy.limit_concurrent_calls(max(1, own_slots))
+        self.max_clients, max_idle = descriptor_budget(self.config, processes=1 + peer_running)
+        for transport in self.idle_pools:
+            transport.limit(max(1, max_idle // len(self.idle_pools)))
         if self.clients is not None:
             self.clients.limit(self.max_clients)
 
-    def state(self) -> DispatcherState:
-        """Whether it accepts new work; before a fleet's first view it cannot tell what is its own."""
-        state = self.dispatcher.state()
-        if self.fleet is not None and not self.fleet.ready and state.phase is Phase.READY:
-            return replace(state, phase=Phase.STARTING)
-        return state
-
-    async def _state(self, asked: ControlRequest) -> dict[str, Any]:
-        state = self.dispatcher.state()
-        told: dict[str, Any] = {
-            "phase": state.phase.value,
-            "held": state.message_count,
-            "most": state.max_messages,
-        }
-        if self.dead_letters is not None:
-            told["undelivered"] = self.dead_letters.metrics()
-        return told | {"pid": os.getpid(), "name": self.config.name, "version": __version__}
-
-    def start(self, listen: bool = True) -> None:
-        """Replay the journal, then serve. Without `listen` only the library's callers hand in."""
-        dispatcher, config = self.dispatcher, self.config
-        if self.fleet is not None:
-            self.fleet.restore()
-        try:
-            dispatcher.apply_list_update(dispatcher.pool.update(config.known, cached=True))
-        except PoolError as error:
-            log.warning("list.known-rejected", error=str(error))
-        self.handover.start()
-        if self.handover.peer_running:
-            if (other := self.handover.follower.name) != config.name:
-                raise ConfigError(f"name: the state folder is held by {other!r}, which runs")
-            self._refuse_beside()
-        if self.dead_letters is not None:  # what is handed in may be a copy of what is kept
-            dispatcher.accepting = False
-            self.dead_letters.begin(self._resume)
-        else:
-            self._resume()
-        if listen:
-            served = dispatcher.pool.has_destination if self.fleet is None else self.fleet.has_destination
-            fields = resp.MessageFields(config.settings, served, dispatcher.metrics.message_invalid)
-            self.clients = self._listen(
-                "listen",
-                config.listen,
-                lambda: resp.Session(
-                    fields,
-                    dispatcher.submit,
-                    lambda: self.state().phase is Phase.READY,
-                    self.scheduler.now,
-                    self.fleet,
-                ),
-                self.max_clients,
-                shared=True,
-                forward=None if self.fleet is None else self.fleet.forwarder.forward,
-            )
-            if self.handover.peer_running:
-                log.info("listen.address-shared", steered=sockets.steer(self.clients.listener))
-        beside, state = config.operator, self.state
-        calls: tuple[tuple[str, Address | None, Callable[[], ServerSession]], ...] = (
-            ("beside.agent-check", beside.agent_check, lambda: AgentSession(state)),
-            ("beside.health", beside.health, lambda: HealthSession(state)),
-            (
-                "management",
-                config.management,
-                lambda: ManagementSession(state, dispatcher.metrics_snapshot, self.fleet),
-            ),
-        )
-        for name, address, session in calls:
-            if address is not None:
-                self._listen(name, address, session, MONITORING_CONNECTIONS, once=name == "management")
-        if beside.control is not None:
-            self._control(beside.control)
-        for work in self.background_work:
-            self.tasks.run_forever(work)
-        # Before a fleet's first view nothing of a list would be kept: it is asked for once that has come.
-        self.discovery.start(watch=self.fleet is None or self.fleet.ready)
-
-    def _refuse_beside(self) -> None:
-        """What two processes cannot have at once yet: a store, a socket in the folder, a broker's session."""
-        operator = self.config.operator
-        told: dict[str, object] = {"undelivered": operator.undelivered, "control": operator.control}
-        told |= {"mqtt": operator.mqtt, "fleet": operator.fleet}  # each process would use the whole share
-        for key, setup in told.items():
-            if setup is not None:
-                raise ConfigError(f"{key}: cannot be had beside a running process; stop that one first")
-
-    def _take_rules(self, new: Config) -> None:
-        """Rules for undelivered messages change at once; the rest of that table holds from a start on."""
-        told = new.operator.undelivered
-        if self.dead_letters is None or told is None or self.config.operator.undelivered is None:
-            return
-        if told.rules != self.config.operator.undelivered.rules:
-            self.dead_letters.resending.replace_rules(told.rules)
-            log.info("reload.rules-replaced", rules=len(told.rules))
-        beside = replace(self.config.operator.undelivered, rules=told.rules)
-        self.config = replace(self.config, operator=replace(self.config.operator, undelivered=beside))
-
-    def _resume(self) -> None:
-        self.dispatcher.accepting = not self.dispatcher.draining and self.dispatcher.sending
-        self.dispatcher.recover()
-        self.handover.recovered = True
-
-    def _control(self, setup: ControlSettings) -> None:
-        from honeyhitch.transports.control import ControlServer, ControlSocketError
-
-        try:
-            self.control = ControlServer(setup.at(self.config.state), self.commands, self.tasks)
-        except ControlSocketError as error:  # messages are served all the same
-            log.error("control.not-opened", error=str(error))
-            return
-        self.tasks.run_forever(self.control.accept)
+    def servers_settled(self) -> bool:
+        """Whether no client of this process has a request in progress."""
+        return self.clients is None or self.clients.settled
 
-    def reload(self, read: Callable[[Config], Config]) -> None:
-        """Take over a new configuration: nothing held is lost, and with a faulty one all stays as it is.
-        Files of TLS partners are read again in any case; those that cannot be used stay as they were, too.
-        """
-        if self.reload_certificates is not None:
-            self.tasks.start(self.reload_certificates(True))
-        try:
-            new = read(self.config)
-        except Exception as error:  # whatever is wrong with a file must not end a process that serves
-            what = error if isinstance(error, ConfigError) else repr(error)
-            log.error("reload.rejected", error=str(what), kept="the configuration as it was")
-            return
-        if new.discovery != self.config.discovery:
-            log.info("reload.discovery-moved", before=str(self.config.discovery), now=str(new.discovery))
-            self.discovery.move(str(new.discovery))
-        self._take_rules(new)
-        for name in AT_START_ONLY:
-            if getattr(new, name) != getattr(self.config, name):
-                log.warning("reload.restart-required", setting=name, key=name)
-        self.config = new
 
-    def _listen(
-        self,
-        name: str,
-        address: Address,
-        session: Callable[[], ServerSession],
-        most: int,
-        once: bool = False,
-        shared: bool = False,
-        forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
-    ) -> ClientServer:
+def _open_state_directory(config: Config, listen: bool) -> StateDirectory:
+    """Lock a slot of the state directory. The holder of the first slot must find its address unused: who
+    listens there without a slot is a version that shares neither of them, or another dispatcher.
+    """
+    try:
+        directory = StateDirectory(config.state)
+    except (StateDirectoryInUseError, OSError) as error:
+        raise ConfigError(f"state: {error}") from error
+    if listen and directory.slot == FIRST_SLOT:
         try:
-            server = ClientServer(
-                (address.host, address.port), session, most, self.tasks, once, shared, forward
-            )
+            sockets.refuse_strangers((config.listen.host, config.listen.port))
         except OSError as error:
-            raise ConfigError(f"{name}: cannot listen on {address}: {error.strerror}") from error
-        self.servers.append(server)
-        self.tasks.run_forever(server.accept)
-        self.tasks.run_forever(server.sweep)
-        return server
+            directory.close()
+            raise ConfigError(f"listen: cannot listen on {config.listen}: {error.strerror}") from error
+    return directory
 
-    def servers_settled(self) -> bool:
-        """No client of this process has a request on its way."""
-        return self.clients is None or self.clients.settled
-
-    async def report_suppressed_events(self) -> None:
-        """Say from time to time which repeated events were left out of the log."""
-        while True:
-            await asyncio.sleep(logs.BURST_SECONDS)
-            logs.flush()
 
-    async def close(self) -> None:
-        """Let go of everything at once, as a kill would."""
-        self.dispatcher.accepting = self.dispatcher.sending = False
-        for server in self.servers:
-            server.close()
-        if self.control is not None:
-            self.control.close()
-        await self.tasks.stop()
-        if self.dead_letters is not None:
-            await self.dead_letters.stop()
-        if self.fleet is not None:
-            self.fleet.close()
-        self.handover.close()
-        self.journal.close()
-        self.state_directory.close()
-        logs.flush(everything=True)
+def _open_journal(config: Config, directory: StateDirectory, clock: Callable[[], int]) -> Journal:
+    longest_deadline = max(message_class.deadline for message_class in config.settings.classes)
 
+    def retention(message: Transaction) -> int:
+        """How long the id of an ended message is remembered: clients send one again at once or never."""
+        if message.frontend == "mqtt":
+            return max(longest_deadline, BROKER_REDELIVERY)
+        return longest_deadline
 
-async def run(config: Config, read: Callable[[Config], Config]) -> None:
-    """Serve until a signal to stop has been obeyed; `read` reads the configuration again."""
-    loop = asyncio.get_running_loop()  # signals that come while the service is set up wait for it
-    on_reload(loop, lambda: service.reload(read))
-    stop = StopSignal(loop, (signal.SIGTERM, signal.SIGINT))
-    service = Service(config)
     try:
-        service.start()
-        await stop.received.wait()
-        await shutdown.drain_and_stop(service)
-    finally:
-        await service.close()
+        return Journal(
+            config.state,
+            config.limits.disk,
+            clock,
+            retention,
+            detailed=config.operator.undelivered is not None,
+            file_name=directory.journal_path(directory.slot).name,
+        )
+    except (JournalVersionError, OSError) as error:
+        raise ConfigError(f"state: {error}") from error
 
 
-def serve(config: Config, read: Callable[[Config], Config]) -> None:
-    """Run on uvloop till told to stop."""
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(run(config, read))
+async def report_suppressed_events() -> None:
+    """Log from time to time how many repeated events were left out."""
+    while True:
+        await asyncio.sleep(logs.BURST_SECONDS)
+        logs.flush()
--- a/honeyhitch/service/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -3,47 +3,77 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from honeyhitch.service.service import Service
+from honeyhitch import logs
+from honeyhitch.service.service import Service
+from honeyhitch.time_units import SECOND
 
-STOP_ACCEPTING_SECONDS, STOP_SENDING_SECONDS, EXIT_SECONDS = (
-    0.6,
-    2.8,
-    3.3,
-)  # seconds after SIGTERM; SIGKILL comes after 3.7 at the soonest
-SUCCESSOR_SECONDS = 4.3  # seconds after SIGTERM; the next process starts 0.6 s after SIGKILL
-POLL_SECONDS = 0.02  # seconds between looks at what is still out
-NS = 10**9
+# Seconds after SIGTERM. SIGKILL follows after 3.7 at the soonest, and the next process starts 0.6 later.
+STOP_ACCEPTING_SECONDS = 0.6
+STOP_SENDING_SECONDS = 2.8
+EXIT_SECONDS = 3.3
+SUCCESSOR_SECONDS = 4.3
+POLL_SECONDS = 0.02  # between checks of what is still in flight
 
 
 async def drain_and_stop(service: Service) -> None:
-    """Let what is held finish for a bounded time; the journal keeps the rest.
+    """Let messages finish for a bounded time; the journal keeps the rest, or the next process takes it over.
 
-    New connections keep coming for a moment. What they hand in is still taken on, as there is time to do
-    it; after that it is turned away.
+    New connections are still accepted for a moment. Their messages are accepted as long as there is time to
+    deliver them, and rejected after that.
     """
-    began, dispatcher = service.loop.time(), service.dispatcher
-    dispatcher.draining = True
+    began = service.loop.time()
+    service.dispatcher.draining = True
     for server in service.servers:
         server.drain()
     service.handover.check_peer()
+    if await _hand_over(service, began):
+        return
+    await _drain(service, began)
+
+
+async def _hand_over(service: Service, began: float) -> bool:
+    """Hand messages over as long as there is a next process; whether all that is left here has finished."""
     while service.handover.peer_running and service.loop.time() - began < EXIT_SECONDS:
-        dispatcher.hand_over()
-        if (
-            not dispatcher.calls_in_flight
-            and not service.discovery.pending_notices
-            and service.servers_settled()
-        ):
-            return
+        service.dispatcher.hand_over()
+        if _calls_and_notices_finished(service) and service.servers_settled():
+            return True
         await asyncio.sleep(POLL_SECONDS)
-    while (gone := service.loop.time() - began) < EXIT_SECONDS:
-        dispatcher.accepting = gone <= STOP_ACCEPTING_SECONDS
-        done = not dispatcher.messages.by_id
-        if gone > STOP_SENDING_SECONDS:
-            dispatcher.stop_deciding(int((SUCCESSOR_SECONDS - gone) * NS))
-            done = not dispatcher.calls_in_flight and not service.discovery.pending_notices
-        if gone > STOP_ACCEPTING_SECONDS and done and service.servers_settled():
+    return False
+
+
+async def _drain(service: Service, began: float) -> None:
+    """Deliver, then stop accepting, then stop starting calls; return once nothing is left, or time is up."""
+    dispatcher = service.dispatcher
+    while (elapsed := service.loop.time() - began) < EXIT_SECONDS:
+        dispatcher.accepting = elapsed <= STOP_ACCEPTING_SECONDS
+        finished = not dispatcher.messages.by_id
+        if elapsed > STOP_SENDING_SECONDS:
+            dispatcher.stop_deciding(int((SUCCESSOR_SECONDS - elapsed) * SECOND))
+            finished = _calls_and_notices_finished(service)
+        if elapsed > STOP_ACCEPTING_SECONDS and finished and service.servers_settled():
             return
         await asyncio.sleep(POLL_SECONDS)
+
+
+def _calls_and_notices_finished(service: Service) -> bool:
+    return not service.dispatcher.calls_in_flight and not service.discovery.pending_notices
+
+
+async def close(service: Service) -> None:
+    """Release everything at once, as the end of the process by SIGKILL would."""
+    service.dispatcher.accepting = False
+    service.dispatcher.sending = False
+    for server in service.servers:
+        server.close()
+    if service.control is not None:
+        service.control.close()
+    await service.tasks.stop()
+    if service.dead_letters is not None:
+        await service.dead_letters.stop()
+    if service.fleet is not None:
+        service.fleet.close()
+    service.handover.close()
+    service.journal.close()
+    service.state_directory.close()
+    logs.flush(everything=True)
--- a/honeyhitch/service/signals.py
+++ b/honeyhitch/service/signals.py
@@ -8,7 +8,7 @@
 
 
 class StopSignal:
-    """`asked` is set by the first of the signals; a second one changes nothing."""
+    """`received` is set by the first of the signals; a second one changes nothing."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, signals: Iterable[signal.Signals]) -> None:
         self.received = asyncio.Event()
@@ -17,5 +17,5 @@
 
 
 def on_reload(loop: asyncio.AbstractEventLoop, callback: Callable[[], None]) -> None:
-    """Call it on each SIGHUP, which would end the process otherwise."""
+    """Call `callback` on each SIGHUP, which would end the process otherwise."""
     loop.add_signal_handler(signal.SIGHUP, callback)
--- /dev/null
+++ b/honeyhitch/service/start.py
@@ -0,0 +1,81 @@
+"""The start of an assembled service: restore what an earlier process left, then listen and work."""
+
+from __future__ import annotations
+
+from honeyhitch import logs
+from honeyhitch.config import ConfigError
+from honeyhitch.endpoints.pool import PoolError
+from honeyhitch.service.listeners import listen_for_clients, listen_for_monitoring
+from honeyhitch.service.service import Service
+
+log = logs.get()
+
+
+def start(service: Service, listen: bool = True) -> None:
+    """Recover the journal, then serve. Without `listen` only callers in this process submit messages.
+
+    Raises ConfigError where an address cannot be had, or a running process allows no second one beside it.
+    """
+    if service.fleet is not None:
+        service.fleet.restore()
+    _apply_known_list(service)
+    service.handover.start()
+    if service.handover.peer_running:
+        _check_peer(service)
+    _recover_messages(service)
+    if listen:
+        listen_for_clients(service)
+    listen_for_monitoring(service)
+    control = service.config.operator.control
+    if control is not None:
+        from honeyhitch.service.features.control import open_control_socket
+
+        open_control_socket(service, control)
+    for work in service.background_work:
+        service.tasks.run_forever(work)
+    # Before a fleet's first view no entry of a list would be kept: the view's arrival starts the watch.
+    service.discovery.start(watch=service.fleet is None or service.fleet.ready)
+
+
+def _apply_known_list(service: Service) -> None:
+    """Use the endpoints of the configuration file until discovery's first list comes."""
+    dispatcher = service.dispatcher
+    try:
+        dispatcher.apply_list_update(dispatcher.pool.update(service.config.known, cached=True))
+    except PoolError as error:
+        log.warning("list.known-rejected", error=str(error))
+
+
+def _check_peer(service: Service) -> None:
+    """Refuse to start as the second process of another dispatcher, or with what two processes cannot share:
+    a store, the control socket, a broker's session, or a fleet's quota, which each would use in full.
+    """
+    config = service.config
+    peer_name = service.handover.follower.name
+    if peer_name != config.name:
+        raise ConfigError(f"name: the state folder is held by {peer_name!r}, which runs")
+    unshareable = {
+        "undelivered": config.operator.undelivered,
+        "control": config.operator.control,
+        "mqtt": config.operator.mqtt,
+        "fleet": config.operator.fleet,
+    }
+    for key, settings in unshareable.items():
+        if settings is not None:
+            raise ConfigError(f"{key}: cannot be had beside a running process; stop that one first")
+
+
+def _recover_messages(service: Service) -> None:
+    """Resume the journal's messages once the dead letters are known, as a client may send a copy of one."""
+    if service.dead_letters is None:
+        _resume(service)
+        return
+    service.dispatcher.accepting = False
+    service.dead_letters.begin(lambda: _resume(service))
+
+
+def _resume(service: Service) -> None:
+    dispatcher = service.dispatcher
+    dispatcher.accepting = not dispatcher.draining and dispatcher.sending
+    dispatcher.recover()
+    service.handover.recovered = True
--- /dev/null
+++ b/honeyhitch/service/status.py
@@ -0,0 +1,32 @@
+"""Whether a service accepts new work, as its listeners and its control socket report it."""
+
+from __future__ import annotations
+
+import os
+from dataclasses import replace
+from typing import Any
+
+from honeyhitch import __version__
+from honeyhitch.dispatcher.delivery import DispatcherState, Phase
+from honeyhitch.service.service import Service
+
+
+def service_state(service: Service) -> DispatcherState:
+    """Whether it accepts new work. A fleet's instance does not until it knows which destinations it owns."""
+    state = service.dispatcher.state()
+    if service.fleet is not None and not service.fleet.ready and state.phase is Phase.READY:
+        return replace(state, phase=Phase.STARTING)
+    return state
+
+
+async def state_report(service: Service) -> dict[str, Any]:
+    """The reply to `GET /state` on the control socket."""
+    state = service.dispatcher.state()
+    report: dict[str, Any] = {
+        "phase": state.phase.value,
+        "held": state.message_count,
+        "most": state.max_messages,
+    }
+    if service.dead_letters is not None:
+        report["undelivered"] = service.dead_letters.metrics()
+    return report | {"pid": os.getpid(), "name": service.config.name, "version": __version__}
--- a/tests/program.py
+++ b/tests/program.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from honeyhitch import config
-from honeyhitch.service.service import run
+from honeyhitch.service.run import run
 
 SETTINGS: dict[str, Any] = {
     "classes": [
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -25,7 +25,7 @@
 from honeyhitch.dead_letters.resending import ResendScheduler
 from honeyhitch.dead_letters.settings import Terms
 from honeyhitch.dead_letters.store import Store
-from honeyhitch.service.service import run
+from honeyhitch.service.run import run
 from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
 
 from .agent import Agent
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.service.handover import ProcessHandover
-from honeyhitch.service.service import run
+from honeyhitch.service.run import run
 from honeyhitch.transports import sockets
 
 from .program import Peer, play, started, write
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -20,7 +20,7 @@
 from honeyhitch.endpoints.pool import PoolEndpoint, PoolError
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
-from honeyhitch.service.service import run
+from honeyhitch.service.run import run
 
 from .program import free_port, play, write
 from .rig import LIST, Stand, VirtualTime, row
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -22,7 +22,7 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.management import MOST_LINE, ManagementSession
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
-from honeyhitch.service.service import run
+from honeyhitch.service.run import run
 
 from .program import Peer, free_port, play, started, write
 from .rig import Stand, row
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,7 @@
 
 from honeyhitch.cli.main import GROUPS, main
 
-LOOK = "import json, sys; import honeyhitch.cli.main, honeyhitch.service.service; "
+LOOK = "import json, sys; import honeyhitch.cli.main, honeyhitch.service.run; "
 LOOK += "print(json.dumps(sorted(sys.modules)))"
 
 
@@ -36,6 +36,11 @@
         "honeyhitch.protocols.mqtt",
         "honeyhitch.protocols.mqtt_packets",
         "honeyhitch.service.fleet",
+        "honeyhitch.service.features.control",
+        "honeyhitch.service.features.dead_letters",
+        "honeyhitch.service.features.fleet",
+        "honeyhitch.service.features.mqtt",
+        "honeyhitch.service.features.tls",
         "honeyhitch.transports.peers",
         "honeyhitch.transports.mqtt_transport",
         "honeyhitch.transports.control",
