--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -25,7 +25,9 @@
     dispatcher = service.dispatcher
     fleet = service.fleet
     has_destination = dispatcher.pool.has_destination if fleet is None else fleet.has_destination
-    fields = resp.MessageFields(service.config.settings, has_destination, dispatcher.metrics.message_invalid)
+    fields = resp.TransactionParser(
+        service.config.settings, has_destination, dispatcher.metrics.message_invalid
+    )
 
     def ready() -> bool:
         return service_state(service).phase is Phase.READY
@@ -43,7 +45,7 @@
         forward=None if fleet is None else fleet.forwarder.forward,
     )
     if service.handover.peer_running:
-        log.info("listen.address-shared", steered=sockets.steer(service.clients.listener))
+        log.info("listen.address-shared", steered=sockets.prefer_second_listener(service.clients.listener))
 
 
 def listen_for_monitoring(service: Service) -> None:
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -86,13 +86,13 @@
         self.dispatcher.policy.limit_concurrent_calls(max(1, own_slots))
         self.max_clients, max_idle = descriptor_budget(self.config, processes=1 + peer_running)
         for transport in self.idle_pools:
-            transport.limit(max(1, max_idle // len(self.idle_pools)))
+            transport.set_max_idle(max(1, max_idle // len(self.idle_pools)))
         if self.clients is not None:
-            self.clients.limit(self.max_clients)
+            self.clients.set_max_clients(self.max_clients)
 
     def servers_settled(self) -> bool:
         """Whether no client of this process has a request in progress."""
-        return self.clients is None or self.clients.settled
+        return self.clients is None or self.clients.quiescent
 
 
 def _open_state_directory(config: Config, listen: bool) -> StateDirectory:
@@ -105,7 +105,7 @@
         raise ConfigError(f"state: {error}") from error
     if listen and directory.slot == FIRST_SLOT:
         try:
-            sockets.refuse_strangers((config.listen.host, config.listen.port))
+            sockets.check_address_unused((config.listen.host, config.listen.port))
         except OSError as error:
             directory.close()
             raise ConfigError(f"listen: cannot listen on {config.listen}: {error.strerror}") from error
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -26,13 +26,13 @@
 from honeyhitch.dead_letters.settings import Terms
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.service.run import run
-from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
+from honeyhitch.transports.control_client import ControlClient, ControlCommandError
 
 from .agent import Agent
 from .broker import Broker
 from .partner import Partner
 from .program import free_port, play, started, write
-from .rig import START, row
+from .rig import START, endpoint_row
 from .test_dead_letters_store import record
 from .test_program import Client
 
@@ -69,7 +69,7 @@
 def test_a_message_that_fails_is_kept_and_shown_by_the_running_program(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         control = tmp_path / "state" / "control.sock"
         async with started(tmp_path, agent.port, members, OPERATOR) as port:
@@ -102,7 +102,7 @@
             assert state["undelivered"]["moved"] == 1
             assert state["undelivered"]["loaded"]
             client = ControlClient(control)
-            state = await asyncio.to_thread(client.ask, "GET", "/state")
+            state = await asyncio.to_thread(client.request, "GET", "/state")
             assert state["phase"] == "ready"
             assert state["pid"] == os.getpid()
             for method, path, body, error in (
@@ -111,8 +111,8 @@
                 ("POST", "/undelivered/list", {"most": -1}, "most: expected a whole number"),
             ):
                 try:
-                    await asyncio.to_thread(client.ask, method, path, body)
-                except ControlRefusedError as refused:
+                    await asyncio.to_thread(client.request, method, path, body)
+                except ControlCommandError as refused:
                     assert str(refused).startswith(error)
                 else:
                     raise AssertionError(f"{path} was not refused")
@@ -148,7 +148,7 @@
 def test_a_store_that_cannot_be_opened_does_not_touch_live_traffic(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         (tmp_path / "file").write_text("in the way")
         operator = f'[undelivered]\nfolder = "{tmp_path}/file"\n'
@@ -264,13 +264,13 @@
         with socket.socket(socket.AF_UNIX) as left:
             left.bind(f"{tmp_path}/c.sock")
         async with started(tmp_path, agent.port, [], operator):
-            state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+            state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert state["phase"] == "ready"
             (tmp_path / "second").mkdir()
             async with started(tmp_path / "second", agent.port, [], operator):
-                again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+                again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
                 assert again == state
-            again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+            again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert again == state, "the second one's end must not take the first one's socket away"
 
     play(work())
@@ -349,7 +349,7 @@
         partner, broker = await Partner(200, holds=True).start(), Broker()
         await broker.start()
         client = Client(asyncio.get_running_loop())
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         store = Store(tmp_path / "state" / "undelivered")
         now = time.time_ns()
