--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -1,23 +1,29 @@
-"""Calls to pool members over HTTP: one message or a batch as bytes, and answers as outcomes."""
+"""Calls to endpoints over HTTP: encodes one message or a batch, and interprets the response as outcomes.
+
+The header and status names of the platform's protocol are mapped to the program's terms here.
+"""
 
 from __future__ import annotations
 
 import re
+from http import HTTPStatus
 
 from honeyhitch.dispatcher.delivery import CallResult
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import http1
-from honeyhitch.time_units import MILLISECOND, SECOND
-
-MAX_RETRY_AFTER = 3600 * SECOND  # a longer told wait is cut to this
-OUTCOME_BY_STATUS = {
-    200: Outcome.DELIVERED,
-    429: Outcome.REJECTED,
-    503: Outcome.REJECTED,
-    504: Outcome.NOT_SENT,
-    410: Outcome.NOT_SENT,
+from honeyhitch.time_units import HOUR, MILLISECOND, SECOND
+
+MAX_RETRY_AFTER = HOUR  # ns; a longer Retry-After is reduced to this
+OUTCOME_BY_STATUS: dict[int, Outcome] = {
+    HTTPStatus.OK: Outcome.DELIVERED,
+    HTTPStatus.TOO_MANY_REQUESTS: Outcome.REJECTED,
+    HTTPStatus.SERVICE_UNAVAILABLE: Outcome.REJECTED,
+    HTTPStatus.GATEWAY_TIMEOUT: Outcome.NOT_SENT,
+    HTTPStatus.GONE: Outcome.NOT_SENT,
 }
+FINAL_STATUSES = (HTTPStatus.OK, HTTPStatus.GONE)  # no further attempt is due
+# The outcome of one message of a batch, and whether no further attempt is due.
 BATCH_RESULT_BY_STATUS = {
     "accepted": (Outcome.DELIVERED, True),
     "fault": (Outcome.ERROR, False),
@@ -25,82 +31,95 @@
     "expired": (Outcome.NOT_SENT, True),
     "no_more": (Outcome.NOT_SENT, False),
 }
-# Decimals without a bound: a float written out may have 17 of them, and more.
-LOAD_FIGURE = re.compile(r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII)  # of a report: a figure beyond is no figure
-RETRY_AFTER_SECONDS = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)  # a wait beyond all bounds is one still
+UNKNOWN_BATCH_RESULT = (Outcome.ERROR, False)
+# Decimals are not limited: a float that is written out may have 17 of them, and more.
+LOAD_FIGURE = re.compile(r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII)  # a larger number is not a load figure
+RETRY_AFTER_SECONDS = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)  # any length: a huge pause is still one
 
 
 def encode_call(messages: list[Transaction], timeout: int, host: str) -> bytes:
-    """The request for one call."""
+    """The request of one call; `timeout` in nanoseconds is announced to the endpoint."""
     headers = {"X-Remaining": f"{max(1, timeout // MILLISECOND)}m"}
-    if len(messages) == 1:
-        headers = {"X-Txn": messages[0].id, **headers}
-        if messages[0].key:
-            headers["Idempotency-Key"] = messages[0].key
-        return http1.encode_request("POST", "/v1/messages", host, headers, messages[0].body)
-    return http1.encode_request("POST", "/v1/messages:batch", host, headers, encode_batch_body(messages))
+    if len(messages) > 1:
+        return http1.encode_request("POST", "/v1/messages:batch", host, headers, encode_batch_body(messages))
+    message = messages[0]
+    headers = {"X-Txn": message.id, **headers}
+    if message.key:
+        headers["Idempotency-Key"] = message.key
+    return http1.encode_request("POST", "/v1/messages", host, headers, message.body)
 
 
 def encode_batch_body(messages: list[Transaction]) -> bytes:
-    """Several messages as the lines of a batch."""
+    """Several messages, each as a line `id key length` and its body."""
     return b"".join(
-        f"{part.id} {part.key or '-'} {len(part.body)}\r\n".encode() + part.body + b"\r\n"
-        for part in messages
+        f"{message.id} {message.key or '-'} {len(message.body)}\r\n".encode() + message.body + b"\r\n"
+        for message in messages
     )
 
 
 def parse_retry_after(headers: dict[str, str]) -> int:
-    """The told wait in nanoseconds, 0 if there is none; names are in lower case."""
+    """Retry-After in nanoseconds, 0 if it is missing or malformed. Header names are in lower case."""
     text = headers.get("retry-after", "").strip()
-    return int(min(MAX_RETRY_AFTER, float(text) * SECOND)) if RETRY_AFTER_SECONDS.fullmatch(text) else 0
+    if not RETRY_AFTER_SECONDS.fullmatch(text):
+        return 0
+    return int(min(MAX_RETRY_AFTER, float(text) * SECOND))
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """The fields of a load report; what cannot be read is skipped."""
-    pairs = (part.strip().partition("=") for part in text.split(","))
-    return {name: float(value) for name, _, value in pairs if LOAD_FIGURE.fullmatch(value)}
+    """The figures of a load report `name=number,...`; malformed ones are skipped."""
+    fields = (field.strip().partition("=") for field in text.split(","))
+    return {name: float(value) for name, _, value in fields if LOAD_FIGURE.fullmatch(value)}
 
 
 def interpret_response(
     response: http1.Response, messages: list[Transaction], first_on_connection: bool = False
 ) -> CallResult:
-    """What an answer says of each of the call's transactions; `fresh` if it is its connection's first."""
-    status, count = response.status, len(messages)
+    """What a response says of each message of the call.
+
+    `first_on_connection`: the call was the first on its connection. Only then can a rejection mean that the
+    endpoint's connection limit is reached.
+    """
+    status = response.status
     outcome = OUTCOME_BY_STATUS.get(status, Outcome.ERROR)
-    over = status in (200, 410)
-    if status == 503 and response.headers.get("x-no-slot", "").strip() == "1":
+    if status == HTTPStatus.SERVICE_UNAVAILABLE and response.headers.get("x-no-slot", "").strip() == "1":
         outcome = Outcome.NOT_SENT
-    result = CallResult.uniform(outcome, count, over)
-    if status == 200 and count > 1:
-        told = dict(line.split()[:2] for line in _lines(response.body) if len(line.split()) >= 2)
-        # A message that the answer passes over may have run: nobody said that it did not.
-        result.outcomes = [
-            BATCH_RESULT_BY_STATUS.get(told.get(part.id, ""), (Outcome.ERROR, False)) for part in messages
-        ]
-    if (
-        response.has_trailing_data
-    ):  # a spoilt length looks like this, too: what says that nothing ran proves nothing
+    result = CallResult.uniform(outcome, len(messages), status in FINAL_STATUSES)
+    if status == HTTPStatus.OK and len(messages) > 1:
+        result.outcomes = _batch_outcomes(response.body, messages)
+    if response.has_trailing_data:
+        # A malformed length looks the same, so a statement that nothing was executed proves nothing.
         result.outcomes = [
-            (Outcome.RESET, False) if outcome.proves_not_executed else (outcome, over)
-            for outcome, over in result.outcomes
+            (Outcome.RESET, False) if outcome.proves_not_executed else (outcome, final)
+            for outcome, final in result.outcomes
         ]
     result.retry_after = parse_retry_after(response.headers)
     result.reported = parse_load_report(response.headers.get("x-pressure", ""))
     if first_on_connection and outcome is Outcome.REJECTED and not response.has_trailing_data:
-        # Only a member that has no room for the connection itself closes it and has no load to tell.
-        closes = response.headers.get("connection", "").strip().lower() == "close"
-        result.connection_limited = (
-            status == 503 and closes and not result.retry_after and not result.reported
-        )
+        result.connection_limited = _is_connection_limited(response, result)
     return result
 
 
-def _lines(body: bytes) -> list[str]:
-    return body.decode("latin-1").splitlines()
+def _batch_outcomes(body: bytes, messages: list[Transaction]) -> list[tuple[Outcome, bool]]:
+    """The outcomes in the order of `messages`; one that the response omits may have been executed."""
+    lines = (line.split() for line in body.decode("latin-1").splitlines())
+    statuses = {fields[0]: fields[1] for fields in lines if len(fields) >= 2}
+    return [
+        BATCH_RESULT_BY_STATUS.get(statuses.get(message.id, ""), UNKNOWN_BATCH_RESULT) for message in messages
+    ]
+
+
+def _is_connection_limited(response: http1.Response, result: CallResult) -> bool:
+    """Only an endpoint without room for the connection itself closes it and has no load to report."""
+    closes = response.headers.get("connection", "").strip().lower() == "close"
+    says_nothing_else = not result.retry_after and not result.reported
+    return response.status == HTTPStatus.SERVICE_UNAVAILABLE and closes and says_nothing_else
 
 
 def interpret_failure(status: int, messages: list[Transaction], outcome: Outcome) -> CallResult:
-    """No whole answer came, whatever its first line says: the call may have run. Only a lone 200 is true."""
-    if status == 200 and len(messages) == 1:
+    """The result of a call without a complete response, which may have been executed.
+
+    `status` is that of an incomplete response, or 0. Only a 200 for a single message counts.
+    """
+    if status == HTTPStatus.OK and len(messages) == 1:
         return CallResult.uniform(Outcome.DELIVERED, 1, True)
     return CallResult.uniform(outcome, len(messages))
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -11,7 +11,7 @@
 from honeyhitch.protocols.calls import encode_batch_body, parse_load_report, parse_retry_after
 from honeyhitch.protocols.mqtt_packets import Kind as PacketKind
 from honeyhitch.protocols.mqtt_packets import Packet, Properties
-from honeyhitch.protocols.resp import FieldError, TransactionParser
+from honeyhitch.protocols.transaction_parser import FieldError, TransactionParser
 from honeyhitch.time_units import MILLISECOND, SECOND
 
 QUOTA_EXCEEDED, NO_SUBSCRIBERS = 0x97, 0x10
--- a/honeyhitch/protocols/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -1,4 +1,7 @@
-"""The platform's front: RESP2 from clients, as a machine that is fed bytes and knows no socket."""
+"""The server's side of RESP2 for the clients of the platform, without I/O: bytes in, replies out.
+
+The commands are ENQUEUE, PING and QUIT (protocol page).
+"""
 
 from __future__ import annotations
 
@@ -8,33 +11,28 @@
 
 from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.journal.transactions import Transaction
-from honeyhitch.policy.settings import Idempotency, Settings
 from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.transaction_parser import MAX_BODY_BYTES, FieldError, TransactionParser
 from honeyhitch.time_units import MILLISECOND
 
-MAX_ARGUMENTS = 64
-MAX_BULK_BYTES = 65536  # bytes; a body holds no more
-MAX_COMMAND_BYTES = MAX_BULK_BYTES + 4096  # bytes of all parts of one command
+CRLF = b"\r\n"
+MAX_ARGUMENTS = 64  # of one command
+MAX_COMMAND_BYTES = MAX_BODY_BYTES + 4096  # bytes of all arguments of one command
 MAX_LINE_BYTES = 1024  # bytes of a line that holds a number or an inline command
-DEADLINE_TOLERANCE_MS = (
-    50  # ms by which time limits on sockets are longer than those of the settings (protocol page)
-)
-MAX_ID_LENGTH = 128  # bytes of an id or a key
-MAX_REPLIES_PER_TURN = 16  # commands answered before other connections have their turn
-FORWARDED_BY_FIELD = "via"  # the field that names the instance which passed a request on
-MAX_CONSECUTIVE_ERRORS = 32  # commands in a row that cannot be used, after which the connection is closed
+MAX_COUNT_DIGITS = 9  # of the number of arguments, or of the length of one
+MAX_REPLIES_PER_TURN = 16  # commands answered before other connections get their turn
+MAX_CONSECUTIVE_ERRORS = 32  # invalid commands in a row after which the connection is closed
+ENQUEUE_ARGUMENTS = 5  # the command, a key, an id, fields and a body
+FORWARDED_BY_FIELD = "via"  # names the instance that forwarded the message
+ERROR_PREFIX = b"-ERR"
 
 
 class FramingError(Exception):
-    """What follows cannot be told apart any more: the connection has to be closed."""
-
-
-class FieldError(ValueError):
-    """A command that was read whole, with a field that cannot be used."""
+    """The stream cannot be split into commands any more; the connection has to be closed."""
 
 
-def _line(buffer: Buffer) -> bytes | None:
-    end = buffer.find(b"\r\n", 0, MAX_LINE_BYTES + 2)
+def _read_line(buffer: Buffer) -> bytes | None:
+    end = buffer.find(CRLF, 0, MAX_LINE_BYTES + 2)
     if end < 0:
         if len(buffer) > MAX_LINE_BYTES:
             raise FramingError(f"line: longer than {MAX_LINE_BYTES} bytes")
@@ -44,178 +42,114 @@
     return line
 
 
-def _count(line: bytes, mark: bytes, name: str, most: int) -> int:
+def _parse_count(line: bytes, marker: bytes, name: str, maximum: int) -> int:
     digits = line[1:]
-    if line[:1] != mark or not digits.isdigit() or len(digits) > 9:
-        raise FramingError(f"{name}: expected {mark.decode()} and a number")
-    if int(digits) > most:
-        raise FramingError(f"{name}: at most {most} allowed")
-    return int(digits)
+    if line[:1] != marker or not digits.isdigit() or len(digits) > MAX_COUNT_DIGITS:
+        raise FramingError(f"{name}: expected {marker.decode()} and a number")
+    count = int(digits)
+    if count > maximum:
+        raise FramingError(f"{name}: at most {maximum} allowed")
+    return count
+
+
+def _split_inline_command(line: bytes) -> list[bytes]:
+    if not line.isascii() or (line and not line.replace(b" ", b"").isalnum()):
+        raise FramingError("array: expected * and a number")
+    return line.split()
 
 
 class CommandReader:
-    """Reads commands part by part, so that one that comes byte by byte is not read over and over."""
+    """Reads commands argument by argument, so that one arriving in many pieces is not parsed repeatedly."""
 
     def __init__(self) -> None:
-        self.remaining_arguments, self.argument_length, self.command_size = (
-            0,
-            -1,
-            0,
-        )  # parts to come; the next one's length; bytes so far
+        self.remaining_arguments = 0
+        self.argument_length = -1  # of the next argument; -1 while its length is not read
+        self.command_size = 0  # bytes of the arguments so far
         self.arguments: list[bytes] = []
 
     def read_command(self, buffer: Buffer) -> list[bytes] | None:
-        """The next whole command, which is consumed; None while some of it is still to come."""
+        """Consume the next complete command; None while it is incomplete. Raises FramingError."""
         if not self.remaining_arguments:
-            line = _line(buffer)
+            line = _read_line(buffer)
             if line is None:
                 return None
             if line[:1] != b"*":
-                if not line.isascii() or not (line.replace(b" ", b"").isalnum() or not line):
-                    raise FramingError("array: expected * and a number")
-                return line.split()
-            self.remaining_arguments, self.command_size, self.arguments = (
-                _count(line, b"*", "array", MAX_ARGUMENTS),
-                0,
-                [],
-            )
+                return _split_inline_command(line)
+            self.remaining_arguments = _parse_count(line, b"*", "array", MAX_ARGUMENTS)
+            self.command_size = 0
+            self.arguments = []
         while self.remaining_arguments:
-            if self.argument_length < 0:
-                line = _line(buffer)
-                if line is None:
-                    return None
-                self.argument_length = _count(line, b"$", "bulk", MAX_BULK_BYTES)
-                self.command_size += self.argument_length
-                if self.command_size > MAX_COMMAND_BYTES:
-                    raise FramingError(f"command: at most {MAX_COMMAND_BYTES} bytes allowed")
-            if len(buffer) < self.argument_length + 2:
+            argument = self._read_argument(buffer)
+            if argument is None:
                 return None
-            part = buffer.peek(0, self.argument_length + 2)
-            if part[self.argument_length :] != b"\r\n":
-                raise FramingError("bulk: expected CR LF after its bytes")
-            buffer.consume(self.argument_length + 2)
-            self.arguments.append(part[: self.argument_length])
-            self.remaining_arguments, self.argument_length = self.remaining_arguments - 1, -1
+            self.arguments.append(argument)
+            self.remaining_arguments -= 1
         return self.arguments
 
-
-def _word(value: bytes, name: str) -> str:
-    if (
-        not 0 < len(value) <= MAX_ID_LENGTH
-        or not value.isascii()
-        or not all(33 <= byte <= 126 for byte in value)
-    ):
-        raise FieldError(f"{name}: expected 1 to {MAX_ID_LENGTH} printable characters without spaces")
-    return value.decode()
-
-
-def _number(fields: dict[str, str], name: str) -> int:
-    text = fields.get(name, "")
-    if not text.isascii() or not text.isdigit() or len(text) > 15:
-        raise FieldError(f"{name}: expected a whole number, got {text[:40]!r}")
-    return int(text)
-
-
-def _pick(names: tuple[str, ...], fields: dict[str, str], name: str) -> int:
-    if fields.get(name) not in names:
-        raise FieldError(f"{name}: not a name in the settings: {fields.get(name, '')[:40]!r}")
-    return names.index(fields[name])
-
-
-class TransactionParser:
-    """Builds transactions from names and values as the settings name them, for every front."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        has_destination: Callable[[int], bool],
-        on_invalid: Callable[[int], None] = lambda cls: None,
-    ) -> None:
-        self.on_invalid = on_invalid  # told the class of each message that failed for a field
-        self.class_names = tuple(cls.name for cls in settings.classes)
-        self.tenant_names, self.settings, self.has_destination = (
-            settings.tenant_names,
-            settings,
-            has_destination,
-        )
-
-    def parse(self, message_id: bytes, fields: dict[str, str], body: bytes, now: int) -> Transaction:
-        """One transaction, or FieldError naming the field at fault. Unknown names are skipped."""
-        try:
-            return self._transaction(message_id, fields, body, now)
-        except FieldError:
-            if (cls := fields.get("c")) in self.class_names:
-                self.on_invalid(self.class_names.index(cls))
-            raise
-
-    def _transaction(self, name: bytes, fields: dict[str, str], body: bytes, now: int) -> Transaction:
-        if len(body) > MAX_BULK_BYTES:
-            raise FieldError(f"body: longer than {MAX_BULK_BYTES} bytes")
-        cls = _pick(self.class_names, fields, "c")
-        key = fields.get("k", "")
-        if not key and self.settings.classes[cls].idempotency is Idempotency.IDEMPOTENCY_KEY:
-            raise FieldError("k: needed in a keyed class")
-        destination, left = _number(fields, "dest"), _number(fields, "d")
-        if not self.has_destination(
-            destination
-        ):  # nothing could ever be done for it but to hold it to its end
-            raise FieldError(f"dest: no such destination: {destination}")
-        most = self.settings.classes[cls].deadline // MILLISECOND
-        if not 0 < left <= most + DEADLINE_TOLERANCE_MS:
-            raise FieldError(f"d: expected 1 to {most} milliseconds in this class, got {left}")
-        return Transaction(
-            id=_word(name, "id"),
-            class_index=cls,
-            destination=destination,
-            deadline=now + min(left, most) * MILLISECOND,
-            body=body,
-            key=_word(key.encode(), "k") if key else "",
-            tenant=_pick(self.tenant_names, fields, "t") if self.tenant_names else 0,
-            recovered_from_journal="1" in (fields.get("r"), fields.get("again")),
-        )
+    def _read_argument(self, buffer: Buffer) -> bytes | None:
+        if self.argument_length < 0:
+            line = _read_line(buffer)
+            if line is None:
+                return None
+            self.argument_length = _parse_count(line, b"$", "bulk", MAX_BODY_BYTES)
+            self.command_size += self.argument_length
+            if self.command_size > MAX_COMMAND_BYTES:
+                raise FramingError(f"command: at most {MAX_COMMAND_BYTES} bytes allowed")
+        length = self.argument_length
+        if len(buffer) < length + 2:
+            return None
+        data = buffer.peek(0, length + 2)
+        if data[length:] != CRLF:
+            raise FramingError("bulk: expected CR LF after its bytes")
+        buffer.consume(length + 2)
+        self.argument_length = -1
+        return data[:length]
 
 
 def parse_fields(text: bytes) -> dict[str, str]:
-    """Names and values from `a=1,b=2`."""
+    """Names and values from `a=1,b=2`. Raises FieldError for bytes that are not ASCII."""
     try:
-        return {
-            name: value
-            for name, _, value in (part.partition("=") for part in text.decode("ascii").split(","))
-        }
+        fields = (field.partition("=") for field in text.decode("ascii").split(","))
     except UnicodeDecodeError as error:
         raise FieldError("fields: expected name=value, set apart by commas") from error
+    return {name: value for name, _, value in fields}
 
 
 def busy_reply(retry_after: int) -> bytes:
     """The reply to a message that is not accepted; `retry_after` is in nanoseconds, 0 where none is known."""
     if not retry_after:
         return b"-BUSY\r\n"
-    return b"-BUSY %d\r\n" % (retry_after // MS)
+    return b"-BUSY %d\r\n" % (retry_after // MILLISECOND)
+
+
+def error_reply(reason: object) -> bytes:
+    """The reply to an invalid command."""
+    return f"-ERR {reason}\r\n".encode()
 
 
 class Route(Enum):
-    """What becomes of a transaction where a fleet shares the destinations."""
+    """Where a submitted message goes when a fleet shares the destinations."""
 
     LOCAL = "local"  # this instance may accept it
     FORWARD = "forward"  # another instance owns its destination
-    REJECT = "refuse"  # none can be asked
+    REJECT = "reject"  # no instance can be asked
 
 
 class Router(Protocol):
-    """Decides where a transaction goes before it is accepted."""
+    """Decides where a message goes before it is accepted."""
 
     def route(self, transaction: Transaction, forwarded: bool) -> Route:
-        """`forwarded`: another instance has passed it on already, and it must not be passed on again."""
+        """`forwarded`: another instance has forwarded it already, so it must not be forwarded again."""
 
-    retry_after: int  # ns; told with a refusal
+    retry_after: int  # ns, sent with a rejection
 
 
 class Session:
-    """One client's connection: bytes in, replies out. `closing` is set when it must be closed, `more` when
-    whole commands wait for the connection's next turn, and `half` while the end of one is still to come.
+    """One client's connection. The transport sends `greeting`, then feeds received bytes to `receive`.
 
-    `forward` is a transaction that another instance owns: its reply is the driver's to bring, and nothing
-    further is read before.
+    `closing`: the connection must be closed. `has_more_requests`: complete commands wait for the next turn.
+    `has_partial_request`: the last command is incomplete. `forward`: a transaction that another instance
+    owns; the transport obtains and sends its reply before it calls `receive` again.
     """
 
     greeting = b""
@@ -228,21 +162,24 @@
         clock: Callable[[], int],
         router: Router | None = None,
     ) -> None:
-        self.transaction_parser, self.submit, self.is_ready, self.clock = (
-            transaction_parser,
-            submit,
-            is_ready,
-            clock,
-        )
+        """`submit` offers a transaction to the dispatcher; `clock` gives the Unix time in nanoseconds."""
+        self.transaction_parser = transaction_parser
+        self.submit = submit
+        self.is_ready = is_ready
+        self.clock = clock
         self.router = router
         self.forward: Transaction | None = None
-        self.closing = self.has_more_requests = self.has_partial_request = False
-        self.command_reader, self.consecutive_errors = CommandReader(), 0
+        self.closing = False
+        self.has_more_requests = False
+        self.has_partial_request = False
+        self.command_reader = CommandReader()
+        self.consecutive_errors = 0
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Replies to whole commands in the buffer, in their order, up to one turn's worth."""
+        """Replies to the complete commands in the buffer, in order, up to MAX_REPLIES_PER_TURN."""
         replies: list[bytes] = []
-        self.has_more_requests = self.has_partial_request = False
+        self.has_more_requests = False
+        self.has_partial_request = False
         self.forward = None
         while not self.closing:
             if len(replies) == MAX_REPLIES_PER_TURN:
@@ -251,55 +188,59 @@
             try:
                 command = self.command_reader.read_command(buffer)
             except FramingError as error:
-                replies.append(f"-ERR {error}\r\n".encode())
+                replies.append(error_reply(error))
                 self.closing = True
                 break
             if command is None:
                 self.has_partial_request = self.command_reader.remaining_arguments > 0 or len(buffer) > 0
                 break
-            reply = self._reply(command)
+            reply = self._execute(command)
             if self.forward is not None:
                 self.has_more_requests = len(buffer) > 0
                 break
             replies.append(reply)
-            self.consecutive_errors = self.consecutive_errors + 1 if replies[-1].startswith(b"-ERR") else 0
-            self.closing = self.closing or self.consecutive_errors == MAX_CONSECUTIVE_ERRORS
+            self.consecutive_errors = self.consecutive_errors + 1 if reply.startswith(ERROR_PREFIX) else 0
+            if self.consecutive_errors == MAX_CONSECUTIVE_ERRORS:
+                self.closing = True
         return b"".join(replies)
 
-    def _reply(self, command: list[bytes]) -> bytes:
+    def _execute(self, command: list[bytes]) -> bytes:
         if not command:
-            return b"-ERR command: empty, expected ENQUEUE or PING\r\n"
+            return error_reply("command: empty, expected ENQUEUE or PING")
         name = command[0].upper()
         if name == b"PING":
-            if not self.is_ready():
-                return b"-LOADING not ready\r\n"
-            if len(command) > 1:
-                return b"$%d\r\n%s\r\n" % (len(command[1]), command[1])
-            return b"+PONG\r\n"
+            return self._ping(command)
         if name == b"QUIT":
             self.closing = True
             return b"+OK\r\n"
         if name != b"ENQUEUE":
-            return b"-ERR command: unknown, expected ENQUEUE or PING\r\n"
+            return error_reply("command: unknown, expected ENQUEUE or PING")
         try:
             return self._enqueue(command)
         except FieldError as error:
-            return f"-ERR {error}\r\n".encode()
+            return error_reply(error)
+
+    def _ping(self, command: list[bytes]) -> bytes:
+        if not self.is_ready():
+            return b"-LOADING not ready\r\n"
+        if len(command) > 1:
+            return b"$%d\r\n%s\r\n" % (len(command[1]), command[1])
+        return b"+PONG\r\n"
 
     def _enqueue(self, command: list[bytes]) -> bytes:
-        if len(command) != 5:
+        if len(command) != ENQUEUE_ARGUMENTS:
             raise FieldError("ENQUEUE: expected a key, an id, fields and a body")
-        _, _, name, text, body = command
+        _, _, message_id, text, body = command
         fields = parse_fields(text)
-        transaction = self.transaction_parser.parse(name, fields, body, self.clock())
+        transaction = self.transaction_parser.parse(message_id, fields, body, self.clock())
         if self.router is not None:
             route = self.router.route(transaction, FORWARDED_BY_FIELD in fields)
             if route is Route.FORWARD:
                 self.forward = transaction
                 return b""
-            if route is Route.REFUSE:
+            if route is Route.REJECT:
                 return busy_reply(self.router.retry_after)
-        admission = self.offer(transaction)
+        admission = self.submit(transaction)
         if admission.accepted:
             return b"+OK\r\n"
         return busy_reply(admission.retry_after)
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -17,7 +17,8 @@
 from honeyhitch.partitioning.fleet import ClockError, Fleet
 from honeyhitch.partitioning.settings import SECOND, FleetSettings
 from honeyhitch.protocols.discovery_backoff import WatchBackoff
-from honeyhitch.protocols.resp import MS, Route, busy_reply
+from honeyhitch.protocols.resp import Route, busy_reply
+from honeyhitch.time_units import MILLISECOND
 from honeyhitch.transports.list_watch import ListWatch
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
@@ -100,7 +101,9 @@
             "revision": status.revision,
             "instances": status.instance_count,
             "ready": status.ready_count,
-            "heartbeat_age_ms": status.heartbeat_age // MS if status.heartbeat_age is not None else None,
+            "heartbeat_age_ms": status.heartbeat_age // MILLISECOND
+            if status.heartbeat_age is not None
+            else None,
             "partitions": self.settings.partitions,
             "holds": status.held_partitions,
             "keeps": status.candidate_partitions,
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -25,6 +25,7 @@
 from honeyhitch.protocols.agent_check import AgentSession, HealthSession
 from honeyhitch.protocols.control import CommandRegistry, ControlRequest
 from honeyhitch.protocols.management import ManagementSession
+from honeyhitch.protocols.transaction_parser import TransactionParser
 from honeyhitch.service import features as optional_parts
 from honeyhitch.service import shutdown
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
@@ -170,7 +171,7 @@
             self._resume()
         if listen:
             served = dispatcher.pool.has_destination if self.fleet is None else self.fleet.has_destination
-            fields = resp.MessageFields(config.settings, served, dispatcher.metrics.message_invalid)
+            fields = TransactionParser(config.settings, served, dispatcher.metrics.message_invalid)
             self.clients = self._listen(
                 "listen",
                 config.listen,
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -20,7 +20,7 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.mqtt import OutgoingPublish, Session
 from honeyhitch.protocols.mqtt_packets import Packet
-from honeyhitch.protocols.resp import FieldError, TransactionParser
+from honeyhitch.protocols.transaction_parser import FieldError, TransactionParser
 from honeyhitch.transports import sockets
 from honeyhitch.transports.channel import Channel, PlainChannel
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -17,6 +17,7 @@
 from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.transaction_parser import TransactionParser
 from honeyhitch.service.descriptors import descriptor_budget
 from honeyhitch.transports import client_server as virtual_server
 from honeyhitch.transports import sockets
@@ -32,7 +33,7 @@
 
 
 def session() -> resp.Session:
-    fields = resp.TransactionParser(SET, lambda _: True)
+    fields = TransactionParser(SET, lambda _: True)
     return resp.Session(fields, lambda _: Admission(True), lambda: True, lambda: START)
 
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -30,6 +30,7 @@
     resp,
 )
 from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.transaction_parser import FieldError, TransactionParser
 
 from .rig import SETTINGS, START
 from .world import settings
@@ -53,7 +54,7 @@
 
         self.seen: list[Transaction] = []
         self.buffer = Buffer()
-        fields = resp.TransactionParser(SET, lambda destination: destination != 404)
+        fields = TransactionParser(SET, lambda destination: destination != 404)
         self.session = resp.Session(fields, offer, lambda: True, lambda: START)
 
     def feed(self, data: bytes) -> Out:
@@ -262,7 +263,7 @@
         assert packet is not None
         packet.payload = b"body"
         packet.user = [(name, value) for name, value in packet.user]
-        taken = mqtt_messages.parse_transaction(resp.TransactionParser(SET, lambda _: True), packet, START)
+        taken = mqtt_messages.parse_transaction(TransactionParser(SET, lambda _: True), packet, START)
         taken.ending, taken.retry_after = Ending.REJECTED, 250_000_000
         answer = mqtt_messages.encode_final_answer(taken)
         left = (taken.deadline - START) // 10**6
@@ -293,7 +294,7 @@
     "control",
     "management",
 )  # a connection's bytes, which may come in any pieces
-FAULTS = (http1.HttpError, discovery.WatchError, mqtt.MqttError, PoolError, resp.FieldError)
+FAULTS = (http1.HttpError, discovery.WatchError, mqtt.MqttError, PoolError, FieldError)
 
 
 def raw(text: str) -> bytes:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -18,9 +18,9 @@
 from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.journal.transactions import Ending
 from honeyhitch.policy.events import Outcome
-from honeyhitch.protocols import resp
 from honeyhitch.protocols.buffer import Buffer
-from honeyhitch.protocols.management import MOST_LINE, ManagementSession
+from honeyhitch.protocols.management import MAX_LINE_BYTES, ManagementSession
+from honeyhitch.protocols.transaction_parser import FieldError, TransactionParser
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
 from honeyhitch.service.service import run
 
@@ -61,12 +61,12 @@
 
 def test_a_message_that_fails_at_the_door_is_an_error_of_its_class(tmp_path: Path) -> None:
     stand = DispatcherRig(tmp_path)
-    fields = resp.MessageFields(
+    fields = TransactionParser(
         stand.settings, stand.dispatcher.pool.has_destination, stand.dispatcher.metrics.message_invalid
     )
     for told in ({"c": "standard", "d": "8000"}, {"c": "standard", "d": "9" * 9, "dest": "1", "k": "k"}, {}):
-        with pytest.raises(resp.FieldError):
-            fields.transaction(b"id", told, b"", 0)
+        with pytest.raises(FieldError):
+            fields.parse(b"id", told, b"", 0)
     assert stand.dispatcher.metrics_snapshot()["responses"]["standard"]["errors"] == 2, (
         "the last one names no class"
     )
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -14,6 +14,7 @@
 from honeyhitch.protocols import forwarding, resp
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.resp import Route
+from honeyhitch.protocols.transaction_parser import TransactionParser
 from honeyhitch.service import fleet as service
 from honeyhitch.service.fleet import VIEW_FILE_NAME, FleetService
 
@@ -97,7 +98,7 @@
 ) -> None:
     one = FleetStand(tmp_path / "first")
     assert not one.fleet.ready
-    assert one.route(1) is Route.REFUSE
+    assert one.route(1) is Route.REJECT
     assert not one.dispatcher.pool.endpoints
     one.hear()
     assert one.fleet.ready
@@ -124,7 +125,7 @@
     assert one.route(mine) is Route.LOCAL
     assert one.route(mine, forwarded=True) is Route.LOCAL
     assert one.route(other) is Route.FORWARD
-    assert one.route(other, forwarded=True) is Route.REFUSE
+    assert one.route(other, forwarded=True) is Route.REJECT
     assert one.submit("held", mine)
     held = Transaction("held", 0, mine, one.now + SECOND, b"")
     one.time.run(LEASE / SECOND + 30)
@@ -252,6 +253,6 @@
         "again": "1",
         "via": NAME,
     }
-    read = resp.TransactionParser(given, lambda number: True).parse(parts[2], fields, parts[4], now)
+    read = TransactionParser(given, lambda number: True).parse(parts[2], fields, parts[4], now)
     assert (read.id, read.body, read.key, read.recovered_from_journal) == ("id", b"a\r\nb", "k", True)
     assert forwarding.encode_request(given, one, NAME, one.deadline - MS // 2) is None
