--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -13,7 +13,7 @@
 from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.journal.transactions import Ending, Transaction
-from honeyhitch.protocols.resp import TransactionParser
+from honeyhitch.protocols.transaction_parser import TransactionParser
 from honeyhitch.service.assembly import assemble
 from honeyhitch.service.service import Service
 from honeyhitch.service.shutdown import close, drain_and_stop
--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -11,6 +11,7 @@
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.agent_check import AgentSession, HealthSession
 from honeyhitch.protocols.management import ManagementSession
+from honeyhitch.protocols.transaction_parser import TransactionParser
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS
 from honeyhitch.service.service import Service
 from honeyhitch.service.status import service_state
@@ -25,9 +26,7 @@
     dispatcher = service.dispatcher
     fleet = service.fleet
     has_destination = dispatcher.pool.has_destination if fleet is None else fleet.has_destination
-    fields = resp.TransactionParser(
-        service.config.settings, has_destination, dispatcher.metrics.message_invalid
-    )
+    fields = TransactionParser(service.config.settings, has_destination, dispatcher.metrics.message_invalid)
 
     def ready() -> bool:
         return service_state(service).phase is Phase.READY
