--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -204,7 +204,7 @@
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
-    assert lane.part() == 5.0
+    assert lane.quota() == 5.0
     one.time.run(LEASE / SECOND)
     one.fleet.refresh_if_due()
     one.run(0.1)
@@ -212,7 +212,7 @@
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
-    assert lane.part() == 3.75, "three quarters of it while control is silent"
+    assert lane.quota() == 3.75, "three quarters of it while control is silent"
 
 
 def test_a_saved_view_that_cannot_be_read_is_as_good_as_none(tmp_path: Path) -> None:
