--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -38,18 +38,18 @@
 from honeyhitch.policy.message_queue import MessageQueue
 from honeyhitch.policy.settings import Settings
 from honeyhitch.policy.state import (
+    ANSWERS_BEFORE_POOLING,
     ASK_GAP,
     ASK_MOST,
     ATTEMPTS,
     AVOID_STEPS,
+    BACKOFF_STEPS,
     EJECTION_FAILURE_FRACTION,
     HEALTHY_SHARE,
     JITTER,
-    BACKOFF_STEPS,
     LONG_FADE,
     LOW_ALLOWANCE,
     NEVER,
-    ANSWERS_BEFORE_POOLING,
     REACH,
     RESTING,
     SECOND,
@@ -62,8 +62,8 @@
     YIELD,
     Call,
     Destination,
-    EndpointState,
     DestinationState,
+    EndpointState,
     PendingMessage,
 )
 
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -198,8 +198,8 @@
     one = stand(tmp_path)
     number = one.home()
     one.beats(2)
-    lane = one.dispatcher.policy.dests[number].lane
-    assert (lane is not None and lane.part() == 40.0 / 1.0 / 4 / 1) or lane.part() == 10.0
+    lane = one.dispatcher.policy.destinations[number].state
+    assert (lane is not None and lane.quota() == 40.0 / 1.0 / 4 / 1) or lane.quota() == 10.0
     assert one.submit("a", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -56,7 +56,7 @@
     rng = Random(seed)
     more = {"max_messages": 400, "max_concurrent_calls": 12}
     one = DispatcherRig(tmp_path, **more)
-    one.dispatcher.policy.used = (
+    one.dispatcher.policy.concurrent_calls = (
         one.settings.max_concurrent_calls
     )  # as if all slots were taken by calls that hang
     names = [f"m{i}" for i in range(300)]
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -222,7 +222,7 @@
     assert gated.run(1) == []
     assert gated.asked
     assert max(gated.asked) >= 1
-    assert gated.dispatcher.policy.used == 0, "no slot is held by a handshake"
+    assert gated.dispatcher.policy.concurrent_calls == 0, "no slot is held by a handshake"
     calls = gated.tell(2)
     assert len(calls) == 2
     assert all(call.attempt_numbers == [0] for call in calls)
@@ -289,6 +289,6 @@
     (call,) = gated.tell(1)
     gated.end(call, Outcome.CONNECT_FAILED, connection_stale=True)
     gated.tell(0)
-    lane = gated.dispatcher.policy.dests[1].endpoints["s-1"].lane
-    assert not lane.out
-    assert lane.run == 0
+    lane = gated.dispatcher.policy.destinations[1].endpoints["s-1"].state
+    assert not lane.ejected
+    assert lane.consecutive_failures == 0
