--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -85,7 +85,7 @@
         return []
     pool, found = EndpointPool(config.settings), []
     try:
-        pool.update(config.known_endpoints)
+        pool.update(config.known)
     except PoolError as error:
         raise click.ClickException(f"known: {error}") from error
     setup = TlsSettings(tuple(told))
--- a/honeyhitch/cli/undelivered/store_access.py
+++ b/honeyhitch/cli/undelivered/store_access.py
@@ -14,7 +14,7 @@
 
 from honeyhitch import config as configuration
 from honeyhitch.dead_letters.settings import DeadLetterSettings
-from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
+from honeyhitch.transports.control_client import ControlClient, ControlCommandError
 
 if TYPE_CHECKING:
     from honeyhitch.dead_letters.store import Store
@@ -47,8 +47,8 @@
         """Do an operation (dead_letters/operations.py) and return its answer."""
         if self.client is not None:
             try:
-                return self.client.ask("POST", f"/undelivered/{operation}", arguments)
-            except ControlRefusedError as error:
+                return self.client.request("POST", f"/undelivered/{operation}", arguments)
+            except ControlCommandError as error:
                 raise click.ClickException(str(error)) from error
             except OSError:
                 self.client = None  # no dispatcher runs: the store is there all the same
@@ -59,8 +59,8 @@
         if self.client is None:
             raise click.ClickException("state: name the configuration of a running dispatcher")
         try:
-            return self.client.ask("GET", "/state")
-        except (ControlRefusedError, OSError) as error:
+            return self.client.request("GET", "/state")
+        except (ControlCommandError, OSError) as error:
             raise click.ClickException(f"state: no dispatcher answers: {error}") from error
 
     def _execute_directly(self, operation: str, arguments: dict[str, Any]) -> dict[str, Any]:
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -32,7 +32,7 @@
     state: Path
     seed: int
     limits: ResourceLimits
-    known_endpoints: dict[str, Any]
+    known: dict[str, Any]
     settings: Settings
     operator: OperatorSettings
     file_values: dict[str, Any]  # the file's own words at the start, for what a variable can say too
@@ -137,7 +137,7 @@
         state=state,
         seed=_seed(told.get("seed", 0)),
         limits=limits,
-        known_endpoints=known,
+        known=known,
         settings=settings,
         operator=beside,
         file_values=first,
