--- a/honeyhitch/protocols/agent_check.py
+++ b/honeyhitch/protocols/agent_check.py
@@ -1,4 +1,4 @@
-"""What balancers ask: HAProxy's agent-check, and health over HTTP."""
+"""Health checks of load balancers: HAProxy's agent-check, and health over HTTP."""
 
 from __future__ import annotations
 
@@ -11,99 +11,116 @@
 from honeyhitch.dispatcher.delivery import DispatcherState, Phase
 from honeyhitch.protocols.buffer import Buffer
 
-MAX_REQUEST_BYTES = 8192  # bytes
+MAX_REQUEST_BYTES = 8192
+PERCENT = 100
 
 
 def weight_percent(state: DispatcherState) -> int:
-    """Per cent of its room that is left; a ready one keeps at least 1, as 0 would mean drain."""
-    return max(1, 100 - 100 * state.message_count // max(1, state.max_messages))
+    """The unused part of the message limit; at least 1 per cent, as 0 would mean drain."""
+    used = PERCENT * state.message_count // max(1, state.max_messages)
+    return max(1, PERCENT - used)
 
 
 def encode_agent_state(state: DispatcherState) -> bytes:
-    """HAProxy's words for a state: `ready` ends an earlier drain, and the percentage sets the weight."""
+    """The line of HAProxy's agent-check: `ready` ends an earlier drain, the percentage sets the weight."""
     if state.phase is Phase.READY:
         return b"up ready %d%%\n" % weight_percent(state)
     return b"down #not serving\n" if state.phase is Phase.DOWN else b"drain\n"
 
 
 class AgentSession:
-    """One agent-check: a line at once, whatever was sent, and the end of the connection."""
+    """One agent-check: a line at once, whatever was sent, then the connection is closed."""
 
     forward = None
 
     def __init__(self, state: Callable[[], DispatcherState]) -> None:
-        self.greeting, self.closing, self.has_more_requests, self.has_partial_request = (
-            encode_agent_state(state()),
-            True,
-            False,
-            False,
-        )
+        self.greeting = encode_agent_state(state())
+        self.closing = True
+        self.has_more_requests = False
+        self.has_partial_request = False
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Nothing is read."""
+        """Input is discarded."""
         buffer.consume_all()
         return b""
 
 
 class HealthSession:
-    """HTTP health: `/health` says whether to send work here, `/live` whether the process answers at all."""
+    """Health over HTTP: `/health` says whether to send messages here, `/live` that the process runs."""
 
     greeting = b""
     forward = None
 
     def __init__(self, state: Callable[[], DispatcherState]) -> None:
-        self.state, self.closing, self.has_more_requests, self.has_partial_request, self.request_bytes = (
-            state,
-            False,
-            False,
-            False,
-            0,
-        )
+        self.state = state
+        self.closing = False
+        self.has_more_requests = False
+        self.has_partial_request = False
+        self.request_bytes = 0  # since the last complete request
         self.parser = httptools.HttpRequestParser(self)
-        self.path, self.replies = b"", list[bytes]()
+        self.path = b""
+        self.replies: list[bytes] = []
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Replies to the requests that came."""
+        """Responses to the complete requests."""
         data = buffer.consume_all()
         self.request_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._reply(HTTPStatus.BAD_REQUEST, {})
+            self._respond(HTTPStatus.BAD_REQUEST, {})
             self.closing = True
         if self.request_bytes > MAX_REQUEST_BYTES:
-            self._reply(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, {})
+            self._respond(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, {})
             self.closing = True
-        replies, self.replies = b"".join(self.replies), []
+        replies = b"".join(self.replies)
+        self.replies = []
         return replies
 
-    def _reply(self, status: HTTPStatus, body: dict[str, object], with_body: bool = True) -> None:
-        text = json.dumps(body).encode() if body else b""
-        head = f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Type: application/json\r\n"
-        head += f"Cache-Control: no-store\r\nContent-Length: {len(text)}\r\n"
-        head += "Connection: close\r\n\r\n" if self.closing else "\r\n"
-        self.replies.append(head.encode() + (text if with_body else b""))
-
-    # What the parser calls.
+    def _respond(self, status: HTTPStatus, content: dict[str, object], with_body: bool = True) -> None:
+        body = json.dumps(content).encode() if content else b""
+        lines = [
+            f"HTTP/1.1 {status.value} {status.phrase}",
+            "Content-Type: application/json",
+            "Cache-Control: no-store",
+            f"Content-Length: {len(body)}",
+        ]
+        if self.closing:
+            lines.append("Connection: close")
+        head = "\r\n".join([*lines, "", ""]).encode()
+        self.replies.append(head + (body if with_body else b""))
+
+    # Callbacks of httptools.
 
     def on_url(self, url: bytes) -> None:
+        """Some bytes of the request target."""
         self.path += url
 
     def on_message_complete(self) -> None:
-        path, self.path, self.request_bytes = self.path.partition(b"?")[0], b"", 0
-        method, self.closing = self.parser.get_method(), not self.parser.should_keep_alive()
-        state, wanted = self.state(), method != b"HEAD"
-        told: dict[str, object] = {
-            "state": state.phase.value,
-            "held": state.message_count,
-            "most": state.max_messages,
-        }
+        """The request is complete."""
+        path = self.path.partition(b"?")[0]
+        self.path = b""
+        self.request_bytes = 0
+        method = self.parser.get_method()
+        self.closing = not self.parser.should_keep_alive()
         if method not in (b"GET", b"HEAD"):
-            self._reply(HTTPStatus.METHOD_NOT_ALLOWED, {})
-        elif path == b"/live":
-            self._reply(HTTPStatus.OK, told, wanted)
-        elif path == b"/health":
-            ready = state.phase is Phase.READY
-            self._reply(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, told, wanted)
-        else:
-            self._reply(HTTPStatus.NOT_FOUND, {})
+            self._respond(HTTPStatus.METHOD_NOT_ALLOWED, {})
+            return
+        state = self.state()
+        status = _health_status(path, state)
+        content: dict[str, object] = {}
+        if status is not HTTPStatus.NOT_FOUND:
+            content = {
+                "state": state.phase.value,
+                "held": state.message_count,
+                "most": state.max_messages,
+            }
+        self._respond(status, content, with_body=method == b"GET")
+
+
+def _health_status(path: bytes, state: DispatcherState) -> HTTPStatus:
+    if path == b"/live":
+        return HTTPStatus.OK
+    if path != b"/health":
+        return HTTPStatus.NOT_FOUND
+    return HTTPStatus.OK if state.phase is Phase.READY else HTTPStatus.SERVICE_UNAVAILABLE
--- a/honeyhitch/protocols/buffer.py
+++ b/honeyhitch/protocols/buffer.py
@@ -26,6 +26,7 @@
         self.limit = limit
 
     def __len__(self) -> int:
+        """The number of unread bytes."""
         return self.end - self.start
 
     def free_space(self) -> memoryview:
--- a/honeyhitch/protocols/control.py
+++ b/honeyhitch/protocols/control.py
@@ -1,6 +1,6 @@
-"""The control socket's side of HTTP/1.1 with JSON (RFC 9112): requests from bytes, answers as bytes.
+"""The server's side of the control socket's protocol: HTTP/1.1 (RFC 9112) with JSON, without I/O.
 
-A later part of the program adds verbs by registering a method, a path and a handler with `Verbs`.
+Features add commands by registering a method, a path and a handler in a `CommandRegistry`.
 """
 
 from __future__ import annotations
@@ -14,21 +14,23 @@
 import httptools
 
 MAX_HEAD_BYTES = 16_384  # bytes of a request's first line and headers
-MAX_BODY_BYTES = 1 << 20  # bytes
+MAX_BODY_BYTES = 1 << 20
+MAX_LENGTH_DIGITS = 20  # of a Content-Length that are looked at
 RESPONSE_HEADERS = {"Content-Type": "application/json", "Cache-Control": "no-store"}
 
 
 class ControlError(Exception):
-    """A request that is answered with this status and these words."""
+    """A request that is answered with this HTTP status and reason."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
-        self.status, self.reason = status, reason
+        self.status = status
+        self.reason = reason
 
 
 @dataclass(frozen=True, slots=True)
 class ControlRequest:
-    """One request: what is wanted, with which values, and by whom."""
+    """One request; `actor` is the name of the user at the other end of the socket."""
 
     method: str
     path: str
@@ -40,65 +42,64 @@
 
 
 class CommandRegistry:
-    """What the control socket can do, by method and path."""
+    """The commands of the control socket, by path and method."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, dict[str, Handler]] = {}
 
     def add(self, method: str, path: str, handler: Handler) -> None:
-        """From now on this path does that. ValueError if another part has taken it."""
-        known = self.handlers.setdefault(path, {})
-        if method in known:
+        """Register a handler. Raises ValueError if the method and path have one already."""
+        by_method = self.handlers.setdefault(path, {})
+        if method in by_method:
             raise ValueError(f"{method} {path}: is there already")
-        known[method] = handler
+        by_method[method] = handler
 
     async def execute(self, request: ControlRequest) -> dict[str, Any]:
-        """Have it done. Raises ControlError, and whatever the handler raises."""
-        known = self.handlers.get(request.path)
-        if known is None:
+        """Run the handler of a request. Raises ControlError, and whatever the handler raises."""
+        by_method = self.handlers.get(request.path)
+        if by_method is None:
             raise ControlError(HTTPStatus.NOT_FOUND, f"{request.path}: no such path")
-        handler = known.get(request.method)
+        handler = by_method.get(request.method)
         if handler is None:
-            raise ControlError(HTTPStatus.METHOD_NOT_ALLOWED, f"{request.path}: expected {', '.join(known)}")
+            expected = ", ".join(by_method)
+            raise ControlError(HTTPStatus.METHOD_NOT_ALLOWED, f"{request.path}: expected {expected}")
         return await handler(request)
 
 
 def encode_response(status: HTTPStatus, content: dict[str, Any], close: bool = False) -> bytes:
-    """One answer."""
+    """One response; `close` announces that the connection is closed after it."""
     body = json.dumps(content, separators=(",", ":")).encode() + b"\n"
-    lines = [
-        f"HTTP/1.1 {status.value} {status.phrase}",
-        *(f"{name}: {text}" for name, text in RESPONSE_HEADERS.items()),
-    ]
-    lines += [f"Content-Length: {len(body)}", *(["Connection: close"] if close else [])]
+    lines = [f"HTTP/1.1 {status.value} {status.phrase}"]
+    lines += [f"{name}: {value}" for name, value in RESPONSE_HEADERS.items()]
+    lines.append(f"Content-Length: {len(body)}")
+    if close:
+        lines.append("Connection: close")
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
 class ControlRequestParser:
-    """Reads one connection's requests; `asked` holds those that are whole, oldest first."""
+    """Parses the requests of one connection; `requests` holds the complete ones, oldest first."""
 
     def __init__(self, actor: str) -> None:
-        self.actor, self.requests, self.closing = actor, list[ControlRequest](), False
+        self.actor = actor
+        self.requests: list[ControlRequest] = []
+        self.closing = False  # no further request is read
         self.parser = httptools.HttpRequestParser(self)
         self._reset()
 
     def _reset(self) -> None:
-        self.url, self.body_chunks, self.bytes_received, self.body_size, self.length = (
-            b"",
-            list[bytes](),
-            0,
-            0,
-            0,
-        )
+        self.url = b""
+        self.body_chunks: list[bytes] = []
+        self.bytes_received = 0
+        self.body_size = 0
 
     def feed(self, data: bytes) -> None:
-        """Take bytes. Raises ControlError, after which the connection is answered and closed."""
+        """Parse received bytes. After a ControlError the connection is answered and closed."""
         self.bytes_received += len(data)
         try:
             self.parser.feed_data(data)
-        except (
-            httptools.HttpParserUpgrade
-        ):  # not offered: the request is answered, and no other (RFC 9110, 7.8)
+        except httptools.HttpParserUpgrade:
+            # Not offered: this request is answered, and no other (RFC 9110, 7.8).
             self.closing = True
         except httptools.HttpParserCallbackError as error:
             if isinstance(error.__context__, ControlError):
@@ -107,40 +108,48 @@
         except httptools.HttpParserError as error:
             raise self._close_with(HTTPStatus.BAD_REQUEST, f"request: {error}") from error
         if self.bytes_received - self.body_size > MAX_HEAD_BYTES:
-            raise self._close_with(
-                HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "request: its head is too long"
-            )
+            reason = "request: its head is too long"
+            raise self._close_with(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, reason)
 
-    def _close_with(self, status: HTTPStatus, why: str) -> ControlError:
+    def _close_with(self, status: HTTPStatus, reason: str) -> ControlError:
         self.closing = True
-        return ControlError(status, why)
+        return ControlError(status, reason)
 
-    # What the parser calls.
+    def _check_body_size(self, size: int) -> None:
+        if size > MAX_BODY_BYTES:
+            reason = f"body: over {MAX_BODY_BYTES} bytes"
+            raise self._close_with(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, reason)
+
+    # Callbacks of httptools.
 
     def on_url(self, url: bytes) -> None:
+        """Some bytes of the request target."""
         self.url += url
         if len(self.url) > MAX_HEAD_BYTES:
             raise self._close_with(HTTPStatus.REQUEST_URI_TOO_LONG, "request: its path is too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if name.lower() == b"content-length" and value.isdigit() and int(value[:20]) > MAX_BODY_BYTES:
-            raise self._close_with(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body: over {MAX_BODY_BYTES} bytes")
+        """One header field; a body that is announced as too long is rejected at once."""
+        if name.lower() == b"content-length" and value.isdigit():
+            self._check_body_size(int(value[:MAX_LENGTH_DIGITS]))
 
     def on_body(self, body: bytes) -> None:
+        """Some bytes of the body."""
         self.body_size += len(body)
-        if self.body_size > MAX_BODY_BYTES:
-            raise self._close_with(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body: over {MAX_BODY_BYTES} bytes")
+        self._check_body_size(self.body_size)
         self.body_chunks.append(body)
 
     def on_message_complete(self) -> None:
+        """The request is complete."""
         method = self.parser.get_method().decode("latin-1")
         path = self.url.partition(b"?")[0].decode("latin-1")
-        text, self.closing = b"".join(self.body_chunks), not self.parser.should_keep_alive()
+        text = b"".join(self.body_chunks)
+        self.closing = not self.parser.should_keep_alive()
         self._reset()
         try:
-            told = json.loads(text) if text else {}
+            arguments = json.loads(text) if text else {}
         except ValueError as error:
             raise self._close_with(HTTPStatus.BAD_REQUEST, f"body: is not JSON: {error}") from error
-        if not isinstance(told, dict):
+        if not isinstance(arguments, dict):
             raise self._close_with(HTTPStatus.BAD_REQUEST, "body: expected an object")
-        self.requests.append(ControlRequest(method, path, told, self.actor))
+        self.requests.append(ControlRequest(method, path, arguments, self.actor))
--- a/honeyhitch/protocols/list_parser.py
+++ b/honeyhitch/protocols/list_parser.py
@@ -1,7 +1,7 @@
-"""Reads lists in discovery's form as their bytes come, and keeps only the members that are wanted.
+"""Parses lists in discovery's form incrementally, and keeps only the members that are needed.
 
-A list that names every destination of a large deployment is neither held whole nor read in one turn of the
-loop. Each member is decoded by the standard library's JSON decoder as soon as it is whole.
+A list with every destination of a large deployment is neither held in memory as a whole nor parsed in one
+turn of the event loop. Each member is decoded by the standard library's JSON decoder once it is complete.
 """
 
 from __future__ import annotations
@@ -13,90 +13,112 @@
 from typing import Any
 
 MEMBERS_START = re.compile(r'"members"\s*:\s*\[')
-MEMBER_SEPARATORS = " \t\r\n,"  # what may stand between members
-MAX_FRAGMENT_LENGTH = 1 << 16  # characters of one member, or of what stands around them
-MAX_KEPT_MEMBERS = 100_000  # members of one list
+MEMBER_SEPARATORS = " \t\r\n,"
+MAX_FRAGMENT_LENGTH = 1 << 16  # characters of one member, or of the text around the members
+MAX_KEPT_MEMBERS = 100_000  # of one list
+MAX_QUOTED_LENGTH = 80  # characters of malformed input that are quoted in an error
 
 
 class ListError(ValueError):
-    """What came is no list in discovery's form."""
+    """The input is not a list in discovery's form."""
 
 
 class ListParser:
-    """Fed bytes, it gives each object once it is whole, with the wanted ones of its members."""
+    """Fed bytes, it returns each list once it is complete, with the members for which `keep_member` is true.
+
+    `keep_member` is given a member in discovery's form.
+    """
 
     def __init__(self, keep_member: Callable[[dict[str, Any]], bool]) -> None:
         self.keep_member = keep_member
         self._decoder = json.JSONDecoder()
         self._utf8 = codecs.getincrementaldecoder("utf-8")()
-        self._text = ""
-        self._head: str | None = None  # of the object that is being read, up to its first member
-        self._members_complete = False  # its last member has been read
-        self._members = list[dict[str, Any]]()
+        self._text = ""  # decoded, and not parsed yet
+        self._head: str | None = None  # of the current list, up to its first member
+        self._members_complete = False
+        self._members: list[dict[str, Any]] = []
+
+    @property
+    def unparsed_length(self) -> int:
+        """Characters that are kept until more of the list comes."""
+        return len(self._text)
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """The objects that are whole now. Raises ListError, after which nothing more can be read."""
+        """Parse received bytes; returns the lists that are complete now.
+
+        Raises ListError, after which the parser cannot be used any more.
+        """
         try:
             self._text += self._utf8.decode(data)
         except UnicodeDecodeError as error:
             raise ListError(f"list: not UTF-8: {error}") from error
-        found = list[dict[str, Any]]()
-        while (told := self._next()) is not None:
-            found.append(told)
+        lists: list[dict[str, Any]] = []
+        while (complete := self._parse_list()) is not None:
+            lists.append(complete)
         if len(self._text) > MAX_FRAGMENT_LENGTH:
             raise ListError(
-                f"list: one part is longer than {MAX_FRAGMENT_LENGTH} characters: {self._text[:80]!r}"
+                f"list: one part is longer than {MAX_FRAGMENT_LENGTH} characters: {self._quoted()}"
             )
-        return found
+        return lists
 
-    def _next(self) -> dict[str, Any] | None:
-        if self._head is None and not self._read_head():
+    def _quoted(self) -> str:
+        return repr(self._text[:MAX_QUOTED_LENGTH])
+
+    def _parse_list(self) -> dict[str, Any] | None:
+        if self._head is None:
+            self._head = self._parse_head()
+        if self._head is None:
             return None
-        if not self._members_complete and not self._read_members():
+        if not self._members_complete and not self._parse_members():
             return None
-        return self._read_tail()
+        return self._parse_tail(self._head)
 
-    def _read_head(self) -> bool:
+    def _parse_head(self) -> str | None:
         self._text = self._text.lstrip()
         if self._text and self._text[0] != "{":
-            raise ListError(f"list: expected an object, got {self._text[:80]!r}")
-        begin = MEMBERS_START.search(self._text)
-        if begin is None:
-            return False
-        self._head, self._text = self._text[: begin.end()], self._text[begin.end() :]
-        self._members, self._members_complete = [], False
-        return True
-
-    def _read_members(self) -> bool:
-        at, text = 0, self._text
+            raise ListError(f"list: expected an object, got {self._quoted()}")
+        start = MEMBERS_START.search(self._text)
+        if start is None:
+            return None
+        head = self._text[: start.end()]
+        self._text = self._text[start.end() :]
+        self._members = []
+        self._members_complete = False
+        return head
+
+    def _parse_members(self) -> bool:
+        """Parse the members that are complete; true at the end of the array."""
+        text = self._text
+        position = 0
         while True:
-            while at < len(text) and text[at] in MEMBER_SEPARATORS:
-                at += 1
-            if at == len(text) or text[at] == "]":
+            while position < len(text) and text[position] in MEMBER_SEPARATORS:
+                position += 1
+            if position == len(text) or text[position] == "]":
                 break
             try:
-                row, at = self._decoder.raw_decode(text, at)
+                member, position = self._decoder.raw_decode(text, position)
             except ValueError:
-                break  # the rest of it is still to come; what can be no member grows over the bound
-            self._add_member(row)
-        self._text = text[at:]
+                break  # incomplete, or malformed: that grows until it exceeds the limit
+            self._add_member(member)
+        self._text = text[position:]
         self._members_complete = self._text.startswith("]")
         return self._members_complete
 
-    def _add_member(self, row: object) -> None:
-        if not isinstance(row, dict):
-            raise ListError(f"list: members: expected an object, got {str(row)[:80]!r}")
-        if self.keep_member(row):
-            self._members.append(row)
+    def _add_member(self, member: object) -> None:
+        if not isinstance(member, dict):
+            quoted = str(member)[:MAX_QUOTED_LENGTH]
+            raise ListError(f"list: members: expected an object, got {quoted!r}")
+        if self.keep_member(member):
+            self._members.append(member)
         if len(self._members) > MAX_KEPT_MEMBERS:
             raise ListError(f"list: more than {MAX_KEPT_MEMBERS} members are wanted")
 
-    def _read_tail(self) -> dict[str, Any] | None:
-        assert self._head is not None
+    def _parse_tail(self, head: str) -> dict[str, Any] | None:
+        """The whole list without its members is the head and what follows them."""
         try:
-            told, end = self._decoder.raw_decode(self._head + self._text)
+            fields, end = self._decoder.raw_decode(head + self._text)
         except ValueError:
             return None
-        self._text = self._text[end - len(self._head) :]
+        self._text = self._text[end - len(head) :]
         self._head = None
-        return {**told, "members": self._members}
+        return {**fields, "members": self._members}
--- a/honeyhitch/protocols/transaction_parser.py
+++ b/honeyhitch/protocols/transaction_parser.py
@@ -36,7 +36,7 @@
         self,
         settings: Settings,
         has_destination: Callable[[int], bool],
-        on_invalid: Callable[[int], None] = lambda class_index: None,
+        on_invalid: Callable[[int], None] = lambda _: None,
     ) -> None:
         self.settings = settings
         self.has_destination = has_destination
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -71,7 +71,7 @@
     assert [len(one["members"]) for one in found] == [190]
     assert found[0]["complete"]
     assert watch.list_parser is not None
-    assert len(watch.list_parser._text) <= piece
+    assert watch.list_parser.unparsed_length <= piece
     change = json.dumps({"revision": 8, "complete": False, "members": [endpoint_row("s-1", 1000)]}).encode()
     for text in (b"\n", change, b"\n"):
         found += watch.feed(b"%x\r\n%s\r\n" % (len(text), text))
