--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -1,5 +1,7 @@
-"""The other process on the same state folder, while an upgrade lasts: its journal is followed, and what it
-leaves is taken over as soon as the kernel has let go of its lock.
+"""The hand-over between two processes on the same state directory, during an upgrade.
+
+The other process is the peer. Its journal is followed while it runs, and taken over as soon as the kernel has
+released its lock. See docs/design/upgrades.md.
 """
 
 from __future__ import annotations
@@ -13,18 +15,20 @@
 from honeyhitch.journal.directory import FIRST_SLOT, SECOND_SLOT, StateDirectory
 from honeyhitch.journal.follower import JournalFollower
 from honeyhitch.journal.journal import Journal, JournalFullError
+from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Event, RetryAfterReceived
 
 log = logs.get()
-PEER_POLL_SECONDS, IDLE_POLL_SECONDS = (
-    0.02,
-    0.25,
-)  # seconds between looks while another process is there, and while none is
+PEER_POLL_SECONDS = 0.02  # between checks while a peer runs
+IDLE_POLL_SECONDS = 0.25  # between checks while there is none
+
+PeerChanged = Callable[[bool, int | None], None]
 
 
 class ProcessHandover:
-    """Sees the other process come and go. `changed` is called with whether one is there, and how many calls
-    it has out if it passes on what it holds.
+    """Follows the peer, receives the messages it hands over, and takes its journal over once it has ended.
+
+    For the dispatcher it is the `PeerProcess` as long as the peer runs.
     """
 
     def __init__(
@@ -32,147 +36,164 @@
         state_directory: StateDirectory,
         journal: Journal,
         dispatcher: Dispatcher,
-        on_change: Callable[[bool, int | None], None],
+        on_change: PeerChanged,
     ) -> None:
-        self.state_directory, self.journal, self.dispatcher, self.on_change = (
-            state_directory,
-            journal,
-            dispatcher,
-            on_change,
-        )
+        """`on_change` is called with whether a peer runs, and with how many calls it has in flight, which is
+        None as long as it does not hand over its messages.
+        """
+        self.state_directory = state_directory
+        self.journal = journal
+        self.dispatcher = dispatcher
+        self.on_change = on_change
         self.follower = self._new_follower()
-        self.peer_running = self.recovered = (
-            False  # the latter: the dispatcher goes on with what the journal held
-        )
-        self.peer_calls_in_flight: int | None = None
+        self.peer_running = False
+        self.peer_calls_in_flight: int | None = None  # None as long as the peer does not hand over
+        self.recovered = False  # whether the dispatcher has resumed the messages of the journal
 
     def _new_follower(self) -> JournalFollower:
         path = self.state_directory.journal_path(self.state_directory.other_slot)
         return JournalFollower(path, self.journal.messages.max_remembered, self.journal.retention)
 
     def start(self) -> None:
-        """The first look, before the dispatcher goes on with what the journal holds."""
+        """The first check, before the dispatcher resumes the messages of the journal."""
         self.check_peer()
         if not self.peer_running:
             self.journal.reclaim()
-        self.journal.record_calls_in_flight(None)  # one that had this place before may have passed on
+        # An earlier process in this slot may have recorded that it hands over.
+        self.journal.record_calls_in_flight(None)
+
+    async def watch(self) -> None:
+        """Check the peer until cancelled."""
+        while True:
+            await asyncio.sleep(PEER_POLL_SECONDS if self.peer_running else IDLE_POLL_SECONDS)
+            self.check_peer()
 
     def check_peer(self) -> None:
-        """See whether another process holds the other place; if one left something there, take it over."""
-        if (
-            self.state_directory.slot == FIRST_SLOT
-            and not self.state_directory.journal_path(SECOND_SLOT).exists()
-        ):
+        """Find out whether a peer holds the other slot; take over what one that has ended left there."""
+        if self._no_second_slot():
             self._set_peer_running(False)
             return
         with self.state_directory.exclusive():
-            gone = self.state_directory.lock_slot(self.state_directory.other_slot)
-            if gone:
+            peer_ended = self.state_directory.lock_slot(self.state_directory.other_slot)
+            if peer_ended:
                 self._take_over_journal()
-        if not gone:
-            self._set_peer_running(True)
-            self._read_peer_journal()
-            if self.recovered and self.dispatcher.sending:
-                self._receive_messages()
-
-    def _set_peer_running(self, there: bool) -> None:
-        if there != self.peer_running:
-            self.peer_running = there
-            self.dispatcher.peer_process = self if there else None
-            log.info(
-                "handover.peer-started" if there else "handover.peer-ended",
-                place=self.state_directory.other_slot,
-            )
-            self.peer_calls_in_flight = None
-            self.on_change(there, None)
+        if peer_ended:
+            return
+        self._set_peer_running(True)
+        self._read_peer_journal()
+        if self.recovered and self.dispatcher.sending:
+            self._receive_messages()
 
-    def _receive_messages(self) -> None:
-        """Go on with what the other one passes on: from here on it is in this process's journal, too.
+    def _no_second_slot(self) -> bool:
+        """Whether this process holds the first slot and no other one has written to the second."""
+        directory = self.state_directory
+        return directory.slot == FIRST_SLOT and not directory.journal_path(SECOND_SLOT).exists()
 
-        One that passes on takes up nothing more: what was passed on to it and it does not know comes back.
-        """
+    def _set_peer_running(self, running: bool) -> None:
+        if running == self.peer_running:
+            return
+        self.peer_running = running
+        self.dispatcher.peer_process = self if running else None
+        log.info(
+            "handover.peer-started" if running else "handover.peer-ended",
+            place=self.state_directory.other_slot,
+        )
+        self.peer_calls_in_flight = None
+        self.on_change(running, None)
+
+    def _receive_messages(self) -> None:
+        """Resume the messages that the peer hands over, each once it is in this process's own journal."""
         if self.follower.calls_in_flight != self.peer_calls_in_flight:
             self.peer_calls_in_flight = self.follower.calls_in_flight
             self.on_change(True, self.peer_calls_in_flight)
-        came, mine, theirs = [], self.journal, self.follower
-        back = (
-            {}
-            if theirs.calls_in_flight is None
-            else {k: v for k, v in mine.handed_over.items() if not theirs.has_accepted(k)}
-        )
-        for name, one in (theirs.handed_over | back).items():
-            if name in mine.handed_over or not mine.has_accepted(name):
-                copy = replace(
-                    one,
-                    possible_executions=list(one.possible_executions),
-                    attempt_history=list(one.attempt_history),
-                )
+        received: list[Transaction] = []
+        for message_id, message in (self.follower.handed_over | self._returned_messages()).items():
+            if message_id in self.journal.handed_over or not self.journal.has_accepted(message_id):
+                copy = _copy(message)
                 try:
-                    mine.record_accepted(copy)
-                except JournalFullError as error:  # what is held here ends with time
+                    self.journal.record_accepted(copy)
+                except JournalFullError as error:  # room comes as messages of this process end
                     log.warning("handover.journal-full", error=str(error))
                     break
-                came.append(copy)
-            theirs.handed_over.pop(name, None)
-        if came:
-            log.info("handover.messages-received", messages=len(came))
-            self.dispatcher.take_over(came, [])
+                received.append(copy)
+            self.follower.handed_over.pop(message_id, None)
+        if received:
+            log.info("handover.messages-received", messages=len(received))
+            self.dispatcher.take_over(received, [])
+
+    def _returned_messages(self) -> dict[str, Transaction]:
+        """Messages handed over to the peer that it never accepted, once it hands over itself.
+
+        From then on it accepts none, so that they are this process's again.
+        """
+        if self.follower.calls_in_flight is None:
+            return {}
+        return {
+            message_id: message
+            for message_id, message in self.journal.handed_over.items()
+            if not self.follower.has_accepted(message_id)
+        }
 
     def _take_over_journal(self) -> None:
-        """Nobody writes the other journal any more, and the lock keeps it so."""
+        """Merge the journal of a peer that has ended. Its lock is held, so that no process writes to it."""
+        directory = self.state_directory
         self.follower.read()
-        first, second = (
-            self.state_directory.journal_path(FIRST_SLOT),
-            self.state_directory.journal_path(SECOND_SLOT),
-        )
         self.journal.peer_bytes = self.follower.read_bytes
         try:
-            new, late = self.journal.take_over(self.follower, first, second)
-        except JournalFullError as error:  # what is held here ends with time, and then there is room
+            messages, dead_letters = self.journal.take_over(
+                self.follower, directory.journal_path(FIRST_SLOT), directory.journal_path(SECOND_SLOT)
+            )
+        except JournalFullError as error:  # room comes as messages of this process end
             log.error("handover.journal-full", error=str(error))
             return
-        self.state_directory.slot = FIRST_SLOT
-        self.state_directory.unlock_slot(SECOND_SLOT)
+        directory.slot = FIRST_SLOT
+        directory.unlock_slot(SECOND_SLOT)
         self.follower.close()
-        waits, self.follower, self.journal.peer_bytes = self._retry_after_events(), self._new_follower(), 0
+        retry_after_events = self._retry_after_events()
+        self.follower = self._new_follower()
+        self.journal.peer_bytes = 0
         self._set_peer_running(False)
-        self.dispatcher.apply_retry_after(waits)
-        if new:
-            log.info("handover.journal-taken-over", messages=len(new))
+        self.dispatcher.apply_retry_after(retry_after_events)
+        if messages:
+            log.info("handover.journal-taken-over", messages=len(messages))
         if self.recovered:
-            self.dispatcher.take_over(new, late)
-
-    async def watch(self) -> None:
-        """Look for ever."""
-        while True:
-            await asyncio.sleep(PEER_POLL_SECONDS if self.peer_running else IDLE_POLL_SECONDS)
-            self.check_peer()
+            self.dispatcher.take_over(messages, dead_letters)
 
     def close(self) -> None:
-        """Let go of the other's journal."""
+        """Close the peer's journal."""
         self.follower.close()
 
-    # What the dispatcher asks while another process is there.
+    # What the dispatcher asks while a peer runs.
 
     def retry_after_events(self) -> list[Event]:
-        """The waits that the other process was told, all that last: a member may be listed here only now."""
+        """Each Retry-After that the peer has received and that still holds: its endpoint may be listed here
+        only now.
+        """
         self._read_peer_journal()
         return self._retry_after_events()
 
+    def has_accepted(self, message_id: str) -> bool:
+        """Whether the peer has accepted this message."""
+        self.follower.read()
+        return self.follower.has_accepted(message_id)
+
     def _read_peer_journal(self) -> None:
         self.follower.read()
         self.journal.peer_bytes = self.follower.reserved_bytes()
 
     def _retry_after_events(self) -> list[Event]:
         now = self.journal.clock()
-        waits = self.follower.retry_after_until.items()
         return [
-            RetryAfterReceived(destination, name, until)
-            for (destination, name), until in waits
+            RetryAfterReceived(destination, endpoint, until)
+            for (destination, endpoint), until in self.follower.retry_after_until.items()
             if until > now
         ]
 
-    def has_accepted(self, name: str) -> bool:
-        """The other process has taken this message on."""
-        self.follower.read()
-        return self.follower.has_accepted(name)
+
+def _copy(message: Transaction) -> Transaction:
+    """A copy that this process may change: the follower goes on reading the original."""
+    return replace(
+        message,
+        possible_executions=list(message.possible_executions),
+        attempt_history=list(message.attempt_history),
+    )
