--- a/honeyhitch/service/features/dead_letters.py
+++ b/honeyhitch/service/features/dead_letters.py
@@ -13,5 +13,5 @@
     service.dead_letters = DeadLetterService(
         settings, service.config.state, service.dispatcher, service.scheduler, service.loop
     )
-    service.background_work.append(service.dead_letters.maintain)
+    service.background_tasks.append(service.dead_letters.maintain)
     register(service.commands, service.dead_letters)
--- a/honeyhitch/service/features/fleet.py
+++ b/honeyhitch/service/features/fleet.py
@@ -36,4 +36,4 @@
         service.discovery.refetch,
     )
     service.discovery.reads_partial_lists = True
-    service.background_work += [service.fleet.watch, service.fleet.watch_expiry]
+    service.background_tasks += [service.fleet.watch, service.fleet.watch_expiry]
--- a/honeyhitch/service/features/mqtt.py
+++ b/honeyhitch/service/features/mqtt.py
@@ -22,7 +22,7 @@
     dispatcher.transports[MQTT] = transport
     for endpoint in settings.members:
         dispatcher.pool.pin(_pool_endpoint(endpoint, dispatcher.pool))
-    service.background_work += [link.run for link in (*frontend.links, transport.link)]
+    service.background_tasks += [link.run for link in (*frontend.links, transport.link)]
 
 
 def _pool_endpoint(endpoint: MqttEndpoint, pool: EndpointPool) -> PoolEndpoint:
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -1,4 +1,4 @@
-"""Partitioned destinations in one process: the view's watch, routing, and what follows as shares change."""
+"""Partitioned destinations in one process: the watch of the fleet's view, routing, and changes of quota."""
 
 from __future__ import annotations
 
@@ -15,23 +15,26 @@
 from honeyhitch.dispatcher.ports import Scheduler
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.partitioning.fleet import ClockError, Fleet
-from honeyhitch.partitioning.settings import SECOND, FleetSettings
+from honeyhitch.partitioning.settings import FleetSettings
 from honeyhitch.protocols.discovery_backoff import WatchBackoff
 from honeyhitch.protocols.resp import Route, busy_reply
-from honeyhitch.time_units import MILLISECOND
+from honeyhitch.time_units import MILLISECOND, SECOND
 from honeyhitch.transports.list_watch import ListWatch
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
 log = logs.get()
-VIEW_FILE_NAME = "fleet-view.json"  # in the state folder
-MAX_SAVED_VIEW_BYTES = 250_000  # bytes of it
-SAVE_INTERVAL = 60 * SECOND  # ns; a restart while control is silent counts its leases from the last one
-REFRESH_CHECK_SECONDS = 0.25  # seconds between looks at what has changed with the time
+VIEW_FILE_NAME = "fleet-view.json"  # in the state directory
+MAX_SAVED_VIEW_BYTES = 250_000
+SAVE_INTERVAL = 60 * SECOND  # a restart while control is silent counts its leases from the last save
+REFRESH_CHECK_SECONDS = 0.25  # between checks for quotas that change with time
 NO_OWNER_REPLY = busy_reply(BUSY_RETRY_AFTER)
 
 
 class FleetService:
-    """Keeps the view, decides where transactions go, and tells the core what this instance may use."""
+    """Keeps the view, routes messages, and applies this instance's quotas to the dispatcher.
+
+    It is the client sessions' `Router` and the dispatcher's `QuotaSource` (DESIGN, partitioning).
+    """
 
     retry_after = BUSY_RETRY_AFTER
 
@@ -45,29 +48,34 @@
         rng: Random,
         refetch: Callable[[], None],
     ) -> None:
-        """`refetch` asks discovery for its whole list anew, after more partitions are kept than before."""
+        """`refetch` asks discovery for its complete list, as this instance becomes a candidate for more."""
         self.fleet = Fleet(settings)
-        self.settings, self.dispatcher, self.scheduler = settings, dispatcher, scheduler
-        self.loop, self.path, self.rng, self.refetch = loop, state / VIEW_FILE_NAME, rng, refetch
+        self.settings = settings
+        self.dispatcher = dispatcher
+        self.scheduler = scheduler
+        self.loop = loop
+        self.path = state / VIEW_FILE_NAME
+        self.rng = rng
+        self.refetch = refetch
         self.connections = PeerConnections(loop, settings.peer_connections)
         self.forwarder = Forwarder(
             dispatcher.settings,
             settings.name,
-            self._addresses,
+            self._owner_addresses,
             self.connections,
             scheduler.now,
             NO_OWNER_REPLY,
         )
-        self._quota_fractions: dict[int, float] = {}  # by partition, as the module was told last
-        self.lost_partitions = set[int]()  # partitions without a portion, of which messages are held
+        self.lost_partitions = set[int]()  # partitions without a quota, of which messages are held
+        self._quota_fractions: dict[int, float] = {}  # by partition, as last applied to the dispatcher
         self._saved_at = 0
-        self._refresh_at: int | None = 0  # when a portion may change though nothing is heard
-        self._lease_was_valid = False  # at the last look
+        self._refresh_at: int | None = 0  # when a quota may change though no update comes
+        self._lease_was_valid = False  # at the last refresh
         dispatcher.quota_source = self
         dispatcher.pool.keeps_destination = self.fleet.is_candidate
-        dispatcher.pool.quota_fraction = lambda destination: self.quota_fraction(destination, scheduler.now())
+        dispatcher.pool.quota_fraction = self._current_quota_fraction
 
-    # What others ask.
+    # Routing, quotas and reports.
 
     @property
     def ready(self) -> bool:
@@ -75,25 +83,30 @@
         return bool(self.fleet.view.instances)
 
     def quota_fraction(self, destination: int, now: int) -> float:
-        """The part of its zone's share of a limit that this instance may use."""
+        """The part of its zone's limit that this instance may use, 0 to 1; `now` is in nanoseconds."""
         return self.fleet.quota_fraction(destination, now)
 
+    def _current_quota_fraction(self, destination: int) -> float:
+        return self.quota_fraction(destination, self.scheduler.now())
+
     def has_destination(self, destination: int) -> bool:
-        """Whether there is such a destination, as far as can be told: of others their owners know."""
+        """Whether there is such a destination; what this instance is no candidate for, its owners decide."""
         return not self.fleet.is_candidate(destination) or self.dispatcher.pool.has_destination(destination)
 
     def route(self, transaction: Transaction, forwarded: bool) -> Route:
-        """Where a transaction goes. One that is held here already stays: it is answered as accepted."""
-        now, destination = self.scheduler.now(), transaction.destination
-        if self.dispatcher.journal.has_accepted(transaction.id) or self.quota_fraction(destination, now) > 0:
+        """Where a message goes. One that is held here already stays: it is answered as accepted."""
+        if self.dispatcher.journal.has_accepted(transaction.id):
+            return Route.LOCAL
+        if self._current_quota_fraction(transaction.destination) > 0:
             return Route.LOCAL
         if forwarded or not self.ready:
             return Route.REJECT
-        return Route.FORWARD  # where there is no owner to ask, the forwarder refuses it as well
+        return Route.FORWARD  # where there is no owner to ask, the forwarder rejects it as well
 
     def describe(self) -> dict[str, Any]:
-        """The view in force, for operators."""
+        """The view in force, as the management call `fleet` reports it."""
         status = self.fleet.status(self.scheduler.now())
+        age = status.heartbeat_age
         return {
             "name": self.settings.name,
             "zone": self.settings.zone,
@@ -101,9 +114,7 @@
             "revision": status.revision,
             "instances": status.instance_count,
             "ready": status.ready_count,
-            "heartbeat_age_ms": status.heartbeat_age // MILLISECOND
-            if status.heartbeat_age is not None
-            else None,
+            "heartbeat_age_ms": age // MILLISECOND if age is not None else None,
             "partitions": self.settings.partitions,
             "holds": status.held_partitions,
             "keeps": status.candidate_partitions,
@@ -111,22 +122,30 @@
         }
 
     def describe_owners(self, destination: int) -> dict[str, Any]:
-        """Who may be sent messages for a destination, by zone, and what this instance holds of it."""
+        """The owners of a destination by zone, as the management call `owner` reports them."""
         partition = self.fleet.partition(destination)
         candidates = {
-            zone: [f"{one.name} {one.phase.value}" for one in self.fleet.candidates(zone, partition)]
+            zone: [
+                f"{instance.name} {instance.phase.value}"
+                for instance in self.fleet.candidates(zone, partition)
+            ]
             for zone in self.settings.zones
         }
-        portion = self.quota_fraction(destination, self.scheduler.now())
-        return {"destination": destination, "partition": partition, "portion": portion, "zones": candidates}
+        return {
+            "destination": destination,
+            "partition": partition,
+            "portion": self._current_quota_fraction(destination),
+            "zones": candidates,
+        }
 
-    def _addresses(self, destination: int) -> list[str]:
-        return [one.address for one in self.fleet.owners(destination, self.scheduler.now())]
+    def _owner_addresses(self, destination: int) -> list[str]:
+        owners = self.fleet.owners(destination, self.scheduler.now())
+        return [instance.address for instance in owners]
 
-    # What runs.
+    # The view.
 
     def restore(self) -> None:
-        """Read what an earlier process saved. A file that cannot be read is as good as none."""
+        """Read the view that an earlier process saved. A file that cannot be read is logged and ignored."""
         try:
             saved = json.loads(self.path.read_bytes())
             self.fleet.restore(saved, self.scheduler.now())
@@ -136,87 +155,110 @@
             log.warning("fleet.saved-view-rejected", error=str(error))
 
     async def watch(self) -> None:
-        """Watch the view for ever; the one in force stays while its agent is silent."""
-        size, lease = max(1, len(self.fleet.view.instances)), self.settings.lease / SECOND
-        asking = WatchBackoff(self.rng, size, self.ready, False, lease)
-        await ListWatch(
-            self.settings.view, self.loop, asking, lambda: self.fleet.view.revision, self.apply_update
-        ).run()
+        """Watch the view until cancelled; the one in force stays while its agent is silent."""
+        instance_count = max(1, len(self.fleet.view.instances))
+        backoff = WatchBackoff(
+            self.rng,
+            instance_count,
+            has_list=self.ready,
+            address_changed=False,
+            drain_grace=self.settings.lease / SECOND,
+        )
+        watch = ListWatch(self.settings.view, self.loop, backoff, self._revision, self.apply_update)
+        await watch.run()
+
+    def _revision(self) -> int:
+        return self.fleet.view.revision
 
     def apply_update(self, update: dict[str, Any]) -> None:
-        """Take over a list, a change or a heartbeat. Raises FleetViewError where it cannot be used."""
-        before, kept = self.fleet.view, self.fleet.candidate_partitions
+        """Apply a list, change or heartbeat in discovery's form. Raises FleetViewError if it is faulty."""
+        previous_view = self.fleet.view
+        previous_partitions = self.fleet.candidate_partitions
         now = self.scheduler.now()
         try:
             self.fleet.apply_update(update, now)
         except ClockError as error:  # the view is good, the heartbeat is not
             log.warning("fleet.clock-rejected", error=str(error), key=self.settings.view)
-        if before.revision != self.fleet.view.revision:
-            log.info("fleet.view-applied", revision=self.fleet.view.revision, key=self.settings.view)
-        if not self.fleet.candidate_partitions <= kept:
+        view = self.fleet.view
+        if previous_view.revision != view.revision:
+            log.info("fleet.view-applied", revision=view.revision, key=self.settings.view)
+        if not self.fleet.candidate_partitions <= previous_partitions:
             self.refetch()
-        if before.instances != self.fleet.view.instances or now - self._saved_at >= SAVE_INTERVAL:
+        if previous_view.instances != view.instances or now - self._saved_at >= SAVE_INTERVAL:
             self._save(now)
-        if before is not self.fleet.view or self._lease_was_valid is not self.fleet.lease_valid(now):
+        if previous_view is not view or self._lease_was_valid is not self.fleet.lease_valid(now):
             self.refresh_quotas()
 
+    def _save(self, now: int) -> None:
+        data = json.dumps(self.fleet.snapshot(), separators=(",", ":")).encode()
+        if len(data) > MAX_SAVED_VIEW_BYTES:
+            log.warning("fleet.view-not-saved", bytes=len(data), most=MAX_SAVED_VIEW_BYTES)
+            return
+        new_path = self.path.with_suffix(".new")
+        try:
+            new_path.write_bytes(data)
+            os.replace(new_path, self.path)
+        except OSError as error:
+            log.warning("fleet.view-not-saved", error=str(error))
+        self._saved_at = now
+
+    # Quotas that change.
+
     async def watch_expiry(self) -> None:
-        """Follow what changes with the time alone: leases that run out, and those that were waited for."""
+        """Follow what changes with time alone, until cancelled: leases that expire or begin."""
         while True:
             await asyncio.sleep(REFRESH_CHECK_SECONDS)
             self.refresh_if_due()
 
     def refresh_if_due(self) -> None:
-        """Look if a portion may have changed with the time, or if messages of lost partitions are held."""
+        """Refresh if a quota may have changed with time, or if messages of lost partitions are held."""
         due = self._refresh_at is not None and self.scheduler.now() >= self._refresh_at
         if due or self.lost_partitions:
             self.refresh_quotas()
 
     def refresh_quotas(self) -> None:
-        """Tell the module of portions that have changed, and hand back what is another instance's now."""
-        now, changed = self.scheduler.now(), set[int]()
-        self._refresh_at, self._lease_was_valid = (
-            self.fleet.next_quota_change(now),
-            self.fleet.lease_valid(now),
-        )
-        for partition in self.fleet.candidate_partitions | self._quota_fractions.keys():
-            portion = self.fleet.held_quota(partition, now).quota_fraction(self.settings.reserve)
-            if portion != self._quota_fractions.get(partition, 0.0):
-                changed.add(partition)
-                self._quota_fractions[partition] = portion
+        """Apply changed quotas to the dispatcher, and return messages that are another instance's now."""
+        now = self.scheduler.now()
+        self._refresh_at = self.fleet.next_quota_change(now)
+        self._lease_was_valid = self.fleet.lease_valid(now)
+        changed = self._update_quota_fractions(now)
         self.lost_partitions = {
-            one for one in self.lost_partitions | changed if not self._quota_fractions[one]
+            partition for partition in self.lost_partitions | changed if not self._quota_fractions[partition]
         }
         if changed:
-            pool = self.dispatcher.pool
-            news = pool.changed_listings(lambda destination: self.fleet.partition(destination) in changed)
-            if news.listings:
-                self.dispatcher.apply_list_update(news)
+            self._apply_changed_quotas(changed)
         if self.lost_partitions:
             self._return_lost_messages(now)
 
+    def _update_quota_fractions(self, now: int) -> set[int]:
+        """Work the quotas out as of now; the partitions whose quota is another one than before."""
+        changed = set[int]()
+        for partition in self.fleet.candidate_partitions | self._quota_fractions.keys():
+            fraction = self.fleet.held_quota(partition, now).quota_fraction(self.settings.reserve)
+            if fraction != self._quota_fractions.get(partition, 0.0):
+                changed.add(partition)
+                self._quota_fractions[partition] = fraction
+        return changed
+
+    def _apply_changed_quotas(self, partitions: set[int]) -> None:
+        """List the endpoints of these partitions again, with the rates that follow from the new quotas."""
+        update = self.dispatcher.pool.changed_listings(
+            lambda destination: self.fleet.partition(destination) in partitions
+        )
+        if update.listings:
+            self.dispatcher.apply_list_update(update)
+
     def _return_lost_messages(self, now: int) -> None:
-        """Of partitions that were lost; those of which nothing is held any more need no further look."""
-        held = {one.destination for one in self.dispatcher.messages.by_id.values()}
-        held = {one for one in held if self.fleet.partition(one) in self.lost_partitions}
-        for destination in held:
+        """Return messages of lost partitions unattempted; forget the partitions of which none is held."""
+        messages = self.dispatcher.messages.by_id.values()
+        held = {message.destination for message in messages}
+        partition = self.fleet.partition
+        lost = {destination for destination in held if partition(destination) in self.lost_partitions}
+        for destination in lost:
             if not self.fleet.awaits_lease(destination, now):
                 self.dispatcher.return_unattempted(destination, BUSY_RETRY_AFTER)
-        self.lost_partitions = {self.fleet.partition(destination) for destination in held}
-
-    def _save(self, now: int) -> None:
-        data = json.dumps(self.fleet.snapshot(), separators=(",", ":")).encode()
-        if len(data) > MAX_SAVED_VIEW_BYTES:
-            log.warning("fleet.view-not-saved", bytes=len(data), most=MAX_SAVED_VIEW_BYTES)
-            return
-        spare = self.path.with_suffix(".new")
-        try:
-            spare.write_bytes(data)
-            os.replace(spare, self.path)
-        except OSError as error:
-            log.warning("fleet.view-not-saved", error=str(error))
-        self._saved_at = now
+        self.lost_partitions = {partition(destination) for destination in lost}
 
     def close(self) -> None:
-        """Let go of connections."""
+        """Close the connections to other instances."""
         self.connections.close()
--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -41,7 +41,7 @@
         service.config.listen,
         session,
         service.max_clients,
-        shared=True,
+        reuse_port=True,
         forward=None if fleet is None else fleet.forwarder.forward,
     )
     if service.handover.peer_running:
@@ -69,7 +69,9 @@
         address = config.operator.health
         _listen(service, "beside.health", address, lambda: HealthSession(state), MONITORING_CONNECTIONS)
     if config.management is not None:
-        _listen(service, "management", config.management, management, MONITORING_CONNECTIONS, once=True)
+        _listen(
+            service, "management", config.management, management, MONITORING_CONNECTIONS, single_request=True
+        )
 
 
 def _listen(
@@ -79,14 +81,20 @@
     session: Callable[[], ServerSession],
     max_connections: int,
     *,
-    once: bool = False,
-    shared: bool = False,
+    single_request: bool = False,
+    reuse_port: bool = False,
     forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
 ) -> ClientServer:
     """Listen at an address; `setting` is its key in the configuration, by which an error names it."""
     try:
         server = ClientServer(
-            (address.host, address.port), session, max_connections, service.tasks, once, shared, forward
+            (address.host, address.port),
+            session,
+            max_connections,
+            service.tasks,
+            single_request,
+            reuse_port,
+            forward,
         )
     except OSError as error:
         raise ConfigError(f"{setting}: cannot listen on {address}: {error.strerror}") from error
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -59,7 +59,7 @@
         self.discovery = Discovery(str(config.discovery), self.dispatcher, self.tasks, discovery_rng)
         self.dispatcher.transports["http"] = http
         self.dispatcher.frontends["resp"] = self.discovery
-        self.background_work: list[Callable[[], Awaitable[None]]] = [
+        self.background_tasks: list[Callable[[], Awaitable[None]]] = [
             http.sweep,
             report_suppressed_events,
             self.handover.watch,
--- a/honeyhitch/service/start.py
+++ b/honeyhitch/service/start.py
@@ -14,7 +14,7 @@
 def start(service: Service, listen: bool = True) -> None:
     """Recover the journal, then serve. Without `listen` only callers in this process submit messages.
 
-    Raises ConfigError where an address cannot be had, or a running process allows no second one beside it.
+    Raises ConfigError where an address cannot be had, or a running process allows no second one.
     """
     if service.fleet is not None:
         service.fleet.restore()
@@ -31,8 +31,8 @@
         from honeyhitch.service.features.control import open_control_socket
 
         open_control_socket(service, control)
-    for work in service.background_work:
-        service.tasks.run_forever(work)
+    for task in service.background_tasks:
+        service.tasks.run_forever(task)
     # Before a fleet's first view no entry of a list would be kept: the view's arrival starts the watch.
     service.discovery.start(watch=service.fleet is None or service.fleet.ready)
 
