--- a/honeyhitch/partitioning/__init__.py
+++ b/honeyhitch/partitioning/__init__.py
@@ -1,4 +1,4 @@
-"""Destinations partitioned over the dispatchers of a fleet: who owns which, and what share of its limit.
+"""Destinations partitioned over the dispatchers of a fleet: who owns which, and what quota of its limit.
 
-Nothing here does input or output: clock and view are passed in. See docs/design/partitioning.md.
+Nothing here does I/O: clock and view are passed in. See docs/design/partitioning.md.
 """
--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -12,9 +12,10 @@
 from honeyhitch.partitioning.ownership import ZoneCandidates, partition_of
 from honeyhitch.partitioning.quotas import NO_QUOTA, HeldQuota, expected_holder, first_ready, held_quota
 from honeyhitch.partitioning.settings import FleetSettings
-from honeyhitch.partitioning.view import MS, FleetView, FleetViewError, Instance
+from honeyhitch.partitioning.view import FleetView, FleetViewError, Instance
+from honeyhitch.time_units import MILLISECOND
 
-SAVED_VIEW_VERSION = 1  # of `Fleet.saved`
+SAVED_VIEW_VERSION = 1  # the `form` of a saved view
 
 
 class ClockError(FleetViewError):
@@ -23,38 +24,42 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewStatus:
-    """The view in force, for people."""
+    """The view in force, as it is reported to operators."""
 
     revision: int
     instance_count: int
     ready_count: int
     heartbeat_age: int | None  # ns since the last heartbeat was issued; None before the first
-    held_partitions: int  # that this instance holds a part of
-    candidate_partitions: int  # partitions whose lists it keeps
-    problem: str = ""  # why the last news was refused, if it was
+    held_partitions: int  # of which this instance holds a quota
+    candidate_partitions: int  # whose endpoint lists it keeps
+    problem: str = ""  # why the last update was refused, if it was
 
 
 class Fleet:
-    """Who owns a destination, and what part of its limit this instance may use now."""
+    """Which instances own a destination, and which quota of its limit this one may use now.
+
+    Times are Unix times in nanoseconds (DESIGN, partitioning).
+    """
 
     def __init__(self, settings: FleetSettings) -> None:
         self.settings = settings
         self.view = FleetView()
-        self.last_heartbeat: int | None = (
-            None  # when the last heartbeat was issued, by the control machines' clock
-        )
+        # When the last heartbeat was issued, by the control machines' clock.
+        self.last_heartbeat: int | None = None
         self.problem = ""
-        self.candidate_partitions: frozenset[int] = frozenset()  # partitions whose lists this instance keeps
+        self.candidate_partitions: frozenset[int] = frozenset()  # whose endpoint lists this instance keeps
         self._zones_by_distance = _zones_by_distance(settings)
         self._zone_candidates = {
             zone: ZoneCandidates(settings.partitions, settings.candidates) for zone in settings.zones
         }
 
-    # What comes in.
+    # Updates.
 
     def apply_update(self, update: Mapping[str, Any], now: int) -> None:
-        """Take over a list, a change or a bare heartbeat. Raises FleetViewError, and then all stays as it is;
-        with ClockError the view is taken over, and the heartbeat is not.
+        """Apply a list, a change or a bare heartbeat in discovery's form.
+
+        Raises FleetViewError, and changes nothing, for a faulty one; with ClockError the view is applied, and
+        the heartbeat is not.
         """
         try:
             self._apply_update(update, now)
@@ -64,37 +69,50 @@
         self.problem = ""
 
     def _apply_update(self, update: Mapping[str, Any], now: int) -> None:
-        if (lease := update.get("lease_ms")) is not None and lease != self.settings.lease // MS:
-            raise FleetViewError(f"lease_ms: {lease!r}, but {self.settings.lease // MS} is set up here")
+        self._check_lease(update)
         view = self.view.updated(update, self.settings)
+        self._check_own_zone(view)
+        issued_ms = update.get("issued_ms")
+        if issued_ms is not None and (isinstance(issued_ms, bool) or not isinstance(issued_ms, int)):
+            raise FleetViewError(f"issued_ms: expected a whole number, got {issued_ms!r}")
+        self._replace_view(view)
+        if issued_ms is not None:
+            self._apply_heartbeat(issued_ms, now)
+
+    def _check_lease(self, update: Mapping[str, Any]) -> None:
+        lease_ms = update.get("lease_ms")
+        expected = self.settings.lease // MILLISECOND
+        if lease_ms is not None and lease_ms != expected:
+            raise FleetViewError(f"lease_ms: {lease_ms!r}, but {expected} is set up here")
+
+    def _check_own_zone(self, view: FleetView) -> None:
         own = view.instances.get(self.settings.name)
         if own is not None and own.zone != self.settings.zone:
             raise FleetViewError(
                 f"{own.name}: locality: {own.zone!r}, but {self.settings.zone!r} is set up here"
             )
-        issued = update.get("issued_ms")
-        if issued is not None and (isinstance(issued, bool) or not isinstance(issued, int)):
-            raise FleetViewError(f"issued_ms: expected a whole number, got {issued!r}")
-        self._replace_view(view)
-        if issued is None:
-            return
-        if issued * MS > now + self.settings.clock_skew:
-            raise ClockError(f"issued_ms: {issued} is later than this machine's clock, {now // MS}")
-        self.last_heartbeat = max(self.last_heartbeat or 0, issued * MS)
+
+    def _apply_heartbeat(self, issued_ms: int, now: int) -> None:
+        issued = issued_ms * MILLISECOND
+        if issued > now + self.settings.clock_skew:
+            raise ClockError(
+                f"issued_ms: {issued_ms} is later than this machine's clock, {now // MILLISECOND}"
+            )
+        self.last_heartbeat = max(self.last_heartbeat or 0, issued)
 
     def _replace_view(self, view: FleetView) -> None:
         if view == self.view:
             return
-        before, self.view = self.view, view
-        if before.instances.keys() == view.instances.keys():  # phases alone change no candidates
+        previous = self.view
+        self.view = view
+        if previous.instances.keys() == view.instances.keys():  # phases alone change no candidates
             return
         for zone, candidates in self._zone_candidates.items():
-            candidates.update(one.name for one in view.in_zone(zone))
-        self.candidate_partitions = self._zone_candidates[self.settings.zone].partitions_of(
-            self.settings.name
-        )
+            candidates.update(instance.name for instance in view.in_zone(zone))
+        own_zone = self._zone_candidates[self.settings.zone]
+        self.candidate_partitions = own_zone.partitions_of(self.settings.name)
 
-    # What follows.
+    # Ownership and quotas.
 
     def partition(self, destination: int) -> int:
         """The partition of a destination."""
@@ -105,23 +123,22 @@
         return [self.view.instances[name] for name in self._zone_candidates[zone].for_partition(partition)]
 
     def is_candidate(self, destination: int) -> bool:
-        """Whether this instance keeps the destination's entries of lists."""
+        """Whether this instance may own a destination, and keeps its entries of endpoint lists."""
         return self.partition(destination) in self.candidate_partitions
 
     def held_quota(self, partition: int, now: int) -> HeldQuota:
-        """What this instance holds of its zone's share."""
+        """What this instance holds of its zone's quota of a partition."""
         if partition not in self.candidate_partitions:
             return NO_QUOTA
-        return held_quota(
-            self.settings, self.candidates(self.settings.zone, partition), now, self.last_heartbeat
-        )
+        candidates = self.candidates(self.settings.zone, partition)
+        return held_quota(self.settings, candidates, now, self.last_heartbeat)
 
     def quota_fraction(self, destination: int, now: int) -> float:
-        """The part of its zone's share of the destination's limit that this instance may use, 0 to 1."""
+        """The fraction of its zone's quota of a destination that this instance may use, 0 to 1."""
         return self.held_quota(self.partition(destination), now).quota_fraction(self.settings.reserve)
 
     def awaits_lease(self, destination: int, now: int) -> bool:
-        """Whether this instance is to own a destination, and only waits out the lease of another one."""
+        """Whether this instance is the next owner of a destination, once the lease of another one expires."""
         partition = self.partition(destination)
         if partition not in self.candidate_partitions:
             return False
@@ -129,76 +146,78 @@
         return owner is not None and owner.name == self.settings.name and self.lease_valid(now)
 
     def lease_valid(self, now: int) -> bool:
-        """Whether the last heartbeat is recent enough for leased parts."""
-        return (
-            self.last_heartbeat is not None
-            and now < self.last_heartbeat + self.settings.lease - self.settings.clock_skew
-        )
+        """Whether the last heartbeat is recent enough to hold leased parts."""
+        if self.last_heartbeat is None:
+            return False
+        return now < self.last_heartbeat + self.settings.lease - self.settings.clock_skew
 
     def next_quota_change(self, now: int) -> int | None:
-        """The next instant at which a part may change hands though nothing new is heard, None if there is
-        none. A heartbeat heard meanwhile may put it off.
+        """The next time at which a quota may change though no update comes, None if there is none.
+
+        A heartbeat received meanwhile may postpone it.
         """
-        settings, moments = self.settings, list[int]()
+        settings = self.settings
+        expiries = list[int]()
         if self.last_heartbeat is not None:
-            moments += [self.last_heartbeat + settings.lease, self.last_heartbeat + settings.reserve_lease]
-        for one in self.view.in_zone(settings.zone):
-            moments += [at + settings.lease for at in (one.phase_since, one.joined_at) if at]
-            moments += [one.joined_at + settings.reserve_lease] if one.joined_at else []
+            expiries.append(self.last_heartbeat + settings.lease)
+            expiries.append(self.last_heartbeat + settings.reserve_lease)
+        for instance in self.view.in_zone(settings.zone):
+            if instance.phase_since:
+                expiries.append(instance.phase_since + settings.lease)
+            if instance.joined_at:
+                expiries.append(instance.joined_at + settings.lease)
+                expiries.append(instance.joined_at + settings.reserve_lease)
         skew = settings.clock_skew
-        return min(
-            (at for moment in moments for at in (moment - skew, moment + skew) if at > now), default=None
-        )
+        changes = (at for expiry in expiries for at in (expiry - skew, expiry + skew))
+        return min((at for at in changes if at > now), default=None)
 
     def owners(self, destination: int, now: int) -> list[Instance]:
-        """Other instances that may take a message for a destination, in the order in which to ask them: those
-        of the own zone first, then of the own region, then of the others. One that still waits for a lease to
-        run out would refuse it, and comes last.
+        """Other instances that may accept a message for a destination, in the order in which to ask them.
+
+        Those of the own zone come first, then of the own region, then of the others. One that still waits
+        for a lease to expire would reject the message, and comes last.
         """
-        partition, lasts = self.partition(destination), self.lease_valid(now)
-        holding, waiting = list[Instance](), list[Instance]()
+        partition = self.partition(destination)
+        lease_valid = self.lease_valid(now)
+        holders = list[Instance]()
+        waiting = list[Instance]()
         for zone in self._zones_by_distance:
-            owner, holds = expected_holder(self.settings, self.candidates(zone, partition), now, lasts)
-            if owner is not None and owner.name != self.settings.name:
-                (holding if holds else waiting).append(owner)
-        return holding + waiting
+            expected = expected_holder(self.settings, self.candidates(zone, partition), now, lease_valid)
+            if expected.instance is None or expected.instance.name == self.settings.name:
+                continue
+            (holders if expected.holds_quota else waiting).append(expected.instance)
+        return holders + waiting
 
     def status(self, now: int) -> ViewStatus:
-        """The view in force, for people."""
-        ready = sum(one.ready for one in self.view.instances.values())
-        held = sum(self.held_quota(partition, now) != NO_QUOTA for partition in self.candidate_partitions)
-        age = now - self.last_heartbeat if self.last_heartbeat is not None else None
-        counts = len(self.view.instances), ready
+        """The view in force, as it is reported to operators."""
+        instances = self.view.instances.values()
+        partitions = self.candidate_partitions
         return ViewStatus(
-            self.view.revision, *counts, age, held, len(self.candidate_partitions), self.problem
+            revision=self.view.revision,
+            instance_count=len(instances),
+            ready_count=sum(instance.ready for instance in instances),
+            heartbeat_age=now - self.last_heartbeat if self.last_heartbeat is not None else None,
+            held_partitions=sum(self.held_quota(partition, now) != NO_QUOTA for partition in partitions),
+            candidate_partitions=len(partitions),
+            problem=self.problem,
         )
 
-    # What outlasts the process: a restart while control is silent still knows what it is home to.
+    # The saved view: a process that starts while control is silent still knows what it is home to.
 
     def snapshot(self) -> dict[str, Any]:
-        """The view and the last heartbeat, in discovery's form."""
-        members = [
-            {
-                "id": one.name,
-                "host_port": one.address,
-                "locality": one.zone,
-                "flavor": one.region,
-                "phase": one.phase.value,
-                "up_since_ms": one.phase_since // MS,
-                "joined_ms": one.joined_at // MS,
-            }
-            for one in self.view.instances.values()
-        ]
-        told = {
+        """The view and the last heartbeat in discovery's form, as they are saved."""
+        saved: dict[str, Any] = {
             "form": SAVED_VIEW_VERSION,
             "revision": self.view.revision,
             "complete": True,
-            "members": members,
+            "members": self.view.member_rows(),
         }
-        return told | ({"issued_ms": self.last_heartbeat // MS} if self.last_heartbeat is not None else {})
+        if self.last_heartbeat is not None:
+            saved["issued_ms"] = self.last_heartbeat // MILLISECOND
+        return saved
 
     def restore(self, saved: Mapping[str, Any], now: int) -> None:
-        """Take over what an earlier process saved. Raises FleetViewError where it cannot be read."""
+        """Apply what an earlier process saved. Raises FleetViewError where it cannot be read."""
         form = saved.get("form") if isinstance(saved, Mapping) else None
         if form != SAVED_VIEW_VERSION:
             raise FleetViewError(f"form: expected {SAVED_VIEW_VERSION}, got {form!r}")
@@ -206,7 +225,7 @@
 
 
 def _zones_by_distance(settings: FleetSettings) -> list[str]:
-    """All zones, the own one first, then those of the own region; neighbours differ from zone to zone."""
+    """All zones: the own one, then those of its region, then the others, each group in the order after it."""
     start = settings.zones.index(settings.zone)
     zones = [*settings.zones[start:], *settings.zones[:start]]
     zones.sort(key=lambda zone: (zone != settings.zone, settings.region_of(zone) != settings.region))
--- a/honeyhitch/partitioning/ownership.py
+++ b/honeyhitch/partitioning/ownership.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 
 HASH_BYTES = 8
-Rank = tuple[int, str]  # the hash, and the name where two are equal
+Rank = tuple[int, str]  # the hash, and the name where two hashes are equal
 
 
 @lru_cache(maxsize=1 << 14)
@@ -34,10 +34,10 @@
     def __init__(self, partitions: int, count: int) -> None:
         self.partition_count, self.max_candidates = partitions, count
         self.names: frozenset[str] = frozenset()
-        self._ranks: dict[int, tuple[Rank, ...]] = {}  # highest first; what was not asked for is not here
+        self._ranks: dict[int, tuple[Rank, ...]] = {}  # by partition, highest first; worked out on demand
 
     def update(self, names: Iterable[str]) -> None:
-        """The zone's instances as of now. Work is done for the difference alone."""
+        """Replace the zone's instances; only ranks that differ are worked out."""
         now = frozenset(names)
         joined, left = now - self.names, self.names - now
         if not joined and not left:
@@ -45,7 +45,7 @@
         self.names = now
         for partition, ranks in list(self._ranks.items()):
             if any(name in left for _, name in ranks):
-                del self._ranks[partition]  # somebody from further down moves up
+                del self._ranks[partition]  # an instance of a lower rank moves up
             elif joined:
                 merged = {*ranks, *(rank(partition, name) for name in joined)}
                 self._ranks[partition] = tuple(sorted(merged, reverse=True)[: self.max_candidates])
@@ -54,8 +54,8 @@
         """The candidates for one partition, best first."""
         ranks = self._ranks.get(partition)
         if ranks is None:
-            every = sorted((rank(partition, name) for name in self.names), reverse=True)
-            ranks = self._ranks[partition] = tuple(every[: self.max_candidates])
+            ranked = sorted((rank(partition, name) for name in self.names), reverse=True)
+            ranks = self._ranks[partition] = tuple(ranked[: self.max_candidates])
         return tuple(name for _, name in ranks)
 
     def partitions_of(self, name: str) -> frozenset[int]:
--- a/honeyhitch/partitioning/quotas.py
+++ b/honeyhitch/partitioning/quotas.py
@@ -1,20 +1,22 @@
-"""What part of a zone's share of a limit one instance holds, as a function of view, clock and heartbeats.
+"""Which quota of its zone's limit one instance holds, as a function of view, clock and heartbeats.
 
-A destination's limit is split evenly over all zones. In each zone a share has two parts:
+A destination's limit is divided evenly over all zones. In each zone the quota has two parts:
 
-- the reserved part, with its home: the first candidate of the partition, ready or not. An instance that has
-  joined is home to nothing until the reserve lease of the one before it has certainly run out;
-- the leased part, with its owner: the first candidate that is ready, once the leases of all who may have
-  owned it before have certainly run out.
+- the reserved part stays with the home instance: the first candidate of the partition, ready or not. An
+  instance that has joined is home to nothing until the reserve lease of the one before it has expired for
+  certain;
+- the leased part goes with the owner: the first candidate that is ready, once the leases of all possible
+  owners before it have expired for certain.
 
 Each part is held only as long as a heartbeat of the control machines is recent enough. Nothing depends on
-what an instance did or saw before, so that a missed revision cannot break the sum.
+what an instance did or saw before, so that a missed revision cannot break the sum (DESIGN, partitioning).
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from honeyhitch.partitioning.settings import FleetSettings
 from honeyhitch.partitioning.view import Instance
@@ -22,41 +24,50 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldQuota:
-    """What one instance holds of its zone's share of a partition's limits."""
+    """The parts that one instance holds of its zone's quota of a partition."""
 
     reserved: bool = False
     leased: bool = False
 
     def quota_fraction(self, reserve_fraction: float) -> float:
-        """The part of the share, 0 to 1."""
+        """The fraction of the zone's quota, 0 to 1, where the reserved part is `reserve_fraction` of it."""
         return reserve_fraction * self.reserved + (1 - reserve_fraction) * self.leased
 
 
 NO_QUOTA = HeldQuota()
 
 
+class ExpectedHolder(NamedTuple):
+    """Who accepts messages for a partition in a zone, if anyone does, and whether it holds a quota yet."""
+
+    instance: Instance | None
+    holds_quota: bool
+
+
 def held_quota(
     settings: FleetSettings, candidates: Sequence[Instance], now: int, last_heartbeat: int | None
 ) -> HeldQuota:
-    """What `settings.name` holds now, with the partition's candidates in its zone, best first, and the time
-    at which the last heartbeat that it heard was issued. Times are Unix times in nanoseconds.
+    """What the instance `settings.name` holds now.
+
+    `candidates` are those of the partition in its zone, best first. `last_heartbeat` is when the last one
+    received was issued. Times are Unix times in nanoseconds.
     """
-    if last_heartbeat is None or not any(one.name == settings.name for one in candidates):
+    if last_heartbeat is None or not any(candidate.name == settings.name for candidate in candidates):
         return NO_QUOTA
-    reserve_lasts = now < last_heartbeat + settings.reserve_lease - settings.clock_skew
-    lease_lasts = now < last_heartbeat + settings.lease - settings.clock_skew
+    reserve_valid = now < last_heartbeat + settings.reserve_lease - settings.clock_skew
+    lease_valid = now < last_heartbeat + settings.lease - settings.clock_skew
     return HeldQuota(
-        reserved=reserve_lasts and _is_home(settings, candidates, now),
-        leased=lease_lasts and _is_owner(settings, candidates, now),
+        reserved=reserve_valid and _is_home(settings, candidates, now),
+        leased=lease_valid and _is_owner(settings, candidates, now),
     )
 
 
 def _is_home(settings: FleetSettings, candidates: Sequence[Instance], now: int) -> bool:
-    for one in candidates:
-        starts = one.joined_at + settings.reserve_lease if one.joined_at else 0
-        if now >= starts + settings.clock_skew:
-            return one.name == settings.name
-        if now >= starts - settings.clock_skew:  # it may have begun, by its own clock
+    for candidate in candidates:
+        home_from = candidate.joined_at + settings.reserve_lease if candidate.joined_at else 0
+        if now >= home_from + settings.clock_skew:
+            return candidate.name == settings.name
+        if now >= home_from - settings.clock_skew:  # it may be home already, by its own clock
             return False
     return False
 
@@ -69,29 +80,30 @@
 
 
 def _lease_starts_at(settings: FleetSettings, candidates: Sequence[Instance], owner: Instance) -> int:
-    """When the leases of all who may have owned the leased part before have certainly run out."""
-    latest = 0
-    for one in candidates:
-        latest = max(latest, one.phase_since, one.joined_at)
-        if one is owner:
+    """When the leases of all possible earlier owners have expired for certain."""
+    last_change = 0
+    for candidate in candidates:
+        last_change = max(last_change, candidate.phase_since, candidate.joined_at)
+        if candidate is owner:
             break
-    return latest + settings.lease + settings.clock_skew if latest else 0
+    return last_change + settings.lease + settings.clock_skew if last_change else 0
 
 
 def first_ready(candidates: Sequence[Instance]) -> Instance | None:
-    """The owner of a partition's leased part, as far as the view tells."""
-    return next((one for one in candidates if one.ready), None)
+    """The owner of a partition's leased part, by the view in force."""
+    return next((candidate for candidate in candidates if candidate.ready), None)
 
 
 def expected_holder(
-    settings: FleetSettings, candidates: Sequence[Instance], now: int, leases_last: bool
-) -> tuple[Instance | None, bool]:
-    """The instance that takes messages for a partition in a zone, as far as the view tells, and whether it
-    holds a part by now. One that waits for another's lease to run out does not; nor does one that is not the
-    home where leases do not last, as control is silent here and may be so there.
+    settings: FleetSettings, candidates: Sequence[Instance], now: int, lease_valid: bool
+) -> ExpectedHolder:
+    """Who accepts messages for a partition in the zone of these candidates, by the view in force.
+
+    An owner that waits for another's lease to expire holds no quota; nor does one that is not home while
+    leases are not valid here, as control is silent and may be silent there, too.
     """
     owner = first_ready(candidates)
     if owner is None:
-        return None, False
-    leased = leases_last and now >= _lease_starts_at(settings, candidates, owner)
-    return owner, owner is candidates[0] or leased
+        return ExpectedHolder(None, holds_quota=False)
+    leased = lease_valid and now >= _lease_starts_at(settings, candidates, owner)
+    return ExpectedHolder(owner, holds_quota=owner is candidates[0] or leased)
--- a/honeyhitch/partitioning/settings.py
+++ b/honeyhitch/partitioning/settings.py
@@ -1,11 +1,15 @@
-"""What an operator sets up for a fleet, the same at each of its dispatchers but for name and zone."""
+"""The settings of a fleet, the same at each of its dispatchers except for name and zone."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SECOND = 1_000_000_000  # ns
+from honeyhitch.time_units import HOUR, SECOND
+
 MAX_PARTITIONS = 1 << 16
+MAX_CANDIDATES = 8
+MAX_PEER_CONNECTIONS = 1024
+MIN_LEASE_SKEWS = 4  # a lease has to be longer than so many clock skews
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,15 +29,15 @@
     view: str  # HOST:PORT of the agent that lists the fleet
     regions: tuple[Region, ...]
     partitions: int = 4096
-    candidates: int = 2  # instances of a zone that may own a partition: the first that is ready does
-    reserve: float = 0.75  # part of a share that stays with its home instance while control is silent
-    lease: int = 3 * SECOND  # of the rest: how long a heartbeat of the control machines is good for
-    reserve_lease: int = 2 * 3600 * SECOND  # the same for the reserved part
+    candidates: int = 2  # instances of a zone that may own a partition; the first that is ready does
+    reserve: float = 0.75  # fraction of a zone's quota that stays with the home instance
+    lease: int = 3 * SECOND  # how long a heartbeat of the control machines renews the leased part
+    reserve_lease: int = 2 * HOUR  # how long it renews the reserved part
     clock_skew: int = SECOND // 4  # by which any two clocks of the fleet may differ at most
     peer_connections: int = 96  # open to other instances at once
 
     def __post_init__(self) -> None:
-        """Raises ValueError naming the setting at fault."""
+        """Raise ValueError naming the setting at fault."""
         zones = [zone for region in self.regions for zone in region.zones]
         for condition, problem in (
             (bool(zones), "regions: at least one zone is needed"),
@@ -44,19 +48,28 @@
                 1 <= self.partitions <= MAX_PARTITIONS,
                 f"partitions: expected 1 to {MAX_PARTITIONS}, got {self.partitions}",
             ),
-            (1 <= self.candidates <= 8, f"candidates: expected 1 to 8, got {self.candidates}"),
+            (
+                1 <= self.candidates <= MAX_CANDIDATES,
+                f"candidates: expected 1 to {MAX_CANDIDATES}, got {self.candidates}",
+            ),
             (0 <= self.reserve <= 1, f"reserve: expected 0 to 1, got {self.reserve:g}"),
             (self.clock_skew >= 0, "clock-skew: must not be negative"),
-            (self.lease > 4 * self.clock_skew, "lease: must be more than four times the clock skew"),
+            (
+                self.lease > MIN_LEASE_SKEWS * self.clock_skew,
+                "lease: must be more than four times the clock skew",
+            ),
             (self.reserve_lease >= self.lease, "reserve-lease: must not be shorter than the lease"),
-            (1 <= self.peer_connections <= 1024, "peer-connections: expected 1 to 1024"),
+            (
+                1 <= self.peer_connections <= MAX_PEER_CONNECTIONS,
+                f"peer-connections: expected 1 to {MAX_PEER_CONNECTIONS}",
+            ),
         ):
             if not condition:
                 raise ValueError(problem)
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """All zones, in the order of their regions. Each has an equal share of every limit."""
+        """All zones, in the order of their regions. Each has an equal quota of every limit."""
         return tuple(zone for region in self.regions for zone in region.zones)
 
     @property
--- a/honeyhitch/partitioning/view.py
+++ b/honeyhitch/partitioning/view.py
@@ -15,11 +15,11 @@
 
 from honeyhitch.addresses import split_host_port
 from honeyhitch.partitioning.settings import FleetSettings
+from honeyhitch.time_units import MILLISECOND
 
-MS = 1_000_000  # ns
 MAX_INSTANCES = 10_000
-MAX_NAME_LENGTH = 128  # characters
-MAX_JSON_INTEGER = 1 << 53  # what a JSON number holds exactly
+MAX_NAME_LENGTH = 128
+MAX_JSON_INTEGER = 1 << 53  # the largest one that every JSON reader keeps exact
 
 
 class FleetViewError(ValueError):
@@ -30,11 +30,10 @@
     """Whether an instance may own partitions."""
 
     READY = "Ready"
-    # It drains, restarts or does not answer; its place in the fleet stays its own.
-    TERMINATING = "Terminating"
+    TERMINATING = "Terminating"  # it drains, restarts or does not answer, and stays a member of the fleet
 
 
-GONE_PHASE = "Gone"  # only among changes
+GONE_PHASE = "Gone"  # of an instance that a change takes off the list
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,8 +62,9 @@
     instances: Mapping[str, Instance] = field(default_factory=lambda: MappingProxyType({}))
 
     def updated(self, update: Mapping[str, Any], settings: FleetSettings) -> FleetView:
-        """The view after a list or a change in discovery's form. Raises FleetViewError, and changes nothing,
-        where it is older than this one or cannot be read.
+        """The view after a list or a change in discovery's form.
+
+        Raises FleetViewError, and changes nothing, for an update that is older than this view or faulty.
         """
         revision = _parse_integer(update.get("revision"), "revision")
         if revision < self.revision:
@@ -72,35 +72,59 @@
         rows = update.get("members")
         if not isinstance(rows, list):
             raise FleetViewError("members: expected a list")
-        complete = update.get("complete") is True
+        instances = self._apply_rows(rows, settings, complete=update.get("complete") is True)
+        if not instances:
+            raise FleetViewError("members: a fleet has one instance at least")
+        if len(instances) > MAX_INSTANCES:
+            raise FleetViewError(f"members: at most {MAX_INSTANCES} instances, got {len(instances)}")
+        return FleetView(revision, MappingProxyType(instances))
+
+    def _apply_rows(self, rows: list[Any], settings: FleetSettings, complete: bool) -> dict[str, Instance]:
+        """The instances by name after these entries, which are all of them where the list is complete."""
         instances = {} if complete else dict(self.instances)
-        named = set[str]()
+        seen = set[str]()
         for number, row in enumerate(rows):
             name = _parse_name(row, number)
-            if name in named:
+            if name in seen:
                 raise FleetViewError(f"members.{number}.id: {name!r} is named twice")
-            named.add(name)
+            seen.add(name)
             if row.get("phase") == GONE_PHASE:
                 instances.pop(name, None)
             else:
                 instances[name] = _parse_instance(row, name, settings, self.instances.get(name))
-        if not instances:
-            raise FleetViewError("members: a fleet has one instance at least")
-        if len(instances) > MAX_INSTANCES:
-            raise FleetViewError(f"members: at most {MAX_INSTANCES} instances, got {len(instances)}")
-        return FleetView(revision, MappingProxyType(instances))
+        return instances
+
+    def member_rows(self) -> list[dict[str, Any]]:
+        """All instances in discovery's form, as `updated` reads them."""
+        return [
+            {
+                "id": instance.name,
+                "host_port": instance.address,
+                "locality": instance.zone,
+                "flavor": instance.region,
+                "phase": instance.phase.value,
+                "up_since_ms": instance.phase_since // MILLISECOND,
+                "joined_ms": instance.joined_at // MILLISECOND,
+            }
+            for instance in self.instances.values()
+        ]
 
     def in_zone(self, zone: str) -> Iterable[Instance]:
         """The instances of one zone."""
-        return (one for one in self.instances.values() if one.zone == zone)
+        return (instance for instance in self.instances.values() if instance.zone == zone)
 
 
-def _parse_integer(value: object, name: str) -> int:
+def _parse_integer(value: object, field_name: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_JSON_INTEGER:
-        raise FleetViewError(f"{name}: expected a whole number of 0 or more, got {value!r}")
+        raise FleetViewError(f"{field_name}: expected a whole number of 0 or more, got {value!r}")
     return value
 
 
+def _parse_milliseconds(row: Mapping[str, Any], field_name: str, instance: str) -> int:
+    """A time of an entry in nanoseconds; 0 where it is missing."""
+    return _parse_integer(row.get(field_name, 0), f"{instance}: {field_name}") * MILLISECOND
+
+
 def _parse_name(row: object, number: int) -> str:
     name = row.get("id") if isinstance(row, dict) else None
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
@@ -109,24 +133,38 @@
 
 
 def _parse_instance(
-    row: Mapping[str, Any], name: str, settings: FleetSettings, before: Instance | None
+    row: Mapping[str, Any], name: str, settings: FleetSettings, previous: Instance | None
 ) -> Instance:
-    zone, region = row.get("locality"), row.get("flavor")
+    zone = row.get("locality")
+    region = row.get("flavor")
     if zone not in settings.zones:
         raise FleetViewError(f"{name}: locality: unknown zone {zone!r}")
     if region != settings.region_of(str(zone)):
         raise FleetViewError(f"{name}: flavor: {region!r} is not the region of zone {zone!r}")
-    if before is not None and before.zone != zone:  # its leases in the other zone would be nobody's
-        raise FleetViewError(f"{name}: locality: {zone!r}, but it was in {before.zone!r}; list it anew")
+    if previous is not None and previous.zone != zone:  # its leases in the other zone would have no holder
+        raise FleetViewError(f"{name}: locality: {zone!r}, but it was in {previous.zone!r}; list it anew")
+    return Instance(
+        name=name,
+        phase=_parse_phase(row, name),
+        address=_parse_address(row, name),
+        region=str(region),
+        zone=str(zone),
+        phase_since=_parse_milliseconds(row, "up_since_ms", name),
+        joined_at=_parse_milliseconds(row, "joined_ms", name),
+    )
+
+
+def _parse_phase(row: Mapping[str, Any], name: str) -> InstancePhase:
     try:
-        phase = InstancePhase(row.get("phase", InstancePhase.READY.value))
+        return InstancePhase(row.get("phase", InstancePhase.READY.value))
     except ValueError:
         raise FleetViewError(f"{name}: phase: unknown phase {row.get('phase')!r}") from None
+
+
+def _parse_address(row: Mapping[str, Any], name: str) -> str:
     address = row.get("host_port")
     try:
         split_host_port(str(address))
     except ValueError:
         raise FleetViewError(f"{name}: host_port: expected HOST:PORT, got {address!r}") from None
-    since = _parse_integer(row.get("up_since_ms", 0), f"{name}: up_since_ms")
-    joined = _parse_integer(row.get("joined_ms", 0), f"{name}: joined_ms")
-    return Instance(name, str(address), str(region), str(zone), phase, since * MS, joined * MS)
+    return str(address)
--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -12,8 +12,9 @@
 from typing import Any
 
 from honeyhitch.partitioning.fleet import Fleet
-from honeyhitch.partitioning.settings import SECOND, FleetSettings, Region
+from honeyhitch.partitioning.settings import FleetSettings, Region
 from honeyhitch.partitioning.view import FleetViewError
+from honeyhitch.time_units import SECOND
 
 MS = 1_000_000  # ns
 START = 1_700_000_000 * SECOND
--- a/tests/test_partitioning_shares.py
+++ b/tests/test_partitioning_quotas.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from honeyhitch.partitioning.settings import SECOND
+from honeyhitch.time_units import SECOND
 
 from .fleet_control import LEASE, MS, REGIONS, RESERVE_LEASE, SKEW, Control
 
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -9,8 +9,9 @@
 
 from honeyhitch.partitioning.fleet import ClockError, Fleet
 from honeyhitch.partitioning.ownership import ZoneCandidates, partition_of, rank
-from honeyhitch.partitioning.settings import SECOND, FleetSettings, Region
+from honeyhitch.partitioning.settings import FleetSettings, Region
 from honeyhitch.partitioning.view import FleetViewError
+from honeyhitch.time_units import SECOND
 
 from .fleet_control import MS, REGIONS, START, entry, fleet_settings
 
