--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -10,6 +10,7 @@
 import pytest
 
 from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.partitioning.view import InstancePhase
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import forwarding, resp
 from honeyhitch.protocols.buffer import Buffer
@@ -17,12 +18,13 @@
 from honeyhitch.service import fleet as service
 from honeyhitch.service.fleet import VIEW_FILE_NAME, FleetService
 
-from .fleet_control import LEASE, MS, SKEW, entry, fleet_settings
+from .fleet_control import LEASE, MS, SKEW, START, entry, fleet_settings
 from .rig import SETTINGS, DispatcherRig, endpoint_row
 from .world import SECOND, settings
 
 ROWS = [entry(f"{zone}-{number}", zone) for zone in ("a1", "a2", "b1", "b2") for number in range(3)]
 NAME = "a1-0"
+SAVED_BY_A5E6918 = Path(__file__).parent / "fixtures" / "fleet-view-1" / VIEW_FILE_NAME
 
 
 class FleetStand(DispatcherRig):
@@ -220,6 +222,28 @@
         assert not FleetStand(tmp_path / "first").fleet.ready
 
 
+def test_a_view_that_a5e6918_saved_is_read(tmp_path: Path) -> None:
+    (tmp_path / "first" / VIEW_FILE_NAME).write_bytes(SAVED_BY_A5E6918.read_bytes())
+    fleet = FleetStand(tmp_path / "first").fleet.fleet
+    assert fleet.view.revision == 8
+    assert fleet.last_heartbeat == START
+    assert sorted(fleet.view.instances) == sorted([*(row["id"] for row in ROWS), "b2-n1"])
+    away, joined = fleet.view.instances["a1-1"], fleet.view.instances["b2-n1"]
+    assert (away.phase, away.phase_since) == (InstancePhase.TERMINATING, START + 5 * SECOND)
+    assert (joined.zone, joined.region, joined.address) == ("b2", "west", "10.0.0.1:6379")
+    assert (joined.phase_since, joined.joined_at) == (START + 6 * SECOND, START + 6 * SECOND)
+
+
+def test_the_view_that_a5e6918_saved_is_saved_with_the_same_bytes(tmp_path: Path) -> None:
+    """An earlier version, which a deployment may go back to, reads what it wrote itself."""
+    one = FleetStand(tmp_path / "first")
+    one.hear(7)
+    away = entry("a1-1", "a1", "Terminating", since=START + 5 * SECOND)
+    joined = entry("b2-n1", "b2", since=START + 6 * SECOND, joined=START + 6 * SECOND)
+    one.hear(8, False, [away, joined])
+    assert (tmp_path / "first" / VIEW_FILE_NAME).read_bytes() == SAVED_BY_A5E6918.read_bytes()
+
+
 def test_a_view_too_large_to_save_is_used_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
