--- a/honeyhitch/config/fleet.py
+++ b/honeyhitch/config/fleet.py
@@ -6,7 +6,8 @@
 
 from honeyhitch.config.deployment import Address, ConfigError
 from honeyhitch.config.values import ConfigTable
-from honeyhitch.partitioning.settings import SECOND, FleetSettings, Region
+from honeyhitch.partitioning.settings import FleetSettings, Region
+from honeyhitch.time_units import SECOND
 
 MAX_SECONDS = 30 * 86400
 NUMBERS = {"partitions": int, "candidates": int, "reserve": float, "peer-connections": int}
--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -113,7 +113,7 @@
         self.headers_complete = self.headers_complete and self.complete
         self.response.has_trailing_data = self.complete
 
-    def on_status(self, status: bytes) -> None:  # noqa: ARG002 - httptools passes the reason phrase
+    def on_status(self, status: bytes) -> None:
         """The status line is complete."""
         if not self.complete:
             self.response.status = self.parser.get_status_code()
