--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -24,7 +24,7 @@
 )
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.journal.journal import Journal, JournalFullError
-from honeyhitch.journal.transactions import RESEND_FRONTEND, Attempt, Ending, Transaction
+from honeyhitch.journal.transactions import RESEND_FRONTEND, Attempt, Ending, Execution, Transaction
 from honeyhitch.policy.actions import (
     Cancel,
     CloseIdleConnections,
@@ -211,7 +211,8 @@
         ):  # a copy must keep to the window of the first
             first = self.messages.first_execution_of_key(transaction, self.last_round_at)
         if transaction.earlier_execution is not None:
-            first = min(first or transaction.earlier_execution, transaction.earlier_execution)
+            earlier = Execution(*transaction.earlier_execution)
+            first = min(first or earlier, earlier)
         return NewMessage(
             message=transaction.id,
             class_index=transaction.class_index,
--- a/honeyhitch/journal/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -1,4 +1,4 @@
-"""Reads the journal of the process beside this one, as it grows: what it holds, and the waits it was told."""
+"""Reads, as it grows, the journal that the other process of a hand-over writes."""
 
 from __future__ import annotations
 
@@ -6,54 +6,63 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from honeyhitch.journal.state import JournalState, decode_records
+from honeyhitch.journal.record_codec import decode_records
+from honeyhitch.journal.state import JournalState
 from honeyhitch.journal.transactions import Transaction
 
+NO_FILE = -1  # in place of a file descriptor
+
 
 class JournalFollower(JournalState):
-    """The account of a file that another process writes, or wrote; nothing here changes the file."""
+    """The state of a file that another process writes, or wrote; the file is never changed here."""
 
     def __init__(self, path: Path, max_remembered: int, retention: Callable[[Transaction], int]) -> None:
         super().__init__(max_remembered, retention)
-        self.path, self.max_remembered = path, max_remembered
-        self.fd, self.read_bytes = -1, 0  # the latter: bytes of whole records that were read
+        self.path = path
+        self.fd = NO_FILE
+        self.read_bytes = 0  # of complete records
 
     def read(self) -> bool:
-        """Take in what came since; true if the file is there. If nothing did, it is two system calls.
+        """Apply the records written since the last call; false if there is no file.
 
-        A file in the old one's place, or one that became shorter, is read from its start: it holds all.
+        A file that was replaced, or became shorter, is read from its start: it holds everything. Without news
+        this is two system calls. OSError if the file cannot be read.
         """
         try:
-            there = os.stat(self.path)
+            found = os.stat(self.path)
         except FileNotFoundError:
             return False
-        mine = os.fstat(self.fd) if self.fd >= 0 else None
-        if mine is None or mine.st_ino != there.st_ino or there.st_size < self.read_bytes:
-            self.close()
-            super().__init__(self.max_remembered, self.retention)
-            self.fd, self.read_bytes = os.open(self.path, os.O_RDONLY), 0
-        if there.st_size > self.read_bytes:  # half a record is read again: its writer may cut it back
-            done = 0
-            for fields, body, end in decode_records(
-                os.pread(self.fd, there.st_size - self.read_bytes, self.read_bytes)
-            ):
-                self._apply(fields, body)
-                done = end
-            self.read_bytes += done
+        opened = os.fstat(self.fd) if self.fd != NO_FILE else None
+        if opened is None or opened.st_ino != found.st_ino or found.st_size < self.read_bytes:
+            self._reopen()
+        if found.st_size > self.read_bytes:
+            self._read_up_to(found.st_size)
         return True
 
     def reserved_bytes(self) -> int:
-        """Bytes of the disk that its writer uses, also to compact it, which one that passes on does not."""
-        return (
-            0
-            if self.fd < 0
-            else self.read_bytes + self.live_bytes
-            if self.calls_in_flight is None
-            else self.read_bytes
-        )
+        """Bytes of the disk that the writer uses, with those for a compaction if it may do one."""
+        if self.fd == NO_FILE:
+            return 0
+        if self.calls_in_flight is None:
+            return self.read_bytes + self.live_bytes
+        return self.read_bytes
 
     def close(self) -> None:
-        """Let go of the file."""
-        if self.fd >= 0:
+        """Close the file; the state stays."""
+        if self.fd != NO_FILE:
             os.close(self.fd)
-            self.fd = -1
+            self.fd = NO_FILE
+
+    def _reopen(self) -> None:
+        self.close()
+        self._reset()
+        self.fd = os.open(self.path, os.O_RDONLY)
+        self.read_bytes = 0
+
+    def _read_up_to(self, size: int) -> None:
+        """An incomplete record is read again later: its writer may cut it back."""
+        complete = 0
+        for record, end in decode_records(os.pread(self.fd, size - self.read_bytes, self.read_bytes)):
+            self.apply(record)
+            complete = end
+        self.read_bytes += complete
--- /dev/null
+++ b/honeyhitch/journal/record_codec.py
@@ -0,0 +1,313 @@
+"""The stored form of the journal's records: the only place that knows its field names.
+
+A record in the file is a header (length and checksum of what follows), the length of its fields, the fields
+as JSON, and the body of the message, if the record has one. Field names and their order never change: an
+earlier version may have to read what this one wrote.
+"""
+
+from __future__ import annotations
+
+import json
+import struct
+import zlib
+from collections.abc import Callable, Iterator
+from dataclasses import astuple
+from typing import Any
+
+from honeyhitch.journal.records import (
+    AttemptNotExecuted,
+    AttemptOutcome,
+    AttemptStarted,
+    CallsInFlight,
+    DeadLetterStored,
+    EndedMessages,
+    EndingDecided,
+    HandoverReclaimed,
+    JournalOwner,
+    MessageEnded,
+    MessageRecord,
+    MessagesHandedOver,
+    Record,
+    RetryAfterNoted,
+)
+from honeyhitch.journal.transactions import Attempt, DeliveredKey, Ending, PossibleExecution, Transaction
+
+RECORD_HEADER = struct.Struct("<II")  # length and checksum of what follows
+FIELDS_LENGTH = struct.Struct("<I")  # length of the JSON in a record; the body follows it
+MAX_RECORD_BYTES = 1 << 20  # without the header; a greater length is a torn record
+
+Fields = dict[str, Any]
+_encode_json = json.JSONEncoder(separators=(",", ":")).encode
+
+
+# Frames: fields and body of one record.
+
+
+def encode_frame(fields: Fields, body: bytes = b"") -> bytes:
+    """One record as it is stored, from its stored fields."""
+    text = _encode_json(fields).encode()
+    payload = FIELDS_LENGTH.pack(len(text)) + text + body
+    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
+
+
+def decode_frames(data: bytes) -> Iterator[tuple[Fields, bytes, int]]:
+    """The complete records at the start of `data`: stored fields, body, and the offset of each one's end.
+
+    It stops without an error at the first record that is torn or damaged.
+    """
+    start = 0
+    while start + RECORD_HEADER.size <= len(data):
+        length, checksum = RECORD_HEADER.unpack_from(data, start)
+        payload = data[start + RECORD_HEADER.size : start + RECORD_HEADER.size + length]
+        if not FIELDS_LENGTH.size <= length <= MAX_RECORD_BYTES or len(payload) < length:
+            return
+        if zlib.crc32(payload) != checksum:
+            return
+        (fields_length,) = FIELDS_LENGTH.unpack_from(payload)
+        body_start = FIELDS_LENGTH.size + fields_length
+        try:
+            fields = json.loads(payload[FIELDS_LENGTH.size : body_start])
+        except ValueError:
+            return
+        start += RECORD_HEADER.size + length
+        yield fields, payload[body_start:], start
+
+
+def encode_record(record: Record) -> bytes:
+    """One record as it is stored."""
+    body = record.message.body if isinstance(record, MessageRecord) else b""
+    return encode_frame(_ENCODERS[type(record)](record), body)
+
+
+def decode_records(data: bytes) -> Iterator[tuple[Record | None, int]]:
+    """The complete records at the start of `data`, and the offset of each one's end.
+
+    A record of a kind that this version does not know is None.
+    """
+    for fields, body, end in decode_frames(data):
+        decode = _DECODERS.get(fields.get("t", ""))
+        yield decode(fields, body) if decode is not None else None, end
+
+
+# Each kind of record: to its stored fields, and back.
+
+
+def _encode_message(record: MessageRecord) -> Fields:
+    message = record.message
+    fields = {
+        "id": message.id,
+        "cls": message.class_index,
+        "destination": message.destination,
+        "deadline": message.deadline,
+        "key": message.key,
+        "tenant": message.tenant,
+        "came_again": message.recovered_from_journal,
+        "front": message.frontend,
+        "t": "taken",
+        "reply": message.reply_context,
+        "attempts": message.attempt_count,
+        "ran": message.possible_executions,
+        "back": message.retry_after,
+    }
+    if message.is_dead_letter or record.detailed:
+        fields["came_at"] = message.accepted_at
+        fields["ended_at"] = message.ended_at
+        fields["keep"] = message.is_dead_letter
+        fields["moved"] = message.dead_letter_stored
+        fields["tries"] = [astuple(attempt) for attempt in message.attempt_history]
+    fields["as"] = message.ending.value if message.ending else None
+    if record.answered:
+        fields["over"] = True
+    return fields
+
+
+def _decode_message(fields: Fields, body: bytes) -> MessageRecord:
+    message = Transaction(
+        id=fields["id"],
+        class_index=fields["cls"],
+        destination=fields["destination"],
+        deadline=fields["deadline"],
+        body=body,
+        key=fields["key"],
+        tenant=fields["tenant"],
+        recovered_from_journal=fields["came_again"],
+        frontend=fields["front"],
+        reply_context=fields["reply"],
+        attempt_count=fields["attempts"],
+        possible_executions=[PossibleExecution(*map(int, row)) for row in fields["ran"]],
+        ending=Ending(fields["as"]) if fields["as"] else None,
+        retry_after=int(fields["back"]),
+        ended_at=fields.get("ended_at", 0),
+        accepted_at=fields.get("came_at", 0),
+        attempt_history=[Attempt(*attempt) for attempt in fields.get("tries", ())],
+        is_dead_letter=fields.get("keep", False),
+        dead_letter_stored=fields.get("moved", False),
+    )
+    return MessageRecord(message, detailed="tries" in fields, answered=fields.get("over", False))
+
+
+def _encode_attempt_started(record: AttemptStarted) -> Fields:
+    fields: Fields = {"t": "attempt", "id": record.message, "n": record.number}
+    fields["at"] = record.started_at
+    fields["zone"] = record.zone
+    if record.endpoint is not None:
+        fields["to"] = record.endpoint
+    return fields
+
+
+def _decode_attempt_started(fields: Fields, _: bytes) -> AttemptStarted:
+    endpoint = str(fields["to"]) if "to" in fields else None
+    return AttemptStarted(
+        str(fields["id"]), int(fields["n"]), int(fields["at"]), int(fields["zone"]), endpoint
+    )
+
+
+def _encode_outcome(record: AttemptOutcome) -> Fields:
+    attempt = record.attempt
+    return {
+        "t": "outcome",
+        "id": record.message,
+        "n": attempt.number,
+        "to": attempt.endpoint,
+        "at": attempt.started_at,
+        "as": attempt.outcome,
+        "took": attempt.elapsed,
+        "wait": attempt.retry_after,
+        "why": attempt.failure_reason,
+    }
+
+
+def _decode_outcome(fields: Fields, _: bytes) -> AttemptOutcome:
+    attempt = Attempt(
+        number=int(fields["n"]),
+        endpoint=str(fields.get("to", "")),
+        started_at=int(fields.get("at", 0)),
+        outcome=str(fields["as"]),
+        elapsed=int(fields["took"]),
+        retry_after=int(fields["wait"]),
+        failure_reason=str(fields["why"]),
+    )
+    return AttemptOutcome(str(fields["id"]), attempt)
+
+
+def _encode_not_executed(record: AttemptNotExecuted) -> Fields:
+    return {"t": "never", "id": record.message, "n": record.number}
+
+
+def _decode_not_executed(fields: Fields, _: bytes) -> AttemptNotExecuted:
+    return AttemptNotExecuted(str(fields["id"]), int(fields["n"]))
+
+
+def _encode_decided(record: EndingDecided) -> Fields:
+    fields: Fields = {"t": "decided", "id": record.message, "as": record.ending.value}
+    fields["back"] = record.retry_after
+    if record.is_dead_letter:
+        fields["at"] = record.ended_at
+        fields["keep"] = True
+    return fields
+
+
+def _decode_decided(fields: Fields, _: bytes) -> EndingDecided:
+    return EndingDecided(
+        message=str(fields["id"]),
+        ending=Ending(fields["as"]),
+        retry_after=int(fields["back"]),
+        ended_at=int(fields.get("at", 0)),
+        is_dead_letter=bool(fields.get("keep", False)),
+    )
+
+
+def _encode_ended(record: MessageEnded) -> Fields:
+    return {"t": "end", "id": record.message, "as": record.ending.value, "at": record.ended_at}
+
+
+def _decode_ended(fields: Fields, _: bytes) -> MessageEnded:
+    return MessageEnded(str(fields["id"]), Ending(fields["as"]), int(fields["at"]))
+
+
+def _encode_stored(record: DeadLetterStored) -> Fields:
+    return {"t": "kept", "id": record.message, "at": record.ended_at}
+
+
+def _decode_stored(fields: Fields, _: bytes) -> DeadLetterStored:
+    return DeadLetterStored(str(fields["id"]), int(fields["at"]))
+
+
+def _encode_retry_after(record: RetryAfterNoted) -> Fields:
+    return {"t": "wait", "dest": record.destination, "of": record.endpoint, "until": record.until}
+
+
+def _decode_retry_after(fields: Fields, _: bytes) -> RetryAfterNoted:
+    return RetryAfterNoted(int(fields["dest"]), str(fields["of"]), int(fields["until"]))
+
+
+def _encode_owner(record: JournalOwner) -> Fields:
+    return {"t": "born", "v": record.version, "name": record.name}
+
+
+def _decode_owner(fields: Fields, _: bytes) -> JournalOwner:
+    return JournalOwner(int(fields["v"]), str(fields["name"]))
+
+
+def _encode_handed_over(record: MessagesHandedOver) -> Fields:
+    return {"t": "passed", "ids": record.messages}
+
+
+def _decode_handed_over(fields: Fields, _: bytes) -> MessagesHandedOver:
+    return MessagesHandedOver([str(name) for name in fields["ids"]])
+
+
+def _encode_calls_in_flight(record: CallsInFlight) -> Fields:
+    return {"t": "out", "n": record.count}
+
+
+def _decode_calls_in_flight(fields: Fields, _: bytes) -> CallsInFlight:
+    return CallsInFlight(None if fields["n"] is None else int(fields["n"]))
+
+
+def _encode_reclaimed(_: HandoverReclaimed) -> Fields:
+    return {"t": "back"}
+
+
+def _decode_reclaimed(_fields: Fields, _: bytes) -> HandoverReclaimed:
+    return HandoverReclaimed()
+
+
+def _encode_ended_messages(record: EndedMessages) -> Fields:
+    return {"t": "past", "ended": record.concluded, "keys": record.delivered_keys}
+
+
+def _decode_ended_messages(fields: Fields, _: bytes) -> EndedMessages:
+    return EndedMessages(fields["ended"], {key: DeliveredKey(*row) for key, row in fields["keys"].items()})
+
+
+_ENCODERS: dict[type, Callable[[Any], Fields]] = {
+    MessageRecord: _encode_message,
+    AttemptStarted: _encode_attempt_started,
+    AttemptOutcome: _encode_outcome,
+    AttemptNotExecuted: _encode_not_executed,
+    EndingDecided: _encode_decided,
+    MessageEnded: _encode_ended,
+    DeadLetterStored: _encode_stored,
+    RetryAfterNoted: _encode_retry_after,
+    JournalOwner: _encode_owner,
+    MessagesHandedOver: _encode_handed_over,
+    CallsInFlight: _encode_calls_in_flight,
+    HandoverReclaimed: _encode_reclaimed,
+    EndedMessages: _encode_ended_messages,
+}
+_DECODERS: dict[str, Callable[[Fields, bytes], Record]] = {
+    "taken": _decode_message,
+    "attempt": _decode_attempt_started,
+    "outcome": _decode_outcome,
+    "never": _decode_not_executed,
+    "decided": _decode_decided,
+    "end": _decode_ended,
+    "kept": _decode_stored,
+    "wait": _decode_retry_after,
+    "born": _decode_owner,
+    "passed": _decode_handed_over,
+    "out": _decode_calls_in_flight,
+    "back": _decode_reclaimed,
+    "past": _decode_ended_messages,
+}
--- a/honeyhitch/journal/state.py
+++ b/honeyhitch/journal/state.py
@@ -1,195 +1,206 @@
-"""What a journal's records add up to: the transactions held, and what is remembered of those that ended.
+"""What a journal's records add up to: the messages held, and what is remembered of those that ended.
 
-The process that writes a journal keeps this account, and so does one that reads the journal of the process
-beside it.
+The process that writes a journal keeps this state, and so does one that reads the journal of the other
+process of a hand-over.
 """
 
 from __future__ import annotations
 
-import json
-import struct
-import zlib
-from collections.abc import Callable, Iterator
-
-from honeyhitch.journal.transactions import Attempt, Ending, MessageTable, Transaction
-
-RECORD_HEADER = struct.Struct("<II")  # length and checksum of what follows
-FIELDS_LENGTH = struct.Struct("<I")  # length of the JSON in a record; the body follows it
-# How fields of a transaction are called in a stored record, in the order in which they are written.
-STORED_FIELDS = {
-    "id": "id",
-    "cls": "class_index",
-    "destination": "destination",
-    "deadline": "deadline",
-    "key": "key",
-    "tenant": "tenant",
-    "came_again": "recovered_from_journal",
-    "front": "frontend",
-}
-STORED_STATE = {"reply": "reply_context", "attempts": "attempt_count"}
-STORED_DETAIL = {
-    "came_at": "accepted_at",
-    "ended_at": "ended_at",
-    "keep": "is_dead_letter",
-    "moved": "dead_letter_stored",
-}
-FIELD_OF_STORED = STORED_FIELDS | STORED_STATE | STORED_DETAIL
-MAX_RECORD_BYTES = 1 << 20  # bytes in one record; a greater length is a torn one
-
-
-def encode_record(fields: dict[str, object], body: bytes = b"") -> bytes:
-    """One record as it lies in the file."""
-    text = json.dumps(fields, separators=(",", ":")).encode()
-    payload = FIELDS_LENGTH.pack(len(text)) + text + body
-    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
-
-
-def decode_records(data: bytes) -> Iterator[tuple[dict[str, object], bytes, int]]:
-    """The whole records at the front of `data`: fields, body and where each ends."""
-    at = 0
-    while at + RECORD_HEADER.size <= len(data):
-        length, checksum = RECORD_HEADER.unpack_from(data, at)
-        payload = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
-        if (
-            not FIELDS_LENGTH.size <= length <= MAX_RECORD_BYTES
-            or len(payload) < length
-            or zlib.crc32(payload) != checksum
-        ):
-            return
-        (split,) = FIELDS_LENGTH.unpack_from(payload)
-        try:
-            fields = json.loads(payload[FIELDS_LENGTH.size : FIELDS_LENGTH.size + split])
-        except ValueError:
-            return
-        at += RECORD_HEADER.size + length
-        yield fields, payload[FIELDS_LENGTH.size + split :], at
+from collections.abc import Callable
+from typing import Any, ClassVar
+
+from honeyhitch.journal.records import (
+    AttemptNotExecuted,
+    AttemptOutcome,
+    AttemptStarted,
+    CallsInFlight,
+    DeadLetterStored,
+    EndedMessages,
+    EndingDecided,
+    HandoverReclaimed,
+    JournalOwner,
+    MessageEnded,
+    MessageRecord,
+    MessagesHandedOver,
+    Record,
+    RetryAfterNoted,
+)
+from honeyhitch.journal.transactions import DeliveredKey, Ending, MessageTable, Transaction
+
+ESTIMATED_OVERHEAD_BYTES = 512  # of a message's records, without its body
+
+
+def _estimated_bytes(message: Transaction) -> int:
+    """Bytes of a message's record and of those that follow it."""
+    return len(message.body) + ESTIMATED_OVERHEAD_BYTES
 
 
 class JournalState:
-    """`held` is what a replay of the records gives."""
+    """The result of applying records in order.
+
+    `retention` gives the nanoseconds for which the id and key of an ended message are remembered;
+    `max_remembered` is a number of ids, and of as many keys.
+    """
 
     def __init__(self, max_remembered: int, retention: Callable[[Transaction], int]) -> None:
-        self.retention, self.messages = retention, MessageTable(max_remembered)
-        self.live_bytes = 0  # bytes of the records that compaction would keep, roughly
-        self.dead_letter_bytes = 0  # and of these, what belongs to messages that only wait for the store
-        self.sizes: dict[str, int] = {}
-        self.retry_after_until: dict[
-            tuple[int, str], int
-        ] = {}  # told by a member of a destination: until when
-        self.handed_over: dict[
-            str, Transaction
-        ] = {}  # held here, but the process beside this one goes on with it
-        self.calls_in_flight: int | None = None  # calls out of one that passes on; none that has not begun to
-        # Of the dispatcher, and of the journal's form; 0 before there was one.
-        self.name, self.version = "", 0
-
-    def _add_message(self, transaction: Transaction) -> None:
-        self.live_bytes -= self.sizes.get(transaction.id, 0)  # one that was passed on may come back
-        self.handed_over.pop(transaction.id, None)
-        self.messages.by_id[transaction.id] = transaction
-        self.sizes[transaction.id] = size = self._estimated_bytes(transaction)
-        self.live_bytes += size
+        self.retention = retention
+        self.max_remembered = max_remembered
+        self._reset()
+
+    def _reset(self) -> None:
+        self.messages = MessageTable(self.max_remembered)
+        self.live_bytes = 0  # bytes of the records that compaction would keep, estimated
+        self.dead_letter_bytes = 0  # and of these, those of messages that only wait for the store
+        self.sizes: dict[str, int] = {}  # estimated bytes by message
+        # Until when an endpoint of a destination asked to be left alone.
+        self.retry_after_until: dict[tuple[int, str], int] = {}
+        # Held here, but resumed by the other process of a hand-over.
+        self.handed_over: dict[str, Transaction] = {}
+        self.calls_in_flight: int | None = None  # in a process that hands over; None in any other
+        self.name = ""  # of the dispatcher
+        self.version = 0  # of the journal's form; 0 before there was one
 
     def has_accepted(self, name: str) -> bool:
-        """It is held, or was and is remembered."""
+        """Whether this message is held, or was and is remembered."""
         return name in self.messages.by_id or name in self.messages.concluded
 
-    def _add_pending_dead_letter(self, transaction: Transaction) -> None:
-        """It was answered, and only waits for the store."""
-        self.messages.pending_dead_letters[transaction.id, transaction.ended_at] = transaction
-        size = self._estimated_bytes(transaction)
-        self.live_bytes, self.dead_letter_bytes = self.live_bytes + size, self.dead_letter_bytes + size
-
-    def _end(self, transaction: Transaction, ending: Ending, at: int) -> None:
-        transaction.ending = ending
-        self.messages.by_id.pop(transaction.id, None)
-        self.handed_over.pop(transaction.id, None)
-        size = self.sizes.pop(transaction.id, 0)
-        if transaction.is_dead_letter and not transaction.dead_letter_stored:
-            self.messages.pending_dead_letters[transaction.id, transaction.ended_at] = transaction
+    def apply(self, record: Record | None) -> None:
+        """Add one record; one of an unknown kind (None), or of a message not held, changes nothing."""
+        if record is not None:
+            self._HANDLERS[type(record)](self, record)
+
+    # One handler a kind of record.
+
+    def _apply_message(self, record: MessageRecord) -> None:
+        if record.answered:
+            self._add_pending_dead_letter(record.message)
+        else:
+            self._add_message(record.message)
+
+    def _apply_attempt_started(self, record: AttemptStarted) -> None:
+        message = self.messages.by_id.get(record.message)
+        if message is not None:
+            message.add_attempt(record.number, record.started_at, record.zone, record.endpoint)
+
+    def _apply_outcome(self, record: AttemptOutcome) -> None:
+        message = self.messages.by_id.get(record.message)
+        if message is None:
+            return
+        outcome = record.attempt
+        for attempt in message.attempt_history:
+            if attempt.number == outcome.number:
+                attempt.outcome = outcome.outcome
+                attempt.elapsed = outcome.elapsed
+                attempt.retry_after = outcome.retry_after
+                attempt.failure_reason = outcome.failure_reason
+                return
+        message.attempt_history.append(outcome)  # it was never started
+
+    def _apply_not_executed(self, record: AttemptNotExecuted) -> None:
+        message = self.messages.by_id.get(record.message)
+        if message is not None:
+            message.mark_not_executed(record.number)
+
+    def _apply_decided(self, record: EndingDecided) -> None:
+        message = self.messages.by_id.get(record.message)
+        if message is not None:
+            message.ending = record.ending
+            message.retry_after = record.retry_after
+            message.ended_at = record.ended_at
+            message.is_dead_letter = record.is_dead_letter
+
+    def _apply_ended(self, record: MessageEnded) -> None:
+        message = self.messages.by_id.get(record.message)
+        if message is not None:
+            self._end(message, record.ending, record.ended_at)
+
+    def _apply_dead_letter_stored(self, record: DeadLetterStored) -> None:
+        self._remove_dead_letter(record.message, record.ended_at)
+
+    def _apply_retry_after(self, record: RetryAfterNoted) -> None:
+        self.retry_after_until[record.destination, record.endpoint] = record.until
+
+    def _apply_owner(self, record: JournalOwner) -> None:
+        self.name = record.name
+        self.version = record.version
+
+    def _apply_handed_over(self, record: MessagesHandedOver) -> None:
+        held = self.messages.by_id
+        self.handed_over.update({name: held[name] for name in record.messages if name in held})
+
+    def _apply_calls_in_flight(self, record: CallsInFlight) -> None:
+        self.calls_in_flight = record.count
+
+    def _apply_reclaimed(self, _: HandoverReclaimed) -> None:
+        self.handed_over = {}
+        self.calls_in_flight = None
+
+    def _apply_ended_messages(self, record: EndedMessages) -> None:
+        self.messages.concluded.update(record.concluded)
+        self.messages.delivered_keys.update(record.delivered_keys)
+
+    _HANDLERS: ClassVar[dict[type, Callable[[Any, Any], None]]] = {
+        MessageRecord: _apply_message,
+        AttemptStarted: _apply_attempt_started,
+        AttemptOutcome: _apply_outcome,
+        AttemptNotExecuted: _apply_not_executed,
+        EndingDecided: _apply_decided,
+        MessageEnded: _apply_ended,
+        DeadLetterStored: _apply_dead_letter_stored,
+        RetryAfterNoted: _apply_retry_after,
+        JournalOwner: _apply_owner,
+        MessagesHandedOver: _apply_handed_over,
+        CallsInFlight: _apply_calls_in_flight,
+        HandoverReclaimed: _apply_reclaimed,
+        EndedMessages: _apply_ended_messages,
+    }
+
+    # Steps that the writer of a journal shares.
+
+    def _add_message(self, message: Transaction) -> None:
+        self.live_bytes -= self.sizes.get(message.id, 0)  # one that was handed over may come back
+        self.handed_over.pop(message.id, None)
+        self.messages.by_id[message.id] = message
+        size = _estimated_bytes(message)
+        self.sizes[message.id] = size
+        self.live_bytes += size
+
+    def _add_pending_dead_letter(self, message: Transaction) -> None:
+        """Its final answer was sent: it only waits for the store."""
+        self.messages.pending_dead_letters[message.id, message.ended_at] = message
+        size = _estimated_bytes(message)
+        self.live_bytes += size
+        self.dead_letter_bytes += size
+
+    def _remove_dead_letter(self, name: str, ended_at: int) -> None:
+        held = self.messages.by_id.get(name)
+        if held is not None and held.ended_at == ended_at and held.is_dead_letter:
+            held.dead_letter_stored = True  # its answer is still to be sent
+            return
+        pending = self.messages.pending_dead_letters.pop((name, ended_at), None)
+        if pending is not None:
+            pending.dead_letter_stored = True
+            size = _estimated_bytes(pending)
+            self.live_bytes -= size
+            self.dead_letter_bytes -= size
+
+    def _end(self, message: Transaction, ending: Ending, ended_at: int) -> None:
+        message.ending = ending
+        self.messages.by_id.pop(message.id, None)
+        self.handed_over.pop(message.id, None)
+        size = self.sizes.pop(message.id, 0)
+        if message.is_dead_letter and not message.dead_letter_stored:
+            self.messages.pending_dead_letters[message.id, message.ended_at] = message
             self.dead_letter_bytes += size
         else:
             self.live_bytes -= size
-        until = at + self.retention(transaction)
-        self.messages.concluded[transaction.id] = until
-        first = transaction.first_possible_execution()
-        if ending is Ending.DELIVERED and transaction.key and first is not None:
-            # A copy's own first attempt is later: the window counts from the earliest one.
-            first = min(first, self.messages.first_execution_of_key(transaction, at) or first)
-            self.messages.delivered_keys[self.messages.scoped_key(transaction)] = (*first, until)
-
-    @staticmethod
-    def _estimated_bytes(transaction: Transaction) -> int:  # bytes, with its later records
-        return len(transaction.body) + 512
-
-    def _remove_dead_letter(self, name: str, at: int) -> None:
-        if (
-            (known := self.messages.by_id.get(name)) is not None
-            and known.ended_at == at
-            and known.is_dead_letter
-        ):
-            known.dead_letter_stored = True  # its answer is still to be sent
-        elif (left := self.messages.pending_dead_letters.pop((name, at), None)) is not None:
-            left.dead_letter_stored = True
-            self.live_bytes, self.dead_letter_bytes = (
-                self.live_bytes - self._estimated_bytes(left),
-                self.dead_letter_bytes - self._estimated_bytes(left),
-            )
-
-    def _apply(self, fields: dict[str, object], body: bytes) -> None:
-        kind = fields.pop("t", None)
-        if kind == "taken":
-            ending, back = fields.pop("as"), fields.pop("back")
-            ran = [(int(n), int(at), int(zone)) for n, at, zone in fields.pop("ran")]  # type: ignore[attr-defined]
-            tries, over = fields.pop("tries", ()), fields.pop("over", False)
-            values = {FIELD_OF_STORED[name]: value for name, value in fields.items()}
-            transaction = Transaction(body=body, possible_executions=ran, **values)  # type: ignore[arg-type]
-            transaction.attempt_history = [Attempt(*told) for told in tries]  # type: ignore[attr-defined]
-            transaction.ending, transaction.retry_after = Ending(ending) if ending else None, int(str(back))
-            if over:  # answered: it only waits for the store
-                self._add_pending_dead_letter(transaction)
-            else:
-                self._add_message(transaction)
-        elif kind == "wait":
-            self.retry_after_until[int(str(fields["dest"])), str(fields["of"])] = int(str(fields["until"]))
-        elif kind == "born":
-            self.name, self.version = str(fields["name"]), int(str(fields["v"]))
-        elif kind == "kept":
-            self._remove_dead_letter(str(fields["id"]), int(str(fields["at"])))
-        elif kind == "passed":
-            names = (str(name) for name in fields["ids"])  # type: ignore[attr-defined]
-            self.handed_over.update(
-                {name: self.messages.by_id[name] for name in names if name in self.messages.by_id}
-            )
-        elif kind == "out":
-            self.calls_in_flight = None if fields["n"] is None else int(str(fields["n"]))
-        elif kind == "back":
-            self.handed_over, self.calls_in_flight = {}, None
-        elif kind == "past":
-            self.messages.concluded.update(fields["ended"])  # type: ignore[call-overload]
-            self.messages.delivered_keys.update({key: tuple(row) for key, row in fields["keys"].items()})  # type: ignore[attr-defined]
-        elif (known := self.messages.by_id.get(str(fields.get("id")))) is not None:
-            number = int(str(fields.get("n", 0)))
-            if kind == "attempt":
-                known.attempt_count = number + 1
-                known.possible_executions.append((number, int(str(fields["at"])), int(str(fields["zone"]))))
-                if "to" in fields:
-                    known.attempt_history.append(Attempt(number, str(fields["to"]), int(str(fields["at"]))))
-            elif kind == "outcome":
-                told = next((one for one in known.attempt_history if one.number == number), None)
-                if told is None:  # it never began
-                    told = Attempt(number, str(fields.get("to", "")), int(str(fields.get("at", 0))))
-                    known.attempt_history.append(told)
-                told.outcome, told.failure_reason = str(fields["as"]), str(fields["why"])
-                told.elapsed, told.retry_after = int(str(fields["took"])), int(str(fields["wait"]))
-            elif kind == "never":
-                known.attempt_count = max(known.attempt_count, number + 1)
-                known.possible_executions = [ran for ran in known.possible_executions if ran[0] != number]
-            elif kind == "decided":
-                known.ending, known.retry_after = Ending(fields["as"]), int(str(fields["back"]))
-                known.ended_at, known.is_dead_letter = (
-                    int(str(fields.get("at", 0))),
-                    bool(fields.get("keep", False)),
-                )
-            elif kind == "end":
-                self._end(known, Ending(fields["as"]), int(str(fields["at"])))
+        self._remember(message, ending, ended_at)
+
+    def _remember(self, message: Transaction, ending: Ending, ended_at: int) -> None:
+        until = ended_at + self.retention(message)
+        self.messages.concluded[message.id] = until
+        first = message.first_possible_execution()
+        if ending is Ending.DELIVERED and message.key and first is not None:
+            # A copy's own first attempt is later: the deduplication window counts from the earliest one.
+            first = min(first, self.messages.first_execution_of_key(message, ended_at) or first)
+            self.messages.delivered_keys[self.messages.scoped_key(message)] = DeliveredKey(*first, until)
--- a/tests/keeping_rig.py
+++ b/tests/keeping_rig.py
@@ -12,8 +12,9 @@
 from honeyhitch.dead_letters.settings import Limits, Terms
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dead_letters.worker import Done, Job
-from honeyhitch.journal import journal as journal_module
 from honeyhitch.journal.journal import Journal
+from honeyhitch.journal.record_codec import encode_record
+from honeyhitch.journal.records import Record
 
 from .rig import DispatcherRig, VirtualTime
 from .world import SECOND
@@ -44,13 +45,13 @@
 
     points = Points()
 
-    def append(self, fields: dict[str, object], body: bytes = b"", share: float = 0.95) -> None:
+    def append(self, record: Record, disk_fraction: float = 0.95) -> None:
         self.points.strike()
         if self.points():
-            record = journal_module.encode_record(fields, body)
-            os.write(self.fd, record[: len(record) // 2])
+            data = encode_record(record)
+            os.write(self.fd, data[: len(data) // 2])
             raise Killed
-        super().append(fields, body, share)
+        super().append(record, disk_fraction)
         self.points.strike()
 
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -19,7 +19,7 @@
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.journal.journal import Journal
-from honeyhitch.journal.state import decode_records
+from honeyhitch.journal.record_codec import decode_frames
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
@@ -120,7 +120,7 @@
         self.journal.close()
 
     def records(self, kind: str) -> list[dict[str, object]]:
-        told = [fields for fields, _, _ in decode_records(self.journal.path.read_bytes())]
+        told = [fields for fields, _, _ in decode_frames(self.journal.path.read_bytes())]
         return [fields for fields in told if fields["t"] == kind]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,6 +18,7 @@
 from honeyhitch.journal.directory import FIRST_SLOT, SECOND_SLOT, StateDirectory, StateDirectoryInUseError
 from honeyhitch.journal.follower import JournalFollower
 from honeyhitch.journal.journal import Journal, JournalVersionError
+from honeyhitch.journal.records import JournalOwner
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.service.handover import ProcessHandover
@@ -362,7 +363,7 @@
 
 def test_a_journal_of_a_later_form_is_refused(tmp_path: Path) -> None:
     journal = opened(tmp_path)
-    journal.append({"t": "born", "v": 99, "name": "n0"})
+    journal.append(JournalOwner(99, "n0"))
     with pytest.raises(JournalVersionError, match="form 99"):
         opened(tmp_path)
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -8,7 +8,7 @@
 import pytest
 
 from honeyhitch.journal.journal import Journal, JournalFullError
-from honeyhitch.journal.state import decode_records
+from honeyhitch.journal.record_codec import decode_frames
 from honeyhitch.journal.transactions import Ending, Transaction
 
 NOW = 1_000
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"\x00" * 64, b"\xff" * 64, b"\x04\x00\x00\x00" + b"\x00" * 60])
 def test_what_is_no_record_is_not_read(data: bytes) -> None:
-    assert not list(decode_records(data))
+    assert not list(decode_frames(data))
 
 
 def test_a_full_journal_is_not_written_anew_for_each_message_that_it_refuses(
--- a/tests/test_journal_stored_form.py
+++ b/tests/test_journal_stored_form.py
@@ -1,10 +1,10 @@
-"""Journals that the version before the rewrite of record_codec wrote are read, and written alike, to the byte.
+"""Journals that an earlier version wrote are read, and written alike, to the byte.
 
 The files in fixtures/journal-1 were written by the tree of commit a5e6918, by a script with the same steps as
 the functions below in that tree's names (taken, attempt, outcome, never_ran, decided, kept, end, begin, wait,
-pass_on, calls_out, take_back, take_over, compact), a clock that stands at 1000 and ids kept for 500 ns. `torn`
-is `plain` without its last 7 bytes. They are never written anew: an earlier version has to read what this one
-writes, so a difference here is a fault of the program.
+pass_on, calls_out, take_back, take_over, compact), a clock that stands at 1000 and ids kept for 500 ns;
+`torn` is `plain` without its last 7 bytes. They are never written anew: an earlier version has to read what
+this one writes, so a difference here is a fault of the program.
 """
 
 from __future__ import annotations
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,7 +22,7 @@
 from paho.mqtt.packettypes import PacketTypes
 from paho.mqtt.properties import Properties
 
-from honeyhitch.journal.state import decode_records
+from honeyhitch.journal.record_codec import decode_frames
 from honeyhitch.protocols import calls
 from honeyhitch.protocols.mqtt_packets import Kind, Packet
 
@@ -376,7 +376,7 @@
             writer.write(b"HTTP/1.1 429 No\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n")
             while not any(packet.topic == "partner/1" for packet in broker.published):
                 await asyncio.sleep(0.01)
-        records = [fields for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())]
+        records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
         attempts = [int(str(fields["at"])) for fields in records if fields["t"] == "attempt"]
         assert len(attempts) == 2
         assert attempts[1] - attempts[0] >= 800 * MS
@@ -411,7 +411,7 @@
             broker._write(broker.kept["n0-calls"], wait)
             while not any(
                 fields["t"] == "wait"
-                for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())
+                for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())
             ):
                 await asyncio.sleep(0.01)
             client.hand_in("next", 1)
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -17,7 +17,7 @@
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
 from honeyhitch import logs
-from honeyhitch.journal.state import decode_records
+from honeyhitch.journal.record_codec import decode_frames
 
 from .agent import Agent
 from .authority import Authority, Issued
@@ -209,7 +209,7 @@
         assert partner.applied == {"k-m": 1}
         told = log.events("tls.call-broken") + log.events("tls.connection-rejected")
         assert {one["failure"] for one in told} == {"our-certificate-refused"}
-        records = [fields for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())]
+        records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
         tried = [fields for fields in records if fields["t"] == "attempt"]
         never = [fields for fields in records if fields["t"] == "never"]
         # One that ended before its first byte has no record of its own: that it never ran says it all.
@@ -244,7 +244,7 @@
         assert set(good.applied.values()) == {1}
         stalled = {one["failure"] for one in log.events("tls.handshake-failed")}
         assert stalled <= {"stalled"}
-        records = [fields for fields, _, _ in decode_records((tmp_path / "state" / "journal").read_bytes())]
+        records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
         assert len([fields for fields in records if fields["t"] == "attempt"]) == 8, "no attempt was used up"
 
     play(work())
