--- a/honeyhitch/dispatcher/__init__.py
+++ b/honeyhitch/dispatcher/__init__.py
@@ -1,1 +1,1 @@
-"""The core: it admits messages, starts calls, takes outcomes and gives final answers through ports."""
+"""The dispatcher: admission, rounds of the policy, calls and their outcomes, final answers, recovery."""
--- /dev/null
+++ b/honeyhitch/dispatcher/admission.py
@@ -0,0 +1,99 @@
+"""Admission: which messages are accepted, and how an accepted one reaches the policy."""
+
+from __future__ import annotations
+
+from honeyhitch import logs
+from honeyhitch.dispatcher.context import DispatcherContext
+from honeyhitch.dispatcher.delivery import Admission
+from honeyhitch.dispatcher.endings import Endings
+from honeyhitch.dispatcher.ports import ArrivalDecision
+from honeyhitch.journal.journal import JournalFullError
+from honeyhitch.journal.transactions import RESEND_FRONTEND, RESP_FRONTEND, Ending, Transaction
+from honeyhitch.time_units import MILLISECOND
+
+log = logs.get()
+BUSY_RETRY_AFTER = 500 * MILLISECOND  # for clients that are rejected before the policy hears of their message
+
+
+class AdmissionControl:
+    """Accepts or rejects what frontends and the store of dead letters submit."""
+
+    def __init__(self, context: DispatcherContext, endings: Endings) -> None:
+        self.context = context
+        self.endings = endings
+
+    def submit(self, message: Transaction) -> Admission:
+        """Accept a message or reject it at once; one that is held already is not accepted twice."""
+        context = self.context
+        if context.journal.has_accepted(message.id):
+            return Admission(True)
+        if context.peer_process is not None and context.peer_process.has_accepted(message.id):
+            return Admission(True)
+        if not context.accepting or self._is_full():
+            return self._reject(message)
+        message.accepted_at = context.scheduler.now()
+        try:
+            context.journal.record_accepted(message)
+        except JournalFullError as error:
+            log.warning("journal.full", what="message", error=str(error))
+            return self._reject(message)
+        if self._repeats_delivered_key(message):
+            self.endings.conclude_as_delivered(message)  # as its endpoint would say of a repeat
+        else:
+            self.admit(message)
+        return Admission(True)
+
+    def _is_full(self) -> bool:
+        return len(self.context.messages) >= self.context.settings.max_messages
+
+    def _reject(self, message: Transaction) -> Admission:
+        self.context.metrics.message_rejected(message)
+        return Admission(False, BUSY_RETRY_AFTER)
+
+    def _repeats_delivered_key(self, message: Transaction) -> bool:
+        if message.frontend == RESP_FRONTEND or not self.context.has_idempotency_key(message):
+            return False
+        now = self.context.scheduler.now()
+        return self.context.messages.first_execution_of_key(message, now) is not None
+
+    def submit_resend(self, message: Transaction) -> bool:
+        """Write a resend down; the policy hears of it by `release`, once the store has claimed it."""
+        context = self.context
+        if self._is_full() or not context.accepting or context.journal.has_accepted(message.id):
+            return False
+        message.accepted_at = context.scheduler.now()
+        try:
+            context.journal.record_accepted(message)
+        except JournalFullError:
+            return False
+        return True
+
+    def admit(self, message: Transaction) -> None:
+        """Give an accepted message to the policy, unless a resend of it is in flight or was delivered."""
+        coordinator = self.context.resend_coordinator
+        decision = ArrivalDecision.DELIVER
+        if coordinator is not None:
+            decision = coordinator.decide_arrival(message)
+        if decision is ArrivalDecision.DELIVER:
+            self.context.event_queue.enqueue(message)
+        elif decision is ArrivalDecision.ALREADY_DELIVERED:
+            self.endings.conclude_as_delivered(message)
+
+    def release(self, message: Transaction) -> None:
+        """Give a message that waited for the store of dead letters to the policy."""
+        if self.context.undecided(message.id):
+            self.context.event_queue.enqueue(message, low_priority=message.frontend == RESEND_FRONTEND)
+
+    def return_unattempted(self, destination: int, retry_after: int) -> None:
+        """Reject what was certainly never executed at a destination that another instance owns now.
+
+        Submitted again after so many nanoseconds, it reaches that instance. What may have been executed, and
+        calls in flight, stay with the policy.
+        """
+        for message in list(self.context.messages.by_id.values()):
+            attempted = (
+                message.first_possible_execution() is not None or message.id in self.context.calls_in_flight
+            )
+            is_resend = message.frontend == RESEND_FRONTEND
+            if message.destination == destination and not attempted and not is_resend:
+                self.endings.conclude(message, Ending.REJECTED, retry_after)
--- /dev/null
+++ b/honeyhitch/dispatcher/calls.py
@@ -0,0 +1,107 @@
+"""Starting calls: sends of a round are grouped into calls, each checked right before its first byte."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from honeyhitch import logs
+from honeyhitch.dispatcher.context import DispatcherContext
+from honeyhitch.dispatcher.delivery import Call, CallResult
+from honeyhitch.dispatcher.outcomes import CallOutcomes
+from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.journal.journal import JournalFullError
+from honeyhitch.policy.actions import Send
+from honeyhitch.policy.events import Outcome, RetryAfterReceived
+from honeyhitch.time_units import MILLISECOND
+
+log = logs.get()
+QUOTA_CHECK_INTERVAL = 250 * MILLISECOND  # until it is checked again whether a quota is held
+
+
+class CallStarter:
+    """Groups messages into calls, gives these to their transports, and decides what may start."""
+
+    def __init__(self, context: DispatcherContext, outcomes: CallOutcomes) -> None:
+        self.context = context
+        self.outcomes = outcomes
+
+    def send_all(self, sends: list[Send]) -> None:
+        """Send what one round decided: one endpoint's messages share calls, as far as its kind allows."""
+        by_endpoint: dict[str, list[Send]] = {}
+        for send in sends:
+            by_endpoint.setdefault(send.endpoint, []).append(send)
+        for name, group in by_endpoint.items():
+            endpoint = self.context.pool.endpoints[name]
+            max_messages = self.context.settings.kind(endpoint.kind).max_messages_per_call
+            for start in range(0, len(group), max_messages):
+                self._send(endpoint, group[start : start + max_messages])
+
+    def _send(self, endpoint: PoolEndpoint, sends: list[Send]) -> None:
+        context = self.context
+        now = context.scheduler.now()
+        call = Call(endpoint, [], [], [], now, [])
+        for send in sends:
+            message = context.messages.by_id[send.message]  # the policy sends nothing that it ended
+            call.messages.append(message)
+            call.attempt_numbers.append(message.attempt_count)
+            call.timeouts.append(send.timeout)
+            call.pending.append(True)
+            context.calls_in_flight[message.id] = call
+        longest = call.timeout
+        for message, timeout in zip(call.messages, call.timeouts, strict=True):
+            if timeout < longest:  # cut to its own deadline: the others may wait longer
+                context.scheduler.call_at(
+                    now + timeout, partial(self.outcomes.message_expired, call, message)
+                )
+        context.transports[endpoint.transport].start(call)
+
+    def start_call(self, call: Call) -> bool:
+        """The last check, right before the first byte of a call: whether any message of it may start.
+
+        What starts is written to the journal, and what must not start any more leaves the call, with no
+        attempt used up. A connection takes time to come up, and meanwhile a Retry-After may have been
+        received, the endpoint may drain or be at another address, or the process may have been told to stop.
+        """
+        now = self.context.scheduler.now()
+        reachable = self._is_reachable(call.endpoint) and self._has_quota(call.endpoint, now)
+        for index, message in enumerate(call.messages):
+            if not call.pending[index]:
+                continue
+            if self.context.sending and reachable and self.context.policy.may_start(now, message.id):
+                self._record_attempt(call, index, now)
+            else:
+                self.outcomes.message_not_started(call, index)
+        started = [index for index, pending in enumerate(call.pending) if pending]
+        call.messages = [call.messages[index] for index in started]
+        call.attempt_numbers = [call.attempt_numbers[index] for index in started]
+        call.timeouts = [call.timeouts[index] for index in started]
+        call.pending = [True] * len(started)
+        call.started = True
+        return bool(started)
+
+    def _record_attempt(self, call: Call, index: int, now: int) -> None:
+        try:
+            self.context.journal.record_attempt(
+                call.messages[index], now, call.endpoint.zone, call.endpoint.id
+            )
+        except JournalFullError as error:  # what cannot be written down must not be sent
+            log.warning("journal.full", what="attempt", error=str(error))
+            self.outcomes.attempt_ended(call, index, Outcome.NOT_SENT, False, CallResult([]))
+
+    def _is_reachable(self, endpoint: PoolEndpoint) -> bool:
+        """Whether it is still listed, at the same address and for the same destination."""
+        listed = self.context.pool.endpoints.get(endpoint.id)
+        return (
+            listed is not None
+            and listed.address == endpoint.address
+            and listed.destination == endpoint.destination
+        )
+
+    def _has_quota(self, endpoint: PoolEndpoint, now: int) -> bool:
+        """Whether this instance holds a part of the limit; without one the policy checks again soon."""
+        quota_source = self.context.quota_source
+        if quota_source is None or quota_source.quota_fraction(endpoint.destination, now) > 0:
+            return True
+        until = now + QUOTA_CHECK_INTERVAL
+        self.context.event_queue.enqueue(RetryAfterReceived(endpoint.destination, endpoint.id, until))
+        return False
--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -1,4 +1,4 @@
-"""Values that the core, the fronts and the carriers exchange: admissions, calls and their results."""
+"""Values that dispatcher, frontends and transports exchange: admissions, calls and their results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Phase(Enum):
-    """Whether a dispatcher accepts new work."""
+    """Whether a dispatcher accepts new messages."""
 
     STARTING = "starting"
     READY = "ready"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherState:
-    """The phase, how many transactions are held, and how many may be."""
+    """The phase, how many messages are held, and how many may be."""
 
     phase: Phase
     message_count: int
@@ -30,45 +30,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether the dispatcher accepted a transaction that was handed in, and owes its end from now on."""
+    """Whether the dispatcher accepted a message, and owes its final answer from now on."""
 
     accepted: bool
-    retry_after: int = 0  # nanoseconds; with a reject
+    retry_after: int = 0  # nanoseconds; of a rejection
 
 
 @dataclass(slots=True)
 class CallResult:
-    """How a call ended: an outcome for each of its transactions, and what the member told besides."""
+    """How a call ended: an outcome for each of its messages, and what the endpoint reported besides."""
 
-    outcomes: list[tuple[Outcome, bool]]  # and whether nothing more is owed
-    retry_after: int = 0
+    outcomes: list[tuple[Outcome, bool]]  # and whether the message is concluded by it
+    retry_after: int = 0  # nanoseconds, 0 if none
     reported: dict[str, float] = field(default_factory=dict)
     failure_reason: str = ""  # the name of a failure that outcomes do not tell apart
-    connection_stale: bool = False  # a connection kept from an earlier call broke before any answer
-    connection_limited: bool = (
-        False  # a new connection was turned away, the member's table of them being full
-    )
+    connection_stale: bool = False  # a pooled connection broke before any reply
+    connection_limited: bool = False  # a new connection was rejected: the endpoint's limit is reached
 
     @classmethod
-    def uniform(cls, outcome: Outcome, count: int, over: bool = False) -> CallResult:
-        """All of the call's transactions fared alike."""
-        return cls([(outcome, over)] * count)
+    def uniform(cls, outcome: Outcome, count: int, concluded: bool = False) -> CallResult:
+        """The same outcome for all messages of the call."""
+        return cls([(outcome, concluded)] * count)
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call out: it has one slot and one fate, and carries one transaction or several."""
+    """One call in flight: it uses one slot, shares one fate, and carries one message or several."""
 
     endpoint: PoolEndpoint
     messages: list[Transaction]
-    attempt_numbers: list[int]  # of the attempts
-    timeouts: list[int]  # for each part, from `sent`
+    attempt_numbers: list[int]  # one a message
+    timeouts: list[int]  # nanoseconds from `sent_at`, one a message
     sent_at: int
-    pending: list[bool]  # parts that have no outcome yet
-    started: bool = False  # its first byte may have gone
-    message_expired: bool = False  # since then the time of one of its parts has run out
+    pending: list[bool]  # whether a message has no outcome yet
+    started: bool = False  # its first byte may have been written
+    message_expired: bool = False  # since then the time of one of its messages has run out
 
     @property
     def timeout(self) -> int:
-        """How long the call may be out."""
+        """How many nanoseconds the call may be in flight."""
         return max(self.timeouts, default=0)
--- /dev/null
+++ b/honeyhitch/dispatcher/event_queue.py
@@ -0,0 +1,58 @@
+"""The events that wait for the next round, and the time of that round.
+
+Events that come within one resolution are handled together, as in the simulator.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from honeyhitch.dispatcher.ports import Scheduler
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.policy.events import Event
+from honeyhitch.time_units import NEVER
+
+QueuedEvent = Event | Transaction  # a message becomes a NewMessage when its round starts
+
+
+class EventQueue:
+    """Collects events and calls `run_round` with them, at most once in `resolution` nanoseconds."""
+
+    def __init__(self, scheduler: Scheduler, resolution: int) -> None:
+        self.scheduler = scheduler
+        self.resolution = resolution
+        self.run_round: Callable[[list[QueuedEvent]], None] = lambda _: None
+        self.events: list[QueuedEvent] = []
+        self.has_normal_priority_event = False
+        self.next_round_at = NEVER
+        self.last_round_at = 0
+        self.last_normal_priority_round_at = 0
+
+    def enqueue(self, event: QueuedEvent, low_priority: bool = False) -> None:
+        """Handle it in the next round; one of low-priority events alone does not delay the next."""
+        self.events.append(event)
+        if not low_priority:
+            self.has_normal_priority_event = True
+        last = self.last_round_at if low_priority else self.last_normal_priority_round_at
+        at = max(self.scheduler.now(), last + self.resolution)
+        if at < self.next_round_at:
+            self.next_round_at = at
+            self.scheduler.call_at(at, lambda: self._on_round_due(at))
+
+    def run_now(self) -> None:
+        """Start a round with what is queued, without waiting for the resolution."""
+        self.next_round_at = self.scheduler.now()
+        self._on_round_due(self.next_round_at)
+
+    def _on_round_due(self, at: int) -> None:
+        if at != self.next_round_at:  # an earlier round took the events that this one was to handle
+            return
+        now = self.scheduler.now()
+        self.next_round_at = NEVER
+        self.last_round_at = now
+        if self.has_normal_priority_event:
+            self.last_normal_priority_round_at = now
+        self.has_normal_priority_event = False
+        events = self.events
+        self.events = []
+        self.run_round(events)
--- a/honeyhitch/dispatcher/metrics.py
+++ b/honeyhitch/dispatcher/metrics.py
@@ -1,12 +1,12 @@
-"""What this process has done, in numbers; they begin at 0 with it and are counted here alone.
+"""Counters of one process; they start at 0 with it.
 
-The core reports what happens to transactions and calls, whichever front or wire they belong to.
+The dispatcher reports what happens to messages and calls, whichever frontend or protocol they belong to.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any
 
 from honeyhitch.journal.transactions import Ending, Transaction
@@ -14,43 +14,56 @@
 
 @dataclass(slots=True)
 class ClassMetrics:
-    """Of one class: messages by how they ended, and messages written whole to members."""
+    """Of one message class: messages by how they ended, and messages in calls written to endpoints."""
 
-    ok: int = 0  # delivered
-    shed: int = 0  # turned away, or handed back: coming again is harmless
-    errors: int = 0  # failed
-    tries: int = 0  # one for each message and attempt, a batch's messages each
+    delivered: int = 0
+    rejected: int = 0  # submitting them again is harmless
+    failed: int = 0
+    attempts: int = 0  # one for each message of a call
 
-
-COUNTED = {Ending.DELIVERED: "ok", Ending.REJECTED: "shed", Ending.FAILED: "errors"}
+    def snapshot(self) -> dict[str, int]:
+        """The counters by their metric names."""
+        return {
+            "ok": self.delivered,
+            "shed": self.rejected,
+            "errors": self.failed,
+            "tries": self.attempts,
+        }
 
 
 class Metrics:
-    """Counters for each class, in the settings' order."""
+    """Counters for each message class, in the order of the settings."""
 
-    def __init__(self, classes: Iterable[str]) -> None:
-        self.names = tuple(classes)
+    def __init__(self, class_names: Iterable[str]) -> None:
+        self.names = tuple(class_names)
         self.classes = [ClassMetrics() for _ in self.names]
 
     def message_rejected(self, transaction: Transaction) -> None:
-        """It was not taken on."""
-        self.classes[transaction.class_index].shed += 1
+        """A message was not accepted."""
+        self.classes[transaction.class_index].rejected += 1
 
-    def message_invalid(self, cls: int) -> None:
-        """It failed at the door, for a field that cannot be used."""
-        self.classes[cls].errors += 1
+    def message_invalid(self, class_index: int) -> None:
+        """A message failed before it was submitted, for a field that cannot be used."""
+        self.classes[class_index].failed += 1
 
     def message_concluded(self, transaction: Transaction, ending: Ending) -> None:
-        """It was decided how it ends; one that nobody waits for any more counts under nothing."""
-        if ending in COUNTED:
-            figures, name = self.classes[transaction.class_index], COUNTED[ending]
-            setattr(figures, name, getattr(figures, name) + 1)
-
-    def call_written(self, parts: Iterable[Transaction]) -> None:
-        """A call with these was handed to its connection whole."""
-        for transaction in parts:
-            self.classes[transaction.class_index].tries += 1
+        """It was decided how a message ends; one that nobody waits for any more is not counted."""
+        counters = self.classes[transaction.class_index]
+        match ending:
+            case Ending.DELIVERED:
+                counters.delivered += 1
+            case Ending.REJECTED:
+                counters.rejected += 1
+            case Ending.FAILED:
+                counters.failed += 1
+            case Ending.UNANSWERED:
+                pass
+
+    def call_written(self, messages: Iterable[Transaction]) -> None:
+        """A call with these messages was passed completely to its connection."""
+        for message in messages:
+            self.classes[message.class_index].attempts += 1
 
     def snapshot(self) -> dict[str, dict[str, Any]]:
-        """The counters by the class's name."""
-        return {name: asdict(figures) for name, figures in zip(self.names, self.classes, strict=True)}
+        """The counters by the name of the class."""
+        return {name: counters.snapshot() for name, counters in zip(self.names, self.classes, strict=True)}
--- /dev/null
+++ b/honeyhitch/dispatcher/outcomes.py
@@ -0,0 +1,137 @@
+"""Outcomes: what becomes of each message of a call that ended, expired or never started."""
+
+from __future__ import annotations
+
+from honeyhitch.dispatcher.context import DispatcherContext
+from honeyhitch.dispatcher.delivery import Call, CallResult
+from honeyhitch.dispatcher.endings import Endings
+from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.journal.transactions import RESEND_FRONTEND, Attempt, Ending, Transaction
+from honeyhitch.policy.events import AttemptEnded, Outcome, RetryAfterReceived
+
+LIMIT_REMAINING_FIELD = "x0"  # of a report: the fraction of the limit that is left
+RATE_LIMIT_FIELD = "x1"  # of a report: calls a second
+
+
+class CallOutcomes:
+    """Turns the results of calls into journal records, endings and events for the policy."""
+
+    def __init__(self, context: DispatcherContext, endings: Endings) -> None:
+        self.context = context
+        self.endings = endings
+
+    def call_ended(self, call: Call, result: CallResult) -> None:
+        """A call ended.
+
+        Its messages share one fate. If its answer comes after one message's time, nobody can tell whether it
+        counts for the others (docs/fleet-questions.md): they may have been executed, which says nothing of
+        the endpoint's health.
+        """
+        self.retry_after_received(call.endpoint, result.retry_after)
+        if call.message_expired and any(outcome is Outcome.DELIVERED for outcome, _ in result.outcomes):
+            uncertain = {(Outcome.DELIVERED, True): (Outcome.RESET, False)}
+            result.outcomes = [uncertain.get(one, one) for one in result.outcomes]
+            result.connection_stale = True
+        for index, (outcome, concluded) in enumerate(result.outcomes):
+            if not call.pending[index]:
+                continue
+            if call.started or self.context.sending:
+                self.attempt_ended(call, index, outcome, concluded, result)
+            else:  # it was cancelled, as the process is about to end
+                self.message_not_started(call, index)
+        if not self.context.sending:
+            self.context.transports[call.endpoint.transport].close_idle(call.endpoint)
+
+    def retry_after_received(self, endpoint: PoolEndpoint, duration: int) -> None:
+        """An endpoint asked to be left alone for so many nanoseconds, or not, at 0.
+
+        That binds its destination, whatever becomes of the messages of the call that brought it.
+        """
+        if duration:
+            until = self.context.scheduler.now() + duration
+            self.context.journal.record_retry_after(endpoint.destination, endpoint.id, until)
+            self.context.event_queue.enqueue(RetryAfterReceived(endpoint.destination, endpoint.id, until))
+
+    def message_expired(self, call: Call, message: Transaction) -> None:
+        """The time of one message of a call in flight is over; a call not started goes on without it."""
+        for index, one in enumerate(call.messages):
+            if one is message and call.pending[index]:
+                if call.started:
+                    call.message_expired = True
+                    self.attempt_ended(call, index, Outcome.TIMEOUT, False, CallResult([]))
+                else:
+                    self.message_not_started(call, index)
+                if not any(call.pending):  # nobody waits for its answer any more
+                    self.context.transports[call.endpoint.transport].cancel(call)
+
+    def message_not_started(self, call: Call, index: int) -> None:
+        """A message leaves its call before the first byte: no attempt is used up."""
+        self.attempt_ended(call, index, Outcome.NOT_SENT, False, CallResult([]), not_started=True)
+
+    def attempt_ended(
+        self,
+        call: Call,
+        index: int,
+        outcome: Outcome,
+        concluded: bool,
+        result: CallResult,
+        not_started: bool = False,
+    ) -> None:
+        """The attempt of one message has its outcome; `concluded`: the message needs nothing more."""
+        context = self.context
+        message = call.messages[index]
+        call.pending[index] = False
+        context.calls_in_flight.pop(message.id, None)
+        if not not_started:
+            self._record(call, index, outcome, result)
+        pending = context.undecided(message.id) is not None
+        if concluded and pending:
+            ending = Ending.DELIVERED if outcome is Outcome.DELIVERED else Ending.UNANSWERED
+            self.endings.conclude_now(message, ending, 0)
+        event = AttemptEnded(
+            message=message.id,
+            attempt=call.attempt_numbers[index],
+            endpoint=call.endpoint.id,
+            outcome=outcome,
+            elapsed=context.scheduler.now() - call.sent_at,
+            message_concluded=concluded or not pending,
+            retry_after=result.retry_after,
+            limit_remaining=result.reported.get(LIMIT_REMAINING_FIELD, 1.0),
+            rate_limit=self._rate_limit(call, result),
+            connection_stale=result.connection_stale,
+            connection_limited=result.connection_limited,
+            not_started=not_started,
+        )
+        context.event_queue.enqueue(event, low_priority=message.frontend == RESEND_FRONTEND)
+        if context.resend_coordinator is not None:
+            context.resend_coordinator.attempt_ended(message, outcome)
+
+    def _record(self, call: Call, index: int, outcome: Outcome, result: CallResult) -> None:
+        journal = self.context.journal
+        message = call.messages[index]
+        number = call.attempt_numbers[index]
+        if outcome.proves_not_executed:
+            journal.record_not_executed(message, number)
+        if self.context.dead_letter_sink is not None and outcome is not Outcome.DELIVERED:
+            attempt = Attempt(
+                number=number,
+                endpoint=call.endpoint.id,
+                started_at=call.sent_at,
+                outcome=outcome.value,
+                elapsed=self.context.scheduler.now() - call.sent_at,
+                retry_after=result.retry_after,
+                failure_reason=result.failure_reason,
+            )
+            journal.record_outcome(message, attempt)
+
+    def _rate_limit(self, call: Call, result: CallResult) -> float:
+        """This instance's part of a limit that was reported, in calls a second.
+
+        By a quota that has just run out nothing is sent in any case: the whole limit stands for it.
+        """
+        limit = result.reported.get(RATE_LIMIT_FIELD, 0.0)
+        quota_source = self.context.quota_source
+        if quota_source is None:
+            return limit
+        now = self.context.scheduler.now()
+        return limit * (quota_source.quota_fraction(call.endpoint.destination, now) or 1.0)
--- a/honeyhitch/dispatcher/ports.py
+++ b/honeyhitch/dispatcher/ports.py
@@ -1,4 +1,4 @@
-"""What the core needs from outside, as protocols: clock, carriers, fronts and what stands beside it."""
+"""What the dispatcher needs from outside, as protocols: clock, transports, frontends and features."""
 
 from __future__ import annotations
 
@@ -16,84 +16,87 @@
     """Clock and timers."""
 
     def now(self) -> int:
-        """The time."""
+        """The Unix time in nanoseconds."""
 
     def call_at(self, when: int, what: Callable[[], None]) -> None:
-        """Do something then."""
+        """Call `what` at this time, or soon if it is past."""
 
 
 class Transport(Protocol):
-    """Carries calls to pool members; each call started is reported once to `Dispatcher.ended`."""
+    """Carries calls to endpoints; each call started is reported once to `Dispatcher.call_ended`."""
 
     def start(self, call: Call) -> None:
-        """Make the call; `Dispatcher.begin` is asked right before its first byte."""
+        """Make the call; `Dispatcher.start_call` is asked right before its first byte."""
 
     def cancel(self, call: Call) -> None:
         """Stop waiting for it; that is reported as its end, too."""
 
-    def close_idle(self, member: PoolEndpoint) -> None:
-        """Close idle connections to a member."""
+    def close_idle(self, endpoint: PoolEndpoint) -> None:
+        """Close pooled connections to an endpoint."""
 
 
 class ConnectionOpener(Protocol):
-    """Opens connections to gated members ahead of calls; each change is reported to `Dispatcher.room`."""
+    """Opens connections to endpoints that take calls on open connections alone, ahead of the calls.
 
-    def open(self, member: PoolEndpoint, calls: int) -> None:
+    Each change is reported to `Dispatcher.apply_connection_capacity`.
+    """
+
+    def open(self, endpoint: PoolEndpoint, calls: int) -> None:
         """Connections for so many more calls are wanted; as many are opened as may be."""
 
 
 class Frontend(Protocol):
-    """Gives final answers to those who handed in."""
+    """Sends final answers to the clients that submitted messages."""
 
     def answer(self, transaction: Transaction) -> None:
-        """Send it; `Dispatcher.answered` is called once it has been sent."""
+        """Send it; `Dispatcher.answer_sent` is called once it has been sent."""
 
 
 class DeadLetterSink(Protocol):
-    """Keeps messages that ended undelivered; `Dispatcher.kept` is called once one is safe there."""
+    """Stores messages that ended undelivered; `Dispatcher.dead_letter_stored` follows once one is stored."""
 
     def store(self, transaction: Transaction) -> None:
-        """Take it over when there is time; the journal holds it until then."""
+        """Store it when there is time; the journal holds it until then."""
 
 
 class PeerProcess(Protocol):
-    """Another process of the same dispatcher, while an upgrade lasts."""
+    """The other process of the same dispatcher, while a hand-over lasts."""
 
     def retry_after_events(self) -> list[Event]:
-        """What the module must know of what that process was told."""
+        """What the policy must know of the Retry-After times that the other process received."""
 
     def has_accepted(self, name: str) -> bool:
-        """That process has taken this message on: it owes the answer."""
+        """Whether the other process accepted this message, and owes the answer."""
 
 
 class ArrivalDecision(Enum):
-    """What becomes of a transaction that comes, in view of what was resent."""
+    """What becomes of a message that arrives, in view of what was resent."""
 
     DELIVER = "go"
-    WAIT = "wait"  # a resend of it is on its way; `Dispatcher.go_on` or `Dispatcher.conclude` follows
+    WAIT = "wait"  # a resend of it is in flight; `Dispatcher.release` or `Dispatcher.conclude` follows
     ALREADY_DELIVERED = "done"  # a resend of it was delivered
 
 
 class ResendCoordinator(Protocol):
-    """Keeps a client's copy and a resend from going out both."""
+    """Keeps a client's copy and a resend of the same message from being sent both."""
 
     def decide_arrival(self, transaction: Transaction) -> ArrivalDecision:
-        """A client's transaction was taken on, or taken up again after a start."""
+        """A client's message was accepted, or recovered after a start."""
 
     def recover_resend(self, transaction: Transaction) -> None:
         """A resend is in the journal after a start."""
 
     def attempt_ended(self, transaction: Transaction, outcome: Outcome) -> None:
-        """One attempt of a transaction is over."""
+        """One attempt of a message ended."""
 
     def message_concluded(self, transaction: Transaction) -> None:
-        """It was decided how a transaction ends, or it was withdrawn."""
+        """It was decided how a message ends, or it was withdrawn."""
 
     def dead_letter_stored(self, transaction: Transaction) -> None:
-        """The keeper has it, or has let it go."""
+        """The store has a dead letter, or has discarded it."""
 
     def settles_dead_letter(self, transaction: Transaction) -> bool:
-        """Whether its delivery settles what is kept."""
+        """Whether its delivery settles a dead letter."""
 
 
 class QuotaSource(Protocol):
--- a/honeyhitch/journal/transactions.py
+++ b/honeyhitch/journal/transactions.py
@@ -6,6 +6,7 @@
 from enum import Enum
 from typing import NamedTuple
 
+RESP_FRONTEND = "resp"  # its clients hear of no delivery
 RESEND_FRONTEND = "resend"  # the frontend of messages that the store of dead letters resends
 
 
@@ -66,7 +67,7 @@
     key: str = ""  # its idempotency key
     tenant: int = 0
     recovered_from_journal: bool = False
-    frontend: str = "resp"  # the frontend that accepted it
+    frontend: str = RESP_FRONTEND  # the frontend that accepted it
     reply_context: str = ""  # what that frontend needs to answer it later
     attempt_count: int = 0
     possible_executions: list[PossibleExecution] = field(default_factory=list)
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.dispatcher.dispatcher import BUSY_RETRY_AFTER, Dispatcher
+from honeyhitch.dispatcher.admission import BUSY_RETRY_AFTER
+from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.dispatcher.ports import Scheduler
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.partitioning.fleet import ClockError, Fleet
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -216,7 +216,7 @@
         rig.list({"host_port": f"127.0.0.1:{two.port}", "id": "s-0" if told == "moved" else "s-1"})
         if told != "moved":
             rig.list({"cell": 2} if told == "another's" else {"phase": told})
-        await until(lambda: not rig.core.events)
+        await until(lambda: not rig.core.event_queue.events)
         line.doors[0].set()
         two.answers.put_nowait(OK)
         await until(lambda: len(rig.core.messages) == 0)
