--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -28,7 +28,8 @@
 from honeyhitch.dead_letters.settings import DeadLetterSettings, Rule
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dead_letters.worker import Job, JobCallback
-from honeyhitch.dispatcher.dispatcher import BUSY_RETRY_AFTER, Dispatcher
+from honeyhitch.dispatcher.admission import BUSY_RETRY_AFTER
+from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.dispatcher.ports import ArrivalDecision, Scheduler
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Ending, Transaction
 from honeyhitch.policy.events import Outcome
--- a/tests/dead_letters_rig.py
+++ b/tests/dead_letters_rig.py
@@ -12,7 +12,6 @@
 from honeyhitch.dead_letters.settings import ResendSettings, StoreLimits
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.dead_letters.worker import Job, JobCallback
-from honeyhitch.journal import journal as journal_module
 from honeyhitch.journal.journal import Journal
 from honeyhitch.journal.record_codec import encode_record
 from honeyhitch.journal.records import Record
