--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -29,7 +29,7 @@
 from benchmarks.start import cpu  # noqa: E402
 from honeyhitch.dispatcher.metrics import Metrics  # noqa: E402
 from honeyhitch.journal.transactions import Ending, Transaction  # noqa: E402
-from tests.test_upgrade import Rig, loaded  # noqa: E402
+from tests.test_upgrade import UpgradeRig, upgrade_under_load  # noqa: E402
 
 STALLED = 16  # callers that never end their line
 EVERY = 0.01  # seconds between calls
@@ -40,28 +40,28 @@
     """So many in a row."""
     yes, gone = list[float](), list[float]()
     with tempfile.TemporaryDirectory(dir="/dev/shm") as folder:
-        async with loaded(Path(folder), 1) as rig:
+        async with upgrade_under_load(Path(folder), 1) as rig:
             for _ in range(count):
-                (old,), began = rig.alive, time.monotonic()
+                (old,), began = rig.running, time.monotonic()
                 await rig.start()
                 yes.append(time.monotonic() - began)
                 began = time.monotonic()
-                assert await rig.end(old, signal.SIGTERM) == 0
+                assert await rig.stop(old, signal.SIGTERM) == 0
                 gone.append(time.monotonic() - began)
-        told = rig.clients.told
+        told = rig.clients.replies
     unheard = sum(not answer for answer in told.values())
-    twice = sum(calls > 1 for calls in rig.books.delivered.values())
-    print(f"upgrades            {count}, {len(told)} messages handed in, {len(rig.clients.taken())} taken")
+    twice = sum(calls > 1 for calls in rig.ledger.delivered.values())
+    print(f"upgrades            {count}, {len(told)} messages handed in, {len(rig.clients.accepted())} taken")
     print(f"turned back unheard {unheard}, delivered twice {twice}, lost 0 (the ledger is closed)")
     print(f"start to yes        p50 {statistics.median(yes):.2f} s, most {max(yes):.2f} s")
     print(f"SIGTERM to end      p50 {statistics.median(gone):.2f} s, most {max(gone):.2f} s")
 
 
-def ledger(rig: Rig) -> dict[str, int]:
+def ledger(rig: UpgradeRig) -> dict[str, int]:
     """What the clients and the partner saw."""
     deferred = sum(one["status"] == "deferred" for one in rig.agent.notices.values())
-    busy = sum(answer.startswith(b"-BUSY") for answer in rig.clients.told.values())
-    return {"ok": rig.books.delivered.total(), "shed": busy + deferred, "tries": rig.books.calls}
+    busy = sum(answer.startswith(b"-BUSY") for answer in rig.clients.replies.values())
+    return {"ok": rig.ledger.delivered.total(), "shed": busy + deferred, "tries": rig.ledger.calls}
 
 
 async def called(port: int, line: bytes) -> tuple[float, bytes]:
@@ -86,9 +86,9 @@
     """One process under full load."""
     took, off = list[float](), {"ok": list[float](), "shed": list[float](), "tries": list[float]()}
     with tempfile.TemporaryDirectory(dir="/dev/shm") as folder:
-        async with loaded(Path(folder), 2) as rig:
-            (process,) = rig.alive
-            rig.clients.patient = False  # whoever is turned away comes again at once
+        async with upgrade_under_load(Path(folder), 2) as rig:
+            (process,) = rig.running
+            rig.clients.waits_for_room = False  # whoever is turned away comes again at once
             at = json.loads((Path(folder) / "1" / "config.json").read_text())["management"]
             port = int(at.rpartition(":")[2])
             stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in range(STALLED)]
@@ -106,14 +106,14 @@
                     far = max(before[name] - told[name], told[name] - after[name], 0)
                     seen.append(far / max(1, after[name]) if far > 3 else 0.0)
                 await asyncio.sleep(EVERY)
-            used, handed_in = cpu(process.pid) - used, len(rig.clients.told)
+            used, handed_in = cpu(process.pid) - used, len(rig.clients.replies)
             for _, writer in stalled:
                 writer.close()
             for work in floods:
                 work.cancel()
-            rig.clients.going = False
-            rig.again.tell()
-            await rig.events.until(rig.settled)
+            rig.clients.running = False
+            rig.room_made.notify()
+            await rig.progress.wait_until(rig.settled)
             _, answer = await called(port, b"stats\n")
             last, seen_last = json.loads(answer.split(b"\r\n")[0])["responses"]["standard"], ledger(rig)
     took.sort()
--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -48,24 +48,24 @@
 
 
 @dataclass
-class Process:
+class InstanceProcess:
     """A process of one instance: what it believes, and what is on its way to it."""
 
     fleet: Fleet
-    clock_off: int  # ns, from the control machines' clock
+    clock_offset: int  # ns, from the control machines' clock
     stream: list[dict[str, Any]] = field(default_factory=list)
-    cut: bool = False
+    disconnected: bool = False
     watching: bool = False  # it has a watch, and all that was told before it
 
 
-class Control:
+class ControlPlane:
     """The control machines, and all processes of the fleet, alive or ended."""
 
     def __init__(self, seed: int = 1, per_zone: int = 3) -> None:
         self.now, self.revision, self.up, self.rng = START, 1, True, Random(seed)
         self.entries: dict[str, dict[str, Any]] = {}
         self.history: list[list[dict[str, Any]]] = [[]]  # entries changed by each revision
-        self.processes: dict[str, Process] = {}
+        self.processes: dict[str, InstanceProcess] = {}
         self.saved: dict[str, dict[str, Any]] = {}
         self.serial = 0
         for region in REGIONS:
@@ -81,10 +81,10 @@
     def start(self, name: str) -> None:
         """A process starts with what the last one of its name saved, and opens a watch."""
         fleet = Fleet(fleet_settings(name, self.entries[name]["locality"]))
-        process = self.processes[name] = Process(fleet, self.rng.randint(-SKEW // 2, SKEW // 2))
+        process = self.processes[name] = InstanceProcess(fleet, self.rng.randint(-SKEW // 2, SKEW // 2))
         if name in self.saved:
-            self.hand(process, self.saved[name])
-        self.open(name)
+            self.apply_line(process, self.saved[name])
+        self.open_watch(name)
 
     def kill(self, name: str) -> None:
         """It ends; what it saved last stays."""
@@ -92,31 +92,31 @@
         if process.fleet.view.instances:
             self.saved[name] = process.fleet.snapshot()
 
-    def open(self, name: str) -> None:
+    def open_watch(self, name: str) -> None:
         """A new watch: what is on its way on the old one is lost, and the whole list comes."""
         process = self.processes[name]
         process.stream.clear()
-        process.watching = self.up and not process.cut
+        process.watching = self.up and not process.disconnected
         if process.watching:
             members = list(self.entries.values())
-            process.stream.append(self.stamped({"complete": True, "members": members}))
+            process.stream.append(self.stamp({"complete": True, "members": members}))
 
-    def hand(self, process: Process, told: dict[str, Any]) -> None:
+    def apply_line(self, process: InstanceProcess, line: dict[str, Any]) -> None:
         """A process reads one line. One that it refuses changes nothing."""
         try:
-            process.fleet.apply_update(told, self.now + process.clock_off)
+            process.fleet.apply_update(line, self.now + process.clock_offset)
         except FleetViewError as error:
-            assert "revision" in str(error) or "saved" in told.get("form", "saved"), error
+            assert "revision" in str(error) or "saved" in line.get("form", "saved"), error
 
-    def read(self, name: str, count: int) -> None:
+    def read_lines(self, name: str, count: int) -> None:
         """A process reads so many lines of its stream."""
         process = self.processes[name]
         for _ in range(min(count, len(process.stream))):
-            self.hand(process, process.stream.pop(0))
+            self.apply_line(process, process.stream.pop(0))
 
     # The control machines.
 
-    def stamped(self, told: dict[str, Any]) -> dict[str, Any]:
+    def stamp(self, told: dict[str, Any]) -> dict[str, Any]:
         """With the revision and the time, as it is issued now."""
         return {"revision": self.revision, "issued_ms": self.now // MS, "lease_ms": LEASE // MS, **told}
 
@@ -125,28 +125,28 @@
         self.revision += 1
         for process in self.processes.values():
             if process.watching:
-                process.stream.append(self.stamped({"complete": False, "members": [row]}))
+                process.stream.append(self.stamp({"complete": False, "members": [row]}))
 
-    def cut(self, name: str) -> None:
+    def disconnect(self, name: str) -> None:
         """Nothing more comes to a process; what is on its way may still arrive."""
-        self.processes[name].cut, self.processes[name].watching = True, False
+        self.processes[name].disconnected, self.processes[name].watching = True, False
 
-    def connect(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         """It is reached again."""
-        self.processes[name].cut = False
-        self.open(name)
+        self.processes[name].disconnected = False
+        self.open_watch(name)
 
-    def fail(self) -> None:
+    def stop(self) -> None:
         """All control machines are gone: watches end, what is on its way may still arrive."""
         self.up = False
         for process in self.processes.values():
             process.watching = False
 
-    def come_back(self) -> None:
+    def resume(self) -> None:
         """They are there again, and all who can reach them watch anew."""
         self.up = True
         for name in self.processes:
-            self.open(name)
+            self.open_watch(name)
 
     def set_phase(self, name: str, phase: str) -> None:
         """An instance drains, is taken for dead, or is back."""
@@ -170,19 +170,19 @@
         gone = {**self.entries.pop(name), "phase": "Gone"}
         self.publish(gone)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """A heartbeat on every watch that is not cut."""
         for process in self.processes.values():
             if process.watching:
-                process.stream.append(self.stamped({"complete": False, "members": []}))
+                process.stream.append(self.stamp({"complete": False, "members": []}))
 
     # What must hold.
 
-    def totals(self, partition: int) -> dict[str, float]:
+    def quota_totals(self, partition: int) -> dict[str, float]:
         """By zone, the sum of what all live processes hold of the zone's share of a partition."""
         total: dict[str, float] = {}
         for process in self.processes.values():
             zone = process.fleet.settings.zone
-            held = process.fleet.held_quota(partition, self.now + process.clock_off)
+            held = process.fleet.held_quota(partition, self.now + process.clock_offset)
             total[zone] = total.get(zone, 0.0) + held.quota_fraction(process.fleet.settings.reserve)
         return total
--- /dev/null
+++ b/tests/polling.py
@@ -0,0 +1,43 @@
+"""Waiting in tests: for an event where there is one, and by polling where another process has the state."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Awaitable, Callable
+
+LIMIT_SECONDS = float(os.environ.get("PLAY_TIMEOUT", "60"))  # as long as a whole test may take
+INTERVAL_SECONDS = 0.02
+
+
+class Changes:
+    """Lets a test wait for a condition that only changes when `notify` is called."""
+
+    def __init__(self) -> None:
+        self.changed = asyncio.Event()
+
+    def notify(self) -> None:
+        """Have everyone who waits check their condition again."""
+        self.changed.set()
+        self.changed = asyncio.Event()
+
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Return once the condition holds. The test's own limit ends a wait that is in vain."""
+        while not condition():
+            await self.changed.wait()
+
+
+async def poll_until(
+    condition: Callable[[], Awaitable[bool]],
+    interval: float = INTERVAL_SECONDS,
+    limit: float = LIMIT_SECONDS,
+) -> None:
+    """Check the state of another process every `interval` seconds until it holds.
+
+    Raises TimeoutError after `limit` seconds.
+    """
+    async with asyncio.timeout(limit):
+        while True:
+            if await condition():
+                return
+            await asyncio.sleep(interval)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-OUTGOING = Path("/proc/sys/net/ipv4/ip_local_port_range")
-PORTS_BELOW = 12_000
-GIVEN = set[int]()  # ports, by this process
+EPHEMERAL_PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
+LISTENING_PORT_COUNT = 12_000
+USED_PORTS = set[int]()  # ports, by this process
 PING, PONG = b"PING\r\n", b"+PONG\r\n"
 
 
@@ -25,14 +25,14 @@
     """A free port that was not given before, below those that the system gives to outgoing connections: one
     of these could be taken by another process of a test between its choice and its use.
     """
-    lowest = int(OUTGOING.read_text().split()[0])
+    lowest = int(EPHEMERAL_PORT_RANGE.read_text().split()[0])
     while True:
-        port = random.SystemRandom().randrange(lowest - PORTS_BELOW, lowest)
-        if port in GIVEN:
+        port = random.SystemRandom().randrange(lowest - LISTENING_PORT_COUNT, lowest)
+        if port in USED_PORTS:
             continue
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", port))
-            GIVEN.add(port)
+            USED_PORTS.add(port)
             return port
 
 
@@ -47,7 +47,7 @@
         return await asyncio.create_subprocess_shell(f"{limit}exec {program}", cwd=ROOT, stderr=log)
 
 
-async def ask(port: int, request: bytes) -> bytes:
+async def request_line(port: int, request: bytes) -> bytes:
     """The first line of the answer. A connection that is shut before the request on it was read, as the
     protocol allows, is followed by another one.
     """
@@ -64,14 +64,14 @@
     """Wait until it answers PING with PONG."""
     while process.returncode is None:
         with contextlib.suppress(OSError):
-            if await ask(port, PING) == PONG:
+            if await request_line(port, PING) == PONG:
                 return
         await asyncio.sleep(0.02)
     raise AssertionError(f"it ended with {process.returncode}")
 
 
 @contextlib.asynccontextmanager
-async def killed(processes: list[Process]) -> AsyncIterator[None]:
+async def killed_at_end(processes: list[Process]) -> AsyncIterator[None]:
     """Whatever still runs at the end is killed, by its id."""
     try:
         yield
@@ -82,15 +82,15 @@
             await process.wait()
 
 
-class Partner:
+class CountingEndpoint:
     """An endpoint of every destination: it counts calls by their message, and delivers or holds them all."""
 
-    def __init__(self, told: Callable[[], None], answers: bool = True) -> None:
+    def __init__(self, on_call: Callable[[], None], replies: bool = True) -> None:
         """`told` is called with each call that has come."""
-        self.told, self.answers, self.port = told, answers, 0
+        self.on_call, self.replies, self.port = on_call, replies, 0
         self.calls = Counter[str]()
 
-    async def start(self) -> Partner:
+    async def start(self) -> CountingEndpoint:
         server = await asyncio.start_server(self._client, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         return self
@@ -102,7 +102,7 @@
                 found = re.search(r"x-txn: (\S+)", head, re.I)
                 assert found is not None
                 self.calls[found[1]] += 1
-                self.told()
-                if self.answers:
+                self.on_call()
+                if self.replies:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         writer.close()
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -13,10 +13,19 @@
 from typing import Any
 
 from .agent import Agent
-from .processes import PING, PONG, Partner, ask, killed, listening_port, spawn, until_ready
+from .polling import Changes
+from .processes import (
+    PING,
+    PONG,
+    CountingEndpoint,
+    killed_at_end,
+    listening_port,
+    request_line,
+    spawn,
+    until_ready,
+)
 from .program import enqueue, play, write
 from .rig import endpoint_row
-from .test_upgrade import Events
 
 SOCKETS = 72  # descriptors of the process, as its configuration says
 CLIENTS = 300  # that connect and say nothing
@@ -37,33 +46,33 @@
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
-        events, port = Events(), listening_port()
-        partner = await Partner(events.tell).start()
+        events, port = Changes(), listening_port()
+        partner = await CountingEndpoint(events.notify).start()
         agent = await Agent(
             [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}, endpoint_row("s-2", 2)]
         ).start()
-        agent.told = agent.watched = events.tell
+        agent.told = agent.watched = events.notify
         path, _ = write(tmp_path, port, agent.port, agent.members, limits={"sockets": SOCKETS})
         process = await spawn(path, SOCKETS)
-        async with killed([process]):
+        async with killed_at_end([process]):
             await until_ready(process, port)
-            await events.until(lambda: bool(agent.watches))
+            await events.wait_until(lambda: bool(agent.watches))
             agent.go_down()
             watches = len(agent.watches)
             crowd = [asyncio.ensure_future(idle(port)) for _ in range(CLIENTS)]
-            assert await ask(port, PING) == PONG, "a client that speaks has its place"
+            assert await request_line(port, PING) == PONG, "a client that speaks has its place"
             await agent.start()
-            await events.until(lambda: len(agent.watches) > watches)  # discovery
-            assert await ask(port, enqueue("one")) == b"+OK\r\n"
-            await events.until(lambda: partner.calls.total() == 1)  # an endpoint
+            await events.wait_until(lambda: len(agent.watches) > watches)  # discovery
+            assert await request_line(port, enqueue("one")) == b"+OK\r\n"
+            await events.wait_until(lambda: partner.calls.total() == 1)  # an endpoint
             lost = enqueue("two", left=300).replace(b"dest=1", b"dest=2")  # nobody listens there
-            assert await ask(port, lost) == b"+OK\r\n"
-            await events.until(lambda: "two" in agent.notices)  # and a notice
+            assert await request_line(port, lost) == b"+OK\r\n"
+            await events.wait_until(lambda: "two" in agent.notices)  # and a notice
             agent.change({**endpoint_row("s-3", 3), "host_port": f"127.0.0.1:{partner.port}"})
             other = enqueue("three").replace(b"dest=1", b"dest=3")
-            while await ask(port, other) != b"+OK\r\n":  # until the change has arrived
+            while await request_line(port, other) != b"+OK\r\n":  # until the change has arrived
                 await asyncio.sleep(0.02)
-            await events.until(lambda: partner.calls.total() == 2)
+            await events.wait_until(lambda: partner.calls.total() == 2)
             assert process.returncode is None
             for task in crowd:
                 task.cancel()
@@ -73,8 +82,8 @@
 
 def test_nine_in_ten_of_those_restarted_at_once_are_ready_in_time(tmp_path: Path) -> None:
     async def work() -> None:
-        events = Events()
-        partner = await Partner(events.tell, answers=False).start()
+        events = Changes()
+        partner = await CountingEndpoint(events.notify, replies=False).start()
         agent = await Agent([{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]).start()
         paths: dict[int, str] = {}
         for number in range(RESTARTED):
@@ -82,11 +91,11 @@
             folder.mkdir()
             paths[port], _ = write(folder, port, agent.port, agent.members)
         processes = [await spawn(path) for path in paths.values()]
-        async with killed(processes):
+        async with killed_at_end(processes):
             for process, port in zip(processes, paths, strict=True):
                 await until_ready(process, port)
                 for number in range(OWED):
-                    assert await ask(port, enqueue(f"{port}-{number}", left=20_000)) == b"+OK\r\n"
+                    assert await request_line(port, enqueue(f"{port}-{number}", left=20_000)) == b"+OK\r\n"
             for process in processes:
                 process.kill()
             for process in processes:
@@ -101,7 +110,9 @@
             await asyncio.gather(*(timed(*one) for one in zip(processes, paths, strict=True)))
             assert sum(one <= READY_WITHIN for one in took) >= 0.9 * RESTARTED, sorted(took)
             for port, path in paths.items():
-                owed = await ask(port, enqueue(f"{port}-0"))  # its journal was read: it knows what it holds
+                owed = await request_line(
+                    port, enqueue(f"{port}-0")
+                )  # its journal was read: it knows what it holds
                 assert owed == b"+OK\r\n"
                 assert held(json.loads(Path(path).read_text())) >= OWED
 
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes on loopback: requests that are passed on, and owners that die, hang or drain.
+"""A fleet of real processes on loopback: requests that are forwarded, and owners that die, hang or drain.
 
-The books are the partner's: each call with its message's id. Whatever happens, a message whose client was
-told `+OK` is delivered once, and none is out twice.
+The endpoint counts each call by its message's id. Whatever happens, a message whose client got `+OK` is
+delivered once, and none is sent twice.
 """
 
 from __future__ import annotations
@@ -25,23 +25,26 @@
 from honeyhitch.partitioning.settings import FleetSettings, Region
 
 from .agent import Agent
-from .processes import Partner, ask, listening_port, spawn, until_ready
+from .polling import Changes
+from .processes import CountingEndpoint, listening_port, request_line, spawn, until_ready
 from .program import enqueue, play, write
 from .rig import endpoint_row
-from .test_upgrade import Events
 
 REGIONS = (Region("east", ("a1",)), Region("west", ("b1",)))
 INSTANCES = {"x": "a1", "y": "a1", "z": "b1"}  # two of one zone, one of another
 LEASE_MS = 1500
+PARTITIONS = 64
 DESTINATIONS = range(1, 41)
 
 
 class FleetRig:
-    """Discovery's agent, the view's agent, a partner, and the processes."""
+    """Discovery's agent, the view's agent, an endpoint, and the processes."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.events = folder, Events()
-        self.partner, self.control = Partner(self.events.tell), Agent([])
+        self.directory = folder
+        self.progress = Changes()
+        self.endpoint = CountingEndpoint(self.progress.notify)
+        self.control = Agent([])
         self.control.stamp = lambda: {"issued_ms": time.time_ns() // 10**6, "lease_ms": LEASE_MS}
         self.control.beat = 0.3
         self.ports = {name: listening_port() for name in INSTANCES}
@@ -49,39 +52,39 @@
         self.processes: dict[str, Process] = {}
         self.paths: dict[str, tuple[str, str | None]] = {}
 
-    def entry(self, name: str, phase: str = "Ready", since: int = 0) -> dict[str, Any]:
-        """One instance, as the view lists it; `since` in milliseconds."""
+    def view_entry(self, name: str, phase: str = "Ready", phase_since: int = 0) -> dict[str, Any]:
+        """One instance, as the view lists it; `phase_since` in milliseconds."""
         zone = INSTANCES[name]
         region = next(region.name for region in REGIONS if zone in region.zones)
-        times = {"up_since_ms": since, "joined_ms": 0}
+        times = {"up_since_ms": phase_since, "joined_ms": 0}
         address = f"127.0.0.1:{self.ports[name]}"
-        told = {"id": name, "host_port": address, "locality": zone, "flavor": region, "phase": phase}
-        return told | times
+        entry = {"id": name, "host_port": address, "locality": zone, "flavor": region, "phase": phase}
+        return entry | times
 
     async def start(self) -> None:
-        await self.partner.start()
+        await self.endpoint.start()
         listed = [
-            {**endpoint_row(f"s-{number}", number), "host_port": f"127.0.0.1:{self.partner.port}"}
+            {**endpoint_row(f"s-{number}", number), "host_port": f"127.0.0.1:{self.endpoint.port}"}
             for number in DESTINATIONS
         ]
         agent = await Agent(listed).start()
-        self.control.members = [self.entry(name) for name in INSTANCES]
+        self.control.members = [self.view_entry(name) for name in INSTANCES]
         await self.control.start()
         for name, zone in INSTANCES.items():
-            folder = self.folder / name
+            folder = self.directory / name
             folder.mkdir()
             operator = "[fleet]\n" + "".join(
                 f"{key} = {json.dumps(value)}\n"
                 for key, value in {
                     "view": f"127.0.0.1:{self.control.port}",
                     "zone": zone,
-                    "partitions": 64,
+                    "partitions": PARTITIONS,
                     "lease": LEASE_MS / 1000,
                     "clock-skew": 0.1,
                 }.items()
             )
             operator += "[fleet.regions]\n"
-            operator += "".join(f"{one.name} = {json.dumps(list(one.zones))}\n" for one in REGIONS)
+            operator += "".join(f"{region.name} = {json.dumps(list(region.zones))}\n" for region in REGIONS)
             management = f"127.0.0.1:{self.management[name]}"
             self.paths[name] = write(
                 folder, self.ports[name], agent.port, [], operator, name=name, management=management
@@ -89,31 +92,32 @@
         for name in INSTANCES:
             await self.spawn(name)
         for name in INSTANCES:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
     async def spawn(self, name: str) -> None:
         path, operator = self.paths[name]
         self.processes[name] = await spawn(path, operator=operator)
 
-    async def until_ready(self, name: str) -> None:
-        """Until it answers, and has the whole list: it is asked for anew once the view has come."""
+    async def wait_until_ready(self, name: str) -> None:
+        """Until it answers, and has the complete list, which it asks for again once the view has come."""
         await until_ready(self.processes[name], self.ports[name])
-        number = self.owned_by(name)
-        while not (await self.hand_in(name, f"ready-{name}-{time.monotonic_ns()}", number)).startswith(b"+"):
+        number = self.destination_owned_by(name)
+        while not (await self.submit(name, f"ready-{name}-{time.monotonic_ns()}", number)).startswith(b"+"):
             await asyncio.sleep(0.02)
 
-    def owned_by(self, name: str) -> int:
+    def destination_owned_by(self, name: str) -> int:
         """A destination that an instance is home to."""
-        fleet = Fleet(FleetSettings(name, INSTANCES[name], "127.0.0.1:1", REGIONS, partitions=64))
-        members = [self.entry(one) for one in INSTANCES]
+        settings = FleetSettings(name, INSTANCES[name], "127.0.0.1:1", REGIONS, partitions=PARTITIONS)
+        fleet = Fleet(settings)
+        members = [self.view_entry(instance) for instance in INSTANCES]
         fleet.apply_update({"revision": 1, "complete": True, "members": members}, 0)
         for number in DESTINATIONS:
             candidates = fleet.candidates(INSTANCES[name], fleet.partition(number))
             if candidates[0].name == name:
                 return number
-        raise AssertionError("none")
+        raise AssertionError(f"no destination of {len(DESTINATIONS)} has {name} as its home")
 
-    async def hand_in(self, name: str, message: str, destination: int, more: bytes = b"") -> bytes:
+    async def submit(self, name: str, message: str, destination: int, more: bytes = b"") -> bytes:
         """The reply of an instance to one message, empty where it gave none."""
         request = enqueue(message)
         field = b"c=standard,t=studio,d=8000,k=k-%s,dest=%d%s" % (message.encode(), destination, more)
@@ -125,23 +129,23 @@
             return await reader.readline()
         return b""
 
-    async def call(self, name: str, call: str) -> dict[str, Any]:
+    async def management_call(self, name: str, call: str) -> dict[str, Any]:
         """Figures from the management address."""
-        line = await ask(self.management[name], call.encode() + b"\r\n")
+        line = await request_line(self.management[name], call.encode() + b"\r\n")
         return dict(json.loads(line))
 
-    async def until_portion(self, name: str, destination: int, portion: float) -> None:
-        while (await self.call(name, f"owner {destination}"))["portion"] != portion:
+    async def wait_for_quota(self, name: str, destination: int, quota_fraction: float) -> None:
+        while (await self.management_call(name, f"owner {destination}"))["portion"] != quota_fraction:
             await asyncio.sleep(0.02)
 
-    async def delivered(self, *messages: str) -> None:
-        """Until each was delivered; and none of all was called for twice."""
-        await self.events.until(lambda: all(self.partner.calls[one] for one in messages))
-        assert max(self.partner.calls.values()) == 1
+    async def wait_until_delivered(self, *messages: str) -> None:
+        """Until each was delivered; and no message was sent twice."""
+        await self.progress.wait_until(lambda: all(self.endpoint.calls[message] for message in messages))
+        assert max(self.endpoint.calls.values()) == 1
 
 
 @contextlib.asynccontextmanager
-async def fleet(folder: Path) -> AsyncIterator[FleetRig]:
+async def running_fleet(folder: Path) -> AsyncIterator[FleetRig]:
     rig = FleetRig(folder)
     try:
         await rig.start()
@@ -155,16 +159,16 @@
 
 def test_a_message_reaches_its_owner_from_any_instance_and_only_the_owner_holds_it(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number = rig.owned_by("y")
-            before = (await rig.call("x", "stats"))["responses"]
-            assert await rig.hand_in("x", "one", number) == b"+OK\r\n"
-            assert await rig.hand_in("y", "two", number) == b"+OK\r\n"
-            assert await rig.hand_in("z", "three", number) == b"+OK\r\n"  # its own zone's share
-            await rig.delivered("one", "two", "three")
-            assert (await rig.call("x", "stats"))["responses"] == before, "x took none on"
+        async with running_fleet(tmp_path) as rig:
+            number = rig.destination_owned_by("y")
+            before = (await rig.management_call("x", "stats"))["responses"]
+            assert await rig.submit("x", "one", number) == b"+OK\r\n"
+            assert await rig.submit("y", "two", number) == b"+OK\r\n"
+            assert await rig.submit("z", "three", number) == b"+OK\r\n"  # its own zone's share
+            await rig.wait_until_delivered("one", "two", "three")
+            assert (await rig.management_call("x", "stats"))["responses"] == before, "x took none on"
             # What the owner says is relayed, be it an error.
-            assert (await rig.hand_in("x", "no", 9_999_999)).startswith(b"-ERR dest: no such destination")
+            assert (await rig.submit("x", "no", 9_999_999)).startswith(b"-ERR dest: no such destination")
             shown = CliRunner().invoke(main, ["fleet", "show", "--at", f"127.0.0.1:{rig.management['x']}"])
             assert "3, of which 3 ready" in shown.output and "revision 1" in shown.output, shown.output
             owners = ["fleet", "owner", str(number), "--at", f"127.0.0.1:{rig.management['x']}"]
@@ -176,30 +180,30 @@
 
 def test_a_request_is_passed_on_once_at_most(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number = rig.owned_by("y")
-            assert await rig.hand_in("x", "looped", number, b",via=z") == b"-BUSY 500\r\n"
-            assert await rig.hand_in("y", "fine", number, b",via=x") == b"+OK\r\n"
-            await rig.delivered("fine")
-            assert not rig.partner.calls["looped"]
+        async with running_fleet(tmp_path) as rig:
+            number = rig.destination_owned_by("y")
+            assert await rig.submit("x", "looped", number, b",via=z") == b"-BUSY 500\r\n"
+            assert await rig.submit("y", "fine", number, b",via=x") == b"+OK\r\n"
+            await rig.wait_until_delivered("fine")
+            assert not rig.endpoint.calls["looped"]
 
     play(work())
 
 
 def test_an_owner_that_was_killed_is_followed_by_the_next_one(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number = rig.owned_by("y")
+        async with running_fleet(tmp_path) as rig:
+            number = rig.destination_owned_by("y")
             rig.processes["y"].kill()
             await rig.processes["y"].wait()
-            assert await rig.hand_in("x", "one", number) == b"+OK\r\n"  # z, of the other zone
+            assert await rig.submit("x", "one", number) == b"+OK\r\n"  # z, of the other zone
             since = time.time_ns() // 10**6
-            rig.control.members[1] = rig.entry("y", "Terminating", since)
+            rig.control.members[1] = rig.view_entry("y", "Terminating", since)
             rig.control.change(rig.control.members[1])
-            await rig.until_portion("x", number, 0.25)  # the leased part, after y's lease
+            await rig.wait_for_quota("x", number, 0.25)  # the leased part, after y's lease
             assert time.time_ns() // 10**6 >= since + LEASE_MS
-            assert await rig.hand_in("x", "two", number) == b"+OK\r\n"
-            await rig.delivered("one", "two")
+            assert await rig.submit("x", "two", number) == b"+OK\r\n"
+            await rig.wait_until_delivered("one", "two")
             rig.processes["z"].kill()
             await rig.processes["z"].wait()
             rig.processes["x"].kill()
@@ -215,25 +219,25 @@
     """The client gets what a dispatcher that did not answer gives: the end of its connection."""
 
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number = rig.owned_by("y")
+        async with running_fleet(tmp_path) as rig:
+            number = rig.destination_owned_by("y")
             rig.processes["y"].send_signal(signal.SIGSTOP)
-            asked = asyncio.ensure_future(rig.hand_in("x", "doubtful", number))
+            asked = asyncio.ensure_future(rig.submit("x", "doubtful", number))
             if ended == "killed":
-                while not asked.done() and not await forwarding(rig.ports["y"]):
+                while not asked.done() and not await has_unread_bytes(rig.ports["y"]):
                     await asyncio.sleep(0.005)
                 rig.processes["y"].kill()
             assert await asked == b""
-            assert not rig.partner.calls["doubtful"], "neither x nor z took it on"
+            assert not rig.endpoint.calls["doubtful"], "neither x nor z took it on"
             if ended == "hangs":
                 rig.processes["y"].send_signal(signal.SIGCONT)
-                assert await rig.hand_in("x", "after", number) == b"+OK\r\n"
-                await rig.delivered("after")
+                assert await rig.submit("x", "after", number) == b"+OK\r\n"
+                await rig.wait_until_delivered("after")
 
     play(work())
 
 
-async def forwarding(port: int) -> bool:
+async def has_unread_bytes(port: int) -> bool:
     """Whether a connection with unread bytes stands at a port, as the system tells."""
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
@@ -244,11 +248,11 @@
 
 def test_an_owner_that_drains_answers_or_is_followed_by_the_next(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number, answers = rig.owned_by("y"), dict[str, bytes]()
+        async with running_fleet(tmp_path) as rig:
+            number, answers = rig.destination_owned_by("y"), dict[str, bytes]()
             rig.processes["y"].send_signal(signal.SIGTERM)
             for count in range(200):
-                answers[f"m{count}"] = await rig.hand_in("x", f"m{count}", number)
+                answers[f"m{count}"] = await rig.submit("x", f"m{count}", number)
                 if rig.processes["y"].returncode is not None:
                     break
                 await asyncio.sleep(0.02)
@@ -258,44 +262,44 @@
             # Only the one that was written as the owner's process ended may have no answer: nobody can tell
             # from a connection's end whether it was accepted.
             assert told[b""] <= 1, told
-            assert await rig.hand_in("x", "after", number) == b"+OK\r\n"
+            assert await rig.submit("x", "after", number) == b"+OK\r\n"
             taken = [name for name, answer in answers.items() if answer == b"+OK\r\n"]
             assert taken
-            await rig.delivered("after", *taken)
-            assert not any(rig.partner.calls[name] for name in answers.keys() - set(taken))
+            await rig.wait_until_delivered("after", *taken)
+            assert not any(rig.endpoint.calls[name] for name in answers.keys() - set(taken))
 
     play(work())
 
 
 def test_with_control_gone_all_go_on_with_their_reserved_part_also_after_a_restart(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number = rig.owned_by("x")
+        async with running_fleet(tmp_path) as rig:
+            number = rig.destination_owned_by("x")
             rig.control.go_down()
-            await rig.until_portion("x", number, 0.75)
-            assert await rig.hand_in("x", "one", number) == b"+OK\r\n"
-            assert await rig.hand_in("y", "two", number) == b"+OK\r\n"
+            await rig.wait_for_quota("x", number, 0.75)
+            assert await rig.submit("x", "one", number) == b"+OK\r\n"
+            assert await rig.submit("y", "two", number) == b"+OK\r\n"
             rig.processes["x"].kill()
             await rig.processes["x"].wait()
             await rig.spawn("x")
-            await rig.until_ready("x")
-            assert await rig.hand_in("y", "three", number) == b"+OK\r\n"
-            await rig.delivered("one", "two", "three")
-            assert (await rig.call("x", "fleet"))["heartbeat_age_ms"] >= LEASE_MS - 100
+            await rig.wait_until_ready("x")
+            assert await rig.submit("y", "three", number) == b"+OK\r\n"
+            await rig.wait_until_delivered("one", "two", "three")
+            assert (await rig.management_call("x", "fleet"))["heartbeat_age_ms"] >= LEASE_MS - 100
             await rig.control.start()
-            await rig.until_portion("x", number, 1.0)
+            await rig.wait_for_quota("x", number, 1.0)
 
     play(work())
 
 
 def test_none_reachable_is_answered_with_a_time_to_come_back(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number = rig.owned_by("y")
+        async with running_fleet(tmp_path) as rig:
+            number = rig.destination_owned_by("y")
             for name in ("y", "z"):
                 rig.processes[name].kill()
                 await rig.processes[name].wait()
-            assert await rig.hand_in("x", "one", number) == b"-BUSY 500\r\n"
+            assert await rig.submit("x", "one", number) == b"-BUSY 500\r\n"
 
     play(work())
 
@@ -305,8 +309,8 @@
 )
 def test_a_peer_that_answers_rubbish_leaves_the_request_unanswered(tmp_path: Path, reply: bytes) -> None:
     async def work() -> None:
-        async with fleet(tmp_path) as rig:
-            number = rig.owned_by("y")
+        async with running_fleet(tmp_path) as rig:
+            number = rig.destination_owned_by("y")
             rig.processes["y"].kill()
             await rig.processes["y"].wait()
 
@@ -316,10 +320,10 @@
                 writer.close()
 
             server = await asyncio.start_server(answer, "127.0.0.1", rig.ports["y"])
-            assert await rig.hand_in("x", "one", number) == b""
+            assert await rig.submit("x", "one", number) == b""
             server.close()
-            assert await rig.hand_in("x", "two", number) == b"+OK\r\n", "x serves on"
-            await rig.delivered("two")
-            assert not rig.partner.calls["one"]
+            assert await rig.submit("x", "two", number) == b"+OK\r\n", "x serves on"
+            await rig.wait_until_delivered("two")
+            assert not rig.endpoint.calls["one"]
 
     play(work())
--- a/tests/test_partitioning_quotas.py
+++ b/tests/test_partitioning_quotas.py
@@ -11,7 +11,7 @@
 
 from honeyhitch.time_units import SECOND
 
-from .fleet_control import LEASE, MS, REGIONS, RESERVE_LEASE, SKEW, Control
+from .fleet_control import LEASE, MS, REGIONS, RESERVE_LEASE, SKEW, ControlPlane
 
 ZONES = [zone for region in REGIONS for zone in region.zones]
 PARTITIONS = 16
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.control = Control()
+        self.control = ControlPlane()
 
     def one_of(self, names: Any, pick: int) -> str | None:
         found = sorted(names)
@@ -41,46 +41,46 @@
 
     @rule()
     def heartbeat(self) -> None:
-        self.control.beat()
+        self.control.send_heartbeat()
 
     @rule(count=st.integers(min_value=1, max_value=3))
     def all_read(self, count: int) -> None:
         for name in self.control.processes:
-            self.control.read(name, count)
+            self.control.read_lines(name, count)
 
     @rule()
     def a_second_goes_well(self) -> None:
-        self.control.beat()
+        self.control.send_heartbeat()
         for name in self.control.processes:
-            self.control.read(name, 1 << 10)
+            self.control.read_lines(name, 1 << 10)
         self.control.now += SECOND
 
     @rule(pick=picks, count=st.integers(min_value=1, max_value=3))
     def one_reads(self, pick: int, count: int) -> None:
         if name := self.one_of(self.control.processes, pick):
-            self.control.read(name, count)
+            self.control.read_lines(name, count)
 
     @rule(pick=picks)
     def one_is_cut(self, pick: int) -> None:
         if name := self.one_of(self.control.processes, pick):
-            self.control.cut(name)
+            self.control.disconnect(name)
 
     @rule(pick=picks)
     def one_is_connected_again(self, pick: int) -> None:
-        cut = [name for name, one in self.control.processes.items() if one.cut]
+        cut = [name for name, one in self.control.processes.items() if one.disconnected]
         if name := self.one_of(cut, pick):
-            self.control.connect(name)
+            self.control.reconnect(name)
 
     @rule(region=st.sampled_from(REGIONS), apart=st.booleans())
     def regions_part_and_meet(self, region: Any, apart: bool) -> None:
         for name, process in self.control.processes.items():
-            if process.fleet.settings.zone in region.zones and process.cut is not apart:
-                self.control.cut(name) if apart else self.control.connect(name)
+            if process.fleet.settings.zone in region.zones and process.disconnected is not apart:
+                self.control.disconnect(name) if apart else self.control.reconnect(name)
 
     @rule(up=st.booleans())
     def control_fails_or_returns(self, up: bool) -> None:
         if up is not self.control.up:
-            self.control.come_back() if up else self.control.fail()
+            self.control.resume() if up else self.control.stop()
 
     @rule(pick=picks, phase=st.sampled_from(["Ready", "Terminating"]))
     def a_phase_changes(self, pick: int, phase: str) -> None:
@@ -114,7 +114,7 @@
     def what_is_held_changes_only_when_it_was_said_to(self) -> None:
         control = self.control
         for one in control.processes.values():
-            fleet, now = one.fleet, control.now + one.clock_off
+            fleet, now = one.fleet, control.now + one.clock_offset
             until = fleet.next_quota_change(now)
             before = [fleet.held_quota(partition, now) for partition in range(PARTITIONS)]
             last = until - 1 if until is not None else now + 10 * RESERVE_LEASE
@@ -123,7 +123,7 @@
     @invariant()
     def no_share_is_held_twice(self) -> None:
         for partition in range(PARTITIONS):
-            for zone, total in self.control.totals(partition).items():
+            for zone, total in self.control.quota_totals(partition).items():
                 assert total <= 1 + 1e-9, f"{total} of zone {zone}'s share of partition {partition}"
 
 
@@ -138,27 +138,27 @@
 )
 
 
-def settled(control: Control, seconds: int = 8) -> None:
+def settled(control: ControlPlane, seconds: int = 8) -> None:
     """Time passes, and all goes well."""
     for _ in range(seconds):
-        control.beat()
+        control.send_heartbeat()
         for name in control.processes:
-            control.read(name, 1 << 10)
+            control.read_lines(name, 1 << 10)
         control.now += SECOND
 
 
-def portions(control: Control, partition: int) -> dict[str, float]:
+def portions(control: ControlPlane, partition: int) -> dict[str, float]:
     """What each live process holds, where it holds anything."""
     found = {}
     for name, one in control.processes.items():
-        held = one.fleet.held_quota(partition, control.now + one.clock_off)
+        held = one.fleet.held_quota(partition, control.now + one.clock_offset)
         if portion := held.quota_fraction(one.fleet.settings.reserve):
             found[name] = portion
     return found
 
 
 def test_on_a_calm_day_one_instance_of_each_zone_holds_its_whole_share() -> None:
-    control = Control()
+    control = ControlPlane()
     settled(control)
     for partition in range(PARTITIONS):
         found = portions(control, partition)
@@ -167,16 +167,16 @@
 
 
 def test_a_new_owner_waits_out_the_lease_of_the_old_one() -> None:
-    control = Control()
+    control = ControlPlane()
     settled(control)
     (name,) = [name for name in portions(control, 3) if name.startswith("a1")]
-    control.cut(name)  # it runs on, and does not hear that it was given up
+    control.disconnect(name)  # it runs on, and does not hear that it was given up
     control.set_phase(name, "Terminating")
     published, seen = control.now, dict[str, int]()
     while control.now < published + 3 * LEASE:
-        control.beat()
+        control.send_heartbeat()
         for other in control.processes:
-            control.read(other, 1 << 10)
+            control.read_lines(other, 1 << 10)
         control.now += 50 * MS
         for holder in portions(control, 3):
             seen.setdefault(holder, control.now - published)
@@ -188,9 +188,9 @@
 
 @pytest.mark.parametrize("seconds", [10, 15])
 def test_while_control_is_gone_every_home_goes_on_with_its_reserved_part(seconds: int) -> None:
-    control = Control()
+    control = ControlPlane()
     settled(control)
-    control.fail()
+    control.stop()
     control.now += seconds * SECOND
     for name in list(control.processes):  # all restart meanwhile, too
         control.kill(name)
@@ -200,12 +200,12 @@
 
 
 def test_regions_apart_keep_their_own_shares_and_come_together_again() -> None:
-    control = Control()
+    control = ControlPlane()
     settled(control)
     before = [portions(control, partition) for partition in range(PARTITIONS)]
     west = [name for name, one in control.processes.items() if one.fleet.settings.region == "west"]
     for name in west:
-        control.cut(name)
+        control.disconnect(name)
     for _ in range(12):
         settled(control, 1)
     for partition in range(PARTITIONS):
@@ -214,13 +214,13 @@
         expected = [1.0 if name.startswith("a") else 0.75 for name in found]
         assert list(found.values()) == expected
     for name in west:
-        control.connect(name)
+        control.reconnect(name)
     settled(control)
     assert [portions(control, partition) for partition in range(PARTITIONS)] == before
 
 
 def test_an_instance_that_joins_takes_its_parts_over_in_two_steps() -> None:
-    control = Control()
+    control = ControlPlane()
     settled(control)
     before = {partition: portions(control, partition) for partition in range(PARTITIONS)}
     name = control.join("a1")
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -28,7 +28,7 @@
 SAVED_BY_A5E6918 = Path(__file__).parent / "fixtures" / "fleet-view-1" / VIEW_FILE_NAME
 
 
-class FleetStand(DispatcherRig):
+class FleetServiceRig(DispatcherRig):
     """One dispatcher of a fleet; its heartbeats come when a test says so."""
 
     refetched = 0
@@ -37,12 +37,18 @@
         self.dispatcher.scheduler = self.time
         loop = cast(Any, None)  # of the connections to other instances, which are not used here
         self.fleet = FleetService(
-            fleet_settings(NAME, "a1"), self.dispatcher, self.time, loop, self.folder, Random(1), self.refetch
+            fleet_settings(NAME, "a1"),
+            self.dispatcher,
+            self.time,
+            loop,
+            self.directory,
+            Random(1),
+            self.refetch,
         )
         self.fleet.restore()
 
     def __init__(self, folder: Path, **more: Any) -> None:
-        self.folder = folder
+        self.directory = folder
         listed = [{**endpoint_row(f"s-{number}", number), "size": 40.0} for number in range(1, 60)]
         known = {"revision": 1, "complete": True, "members": listed}
         super().__init__(folder, known=known, instance_count=4, **more)
@@ -50,7 +56,9 @@
     def refetch(self) -> None:
         self.refetched += 1
 
-    def hear(self, revision: int = 1, complete: bool = True, members: Any = ROWS, **more: Any) -> None:
+    def receive_update(
+        self, revision: int = 1, complete: bool = True, members: Any = ROWS, **more: Any
+    ) -> None:
         """A list, a change or a heartbeat comes from the control machines."""
         told = {"revision": revision, "complete": complete, "members": members, "issued_ms": self.now // MS}
         self.fleet.apply_update({**told, **more})
@@ -59,14 +67,14 @@
     def now(self) -> int:
         return self.time.time
 
-    def beats(self, seconds: int, revision: int = 1) -> None:
+    def run_with_heartbeats(self, seconds: int, revision: int = 1) -> None:
         """Time passes with a heartbeat in each second."""
         for _ in range(seconds):
-            self.hear(revision, False, [])
+            self.receive_update(revision, False, [])
             self.time.run(1)
             self.fleet.refresh_if_due()
 
-    def home(self, second: str | None = None) -> int:
+    def destination_with_home(self, second: str | None = None) -> int:
         """A destination that this instance is home to, or the second candidate of, behind that one."""
         for number in range(1, 60):
             names = [
@@ -80,14 +88,14 @@
         return self.fleet.route(Transaction("probe", 0, number, self.now + SECOND, b""), forwarded)
 
 
-def stand(folder: Path, **more: Any) -> FleetStand:
+def restarted_rig(folder: Path, **more: Any) -> FleetServiceRig:
     """With the view of an earlier process at hand, as after a restart."""
-    first = FleetStand(folder / "first", **more)
-    first.hear()
+    first = FleetServiceRig(folder / "first", **more)
+    first.receive_update()
     saved = (folder / "first" / VIEW_FILE_NAME).read_bytes()
     (folder / "next").mkdir()
     (folder / "next" / VIEW_FILE_NAME).write_bytes(saved)
-    return FleetStand(folder / "next", **more)
+    return FleetServiceRig(folder / "next", **more)
 
 
 @pytest.fixture(autouse=True)
@@ -98,19 +106,19 @@
 def test_before_any_view_nothing_is_this_instances_and_the_first_one_has_lists_asked_for(
     tmp_path: Path,
 ) -> None:
-    one = FleetStand(tmp_path / "first")
+    one = FleetServiceRig(tmp_path / "first")
     assert not one.fleet.ready
     assert one.route(1) is Route.REJECT
     assert not one.dispatcher.pool.endpoints
-    one.hear()
+    one.receive_update()
     assert one.fleet.ready
     assert one.refetched == 1
-    one.hear(1, False, [])
+    one.receive_update(1, False, [])
     assert one.refetched == 1, "once"
 
 
 def test_only_what_may_become_its_own_is_kept_of_a_list(tmp_path: Path) -> None:
-    one = stand(tmp_path)
+    one = restarted_rig(tmp_path)
     kept = {member.destination for member in one.dispatcher.pool.endpoints.values()}
     assert kept == {number for number in range(1, 60) if one.fleet.fleet.is_candidate(number)}
     assert 0 < len(kept) < 59
@@ -121,9 +129,9 @@
 
 
 def test_messages_are_taken_for_what_is_held_and_passed_on_for_the_rest(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    one.hear()
-    mine, other = one.home(), one.home(second="a1-1")
+    one = restarted_rig(tmp_path)
+    one.receive_update()
+    mine, other = one.destination_with_home(), one.destination_with_home(second="a1-1")
     assert one.route(mine) is Route.LOCAL
     assert one.route(mine, forwarded=True) is Route.LOCAL
     assert one.route(other) is Route.FORWARD
@@ -136,15 +144,15 @@
 
 def test_nothing_is_sent_once_the_share_has_run_out_and_what_never_ran_is_handed_back(tmp_path: Path) -> None:
     """The second candidate owns the leased part while the first one is away, until control falls silent."""
-    one = stand(tmp_path)
-    number = one.home(second="a1-1")
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home(second="a1-1")
     away = entry("a1-1", "a1", "Terminating", since=one.now)
-    one.hear(2, False, [away])
+    one.receive_update(2, False, [away])
     assert one.fleet.quota_fraction(number, one.now) == 0
     assert one.fleet.fleet.awaits_lease(destination=number, now=one.now)
-    one.beats(4, 2)
+    one.run_with_heartbeats(4, 2)
     assert one.fleet.quota_fraction(number, one.now) == 0.25
-    one.hear(2, False, [])
+    one.receive_update(2, False, [])
     assert one.submit("sent", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED)
@@ -160,15 +168,15 @@
 
 
 def test_a_call_that_is_out_keeps_its_end_and_what_may_have_run_is_not_handed_back(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    number = one.home()
-    one.hear()
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home()
+    one.receive_update()
     assert one.submit("out", number)
     assert one.submit("ran", number)
     calls = one.run(0.1)
     one.end(calls[-1], Outcome.ERROR)
     gone_from = next(row for row in ROWS if row["id"] == NAME)
-    one.hear(2, False, [{**gone_from, "phase": "Gone"}])
+    one.receive_update(2, False, [{**gone_from, "phase": "Gone"}])
     assert one.fleet.quota_fraction(number, one.now) == 0
     names = {part.id for call in calls for part in call.messages}
     assert names <= set(one.dispatcher.messages.by_id), "neither is answered for it"
@@ -178,13 +186,13 @@
 
 
 def test_what_was_out_as_its_share_was_lost_and_never_ran_is_handed_back_then(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    number = one.home()
-    one.hear()
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home()
+    one.receive_update()
     assert one.submit("out", number)
     (call,) = one.run(0.1)
     gone = next(row for row in ROWS if row["id"] == NAME)
-    one.hear(2, False, [{**gone, "phase": "Gone"}])
+    one.receive_update(2, False, [{**gone, "phase": "Gone"}])
     one.time.run(1)
     one.fleet.refresh_if_due()
     assert "out" in one.dispatcher.messages.by_id, "its call is out"
@@ -197,9 +205,9 @@
 
 
 def test_the_module_is_told_the_part_of_listed_and_of_reported_limits(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    number = one.home()
-    one.beats(2)
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home()
+    one.run_with_heartbeats(2)
     lane = one.dispatcher.policy.destinations[number].state
     assert (lane is not None and lane.quota() == 40.0 / 1.0 / 4 / 1) or lane.quota() == 10.0
     assert one.submit("a", number)
@@ -220,12 +228,12 @@
 def test_a_saved_view_that_cannot_be_read_is_as_good_as_none(tmp_path: Path) -> None:
     for text in ("", "{", "[]", '{"form": 9}', json.dumps({"form": 1, "revision": 1, "members": 3})):
         (tmp_path / "first" / VIEW_FILE_NAME).write_text(text)
-        assert not FleetStand(tmp_path / "first").fleet.ready
+        assert not FleetServiceRig(tmp_path / "first").fleet.ready
 
 
 def test_a_view_that_a5e6918_saved_is_read(tmp_path: Path) -> None:
     (tmp_path / "first" / VIEW_FILE_NAME).write_bytes(SAVED_BY_A5E6918.read_bytes())
-    fleet = FleetStand(tmp_path / "first").fleet.fleet
+    fleet = FleetServiceRig(tmp_path / "first").fleet.fleet
     assert fleet.view.revision == 8
     assert fleet.last_heartbeat == START
     assert sorted(fleet.view.instances) == sorted([*(row["id"] for row in ROWS), "b2-n1"])
@@ -237,11 +245,11 @@
 
 def test_the_view_that_a5e6918_saved_is_saved_with_the_same_bytes(tmp_path: Path) -> None:
     """An earlier version, which a deployment may go back to, reads what it wrote itself."""
-    one = FleetStand(tmp_path / "first")
-    one.hear(7)
+    one = FleetServiceRig(tmp_path / "first")
+    one.receive_update(7)
     away = entry("a1-1", "a1", "Terminating", since=START + 5 * SECOND)
     joined = entry("b2-n1", "b2", since=START + 6 * SECOND, joined=START + 6 * SECOND)
-    one.hear(8, False, [away, joined])
+    one.receive_update(8, False, [away, joined])
     assert (tmp_path / "first" / VIEW_FILE_NAME).read_bytes() == SAVED_BY_A5E6918.read_bytes()
 
 
@@ -249,8 +257,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service, "MAX_SAVED_VIEW_BYTES", 100)
-    one = FleetStand(tmp_path / "first")
-    one.hear()
+    one = FleetServiceRig(tmp_path / "first")
+    one.receive_update()
     assert one.fleet.ready
     assert not (tmp_path / "first" / VIEW_FILE_NAME).exists()
 
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -18,44 +18,44 @@
 ROWS = [entry(f"{zone}-{number}", zone) for zone in ("a1", "a2", "b1", "b2") for number in range(2)]
 
 
-def view(**told: Any) -> dict[str, Any]:
+def view_update(**told: Any) -> dict[str, Any]:
     """A whole list as the control machines send it, with changes."""
     return {"revision": 5, "complete": True, "members": ROWS, "issued_ms": START // MS, **told}
 
 
 def fleet(name: str = "a1-0") -> Fleet:
     one = Fleet(fleet_settings(name, name.split("-")[0]))
-    one.apply_update(view(), START)
+    one.apply_update(view_update(), START)
     return one
 
 
 @pytest.mark.parametrize(
     ("told", "field"),
     [
-        (view(members=[{**ROWS[0], "locality": "a9"}]), "locality: unknown zone 'a9'"),
-        (view(members=[{**ROWS[0], "flavor": "north"}]), "flavor: 'north' is not the region"),
-        (view(members=[{**ROWS[0], "flavor": "west"}]), "flavor: 'west' is not the region"),
-        (view(members=[{**ROWS[0], "locality": "a2"}]), "but it was in 'a1'"),
-        (view(members=[*ROWS, ROWS[3]]), "'a2-1' is named twice"),
-        (view(members=[]), "a fleet has one instance at least"),
-        (view(members=None), "members: expected a list"),
-        (view(members=["a1-0"]), "members.0.id"),
-        (view(members=[{**ROWS[0], "id": ""}]), "members.0.id"),
-        (view(members=[{**ROWS[0], "id": "x" * 129}]), "members.0.id"),
-        (view(members=[{**ROWS[0], "phase": "Asleep"}]), "phase: unknown phase 'Asleep'"),
-        (view(members=[{**ROWS[0], "host_port": "10.0.0.1"}]), "host_port: expected HOST:PORT"),
-        (view(members=[{**ROWS[0], "host_port": "10.0.0.1:0"}]), "host_port: expected HOST:PORT"),
-        (view(members=[{**ROWS[0], "up_since_ms": -1}]), "up_since_ms"),
-        (view(members=[{**ROWS[0], "joined_ms": "now"}]), "joined_ms"),
-        (view(members=[{**ROWS[0], "up_since_ms": 1e300}]), "up_since_ms"),
-        (view(revision=4), "revision: 4 is older than 5"),
-        (view(revision=4, complete=False, members=[]), "revision: 4 is older than 5"),
-        (view(revision=True), "revision: expected a whole number"),
-        (view(lease_ms=10_000), "lease_ms: 10000, but 3000 is set up here"),
-        (view(issued_ms="late"), "issued_ms: expected a whole number"),
-        (view(revision=6, members=ROWS[:3], issued_ms=1.5), "issued_ms: expected a whole number"),
+        (view_update(members=[{**ROWS[0], "locality": "a9"}]), "locality: unknown zone 'a9'"),
+        (view_update(members=[{**ROWS[0], "flavor": "north"}]), "flavor: 'north' is not the region"),
+        (view_update(members=[{**ROWS[0], "flavor": "west"}]), "flavor: 'west' is not the region"),
+        (view_update(members=[{**ROWS[0], "locality": "a2"}]), "but it was in 'a1'"),
+        (view_update(members=[*ROWS, ROWS[3]]), "'a2-1' is named twice"),
+        (view_update(members=[]), "a fleet has one instance at least"),
+        (view_update(members=None), "members: expected a list"),
+        (view_update(members=["a1-0"]), "members.0.id"),
+        (view_update(members=[{**ROWS[0], "id": ""}]), "members.0.id"),
+        (view_update(members=[{**ROWS[0], "id": "x" * 129}]), "members.0.id"),
+        (view_update(members=[{**ROWS[0], "phase": "Asleep"}]), "phase: unknown phase 'Asleep'"),
+        (view_update(members=[{**ROWS[0], "host_port": "10.0.0.1"}]), "host_port: expected HOST:PORT"),
+        (view_update(members=[{**ROWS[0], "host_port": "10.0.0.1:0"}]), "host_port: expected HOST:PORT"),
+        (view_update(members=[{**ROWS[0], "up_since_ms": -1}]), "up_since_ms"),
+        (view_update(members=[{**ROWS[0], "joined_ms": "now"}]), "joined_ms"),
+        (view_update(members=[{**ROWS[0], "up_since_ms": 1e300}]), "up_since_ms"),
+        (view_update(revision=4), "revision: 4 is older than 5"),
+        (view_update(revision=4, complete=False, members=[]), "revision: 4 is older than 5"),
+        (view_update(revision=True), "revision: expected a whole number"),
+        (view_update(lease_ms=10_000), "lease_ms: 10000, but 3000 is set up here"),
+        (view_update(issued_ms="late"), "issued_ms: expected a whole number"),
+        (view_update(revision=6, members=ROWS[:3], issued_ms=1.5), "issued_ms: expected a whole number"),
         (
-            view(complete=False, members=[{**row, "phase": "Gone"} for row in ROWS]),
+            view_update(complete=False, members=[{**row, "phase": "Gone"} for row in ROWS]),
             "a fleet has one instance at least",
         ),
     ],
@@ -73,19 +73,19 @@
 def test_an_instance_listed_in_another_zone_than_it_is_set_up_in_is_refused() -> None:
     one = Fleet(fleet_settings("a2-0", "a1"))
     with pytest.raises(FleetViewError, match="a2-0: locality: 'a2', but 'a1' is set up here"):
-        one.apply_update(view(), START)
+        one.apply_update(view_update(), START)
 
 
 def test_a_heartbeat_from_a_clock_too_far_ahead_renews_nothing_and_its_view_counts() -> None:
     one, ahead = fleet(), START + SECOND
     with pytest.raises(ClockError, match="later than this machine's clock"):
-        one.apply_update(view(revision=6, issued_ms=ahead // MS), START)
+        one.apply_update(view_update(revision=6, issued_ms=ahead // MS), START)
     assert one.view.revision == 6
     assert one.last_heartbeat == START
-    one.apply_update(view(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # inside the skew
+    one.apply_update(view_update(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # inside the skew
     assert one.last_heartbeat == START + SECOND // 8
     one.apply_update(
-        view(revision=6, issued_ms=START // MS), START
+        view_update(revision=6, issued_ms=START // MS), START
     )  # one that was overtaken takes nothing back
     assert one.last_heartbeat == START + SECOND // 8
     assert not one.problem
@@ -115,12 +115,12 @@
         (first, *rest) = [owner for owner in one.owners(destination, START) if owner.zone == "a1"]
         away = entry(first.name, "a1", "Terminating", since=START)
         other = fleet("a2-0")
-        other.apply_update(view(revision=6, complete=False, members=[away]), START)
+        other.apply_update(view_update(revision=6, complete=False, members=[away]), START)
         assert other.owners(destination, START)[-1].zone == "a1"
         assert not rest
         later = START + other.settings.lease + other.settings.clock_skew
         assert other.owners(destination, later)[-1].zone == "a1", "control is silent: it holds nothing yet"
-        other.apply_update(view(revision=6, complete=False, members=[], issued_ms=later // MS), later)
+        other.apply_update(view_update(revision=6, complete=False, members=[], issued_ms=later // MS), later)
         assert other.owners(destination, later)[-1].zone != "a1"
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,12 +13,13 @@
 import sys
 from asyncio.subprocess import Process
 from collections import Counter, defaultdict
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator
 from pathlib import Path
 
 import pytest
 
 from .agent import Agent
+from .polling import Changes
 from .program import free_port, play, write
 from .rig import endpoint_row
 
@@ -26,28 +27,19 @@
 CLIENTS = 6
 
 
-class Events:
-    """Lets a test wait until something holds that only changes when `tell` is called."""
-
-    def __init__(self) -> None:
-        self.change = asyncio.Event()
-
-    def tell(self) -> None:
-        self.change.set()
-        self.change = asyncio.Event()
-
-    async def until(self, holds: Callable[[], bool]) -> None:
-        while not holds():
-            await self.change.wait()
-
-
-class Books:
+class EndpointLedger:
     """A partner that keeps account of each call: two of one message out at once, and who was delivered."""
 
-    def __init__(self, seed: int, events: Events, again: Events) -> None:
-        self.rng, self.events, self.again, self.port, self.calls = random.Random(seed), events, again, 0, 0
-        self.out = defaultdict[str, list[asyncio.StreamReader]](list)
-        self.doubled, self.delivered = list[str](), Counter[str]()
+    def __init__(self, seed: int, progress: Changes, room_made: Changes) -> None:
+        self.rng, self.progress, self.room_made, self.port, self.calls = (
+            random.Random(seed),
+            progress,
+            room_made,
+            0,
+            0,
+        )
+        self.in_flight = defaultdict[str, list[asyncio.StreamReader]](list)
+        self.concurrent_attempts, self.delivered = list[str](), Counter[str]()
 
     async def start(self) -> None:
         server = await asyncio.start_server(self._client, "127.0.0.1", 0)
@@ -69,50 +61,52 @@
             writer.close()
 
     async def _answer(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        earlier, self.calls = list(self.out[name]), self.calls + 1
-        self.out[name].append(reader)
-        self.events.tell()
+        earlier, self.calls = list(self.in_flight[name]), self.calls + 1
+        self.in_flight[name].append(reader)
+        self.progress.notify()
         await asyncio.sleep(self.rng.uniform(0, 0.02))  # what an answer takes
         # A connection of a process that was killed is at its end by now: its call counts no longer.
         if any(not one.at_eof() and one.exception() is None for one in earlier):
-            self.doubled.append(name)
-        self.out[name].remove(reader)
+            self.concurrent_attempts.append(name)
+        self.in_flight[name].remove(reader)
         roll = self.rng.random()
         if roll < 0.04:
             writer.write(b"HTTP/1.1 500 Fault\r\nContent-Length: 0\r\n\r\n")
         else:
             self.delivered[name] += 1
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        self.events.tell()
-        self.again.tell()
+        self.progress.notify()
+        self.room_made.notify()
 
 
 class Clients:
     """Each hands in one message after another, on a connection that it keeps as long as it may."""
 
-    def __init__(self, port: int, events: Events, again: Events) -> None:
-        self.port, self.events, self.numbers, self.going = port, events, itertools.count(), True
-        self.again, self.patient = again, True
-        self.told = dict[str, bytes]()
+    def __init__(self, port: int, progress: Changes, room_made: Changes) -> None:
+        self.port, self.progress, self.numbers, self.running = port, progress, itertools.count(), True
+        self.room_made, self.waits_for_room = room_made, True
+        self.replies = dict[str, bytes]()
 
     async def run(self) -> None:
         stream: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        while self.going:
+        while self.running:
             name = f"m{next(self.numbers)}"
             answer = b""
             if stream is not None:
-                answer = await self._hand_in(name, stream)
+                answer = await self._submit(name, stream)
             if not answer:  # the connection was closed between two requests: once more, on a new one
                 with contextlib.suppress(OSError):
                     stream = await asyncio.open_connection("127.0.0.1", self.port)
-                    answer = await self._hand_in(name, stream)
-            self.told[name] = answer
+                    answer = await self._submit(name, stream)
+            self.replies[name] = answer
             stream = stream if answer else None
-            self.events.tell()
-            if answer != b"+OK\r\n" and self.patient:  # there is no room: till a partner's answer makes some
-                await self.again.change.wait()
+            self.progress.notify()
+            if (
+                answer != b"+OK\r\n" and self.waits_for_room
+            ):  # there is no room: till a partner's answer makes some
+                await self.room_made.changed.wait()
 
-    async def _hand_in(self, name: str, stream: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> bytes:
+    async def _submit(self, name: str, stream: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> bytes:
         fields = f"c=standard,t=studio,d=20000,dest=1,k=key-{name}"
         parts = [b"ENQUEUE", b"0" * 16, name.encode(), fields.encode(), b"body"]
         try:
@@ -121,23 +115,23 @@
         except OSError:
             return b""
 
-    def taken(self) -> set[str]:
-        return {name for name, answer in self.told.items() if answer == b"+OK\r\n"}
+    def accepted(self) -> set[str]:
+        return {name for name, answer in self.replies.items() if answer == b"+OK\r\n"}
 
 
-class Rig:
+class UpgradeRig:
     """A partner, an agent, clients, and the processes of one dispatcher."""
 
     def __init__(self, folder: Path, seed: int) -> None:
-        self.folder, self.port, self.events, self.again = folder, free_port(), Events(), Events()
-        self.books = Books(seed, self.events, self.again)
-        self.clients = Clients(self.port, self.events, self.again)
-        self.agent, self.count, self.alive = Agent([]), 0, list[Process]()
+        self.folder, self.port, self.progress, self.room_made = folder, free_port(), Changes(), Changes()
+        self.ledger = EndpointLedger(seed, self.progress, self.room_made)
+        self.clients = Clients(self.port, self.progress, self.room_made)
+        self.agent, self.start_count, self.running = Agent([]), 0, list[Process]()
 
     async def start(self) -> Process:
         """One more process, once it has given its yes."""
-        self.count += 1
-        own, management = self.folder / str(self.count), free_port()
+        self.start_count += 1
+        own, management = self.folder / str(self.start_count), free_port()
         own.mkdir()
         told = {"state": str(self.folder / "state"), "management": f"127.0.0.1:{management}"}
         path, _ = write(own, self.port, self.agent.port, self.agent.members, **told)
@@ -145,7 +139,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "honeyhitch", "serve", "--config", path, cwd=ROOT, stderr=log
             )
-        self.alive.append(process)
+        self.running.append(process)
         while process.returncode is None:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", management)
@@ -153,51 +147,51 @@
                 answer = await reader.readline()
                 writer.close()
                 if answer.startswith(b"+OK"):
-                    self.again.tell()
+                    self.room_made.notify()
                     return process
             await asyncio.sleep(0.01)  # it has not begun to listen
         raise AssertionError((own / "log").read_text())
 
-    async def end(self, process: Process, number: signal.Signals) -> int:
-        self.alive.remove(process)
+    async def stop(self, process: Process, number: signal.Signals) -> int:
+        self.running.remove(process)
         process.send_signal(number)
         return await process.wait()
 
     def settled(self) -> bool:
         """Everything taken was delivered or ended by a notice."""
-        return self.clients.taken() <= self.books.delivered.keys() | self.agent.notices.keys()
+        return self.clients.accepted() <= self.ledger.delivered.keys() | self.agent.notices.keys()
 
 
 @contextlib.asynccontextmanager
-async def loaded(folder: Path, seed: int, killed: bool = False) -> AsyncIterator[Rig]:
+async def upgrade_under_load(folder: Path, seed: int, killed: bool = False) -> AsyncIterator[UpgradeRig]:
     """A dispatcher under load, and the ledger closed at the end. Where a process is killed between an answer
     and its record, the next one owes it once more.
     """
-    rig = Rig(folder, seed)
-    await rig.books.start()
+    rig = UpgradeRig(folder, seed)
+    await rig.ledger.start()
     rig.agent.members = [
-        {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{rig.books.port}", "size": 400.0}
+        {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{rig.ledger.port}", "size": 400.0}
     ]
     await rig.agent.start()
-    rig.agent.told = rig.events.tell
+    rig.agent.told = rig.progress.notify
     await rig.start()
     tasks = [asyncio.ensure_future(rig.clients.run()) for _ in range(CLIENTS)]
     try:
         yield rig
-        rig.clients.going = False
-        rig.again.tell()
+        rig.clients.running = False
+        rig.room_made.notify()
         await asyncio.gather(*tasks)
-        await rig.events.until(rig.settled)
-        for process in list(rig.alive):
-            assert await rig.end(process, signal.SIGTERM) == 0
-        assert not rig.books.doubled, "two attempts of one message out at once"
+        await rig.progress.wait_until(rig.settled)
+        for process in list(rig.running):
+            assert await rig.stop(process, signal.SIGTERM) == 0
+        assert not rig.ledger.concurrent_attempts, "two attempts of one message out at once"
         assert killed or not rig.agent.doubled, "two notices for one message"
-        both = rig.books.delivered.keys() & rig.agent.notices.keys()
+        both = rig.ledger.delivered.keys() & rig.agent.notices.keys()
         assert killed or not both, "delivered, and ended otherwise"
     finally:
         for task in tasks:
             task.cancel()
-        for process in rig.alive:
+        for process in rig.running:
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
             await process.wait()
@@ -205,16 +199,16 @@
 
 def test_ten_upgrades_in_a_row_lose_nothing_and_turn_nobody_back(tmp_path: Path) -> None:
     async def work() -> None:
-        async with loaded(tmp_path, 1) as rig:
+        async with upgrade_under_load(tmp_path, 1) as rig:
             for _ in range(10):
-                (old,) = rig.alive
+                (old,) = rig.running
                 await rig.start()
-                assert await rig.end(old, signal.SIGTERM) == 0
-                seen = len(rig.clients.told) + 50
-                await rig.events.until(lambda seen=seen: len(rig.clients.told) >= seen)  # type: ignore[misc]
-        unheard = [name for name, answer in rig.clients.told.items() if not answer]
+                assert await rig.stop(old, signal.SIGTERM) == 0
+                seen = len(rig.clients.replies) + 50
+                await rig.progress.wait_until(lambda seen=seen: len(rig.clients.replies) >= seen)  # type: ignore[misc]
+        unheard = [name for name, answer in rig.clients.replies.items() if not answer]
         assert not unheard, "connections that were closed, refused or left unread"
-        assert max(rig.books.delivered.values()) == 1
+        assert max(rig.ledger.delivered.values()) == 1
 
     play(work())
 
@@ -225,27 +219,27 @@
 
     async def work() -> None:
         rng = random.Random(seed)
-        async with loaded(tmp_path, seed, killed=True) as rig:
+        async with upgrade_under_load(tmp_path, seed, killed=True) as rig:
             for _ in range(3):
-                (old,) = rig.alive
+                (old,) = rig.running
                 new = await rig.start()
-                calls = rig.books.calls + rng.randrange(1, 40)
-                await rig.events.until(lambda calls=calls: rig.books.calls >= calls)  # type: ignore[misc]
+                calls = rig.ledger.calls + rng.randrange(1, 40)
+                await rig.progress.wait_until(lambda calls=calls: rig.ledger.calls >= calls)  # type: ignore[misc]
                 whom = rng.choice(("old", "new", "both"))
                 if rng.random() < 0.5:
                     old.send_signal(signal.SIGTERM)
                     if rng.random() < 0.5:
-                        calls = rig.books.calls + rng.randrange(1, 8)
-                        await rig.events.until(lambda calls=calls: rig.books.calls >= calls)  # type: ignore[misc]
+                        calls = rig.ledger.calls + rng.randrange(1, 8)
+                        await rig.progress.wait_until(lambda calls=calls: rig.ledger.calls >= calls)  # type: ignore[misc]
                 for process in (old, new):
                     if whom in ("both", "old" if process is old else "new"):
                         with contextlib.suppress(ProcessLookupError):
-                            await rig.end(process, signal.SIGKILL)
-                if old.returncode is not None and old in rig.alive:
-                    rig.alive.remove(old)
-                if whom == "new" and old in rig.alive:  # it may have been told to stop: it ends by itself
-                    await rig.end(old, signal.SIGTERM)
-                if not rig.alive:
+                            await rig.stop(process, signal.SIGKILL)
+                if old.returncode is not None and old in rig.running:
+                    rig.running.remove(old)
+                if whom == "new" and old in rig.running:  # it may have been told to stop: it ends by itself
+                    await rig.stop(old, signal.SIGTERM)
+                if not rig.running:
                     await rig.start()
 
     play(work())
