--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -15,14 +15,15 @@
 from honeyhitch.time_units import HOUR, MILLISECOND, SECOND
 
 MAX_RETRY_AFTER = HOUR  # ns; a longer Retry-After is reduced to this
-OUTCOME_BY_STATUS: dict[int, Outcome] = {
-    HTTPStatus.OK: Outcome.DELIVERED,
-    HTTPStatus.TOO_MANY_REQUESTS: Outcome.REJECTED,
-    HTTPStatus.SERVICE_UNAVAILABLE: Outcome.REJECTED,
-    HTTPStatus.GATEWAY_TIMEOUT: Outcome.NOT_SENT,
-    HTTPStatus.GONE: Outcome.NOT_SENT,
+SERVICE_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE.value
+OUTCOME_BY_STATUS = {
+    http1.OK: Outcome.DELIVERED,
+    HTTPStatus.TOO_MANY_REQUESTS.value: Outcome.REJECTED,
+    SERVICE_UNAVAILABLE: Outcome.REJECTED,
+    HTTPStatus.GATEWAY_TIMEOUT.value: Outcome.NOT_SENT,
+    HTTPStatus.GONE.value: Outcome.NOT_SENT,
 }
-FINAL_STATUSES = (HTTPStatus.OK, HTTPStatus.GONE)  # no further attempt is due
+FINAL_STATUSES = (http1.OK, HTTPStatus.GONE.value)  # no further attempt is due
 # The outcome of one message of a batch, and whether no further attempt is due.
 BATCH_RESULT_BY_STATUS = {
     "accepted": (Outcome.DELIVERED, True),
@@ -81,10 +82,10 @@
     """
     status = response.status
     outcome = OUTCOME_BY_STATUS.get(status, Outcome.ERROR)
-    if status == HTTPStatus.SERVICE_UNAVAILABLE and response.headers.get("x-no-slot", "").strip() == "1":
+    if status == SERVICE_UNAVAILABLE and response.headers.get("x-no-slot", "").strip() == "1":
         outcome = Outcome.NOT_SENT
     result = CallResult.uniform(outcome, len(messages), status in FINAL_STATUSES)
-    if status == HTTPStatus.OK and len(messages) > 1:
+    if status == http1.OK and len(messages) > 1:
         result.outcomes = _batch_outcomes(response.body, messages)
     if response.has_trailing_data:
         # A malformed length looks the same, so a statement that nothing was executed proves nothing.
@@ -112,7 +113,7 @@
     """Only an endpoint without room for the connection itself closes it and has no load to report."""
     closes = response.headers.get("connection", "").strip().lower() == "close"
     says_nothing_else = not result.retry_after and not result.reported
-    return response.status == HTTPStatus.SERVICE_UNAVAILABLE and closes and says_nothing_else
+    return response.status == SERVICE_UNAVAILABLE and closes and says_nothing_else
 
 
 def interpret_failure(status: int, messages: list[Transaction], outcome: Outcome) -> CallResult:
@@ -120,6 +121,6 @@
 
     `status` is that of an incomplete response, or 0. Only a 200 for a single message counts.
     """
-    if status == HTTPStatus.OK and len(messages) == 1:
+    if status == http1.OK and len(messages) == 1:
         return CallResult.uniform(Outcome.DELIVERED, 1, True)
     return CallResult.uniform(outcome, len(messages))
--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -9,7 +9,6 @@
 import json
 import re
 from collections.abc import Callable
-from http import HTTPStatus
 from typing import Any
 
 from honeyhitch.protocols import http1
@@ -45,7 +44,7 @@
 
 def parse_complete_list(response: http1.Response) -> dict[str, Any]:
     """The list that a response holds, in discovery's form. Raises WatchError."""
-    if response.status != HTTPStatus.OK:
+    if response.status != http1.OK:
         raise WatchError(f"list: answered {response.status}", response.status)
     return _parse_object(response.body, "list")
 
@@ -85,7 +84,7 @@
             cause = error.__cause__.__context__ if error.__cause__ else None
             raise (cause if isinstance(cause, WatchError) else WatchError(str(error))) from error
         status = self.response_parser.response.status
-        if self.response_parser.headers_complete and status != HTTPStatus.OK:
+        if self.response_parser.headers_complete and status != http1.OK:
             raise WatchError(f"watch: answered {status}", status)
         self.complete = response is not None
         if self.complete and not self.updates:
--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -11,6 +11,9 @@
 
 MAX_RESPONSE_BYTES = 1 << 20  # bytes of one response that is not streamed, headers included
 MAX_STATUS_LINE_BYTES = 64  # bytes within which the status code must stand
+# As plain numbers: members of an enumeration are slow to look up on a path that each call takes.
+OK = HTTPStatus.OK.value
+INTERIM_STATUSES = range(HTTPStatus.CONTINUE.value, HTTPStatus.OK.value)
 STATUS_LINE = re.compile(rb"\s*HTTP/1\.[01] (\d{3})[ \r\n]")
 
 
@@ -113,7 +116,7 @@
         self.headers_complete = self.headers_complete and self.complete
         self.response.has_trailing_data = self.complete
 
-    def on_status(self, status: bytes) -> None:  # noqa: ARG002 - httptools passes the reason phrase
+    def on_status(self, _reason_phrase: bytes) -> None:
         """The status line is complete."""
         if not self.complete:
             self.response.status = self.parser.get_status_code()
@@ -145,7 +148,7 @@
         """The response is complete; an interim one (1xx) is dropped, as the final one follows."""
         if self.complete:
             return
-        if HTTPStatus.CONTINUE <= self.response.status < HTTPStatus.OK:
+        if self.response.status in INTERIM_STATUSES:
             self.response = Response()
             self.first_bytes = b""
             return
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -1,4 +1,7 @@
-"""What MQTT publishes mean here: transactions that come in, final answers, calls to pool members."""
+"""What MQTT publishes mean here: submitted messages, final answers, and calls to endpoints.
+
+The user properties of the platform's protocol are mapped to the program's terms here.
+"""
 
 from __future__ import annotations
 
@@ -9,87 +12,110 @@
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols.calls import encode_batch_body, parse_load_report, parse_retry_after
+from honeyhitch.protocols.mqtt_packets import FIRST_ERROR_REASON, Packet, Properties
 from honeyhitch.protocols.mqtt_packets import Kind as PacketKind
-from honeyhitch.protocols.mqtt_packets import Packet, Properties
 from honeyhitch.protocols.transaction_parser import FieldError, TransactionParser
 from honeyhitch.time_units import MILLISECOND, SECOND
 
-QUOTA_EXCEEDED, NO_SUBSCRIBERS = 0x97, 0x10
-STATUS = {Ending.DELIVERED: "delivered", Ending.REJECTED: "deferred", Ending.FAILED: "undeliverable"}
+QUOTA_EXCEEDED = 0x97  # reason codes of PUBACK (MQTT 5.0, 3.4.2.1)
+NO_SUBSCRIBERS = 0x10
+ANSWER_QOS = 2
+CALL_QOS = 1
+UNDELIVERABLE = "undeliverable"
+STATUS_BY_ENDING = {Ending.DELIVERED: "delivered", Ending.REJECTED: "deferred", Ending.FAILED: UNDELIVERABLE}
 
 
 def encode_reply_context(packet: Packet) -> str:
-    """What is needed to answer a publish later, or FieldError where it names no topic to answer on."""
-    topic, correlation = packet.properties.get("response_topic"), packet.properties.get("correlation", b"")
+    """What is needed to answer a publish later, as JSON that the journal keeps.
+
+    Raises FieldError for a publish without a single response topic.
+    """
+    topic = packet.properties.get("response_topic")
     if not isinstance(topic, str) or not topic or "+" in topic or "#" in topic:
         raise FieldError("response topic: expected one topic name")
+    correlation = packet.properties.get("correlation", b"")
     data = base64.b64encode(correlation if isinstance(correlation, bytes) else b"").decode()
     return json.dumps({"topic": topic, "data": data}, separators=(",", ":"))
 
 
-def parse_transaction(fields: TransactionParser, packet: Packet, now: int) -> Transaction:
-    """The transaction that a publish hands in; named like the other front's fields."""
-    reply, told = encode_reply_context(packet), dict(packet.user)
-    taken = fields.parse(told.get("id", "").encode(), told, packet.payload, now)
+def parse_transaction(parser: TransactionParser, packet: Packet, now: int) -> Transaction:
+    """The transaction that a publish submits; its user properties are the fields. Raises FieldError.
+
+    `now` is a Unix time in nanoseconds.
+    """
+    reply_context = encode_reply_context(packet)
+    fields = dict(packet.user)
+    transaction = parser.parse(fields.get("id", "").encode(), fields, packet.payload, now)
     expiry = packet.properties.get("message_expiry")
-    if isinstance(expiry, int):  # the server counts it down while it holds the publish
-        taken.deadline = min(taken.deadline, now + expiry * SECOND)
-    taken.frontend, taken.reply_context = "mqtt", reply
-    return taken
+    if isinstance(expiry, int):  # in seconds; the server reduces it by the time it holds the publish
+        transaction.deadline = min(transaction.deadline, now + expiry * SECOND)
+    transaction.frontend = "mqtt"
+    transaction.reply_context = reply_context
+    return transaction
 
 
-def encode_answer(reply: str, name: str, status: str, more: dict[str, object]) -> Packet:
-    """One final answer."""
-    to = json.loads(reply)
+def encode_answer(reply_context: str, message_id: str, status: str, details: dict[str, object]) -> Packet:
+    """The publish of one final answer."""
+    context = json.loads(reply_context)
     properties: Properties = {"content_type": "application/json"}
-    if to["data"]:
-        properties["correlation"] = base64.b64decode(to["data"])
-    body = json.dumps({"id": name, "status": status, **more}, separators=(",", ":")).encode()
-    user = [("id", name), ("status", status)]
+    if context["data"]:
+        properties["correlation"] = base64.b64decode(context["data"])
+    content = {"id": message_id, "status": status, **details}
     return Packet(
-        PacketKind.PUBLISH, topic=to["topic"], payload=body, qos=2, properties=properties, user=user
+        PacketKind.PUBLISH,
+        topic=context["topic"],
+        payload=json.dumps(content, separators=(",", ":")).encode(),
+        qos=ANSWER_QOS,
+        properties=properties,
+        user=[("id", message_id), ("status", status)],
     )
 
 
-def encode_final_answer(ended: Transaction) -> Packet:
-    """The final answer to a transaction that was taken on."""
-    ending = ended.ending or Ending.FAILED
-    more: dict[str, object] = {}
-    if ending is Ending.REJECTED and ended.retry_after:
-        more["again_ms"] = max(1, ended.retry_after // MILLISECOND)
-    return encode_answer(ended.reply_context, ended.id, STATUS.get(ending, "undeliverable"), more)
-
-
-def encode_call(out: Call, left: int) -> Packet:
-    """The publish that carries one call: a message, or several as the lines of a batch."""
-    user = [("left-ms", str(max(1, left // MILLISECOND)))]
-    packet = Packet(PacketKind.PUBLISH, topic=out.endpoint.address, qos=1, user=user)
-    if len(out.messages) == 1:
-        (part,) = out.messages
-        user += [("id", part.id), ("key", part.key)] if part.key else [("id", part.id)]
-        packet.payload = part.body
+def encode_final_answer(transaction: Transaction) -> Packet:
+    """The publish of the final answer to an accepted message that has ended."""
+    ending = transaction.ending or Ending.FAILED
+    details: dict[str, object] = {}
+    if ending is Ending.REJECTED and transaction.retry_after:
+        details["again_ms"] = max(1, transaction.retry_after // MILLISECOND)
+    status = STATUS_BY_ENDING.get(ending, UNDELIVERABLE)
+    return encode_answer(transaction.reply_context, transaction.id, status, details)
+
+
+def encode_call(call: Call, time_left: int) -> Packet:
+    """The publish of one call, with one message or a batch; `time_left` is in nanoseconds."""
+    user = [("left-ms", str(max(1, time_left // MILLISECOND)))]
+    if len(call.messages) == 1:
+        message = call.messages[0]
+        user.append(("id", message.id))
+        if message.key:
+            user.append(("key", message.key))
+        payload = message.body
     else:
-        user.append(("batch", str(len(out.messages))))
-        packet.payload = encode_batch_body(out.messages)
-    return packet
-
-
-def interpret_acknowledgement(out: Call, ack: Packet | None, left: bool) -> CallResult:
-    """What the acknowledgement of a call says, or the lack of one; `left`: it may have gone out."""
-    count = len(out.messages)
-    if ack is None:
-        return CallResult.uniform(Outcome.RESET if left else Outcome.CONNECT_FAILED, count)
-    if ack.reason == NO_SUBSCRIBERS:  # taken by the server, but nobody is there: it has not run
-        result = CallResult.uniform(Outcome.CONNECT_FAILED, count)
-    elif ack.reason == QUOTA_EXCEEDED:
-        result = CallResult.uniform(Outcome.REJECTED, count)
-    elif ack.reason >= 0x80:
-        result = CallResult.uniform(Outcome.ERROR, count)
-    else:
-        result = CallResult.uniform(Outcome.DELIVERED, count, True)
-    told = {name.lower(): value for name, value in ack.user}
-    result.retry_after, result.reported = (
-        parse_retry_after(told),
-        parse_load_report(told.get("x-pressure", "")),
-    )
+        user.append(("batch", str(len(call.messages))))
+        payload = encode_batch_body(call.messages)
+    return Packet(PacketKind.PUBLISH, topic=call.endpoint.address, payload=payload, qos=CALL_QOS, user=user)
+
+
+def interpret_acknowledgement(call: Call, acknowledgement: Packet | None, may_have_left: bool) -> CallResult:
+    """The result of a call from its acknowledgement, or from the lack of one.
+
+    `may_have_left`: the publish may have reached the server.
+    """
+    count = len(call.messages)
+    if acknowledgement is None:
+        return CallResult.uniform(Outcome.RESET if may_have_left else Outcome.CONNECT_FAILED, count)
+    result = _result_of_reason(acknowledgement.reason, count)
+    headers = {name.lower(): value for name, value in acknowledgement.user}
+    result.retry_after = parse_retry_after(headers)
+    result.reported = parse_load_report(headers.get("x-pressure", ""))
     return result
+
+
+def _result_of_reason(reason: int, count: int) -> CallResult:
+    if reason == NO_SUBSCRIBERS:  # the server took it, but nobody received it: it was not executed
+        return CallResult.uniform(Outcome.CONNECT_FAILED, count)
+    if reason == QUOTA_EXCEEDED:
+        return CallResult.uniform(Outcome.REJECTED, count)
+    if reason >= FIRST_ERROR_REASON:
+        return CallResult.uniform(Outcome.ERROR, count)
+    return CallResult.uniform(Outcome.DELIVERED, count, True)
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -1,17 +1,47 @@
-"""MQTT 5 packets: their types, and encoding and decoding them (OASIS MQTT Version 5.0, chapters 2 and 3)."""
+"""MQTT 5 control packets: their types, encoding and decoding (OASIS MQTT Version 5.0, chapters 2 and 3).
+
+Numbers in brackets name statements of the specification.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import IntEnum
 
 from honeyhitch.protocols.buffer import Buffer
 
-MAX_PACKET_BYTES = 1 << 18  # bytes of one packet that is read; told to the server in CONNECT
+PROTOCOL_NAME = "MQTT"
+PROTOCOL_VERSION = 5
+MAX_PACKET_BYTES = 1 << 18  # bytes of one packet that is read; announced to the server in CONNECT
+MAX_TWO_BYTE_INTEGER = 65535
+FIRST_ERROR_REASON = 0x80  # reason codes from here on are errors (2.4)
+
+# The variable byte integer: seven bits a byte, least significant first (1.5.5).
+CONTINUATION_BIT = 0x80
+VALUE_BITS = 0x7F
+BITS_PER_BYTE = 7
+MAX_VARIABLE_BYTES = 4
+
+# Flags of PUBLISH (3.3.1).
+DUP_FLAG = 8
+RETAIN_FLAG = 1
+QOS_SHIFT = 1
+QOS_BITS = 3
+INVALID_QOS = 3
+MAX_QOS = 2
+
+# Flags of CONNECT (3.1.2.3).
+USERNAME_FLAG = 128
+PASSWORD_FLAG = 64
+CLEAN_START_FLAG = 2
+UNSUPPORTED_CONNECT_FLAGS = 0x3D  # those of a will, which is never sent here, and the reserved bit
+
+SESSION_PRESENT_FLAG = 1  # of CONNACK (3.2.2.1)
 
 
 class Kind(IntEnum):
-    """Types of control packet."""
+    """Types of control packet (2.1.2)."""
 
     CONNECT = 1
     CONNACK = 2
@@ -30,285 +60,381 @@
     AUTH = 15
 
 
-FLAGS = {Kind.PUBREL: 2, Kind.SUBSCRIBE: 2, Kind.UNSUBSCRIBE: 2}  # [MQTT-2.1.3-1]
-ACKS = (Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP)
-# The properties by number: name, and how the value lies on the wire.
+REQUIRED_FLAGS = {Kind.PUBREL: 2, Kind.SUBSCRIBE: 2, Kind.UNSUBSCRIBE: 2}  # [MQTT-2.1.3-1]; others have 0
+ACKNOWLEDGEMENTS = (Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP)
+
+# How a property is encoded (2.2.2.2).
+BYTE = "byte"
+TWO_BYTES = "two bytes"
+FOUR_BYTES = "four bytes"
+VARIABLE = "variable byte integer"
+TEXT = "UTF-8 string"
+BINARY = "binary data"
+TEXT_PAIR = "UTF-8 string pair"
+INTEGER_SIZES = {BYTE: 1, TWO_BYTES: 2, FOUR_BYTES: 4}  # bytes
+
+USER_PROPERTY = 38
+# The properties by number: name and encoding.
 PROPERTIES = {
-    1: ("payload_format", "byte"),
-    2: ("message_expiry", "four"),
-    3: ("content_type", "text"),
-    8: ("response_topic", "text"),
-    9: ("correlation", "data"),
-    11: ("subscription_id", "var"),
-    17: ("session_expiry", "four"),
-    18: ("assigned_client_id", "text"),
-    19: ("server_keep_alive", "two"),
-    21: ("auth_method", "text"),
-    22: ("auth_data", "data"),
-    23: ("request_problem_info", "byte"),
-    24: ("will_delay", "four"),
-    25: ("request_response_info", "byte"),
-    26: ("response_info", "text"),
-    28: ("server_reference", "text"),
-    31: ("reason", "text"),
-    33: ("receive_maximum", "two"),
-    34: ("topic_alias_maximum", "two"),
-    35: ("topic_alias", "two"),
-    36: ("maximum_qos", "byte"),
-    37: ("retain_available", "byte"),
-    38: ("user", "pair"),
-    39: ("maximum_packet", "four"),
-    40: ("wildcards", "byte"),
-    41: ("subscription_ids", "byte"),
-    42: ("shared", "byte"),
+    1: ("payload_format", BYTE),
+    2: ("message_expiry", FOUR_BYTES),
+    3: ("content_type", TEXT),
+    8: ("response_topic", TEXT),
+    9: ("correlation", BINARY),
+    11: ("subscription_id", VARIABLE),
+    17: ("session_expiry", FOUR_BYTES),
+    18: ("assigned_client_id", TEXT),
+    19: ("server_keep_alive", TWO_BYTES),
+    21: ("auth_method", TEXT),
+    22: ("auth_data", BINARY),
+    23: ("request_problem_info", BYTE),
+    24: ("will_delay", FOUR_BYTES),
+    25: ("request_response_info", BYTE),
+    26: ("response_info", TEXT),
+    28: ("server_reference", TEXT),
+    31: ("reason", TEXT),
+    33: ("receive_maximum", TWO_BYTES),
+    34: ("topic_alias_maximum", TWO_BYTES),
+    35: ("topic_alias", TWO_BYTES),
+    36: ("maximum_qos", BYTE),
+    37: ("retain_available", BYTE),
+    38: ("user", TEXT_PAIR),
+    39: ("maximum_packet", FOUR_BYTES),
+    40: ("wildcards", BYTE),
+    41: ("subscription_ids", BYTE),
+    42: ("shared", BYTE),
 }
-NUMBERS = {name: (number, form) for number, (name, form) in PROPERTIES.items()}
-SIZES = {"byte": 1, "two": 2, "four": 4}
+IDENTIFIERS = {name: (identifier, encoding) for identifier, (name, encoding) in PROPERTIES.items()}
+REPEATABLE_PROPERTY = "subscription_id"
 Properties = dict[str, "int | str | bytes"]
 
 
 class MqttError(Exception):
-    """Bytes that are not MQTT 5, or a server that breaks its rules; the connection has to be closed."""
+    """Bytes that are not MQTT 5, or a violation of its rules; the connection has to be closed."""
 
 
 @dataclass(slots=True)
 class Packet:
-    """One control packet; each kind uses the fields that it has."""
+    """One control packet; each type uses the fields that it has."""
 
     kind: Kind
-    id: int = 0
-    reason: int = 0
+    id: int = 0  # packet identifier
+    reason: int = 0  # reason code
     properties: Properties = field(default_factory=dict)
-    user: list[tuple[str, str]] = field(default_factory=list)  # user properties, in their order
+    user: list[tuple[str, str]] = field(default_factory=list)  # user properties, in order
     topic: str = ""  # PUBLISH
-    payload: bytes = b""
-    qos: int = 0
-    dup: bool = False
-    retain: bool = False
+    payload: bytes = b""  # PUBLISH
+    qos: int = 0  # PUBLISH
+    dup: bool = False  # PUBLISH: sent before
+    retain: bool = False  # PUBLISH
     flag: bool = False  # CONNECT: clean start; CONNACK: session present
     client_id: str = ""  # CONNECT
-    keep_alive: int = 0
-    username: str | None = None
-    password: bytes | None = None
+    keep_alive: int = 0  # CONNECT, in seconds
+    username: str | None = None  # CONNECT
+    password: bytes | None = None  # CONNECT
     filters: list[tuple[str, int]] = field(default_factory=list)  # SUBSCRIBE: with options; UNSUBSCRIBE
     reasons: list[int] = field(default_factory=list)  # SUBACK, UNSUBACK
 
 
-# Writing.
+# Encoding.
 
 
-def _two(value: int) -> bytes:
+def _encode_two_bytes(value: int) -> bytes:
     return value.to_bytes(2, "big")
 
 
-def _var(value: int) -> bytes:
-    out = bytearray()
+def _encode_variable(value: int) -> bytes:
+    encoded = bytearray()
     while True:
-        value, low = divmod(value, 128)
-        out.append(low | (128 if value else 0))
+        value, low_bits = divmod(value, CONTINUATION_BIT)
+        encoded.append(low_bits | (CONTINUATION_BIT if value else 0))
         if not value:
-            return bytes(out)
+            return bytes(encoded)
+
 
+def _encode_binary(value: bytes) -> bytes:
+    if len(value) > MAX_TWO_BYTE_INTEGER:
+        raise MqttError(f"string: longer than {MAX_TWO_BYTE_INTEGER} bytes")
+    return _encode_two_bytes(len(value)) + value
 
-def _data(value: bytes) -> bytes:
-    if len(value) > 65535:
-        raise MqttError("string: longer than 65535 bytes")
-    return _two(len(value)) + value
 
+def _encode_text(value: str) -> bytes:
+    return _encode_binary(value.encode())
 
-def _text(value: str) -> bytes:
-    return _data(value.encode())
 
+def _encode_property(encoding: str, value: int | str | bytes) -> bytes:
+    if isinstance(value, int):
+        if encoding == VARIABLE:
+            return _encode_variable(value)
+        return value.to_bytes(INTEGER_SIZES[encoding], "big")
+    return _encode_text(value) if isinstance(value, str) else _encode_binary(value)
 
-def _properties(packet: Packet) -> bytes:
-    out = bytearray()
+
+def _encode_properties(packet: Packet) -> bytes:
+    encoded = bytearray()
     for name, value in packet.properties.items():
-        number, form = NUMBERS[name]
-        out += _var(number)
-        if isinstance(value, int):
-            out += _var(value) if form == "var" else value.to_bytes(SIZES[form], "big")
-        else:
-            out += _text(value) if isinstance(value, str) else _data(value)
+        identifier, encoding = IDENTIFIERS[name]
+        encoded += _encode_variable(identifier) + _encode_property(encoding, value)
     for name, text in packet.user:
-        out += _var(38) + _text(name) + _text(text)
-    return _var(len(out)) + bytes(out)
+        encoded += _encode_variable(USER_PROPERTY) + _encode_text(name) + _encode_text(text)
+    return _encode_variable(len(encoded)) + bytes(encoded)
+
+
+def _encode_connect(packet: Packet) -> bytes:
+    has_username = packet.username is not None
+    has_password = packet.password is not None
+    flags = USERNAME_FLAG * has_username + PASSWORD_FLAG * has_password + CLEAN_START_FLAG * packet.flag
+    body = _encode_text(PROTOCOL_NAME) + bytes([PROTOCOL_VERSION, flags])
+    body += _encode_two_bytes(packet.keep_alive) + _encode_properties(packet) + _encode_text(packet.client_id)
+    if packet.username is not None:
+        body += _encode_text(packet.username)
+    if packet.password is not None:
+        body += _encode_binary(packet.password)
+    return body
+
+
+def _encode_connack(packet: Packet) -> bytes:
+    return bytes([packet.flag, packet.reason]) + _encode_properties(packet)
+
+
+def _encode_publish(packet: Packet) -> bytes:
+    identifier = _encode_two_bytes(packet.id) if packet.qos else b""
+    return _encode_text(packet.topic) + identifier + _encode_properties(packet) + packet.payload
+
+
+def _encode_subscribe(packet: Packet) -> bytes:
+    filters = b"".join(_encode_text(topic) + bytes([options]) for topic, options in packet.filters)
+    return _encode_two_bytes(packet.id) + _encode_properties(packet) + filters
+
+
+def _encode_unsubscribe(packet: Packet) -> bytes:
+    filters = b"".join(_encode_text(topic) for topic, _ in packet.filters)
+    return _encode_two_bytes(packet.id) + _encode_properties(packet) + filters
+
+
+def _encode_reasons(packet: Packet) -> bytes:
+    return _encode_two_bytes(packet.id) + _encode_properties(packet) + bytes(packet.reasons)
+
+
+def _encode_nothing(_: Packet) -> bytes:
+    return b""
+
+
+def _encode_reason(packet: Packet) -> bytes:
+    body = _encode_two_bytes(packet.id) if packet.kind in ACKNOWLEDGEMENTS else b""
+    if packet.reason or packet.properties or packet.user:
+        body += bytes([packet.reason]) + _encode_properties(packet)
+    return body
+
+
+BODY_ENCODERS: dict[Kind, Callable[[Packet], bytes]] = {
+    Kind.CONNECT: _encode_connect,
+    Kind.CONNACK: _encode_connack,
+    Kind.PUBLISH: _encode_publish,
+    Kind.SUBSCRIBE: _encode_subscribe,
+    Kind.UNSUBSCRIBE: _encode_unsubscribe,
+    Kind.SUBACK: _encode_reasons,
+    Kind.UNSUBACK: _encode_reasons,
+    Kind.PINGREQ: _encode_nothing,
+    Kind.PINGRESP: _encode_nothing,
+}
 
 
 def encode(packet: Packet) -> bytes:
-    """One packet as bytes."""
-    kind, flags = packet.kind, FLAGS.get(packet.kind, 0)
-    match kind:
-        case Kind.CONNECT:
-            given = 128 * (packet.username is not None) + 64 * (packet.password is not None)
-            body = _text("MQTT") + bytes([5, given + 2 * packet.flag]) + _two(packet.keep_alive)
-            body += _properties(packet) + _text(packet.client_id)
-            body += _text(packet.username) if packet.username is not None else b""
-            body += _data(packet.password) if packet.password is not None else b""
-        case Kind.CONNACK:
-            body = bytes([packet.flag, packet.reason]) + _properties(packet)
-        case Kind.PUBLISH:
-            flags = 8 * packet.dup + 2 * packet.qos + packet.retain
-            body = _text(packet.topic) + (_two(packet.id) if packet.qos else b"")
-            body += _properties(packet) + packet.payload
-        case Kind.SUBSCRIBE:
-            body = _two(packet.id) + _properties(packet)
-            body += b"".join(_text(topic) + bytes([options]) for topic, options in packet.filters)
-        case Kind.UNSUBSCRIBE:
-            body = _two(packet.id) + _properties(packet)
-            body += b"".join(_text(topic) for topic, _ in packet.filters)
-        case Kind.SUBACK | Kind.UNSUBACK:
-            body = _two(packet.id) + _properties(packet) + bytes(packet.reasons)
-        case Kind.PINGREQ | Kind.PINGRESP:
-            body = b""
-        case _:
-            body = _two(packet.id) if kind in ACKS else b""
-            if packet.reason or packet.properties or packet.user:
-                body += bytes([packet.reason]) + _properties(packet)
-    return bytes([16 * kind + flags]) + _var(len(body)) + body
-
-
-# Reading.
-
-
-class _Reader:
-    """Reads values off the body of one packet."""
+    """One packet as bytes. Raises MqttError for a string that is too long."""
+    kind = packet.kind
+    if kind is Kind.PUBLISH:
+        flags = DUP_FLAG * packet.dup + (packet.qos << QOS_SHIFT) + packet.retain
+    else:
+        flags = REQUIRED_FLAGS.get(kind, 0)
+    body = BODY_ENCODERS.get(kind, _encode_reason)(packet)
+    return bytes([(kind << 4) + flags]) + _encode_variable(len(body)) + body
+
+
+# Decoding.
+
+
+class _BodyReader:
+    """Reads values one after another from the body of a packet."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data = data
+        self.position = 0
 
-    def take(self, count: int) -> bytes:
-        if self.at + count > len(self.data):
+    def read(self, count: int) -> bytes:
+        if self.position + count > len(self.data):
             raise MqttError("packet: ends inside a value")
-        self.at += count
-        return self.data[self.at - count : self.at]
+        self.position += count
+        return self.data[self.position - count : self.position]
 
-    def number(self, size: int) -> int:
-        return int.from_bytes(self.take(size), "big")
+    def read_integer(self, size: int) -> int:
+        return int.from_bytes(self.read(size), "big")
 
-    def data_field(self) -> bytes:
-        return self.take(self.number(2))
+    def read_binary(self) -> bytes:
+        return self.read(self.read_integer(2))
 
-    def text(self) -> str:
+    def read_text(self) -> str:
         try:
-            value = self.data_field().decode()
+            value = self.read_binary().decode()
         except UnicodeDecodeError as error:
             raise MqttError("string: not UTF-8") from error
         if "\0" in value:
             raise MqttError("string: holds U+0000")
         return value
 
-    def var(self) -> int:
-        value = shift = 0
-        while True:
-            byte = self.number(1)
-            value |= (byte & 127) << shift
-            if byte < 128:
+    def read_variable(self) -> int:
+        value = 0
+        for index in range(MAX_VARIABLE_BYTES):
+            byte = self.read_integer(1)
+            value |= (byte & VALUE_BITS) << (BITS_PER_BYTE * index)
+            if byte < CONTINUATION_BIT:
                 return value
-            shift += 7
-            if shift > 21:
-                raise MqttError("variable byte integer: longer than four bytes")
-
-    def more(self) -> bool:
-        return self.at < len(self.data)
-
-    def rest(self) -> bytes:
-        return self.take(len(self.data) - self.at)
-
-    def properties(self, packet: Packet) -> None:
-        length = self.var()
-        inner = _Reader(self.take(length))
-        while inner.more():
-            number = inner.var()
-            if number not in PROPERTIES:
-                raise MqttError(f"property {number}: unknown")
-            name, form = PROPERTIES[number]
-            if form == "pair":
-                packet.user.append((inner.text(), inner.text()))
+        raise MqttError("variable byte integer: longer than four bytes")
+
+    def has_more(self) -> bool:
+        return self.position < len(self.data)
+
+    def read_remaining(self) -> bytes:
+        return self.read(len(self.data) - self.position)
+
+    def read_property(self, encoding: str) -> int | str | bytes:
+        if encoding == TEXT:
+            return self.read_text()
+        if encoding == BINARY:
+            return self.read_binary()
+        return self.read_variable() if encoding == VARIABLE else self.read_integer(INTEGER_SIZES[encoding])
+
+    def read_properties(self, packet: Packet) -> None:
+        length = self.read_variable()
+        reader = _BodyReader(self.read(length))
+        while reader.has_more():
+            identifier = reader.read_variable()
+            if identifier not in PROPERTIES:
+                raise MqttError(f"property {identifier}: unknown")
+            name, encoding = PROPERTIES[identifier]
+            if encoding == TEXT_PAIR:
+                packet.user.append((reader.read_text(), reader.read_text()))
                 continue
-            if name in packet.properties and name != "subscription_id":
+            if name in packet.properties and name != REPEATABLE_PROPERTY:
                 raise MqttError(f"property {name}: given twice")
-            if form == "text":
-                packet.properties[name] = inner.text()
-            elif form == "data":
-                packet.properties[name] = inner.data_field()
-            else:
-                packet.properties[name] = inner.var() if form == "var" else inner.number(SIZES[form])
+            packet.properties[name] = reader.read_property(encoding)
+
+
+def _decode_connect(packet: Packet, reader: _BodyReader) -> None:
+    if reader.read_text() != PROTOCOL_NAME or reader.read_integer(1) != PROTOCOL_VERSION:
+        raise MqttError("CONNECT: not MQTT 5")
+    flags = reader.read_integer(1)
+    if flags & UNSUPPORTED_CONNECT_FLAGS:
+        raise MqttError(f"CONNECT: flags {flags}")
+    packet.flag = bool(flags & CLEAN_START_FLAG)
+    packet.keep_alive = reader.read_integer(2)
+    reader.read_properties(packet)
+    packet.client_id = reader.read_text()
+    packet.username = reader.read_text() if flags & USERNAME_FLAG else None
+    packet.password = reader.read_binary() if flags & PASSWORD_FLAG else None
+
+
+def _decode_connack(packet: Packet, reader: _BodyReader) -> None:
+    packet.flag = bool(reader.read_integer(1) & SESSION_PRESENT_FLAG)
+    packet.reason = reader.read_integer(1)
+    reader.read_properties(packet)
+
+
+def _decode_publish(packet: Packet, reader: _BodyReader, flags: int) -> None:
+    packet.dup = bool(flags & DUP_FLAG)
+    packet.qos = flags >> QOS_SHIFT & QOS_BITS
+    packet.retain = bool(flags & RETAIN_FLAG)
+    if packet.qos == INVALID_QOS or (packet.dup and not packet.qos):
+        raise MqttError(f"PUBLISH: flags {flags}")
+    packet.topic = reader.read_text()
+    packet.id = reader.read_integer(2) if packet.qos else 0
+    if packet.qos and not packet.id:
+        raise MqttError("PUBLISH: packet identifier 0")
+    reader.read_properties(packet)
+    packet.payload = reader.read_remaining()
+
+
+def _decode_subscribe(packet: Packet, reader: _BodyReader) -> None:
+    packet.id = reader.read_integer(2)
+    reader.read_properties(packet)
+    while reader.has_more():
+        packet.filters.append((reader.read_text(), reader.read_integer(1)))
+
+
+def _decode_unsubscribe(packet: Packet, reader: _BodyReader) -> None:
+    packet.id = reader.read_integer(2)
+    reader.read_properties(packet)
+    while reader.has_more():
+        packet.filters.append((reader.read_text(), 0))
+
+
+def _decode_reasons(packet: Packet, reader: _BodyReader) -> None:
+    packet.id = reader.read_integer(2)
+    reader.read_properties(packet)
+    packet.reasons = list(reader.read_remaining())
+
+
+def _decode_reason(packet: Packet, reader: _BodyReader) -> None:
+    packet.id = reader.read_integer(2) if packet.kind in ACKNOWLEDGEMENTS else 0
+    packet.reason = reader.read_integer(1) if reader.has_more() else 0
+    if reader.has_more():
+        reader.read_properties(packet)
+
+
+BODY_DECODERS: dict[Kind, Callable[[Packet, _BodyReader], None]] = {
+    Kind.CONNECT: _decode_connect,
+    Kind.CONNACK: _decode_connack,
+    Kind.SUBSCRIBE: _decode_subscribe,
+    Kind.UNSUBSCRIBE: _decode_unsubscribe,
+    Kind.SUBACK: _decode_reasons,
+    Kind.UNSUBACK: _decode_reasons,
+}
 
 
-def _body(kind: Kind, flags: int, data: bytes) -> Packet:
-    packet, read = Packet(kind), _Reader(data)
-    if kind is not Kind.PUBLISH and flags != FLAGS.get(kind, 0):
+def _decode_body(kind: Kind, flags: int, data: bytes) -> Packet:
+    packet = Packet(kind)
+    reader = _BodyReader(data)
+    if kind is Kind.PUBLISH:
+        _decode_publish(packet, reader, flags)
+    elif flags != REQUIRED_FLAGS.get(kind, 0):
         raise MqttError(f"{kind.name}: flags {flags}")
-    match kind:
-        case Kind.CONNECT:
-            if read.text() != "MQTT" or read.number(1) != 5:
-                raise MqttError("CONNECT: not MQTT 5")
-            given = read.number(1)
-            if given & 0x3D:  # a will is never sent here, and the reserved bit is 0
-                raise MqttError(f"CONNECT: flags {given}")
-            packet.flag, packet.keep_alive = bool(given & 2), read.number(2)
-            read.properties(packet)
-            packet.client_id = read.text()
-            packet.username = read.text() if given & 128 else None
-            packet.password = read.data_field() if given & 64 else None
-        case Kind.CONNACK:
-            packet.flag, packet.reason = bool(read.number(1) & 1), read.number(1)
-            read.properties(packet)
-        case Kind.PUBLISH:
-            packet.dup, packet.qos, packet.retain = bool(flags & 8), flags >> 1 & 3, bool(flags & 1)
-            if packet.qos == 3 or (packet.dup and not packet.qos):
-                raise MqttError(f"PUBLISH: flags {flags}")
-            packet.topic = read.text()
-            packet.id = read.number(2) if packet.qos else 0
-            if packet.qos and not packet.id:
-                raise MqttError("PUBLISH: packet identifier 0")
-            read.properties(packet)
-            packet.payload = read.rest()
-        case Kind.SUBSCRIBE:
-            packet.id = read.number(2)
-            read.properties(packet)
-            while read.more():
-                packet.filters.append((read.text(), read.number(1)))
-        case Kind.UNSUBSCRIBE:
-            packet.id = read.number(2)
-            read.properties(packet)
-            while read.more():
-                packet.filters.append((read.text(), 0))
-        case Kind.SUBACK | Kind.UNSUBACK:
-            packet.id = read.number(2)
-            read.properties(packet)
-            packet.reasons = list(read.rest())
-        case _:
-            packet.id = read.number(2) if kind in ACKS else 0
-            packet.reason = read.number(1) if read.more() else 0
-            if read.more():
-                read.properties(packet)
-    if read.more():
+    else:
+        BODY_DECODERS.get(kind, _decode_reason)(packet, reader)
+    if reader.has_more():
         raise MqttError(f"{kind.name}: bytes left over")
     return packet
 
 
-def decode(buffer: Buffer, largest: int = MAX_PACKET_BYTES) -> Packet | None:
-    """The next whole packet, which is consumed; None while some of it is still to come."""
-    head = buffer.peek(0, 5)
-    length = shift = 0
-    for at in range(1, 6):
-        if at >= len(head) and at < 5:
+def _decode_remaining_length(head: bytes) -> tuple[int, int] | None:
+    """The length of the body and its offset, or None while they are incomplete (2.1.4)."""
+    length = 0
+    for index in range(1, MAX_VARIABLE_BYTES + 1):
+        if index >= len(head):
             return None
-        if at == 5:
-            raise MqttError("remaining length: longer than four bytes")
-        length |= (head[at] & 127) << shift
-        shift += 7
-        if head[at] < 128:
-            break
-    if length > largest:
-        raise MqttError(f"packet: {length} bytes, at most {largest} allowed")
-    if len(buffer) < 1 + at + length:
+        length |= (head[index] & VALUE_BITS) << (BITS_PER_BYTE * (index - 1))
+        if head[index] < CONTINUATION_BIT:
+            return length, index + 1
+    raise MqttError("remaining length: longer than four bytes")
+
+
+def decode(buffer: Buffer, max_bytes: int = MAX_PACKET_BYTES) -> Packet | None:
+    """Consume the next complete packet; None while it is incomplete.
+
+    Raises MqttError for bytes that are not MQTT 5, and for a body of more than `max_bytes`.
+    """
+    head = buffer.peek(0, 1 + MAX_VARIABLE_BYTES)
+    found = _decode_remaining_length(head)
+    if found is None:
+        return None
+    length, offset = found
+    if length > max_bytes:
+        raise MqttError(f"packet: {length} bytes, at most {max_bytes} allowed")
+    if len(buffer) < offset + length:
         return None
     try:
         kind = Kind(head[0] >> 4)
     except ValueError:
         raise MqttError("packet: type 0") from None
-    data = buffer.peek(1 + at, length)
-    buffer.consume(1 + at + length)
-    return _body(kind, head[0] & 15, data)
+    data = buffer.peek(offset, length)
+    buffer.consume(offset + length)
+    return _decode_body(kind, head[0] & 0x0F, data)
