--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -138,10 +138,15 @@
             dispatcher.settings, dispatcher.pool.has_destination, dispatcher.metrics.message_invalid
         )
         self.intake = Session(
-            f"{settings.client_id}-intake", settings.session_expiry, settings.keep_alive, clean_start=False
+            f"{settings.client_id}-intake",
+            settings.session_expiry_seconds,
+            settings.keep_alive_seconds,
+            clean_start=False,
         )
         self.intake.subscriptions, self.intake.on_publish = [settings.intake], self._on_publish
-        self.replies = Session(f"{settings.client_id}-answers", settings.session_expiry, settings.keep_alive)
+        self.replies = Session(
+            f"{settings.client_id}-answers", settings.session_expiry_seconds, settings.keep_alive_seconds
+        )
         for session in (self.intake, self.replies):
             session.username, session.password = settings.username, settings.password
         self.links = [
@@ -212,7 +217,7 @@
         connector: BrokerConnector | None = None,
     ) -> None:
         self.dispatcher, self.scheduler = dispatcher, scheduler
-        self.session = Session(f"{settings.client_id}-calls", 0, settings.keep_alive)
+        self.session = Session(f"{settings.client_id}-calls", 0, settings.keep_alive_seconds)
         self.session.username, self.session.password = settings.username, settings.password
         self.link = BrokerLink(settings.broker, self.session, tasks, connector)
         self.running: dict[Call, OutgoingPublish | None] = {}
