--- a/honeyhitch/transports/channel.py
+++ b/honeyhitch/transports/channel.py
@@ -1,7 +1,4 @@
-"""What a driver reads and writes on: a plain socket here, one with a TLS machine before it in `tls_channel`.
-
-Both look the same to those who use them.
-"""
+"""A connection as transports read and write it: a plain socket here, or TLS in `tls_channel`."""
 
 from __future__ import annotations
 
@@ -19,52 +16,56 @@
     sock: socket.socket
 
     async def send(self, data: bytes) -> None:
-        """Write all of it; OSError if the connection broke."""
+        """Write all of it. Raises OSError if the connection breaks."""
 
     async def read(self, buffer: Buffer) -> int:
-        """Read once into the buffer; 0 at the peer's own end. OSError if it broke, TlsError among them."""
+        """Read once into the buffer; 0 at the end of the connection.
+
+        Raises OSError if it breaks, TlsError among them.
+        """
 
     async def receive(self, buffer: Buffer) -> bytes:
-        """The same for one who takes all at once: the bytes, none at the peer's own end."""
+        """Read once, by way of the buffer, which is emptied; no bytes at the end of the connection."""
 
     def read_available(self, buffer: Buffer) -> bytes:
-        """What has come and was not read, without waiting for more."""
+        """What has come and was not read, without waiting."""
 
     def is_reusable(self) -> bool:
-        """Alive, with nothing come that nobody asked for: safe to use again."""
+        """Whether the connection is alive and nothing unexpected has come on it."""
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
 
 
 class PlainChannel:
-    """A socket as it is."""
+    """A socket without encryption."""
 
     __slots__ = ("loop", "sock")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        self.loop, self.sock = loop, sock
+        self.loop = loop
+        self.sock = sock
 
     async def send(self, data: bytes) -> None:
-        """Write all of it; OSError if the connection broke."""
+        """Write all of it. Raises OSError if the connection breaks."""
         await self.loop.sock_sendall(self.sock, data)
 
     async def read(self, buffer: Buffer) -> int:
-        """Read once into the buffer; 0 at the peer's end."""
+        """Read once into the buffer; 0 at the end of the connection."""
         return await sockets.read(self.loop, self.sock, buffer)
 
     async def receive(self, buffer: Buffer) -> bytes:
-        """The bytes of one read, by way of the buffer; none at the peer's end."""
+        """The bytes of one read; none at the end of the connection."""
         return buffer.consume_all() if await sockets.read(self.loop, self.sock, buffer) else b""
 
     def read_available(self, buffer: Buffer) -> bytes:
-        """What has come and was not read, without waiting for more."""
+        """What has come and was not read, without waiting."""
         return buffer.consume_all() if sockets.read_available(self.sock, buffer) > 0 else b""
 
     def is_reusable(self) -> bool:
-        """Alive, with nothing come that nobody asked for."""
+        """Whether the connection is alive and nothing has come on it."""
         return sockets.is_reusable(self.sock)
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         self.sock.close()
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -1,9 +1,10 @@
-"""Keeps the watch on discovery open, and sends the notices of the platform's front."""
+"""The connections to the platform's agent: the watch on discovery, and notices of messages' ends."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
+from http import HTTPStatus
 from random import Random
 from typing import Any
 
@@ -22,17 +23,23 @@
 
 
 class Discovery:
-    """What is said to the platform's agent at one address."""
+    """Speaks to the agent at one address (HOST:PORT); `pending_notices` are those not confirmed yet.
+
+    With `reads_partial_lists`, only the members of a list that the pool needs are kept, and lists are parsed
+    incrementally.
+    """
 
     def __init__(self, address: str, dispatcher: Dispatcher, tasks: Tasks, rng: Random) -> None:
-        self.address, self.dispatcher, self.tasks, self.loop = address, dispatcher, tasks, tasks.loop
-        self.rng, self.address_changed = rng, False
+        self.address = address
+        self.dispatcher = dispatcher
+        self.tasks = tasks
+        self.loop = tasks.loop
+        self.rng = rng
+        self.address_changed = False
         self.pending_notices: list[Transaction] = []
-        self.wake = asyncio.Event()
-        self.running_tasks: list[asyncio.Task[None]] = []
-        self.reads_partial_lists = (
-            False  # only some members of lists are kept, and so they are read piece by piece
-        )
+        self.notice_added = asyncio.Event()
+        self.running_tasks: list[asyncio.Task[None]] = []  # the notices, then the watch
+        self.reads_partial_lists = False
 
     def start(self, watch: bool = True) -> None:
         """Send notices from now on, and keep the watch open; without `watch`, from `refetch` on."""
@@ -41,80 +48,96 @@
             self.running_tasks.append(self.tasks.run_forever(self.watch))
 
     def move(self, address: str) -> None:
-        """The agent is at another address now; notices that the old one has not confirmed go there too."""
-        for work in self.running_tasks:
-            work.cancel()
-        self.address, self.address_changed = address, True
+        """The agent has a new address; notices that the old one has not confirmed are sent there too."""
+        for task in self.running_tasks:
+            task.cancel()
+        self.address = address
+        self.address_changed = True
         self.start()
 
     def refetch(self) -> None:
-        """Ask for the whole list anew: entries that were left out of the last one are wanted now."""
-        if self.running_tasks:
-            self.address_changed = True
-            for watch in self.running_tasks[1:]:
-                watch.cancel()
-            self.running_tasks[1:] = [self.tasks.run_forever(self.watch)]
+        """Request the complete list again, as members that were left out of the last one are needed now."""
+        if not self.running_tasks:
+            return
+        self.address_changed = True
+        for task in self.running_tasks[1:]:
+            task.cancel()
+        self.running_tasks[1:] = [self.tasks.run_forever(self.watch)]
 
     async def watch(self) -> None:
-        """Watch for ever; the pool as it is stays in use while discovery is silent."""
-        pool, settings = self.dispatcher.pool, self.dispatcher.settings
-        known, grace = len(pool.endpoints) > len(pool.pinned), settings.drain_grace / SECOND
-        asking = WatchBackoff(self.rng, settings.instance_count, known, self.address_changed, grace)
-        # One without an id is let through, so that the list is refused for it as any other would be.
-        wanted = (lambda row: "id" not in row or pool.keeps_row(row)) if self.reads_partial_lists else None
-        await ListWatch(
-            self.address, self.loop, asking, lambda: pool.revision, self._apply_update, wanted
-        ).run()
-
-    def _apply_update(self, told: dict[str, Any]) -> None:
-        self.dispatcher.apply_list_update(self.dispatcher.pool.update(told))
+        """Watch, and never return; the pool as it is stays in use while discovery is silent."""
+        pool = self.dispatcher.pool
+        settings = self.dispatcher.settings
+        backoff = WatchBackoff(
+            self.rng,
+            settings.instance_count,
+            has_list=len(pool.endpoints) > len(pool.pinned),
+            address_changed=self.address_changed,
+            drain_grace=settings.drain_grace / SECOND,
+        )
+        keep_member = self._keep_member if self.reads_partial_lists else None
+        watch = ListWatch(
+            self.address, self.loop, backoff, lambda: pool.revision, self._apply_update, keep_member
+        )
+        await watch.run()
+
+    def _keep_member(self, row: dict[str, Any]) -> bool:
+        """A row without an id is kept, so that the list is rejected for it as any other would be."""
+        return "id" not in row or self.dispatcher.pool.keeps_row(row)
+
+    def _apply_update(self, update: dict[str, Any]) -> None:
+        self.dispatcher.apply_list_update(self.dispatcher.pool.update(update))
 
     def answer(self, transaction: Transaction) -> None:
-        """The platform's front: send a notice."""
+        """Send a notice of the end of a transaction, for the frontend that clients reach over RESP."""
         self.pending_notices.append(transaction)
-        self.wake.set()
+        self.notice_added.set()
 
     async def notify(self) -> None:
-        """Send notices for ever. Those not confirmed go again on another connection: one that says nothing is
-        dead, as the agent answers at once, and a second notice of an end does no harm.
+        """Send notices, and never return.
+
+        Those not confirmed are sent again on another connection: a silent connection is a dead one, as the
+        agent answers at once, and a second notice of the same end is harmless.
         """
-        patience = notices.response_timeout()
+        response_timeout = notices.response_timeout()
         while True:
             if not self.pending_notices:
-                await self.wake.wait()
+                await self.notice_added.wait()
             try:
-                await self._send_notices(patience)
+                await self._send_notices(response_timeout)
             except (OSError, http1.HttpError) as error:
-                patience.record_failure()
-                told = f"{type(error).__name__}: {error}"
-                log.warning("notices.unconfirmed", error=told, key=self.address)
-                await asyncio.sleep(patience.retry_pause)
+                response_timeout.record_failure()
+                log.warning("notices.unconfirmed", error=f"{type(error).__name__}: {error}", key=self.address)
+                await asyncio.sleep(response_timeout.retry_pause)
 
-    async def _send_notices(self, patience: ResponseTimeout) -> None:
+    async def _send_notices(self, response_timeout: ResponseTimeout) -> None:
         """Send notices on one connection for as long as it lasts."""
-        sock, buffer = (
-            await connect_before(self.loop, self.address, self.loop.time() + patience.current),
-            Buffer(),
-        )
+        sock = await connect_before(self.loop, self.address, self.loop.time() + response_timeout.current)
+        buffer = Buffer()
         try:
             while True:
-                self.wake.clear()
-                while some := self.pending_notices[: notices.MAX_NOTICES_PER_REQUEST]:
-                    await self._post_notices(sock, buffer, some, patience)
-                    del self.pending_notices[: len(some)]
-                    for transaction in some:
+                self.notice_added.clear()
+                while batch := self.pending_notices[: notices.MAX_NOTICES_PER_REQUEST]:
+                    await self._post_notices(sock, buffer, batch, response_timeout)
+                    del self.pending_notices[: len(batch)]
+                    for transaction in batch:
                         self.dispatcher.answer_sent(transaction)
-                await self.wake.wait()
+                await self.notice_added.wait()
                 if not sockets.is_reusable(sock):
                     return
         finally:
             sock.close()
 
     async def _post_notices(
-        self, sock: socket.socket, buffer: Buffer, some: list[Transaction], patience: ResponseTimeout
+        self,
+        sock: socket.socket,
+        buffer: Buffer,
+        batch: list[Transaction],
+        response_timeout: ResponseTimeout,
     ) -> None:
-        async with asyncio.timeout(patience.current):
-            answer = await send_request(self.loop, sock, buffer, notices.encode_request(some, self.address))
-        if answer.status != 204:
-            raise ConnectionError(f"notices: answered {answer.status}")
-        patience.record_response()
+        request = notices.encode_request(batch, self.address)
+        async with asyncio.timeout(response_timeout.current):
+            response = await send_request(self.loop, sock, buffer, request)
+        if response.status != HTTPStatus.NO_CONTENT:
+            raise ConnectionError(f"notices: answered {response.status}")
+        response_timeout.record_response()
--- a/honeyhitch/transports/sockets.py
+++ b/honeyhitch/transports/sockets.py
@@ -1,4 +1,4 @@
-"""Plain non-blocking sockets: connecting, reading into a buffer, and telling a dead one."""
+"""Non-blocking sockets: connecting, reading into a buffer, and recognizing a dead connection."""
 
 from __future__ import annotations
 
@@ -11,11 +11,16 @@
 
 from honeyhitch.protocols.buffer import Buffer
 
-SO_ATTACH_REUSEPORT_CBPF, BPF_RET_K = 51, 0x06  # asm-generic/socket.h; linux/filter.h
+SO_ATTACH_REUSEPORT_CBPF = 51  # asm-generic/socket.h
+BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K, linux/filter.h
+BPF_INSTRUCTION = "HBBI"  # struct sock_filter: code, jump offsets, constant
+BPF_PROGRAM = "HP"  # struct sock_fprog: number of instructions, their address
+SECOND_LISTENER = 1  # listeners of a shared address are numbered from 0
+NOTHING_AVAILABLE = -1
 
 
 def new_tcp_socket() -> socket.socket:
-    """A non-blocking TCP socket that sends at once."""
+    """A non-blocking TCP socket that sends without delay."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     with contextlib.suppress(OSError):
@@ -24,30 +29,34 @@
 
 
 def check_address_unused(address: tuple[str, int]) -> None:
-    """OSError if anything listens there already, also one that would share the address."""
+    """Raise OSError if anything listens there already, even if it would share the address."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
 
 
 def prefer_second_listener(listener: socket.socket) -> bool:
-    """New connections to an address that two listeners share go to the second one, this: the older one's
-    queue can run empty. False where the system has no such thing; they are then shared out by chance.
+    """Direct new connections to the second of two listeners that share an address, which is `listener`.
 
-    A classic BPF program of one instruction, `return 1`, which picks a listener by its number (socket(7),
-    SO_ATTACH_REUSEPORT_CBPF). With one listener left the number fits none, and the system chooses as always.
+    The queue of the older one can then run empty. False where the system does not support it: connections
+    are then distributed at random.
+
+    It attaches a classic BPF program of one instruction, `return 1`, which selects a listener by its number
+    (socket(7), SO_ATTACH_REUSEPORT_CBPF). With one listener left the number is invalid, and the system
+    selects as it does without a program.
     """
-    program = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RET_K, 0, 0, 1))
+    instruction = struct.pack(BPF_INSTRUCTION, BPF_RETURN_CONSTANT, 0, 0, SECOND_LISTENER)
+    instructions = ctypes.create_string_buffer(instruction)
+    program = struct.pack(BPF_PROGRAM, 1, ctypes.addressof(instructions))
     try:
-        told = struct.pack("HP", 1, ctypes.addressof(program))
-        listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, told)
+        listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
     except OSError:
         return False
     return True
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: str) -> socket.socket:
-    """Connect to HOST:PORT; the socket is closed if that fails or is cancelled."""
+    """Connect to HOST:PORT; the socket is closed if that fails or is cancelled. Raises OSError."""
     host, _, port = address.rpartition(":")
     sock = new_tcp_socket()
     try:
@@ -59,57 +68,60 @@
 
 
 async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Wait till something has come, a connection at a listener too, and leave it where it is.
+    """Wait until bytes, or a connection at a listener, have come, and do not take them.
 
-    uvloop's sock_recv_into and sock_accept take what comes in one turn of the loop and wake their task in
-    the next. In between it is out of sight: neither `quiet` nor the buffer shows it, who looks takes the
-    connection for one that rests, and a task that is cancelled then loses it.
+    uvloop's sock_recv_into and sock_accept take what comes in one turn of the loop, and wake their task in
+    the next. In between neither `is_reusable` nor the buffer shows it: the connection looks unused, and a
+    task that is cancelled loses what came.
     """
-    came = loop.create_future()
+    readable = loop.create_future()
 
-    def there() -> None:
-        if not came.done():
-            came.set_result(None)
+    def on_readable() -> None:
+        if not readable.done():
+            readable.set_result(None)
 
-    loop.add_reader(sock, there)
+    loop.add_reader(sock, on_readable)
     try:
-        await came
+        await readable
     finally:
         loop.remove_reader(sock)
 
 
 async def read(loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer) -> int:
-    """Read once into the buffer; 0 at the end of the connection. Others have their turn before."""
+    """Read once into the buffer, after other tasks had their turn.
+
+    Returns the number of bytes, 0 at the end of the connection. Raises OSError and BufferOverflowError.
+    """
     while True:
         await wait_readable(loop, sock)
-        if (count := read_available(sock, buffer)) >= 0:
+        if (count := read_available(sock, buffer)) != NOTHING_AVAILABLE:
             return count
 
 
 def read_available(sock: socket.socket, buffer: Buffer) -> int:
-    """Read once what has come already; 0 at the end of the connection, -1 if there is nothing."""
-    with buffer.free_space() as room:
+    """Read once without waiting; 0 at the end of the connection, NOTHING_AVAILABLE if nothing has come."""
+    with buffer.free_space() as space:
         try:
-            count = sock.recv_into(room)
+            count = sock.recv_into(space)
         except (BlockingIOError, InterruptedError):
-            return -1
+            return NOTHING_AVAILABLE
     buffer.advance(count)
     return count
 
 
 def has_pending_connection(listener: socket.socket) -> bool:
-    """True if a connection waits there to be accepted: closing the listener would reset it."""
-    poll = select.poll()  # no limit on the descriptor's number, as select(2) has
+    """Whether a connection waits to be accepted: closing the listener would reset it."""
+    poll = select.poll()  # unlike select(2), it takes descriptors of any number
     poll.register(listener, select.POLLIN)
     return bool(poll.poll(0))
 
 
 def is_reusable(sock: socket.socket) -> bool:
-    """True if the connection is alive and nothing has come on it: safe to use again."""
+    """Whether the connection is alive and nothing has come on it."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return True
     except OSError:
         return False
-    return False  # its end, or bytes that nobody asked for
+    return False  # its end, or unexpected bytes
