--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -1,6 +1,6 @@
-"""What a deployment sets up, as typed values; nothing here reads a file, and nothing decides.
+"""What a deployment sets up, as typed values, and the error of a value that cannot be used.
 
-The files are read in `lifecycle/config`; whoever uses a value imports its type from here.
+The other modules of this package read the files; whoever uses a value imports its type from here.
 """
 
 from __future__ import annotations
@@ -20,52 +20,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where something listens."""
+    """Where something listens, or is reached."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: object, name: str) -> Address:
-        """From HOST:PORT."""
+        """From HOST:PORT; `name` is its key. Raises ConfigError."""
         try:
             return cls(*split_host_port(str(text)))
         except ValueError:
             raise ConfigError(f"{name}: expected HOST:PORT, got {text!r}") from None
 
     def __str__(self) -> str:
+        """HOST:PORT."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What the machine grants; going over it is a crash."""
+    """What the machine grants to the process; it must not use more."""
 
-    sockets: int = 1024  # descriptors
-    disk_bytes: int = 3_000_000  # bytes in the lasting folder
+    sockets: int = 1024  # file descriptors
+    disk_bytes: int = 3_000_000  # in the state directory
 
 
 @dataclass(frozen=True, slots=True)
 class MqttEndpoint:
-    """A pool member behind the broker."""
+    """An endpoint of the pool that is reached through the broker."""
 
     id: str
     topic: str
     destination: int
     kind: str = ""
     zone: str = ""
-    rate: float = 1.0
+    rate: float = 1.0  # as an endpoint of a list states it
 
 
 @dataclass(frozen=True, slots=True)
 class MqttSettings:
-    """The MQTT front, as the operator's file sets it up."""
+    """The MQTT frontend and transport, as the operator's file sets them up."""
 
-    broker: str
-    intake: str
+    broker: str  # HOST:PORT
+    intake: str  # the topic filter of submitted messages
     client_id: str
-    keep_alive_seconds: int = 20  # seconds
-    session_expiry_seconds: int = 3600  # seconds
+    keep_alive_seconds: int = 20
+    session_expiry_seconds: int = 3600
     username: str | None = None
     password: bytes | None = None
     endpoints: tuple[MqttEndpoint, ...] = ()
@@ -76,10 +77,10 @@
 class ControlSettings:
     """The control socket."""
 
-    path: Path | None = None  # in the state folder where it is not set
+    path: Path | None = None  # `control.sock` in the state directory where it is not set
 
     def path_in(self, state_directory: Path) -> Path:
-        """Where the socket is."""
+        """The path of the socket."""
         return self.path if self.path is not None else state_directory / "control.sock"
 
 
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -1,4 +1,4 @@
-"""The configuration as a whole: the platform's file and variables, and the operator's file beside them."""
+"""The configuration as a whole: the platform's file and variables, and the operator's file."""
 
 from __future__ import annotations
 
@@ -14,38 +14,81 @@
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.policy.settings import Settings
 
-INSTANCE_KEYS = ("name", "listen", "discovery", "management", "state")
+INSTANCE_KEYS = ("name", "listen", "discovery", "management", "state")  # each with a variable of its own
+ADDRESS_KEYS = ("listen", "discovery", "management")
 OPTIONAL_KEYS = ("management",)
 RESERVED_DESCRIPTORS = 32  # standard streams, loop, journal, listeners, discovery, broker, one just accepted
-MAX_SOCKET_PATH_BYTES = 107  # bytes of a Unix-domain socket's path (unix(7))
-MIN_CALL_DESCRIPTORS = 16  # descriptors for calls, clients and idle connections together
+MIN_CALL_DESCRIPTORS = 16  # for calls, clients and idle connections together
+MAX_SOCKET_PATH_BYTES = 107  # of a Unix-domain socket (unix(7))
+DEFAULT_SOCKETS = 1024
+BYTES_PER_MEGABYTE = 1_000_000
+DEFAULT_DISK_MEGABYTES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What one dispatcher is told at its start; what the module needs of it is in `settings`."""
+    """What one dispatcher is given at its start; what the policy needs of it is in `settings`."""
 
     name: str
     listen: Address
     discovery: Address
     management: Address | None  # where operators call
-    state: Path
+    state: Path  # the state directory
     seed: int
     limits: ResourceLimits
-    known: dict[str, Any]
+    known: dict[str, Any]  # endpoints to use until discovery answers, in the form of its list
     settings: Settings
     operator: OperatorSettings
-    file_values: dict[str, Any]  # the file's own words at the start, for what a variable can say too
+    file_values: dict[str, Any]  # of INSTANCE_KEYS, as the file had them at the start
 
 
-def _seed(value: object) -> int:
-    try:
-        return int(value, 16) if isinstance(value, str) else int(value)  # type: ignore[call-overload]
-    except (TypeError, ValueError):
-        raise ConfigError(f"seed: expected a number or hexadecimal digits, got {value!r}") from None
+def read(
+    environ: Mapping[str, str],
+    path: str | None = None,
+    operator: str | None = None,
+    previous: Config | None = None,
+) -> Config:
+    """The configuration: the file named in ROUTER_CONFIG, the other variables in preference to its values,
+    and the operator's file where ROUTER_OPERATOR or the command line names one.
+
+    With `previous` it is read again by a running process. Its variables are as old as its start and cannot
+    follow a new file: where the file no longer says what it said then, the file wins. Raises ConfigError.
+    """
+    document = _read_json(path or environ.get("ROUTER_CONFIG", ""))
+    file_values = {key: document.get(key) for key in INSTANCE_KEYS}
+    first_values = previous.file_values if previous is not None else file_values
+    values = _instance_values(file_values, first_values, environ)
+    settings = _read_settings(document)
+    limits = _read_limits(document.get("limits"))
+    settings = _limit_calls(settings, limits)
+    known = _read_known(document)
+    name = str(values["name"])
+    operator_path = operator or environ.get("ROUTER_OPERATOR", "")
+    operator_settings = read_operator(operator_path, name, settings, environ)
+    if operator_settings.fleet is not None:  # each zone has an owner of a destination, with its quota
+        settings = replace(settings, instance_count=len(operator_settings.fleet.zones))
+    state = Path(str(values["state"]))
+    _check_control_path(operator_settings, state)
+    addresses = _parse_addresses(values)
+    _check_management(addresses, operator_settings)
+    return Config(
+        name=name,
+        listen=addresses["listen"],
+        discovery=addresses["discovery"],
+        management=addresses.get("management"),
+        state=state,
+        seed=_read_seed(document.get("seed", 0)),
+        limits=limits,
+        known=known,
+        settings=settings,
+        operator=operator_settings,
+        file_values=first_values,
+    )
 
 
-def _json(path: str) -> dict[str, Any]:
+def _read_json(path: str) -> dict[str, Any]:
+    if not path:
+        raise ConfigError("ROUTER_CONFIG: this variable is missing; it names the configuration's JSON file")
     try:
         value = json.loads(Path(path).read_bytes())
     except OSError as error:
@@ -57,88 +100,89 @@
     return value
 
 
-def _limits(told: object) -> ResourceLimits:
-    told = told if isinstance(told, dict) else {}
-    numbers = {name: told.get(name, default) for name, default in (("sockets", 1024), ("disk_mb", 3))}
-    for name, value in numbers.items():
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0:
-            raise ConfigError(f"limits.{name}: expected a number above 0, got {value!r}")
-    return ResourceLimits(sockets=int(numbers["sockets"]), disk_bytes=int(numbers["disk_mb"] * 1_000_000))
-
-
-def read(
-    environ: Mapping[str, str],
-    path: str | None = None,
-    operator: str | None = None,
-    previous: Config | None = None,
-) -> Config:
-    """The configuration: the file named in ROUTER_CONFIG, the other variables before its own words, and
-    the operator's file where ROUTER_OPERATOR or the command line names one.
-
-    With `before` it is read again by a process that runs. Its variables are as old as its start and cannot
-    follow a new file: where the file no longer says what it said then, the file wins.
-    """
-    path = path or environ.get("ROUTER_CONFIG", "")
-    if not path:
-        raise ConfigError("ROUTER_CONFIG: this variable is missing; it names the configuration's JSON file")
-    told = _json(path)
-    words = {key: told.get(key) for key in INSTANCE_KEYS}
-    first = previous.file_values if previous is not None else words
-    values = {
-        key: word if word and word != first[key] else environ.get(f"ROUTER_{key.upper()}") or word
-        for key, word in words.items()
-    }
+def _instance_values(
+    file_values: dict[str, Any], first_values: dict[str, Any], environ: Mapping[str, str]
+) -> dict[str, Any]:
+    """The values of INSTANCE_KEYS: the file's where it has changed since the start, else the variable's."""
+    values = dict[str, Any]()
+    for key, file_value in file_values.items():
+        changed = file_value and file_value != first_values[key]
+        values[key] = file_value if changed else environ.get(f"ROUTER_{key.upper()}") or file_value
     for key, value in values.items():
         if not value and key not in OPTIONAL_KEYS:
             raise ConfigError(f"{key}: missing; give it in the file or as ROUTER_{key.upper()}")
-    if not isinstance(told.get("settings"), dict):
+    return values
+
+
+def _read_settings(document: dict[str, Any]) -> Settings:
+    if not isinstance(document.get("settings"), dict):
         raise ConfigError("settings: expected an object")
     try:
-        settings = SettingsReader.from_nested(told["settings"]).settings()
+        return SettingsReader.from_nested(document["settings"]).settings()
     except (ConfigError, ValueError) as error:
         raise ConfigError(f"settings.{error}") from error
-    limits = _limits(told.get("limits"))
-    room = limits.sockets - RESERVED_DESCRIPTORS
-    if room < MIN_CALL_DESCRIPTORS:
-        raise ConfigError(
-            f"limits.sockets: expected at least {RESERVED_DESCRIPTORS + MIN_CALL_DESCRIPTORS},"
-            f" got {limits.sockets}"
-        )
-    settings = replace(
-        settings, max_concurrent_calls=min(settings.max_concurrent_calls, room // 2)
-    )  # a call is a descriptor
-    known = told.get("known") or {"revision": 0, "complete": True, "members": []}
+
+
+def _read_limits(value: object) -> ResourceLimits:
+    limits = value if isinstance(value, dict) else {}
+    sockets = _read_limit(limits, "sockets", DEFAULT_SOCKETS)
+    disk_megabytes = _read_limit(limits, "disk_mb", DEFAULT_DISK_MEGABYTES)
+    return ResourceLimits(sockets=int(sockets), disk_bytes=int(disk_megabytes * BYTES_PER_MEGABYTE))
+
+
+def _read_limit(limits: dict[str, Any], name: str, default: int) -> float:
+    value = limits.get(name, default)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0:
+        raise ConfigError(f"limits.{name}: expected a number above 0, got {value!r}")
+    return value
+
+
+def _limit_calls(settings: Settings, limits: ResourceLimits) -> Settings:
+    """The settings with no more concurrent calls than half the free descriptors, as each call takes one."""
+    available = limits.sockets - RESERVED_DESCRIPTORS
+    if available < MIN_CALL_DESCRIPTORS:
+        minimum = RESERVED_DESCRIPTORS + MIN_CALL_DESCRIPTORS
+        raise ConfigError(f"limits.sockets: expected at least {minimum}, got {limits.sockets}")
+    return replace(settings, max_concurrent_calls=min(settings.max_concurrent_calls, available // 2))
+
+
+def _read_known(document: dict[str, Any]) -> dict[str, Any]:
+    known = document.get("known") or {"revision": 0, "complete": True, "members": []}
     if not isinstance(known, dict):
         raise ConfigError("known: expected an object in discovery's form")
-    beside = read_operator(
-        operator or environ.get("ROUTER_OPERATOR", ""), str(values["name"]), settings, environ
-    )
-    if beside.fleet is not None:  # a destination has one owner a zone, and each has its part of the limit
-        settings = replace(settings, instance_count=len(beside.fleet.zones))
-    state = Path(str(values["state"]))
-    if beside.control is not None and len(os.fsencode(beside.control.path_in(state))) > MAX_SOCKET_PATH_BYTES:
-        at = beside.control.path_in(state)
-        raise ConfigError(f"control.path: over {MAX_SOCKET_PATH_BYTES} bytes: {at}; give a shorter one")
-    addresses = {
+    return known
+
+
+def _parse_addresses(values: dict[str, Any]) -> dict[str, Address]:
+    return {
         key: Address.parse(values[key], key)
-        for key in ("listen", "discovery", "management")
+        for key in ADDRESS_KEYS
         if values[key] or key not in OPTIONAL_KEYS
     }
+
+
+def _check_control_path(operator: OperatorSettings, state_directory: Path) -> None:
+    if operator.control is None:
+        return
+    path = operator.control.path_in(state_directory)
+    if len(os.fsencode(path)) > MAX_SOCKET_PATH_BYTES:
+        raise ConfigError(f"control.path: over {MAX_SOCKET_PATH_BYTES} bytes: {path}; give a shorter one")
+
+
+def _check_management(addresses: dict[str, Address], operator: OperatorSettings) -> None:
     management = addresses.get("management")
-    taken = {"listen": addresses["listen"], "beside.agent-check": beside.agent_check}
-    for key, other in (taken | {"beside.health": beside.health}).items():
-        if management is not None and management == other:
+    other_listeners = {
+        "listen": addresses["listen"],
+        "beside.agent-check": operator.agent_check,
+        "beside.health": operator.health,
+    }
+    for key, address in other_listeners.items():
+        if management is not None and management == address:
             raise ConfigError(f"management: {management} is the address of {key} already")
-    return Config(
-        name=str(values["name"]),
-        listen=addresses["listen"],
-        discovery=addresses["discovery"],
-        management=management,
-        state=state,
-        seed=_seed(told.get("seed", 0)),
-        limits=limits,
-        known=known,
-        settings=settings,
-        operator=beside,
-        file_values=first,
-    )
+
+
+def _read_seed(value: object) -> int:
+    try:
+        return int(value, 16) if isinstance(value, str) else int(value)  # type: ignore[call-overload]
+    except (TypeError, ValueError):
+        raise ConfigError(f"seed: expected a number or hexadecimal digits, got {value!r}") from None
--- a/honeyhitch/config/fleet.py
+++ b/honeyhitch/config/fleet.py
@@ -6,36 +6,37 @@
 
 from honeyhitch.config.deployment import Address, ConfigError
 from honeyhitch.config.values import ConfigTable
-from honeyhitch.partitioning.settings import SECOND, FleetSettings, Region
+from honeyhitch.partitioning.settings import FleetSettings, Region
+from honeyhitch.time_units import DAY, SECOND
 
-MAX_SECONDS = 30 * 86400
-NUMBERS = {"partitions": int, "candidates": int, "reserve": float, "peer-connections": int}
-TIMES = ("lease", "reserve-lease", "clock-skew")  # seconds
+MAX_SECONDS = 30 * DAY // SECOND
+NUMBER_TYPES = {"partitions": int, "candidates": int, "reserve": float, "peer-connections": int}
+DURATION_KEYS = ("lease", "reserve-lease", "clock-skew")  # seconds
 
 
-def parse_fleet(told: object, name: str) -> FleetSettings:
-    """The table's settings; `name` is the instance's, by which the view lists it."""
-    table = ConfigTable(told, "fleet")
+def parse_fleet(value: object, name: str) -> FleetSettings:
+    """The table's settings; `name` is the instance's, by which the view lists it. Raises ConfigError."""
+    table = ConfigTable(value, "fleet")
     view = Address.parse(table.get("view", str), "fleet.view")
     zone = table.get("zone", str)
-    regions = _regions(table.get("regions", dict))
-    given: dict[str, Any] = {"name": name, "zone": zone, "view": str(view), "regions": regions}
-    for key, form in NUMBERS.items():
-        if (value := table.optional(key, form)) is not None:
-            given[key.replace("-", "_")] = value
-    for key in TIMES:
+    regions = _parse_regions(table.get("regions", dict))
+    fields: dict[str, Any] = {"name": name, "zone": zone, "view": str(view), "regions": regions}
+    for key, number_type in NUMBER_TYPES.items():
+        if (number := table.optional(key, number_type)) is not None:
+            fields[key.replace("-", "_")] = number
+    for key in DURATION_KEYS:
         if (seconds := table.optional(key, float)) is not None:
-            given[key.replace("-", "_")] = _nanoseconds(key, seconds)
+            fields[key.replace("-", "_")] = _nanoseconds(key, seconds)
     table.reject_unknown_keys()
     try:
-        return FleetSettings(**given)
+        return FleetSettings(**fields)
     except ValueError as error:
         raise ConfigError(f"fleet.{error}") from error
 
 
-def _regions(told: dict[str, object]) -> tuple[Region, ...]:
+def _parse_regions(tables: dict[str, object]) -> tuple[Region, ...]:
     regions = list[Region]()
-    for name, zones in told.items():
+    for name, zones in tables.items():
         if not isinstance(zones, list) or not zones or not all(isinstance(zone, str) for zone in zones):
             raise ConfigError(f"fleet.regions.{name}: expected a list of the names of its zones")
         regions.append(Region(name, tuple(zones)))
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -1,4 +1,7 @@
-"""The settings of an instance, in both forms in which they come: nested JSON, and words of a line."""
+"""The settings of an instance, in both of their forms: nested JSON, and the words of a line.
+
+This module alone knows the keys of both forms; the policy has names of its own for them.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +17,7 @@
     Settings,
     SettingsError,
 )
+from honeyhitch.time_units import SECOND
 
 IDEMPOTENCY_BY_KEYWORD = {
     "pure": Idempotency.IDEMPOTENT,
@@ -41,26 +45,35 @@
 }
 
 
-def _flatten(value: object, path: str, into: dict[str, str]) -> None:
+TRUTH_VALUES = {"true": True, "false": False, "1": True, "0": False}
+UNLIMITED_MESSAGES = 1 << 30
+DEFAULT_DRAIN_GRACE = 2 * SECOND
+
+
+def _flatten(value: object, path: str, values: dict[str, str]) -> None:
+    """Add the value below this path: paths are joined by dots, lists of objects get a count."""
     if isinstance(value, dict):
         for name, inner in value.items():
-            _flatten(inner, f"{path}.{name}" if path else str(name), into)
+            _flatten(inner, f"{path}.{name}" if path else str(name), values)
     elif isinstance(value, list) and any(isinstance(inner, dict) for inner in value):
-        into[f"{path}.count"] = str(len(value))
-        for i, inner in enumerate(value):
-            _flatten(inner, f"{path}.{i}", into)
+        values[f"{path}.count"] = str(len(value))
+        for index, inner in enumerate(value):
+            _flatten(inner, f"{path}.{index}", values)
     elif isinstance(value, list):
-        into[path] = ",".join(_plain(inner) for inner in value)
+        values[path] = ",".join(_format(inner) for inner in value)
     elif value is not None:
-        into[path] = _plain(value)
+        values[path] = _format(value)
 
 
-def _plain(value: object) -> str:
+def _format(value: object) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 class SettingsReader:
-    """The path=value pairs of an instance's settings; unknown paths are never looked at."""
+    """The path=value pairs of an instance's settings; unknown paths are ignored.
+
+    Its methods raise ConfigError, which names the path.
+    """
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
@@ -68,12 +81,16 @@
     @classmethod
     def from_pairs(cls, pairs: list[str]) -> SettingsReader:
         """From the words of a line, each path=value."""
-        return cls(dict(word.partition("=")[::2] for word in pairs))
+        values = dict[str, str]()
+        for pair in pairs:
+            path, _, value = pair.partition("=")
+            values[path] = value
+        return cls(values)
 
     @classmethod
     def from_nested(cls, value: object) -> SettingsReader:
         """From nested JSON: paths are joined by dots, plain lists by commas, lists of objects get a count."""
-        values: dict[str, str] = {}
+        values = dict[str, str]()
         _flatten(value, "", values)
         return cls(values)
 
@@ -101,9 +118,7 @@
 
     def flag(self, path: str, default: str | None = None) -> bool:
         """The value as true or false."""
-        return parse_choice(
-            {"true": True, "false": False, "1": True, "0": False}, self.text(path, default), path
-        )
+        return parse_choice(TRUTH_VALUES, self.text(path, default), path)
 
     def items(self, path: str) -> list[str]:
         """The value as a list of plain values."""
@@ -111,36 +126,39 @@
         return text.split(",") if text else []
 
     def message_class(self, index: int) -> MessageClass:
-        """Class number i."""
-        at = f"classes.{index}."
+        """The class with this index."""
+        prefix = f"classes.{index}."
+        semantics = self.text(prefix + "semantics")
         return MessageClass(
-            idempotency=parse_choice(IDEMPOTENCY_BY_KEYWORD, self.text(at + "semantics"), at + "semantics"),
-            latency_objective=self.integer(at + "aim"),
-            deadline=self.integer(at + "deadline"),
-            priority_weight=self.number(at + "worth", "1"),
-            late_weight_fraction=self.number(at + "late-share", "0"),
-            deduplication_scope=DeduplicationScope.ALL
-            if self.text(at + "group", "all") == "all"
-            else DeduplicationScope.ZONE,
-            deduplication_window=self.integer(at + "window", "0"),
-            ordered=self.flag(at + "by-arrival", "false"),
-            objective_work_factor=self.number(at + "aim-stretch", "0"),
-            name=self.text(at + "name", ""),
+            idempotency=parse_choice(IDEMPOTENCY_BY_KEYWORD, semantics, prefix + "semantics"),
+            latency_objective=self.integer(prefix + "aim"),
+            deadline=self.integer(prefix + "deadline"),
+            priority_weight=self.number(prefix + "worth", "1"),
+            late_weight_fraction=self.number(prefix + "late-share", "0"),
+            deduplication_scope=self._deduplication_scope(prefix),
+            deduplication_window=self.integer(prefix + "window", "0"),
+            ordered=self.flag(prefix + "by-arrival", "false"),
+            objective_work_factor=self.number(prefix + "aim-stretch", "0"),
+            name=self.text(prefix + "name", ""),
         )
 
+    def _deduplication_scope(self, prefix: str) -> DeduplicationScope:
+        in_all_zones = self.text(prefix + "group", "all") == "all"
+        return DeduplicationScope.ALL if in_all_zones else DeduplicationScope.ZONE
+
     def kinds(self) -> tuple[DestinationKind, ...]:
-        """The kinds of destination."""
-        apart = [word in ("true", "1") for word in self.items("family-info.own-limits")]
-        sizes = [parse_integer(word, "family-info.per-call") for word in self.items("family-info.per-call")]
+        """The kinds of destination; a list that is shorter than the longest is filled up with defaults."""
+        own_limits = [text in ("true", "1") for text in self.items("family-info.own-limits")]
+        sizes = [parse_integer(text, "family-info.per-call") for text in self.items("family-info.per-call")]
         names = self.items("shapes")
-        count = max(len(names), len(apart), len(sizes), 1)
+        count = max(len(names), len(own_limits), len(sizes), 1)
         names += [""] * (count - len(names))
-        apart += [False] * (count - len(apart))
+        own_limits += [False] * (count - len(own_limits))
         sizes += [1] * (count - len(sizes))
-        return tuple(DestinationKind(*row) for row in zip(apart, sizes, names, strict=True))
+        return tuple(DestinationKind(*values) for values in zip(own_limits, sizes, names, strict=True))
 
     def settings(self) -> Settings:
-        """All of it, in the policy's terms; ConfigError names what cannot be used."""
+        """All of it, in the policy's terms."""
         try:
             return self._settings()
         except SettingsError as error:
@@ -148,10 +166,12 @@
             raise ConfigError(f"{name}: {error.reason}") from error
 
     def _settings(self) -> Settings:
-        scales = {s.value: s for s in ListedRateMeaning} | {"live": ListedRateMeaning.ROUGH}
+        rate_meanings = {meaning.value: meaning for meaning in ListedRateMeaning}
+        rate_meanings["live"] = ListedRateMeaning.ROUGH
+        late_decays = {decay.value: decay for decay in LateDecay}
         tenants = range(self.integer("tenants.count", "0"))
         return Settings(
-            classes=tuple(self.message_class(i) for i in range(self.integer("classes.count"))),
+            classes=tuple(self.message_class(index) for index in range(self.integer("classes.count"))),
             kinds=self.kinds(),
             max_concurrent_calls=self.positive_integer("family-info.call-slots"),
             overload_factor=self.number("invariants.fall-multiple"),
@@ -167,17 +187,15 @@
             connect_timeout=self.integer("caps.connect-timeout", "0"),
             must_subscribe=self.text("discovery", "automatic") == "subscribe",
             resolution=self.integer("resolution", "0"),
-            late_decay=parse_choice(
-                {d.value: d for d in LateDecay}, self.text("family-info.decay", "line"), "decay"
-            ),
-            listed_rate_meaning=parse_choice(scales, self.text("weights", "off"), "weights"),
+            late_decay=parse_choice(late_decays, self.text("family-info.decay", "line"), "decay"),
+            listed_rate_meaning=parse_choice(rate_meanings, self.text("weights", "off"), "weights"),
             cross_zone_cost=self.number("prices.cross-zone", "0"),
-            tenant_rates=tuple(self.number(f"tenants.{i}.quota-rps") for i in tenants),
+            tenant_rates=tuple(self.number(f"tenants.{index}.quota-rps") for index in tenants),
             over_quota_weight=self.number("over-share-worth", "1"),
-            tenant_names=tuple(self.text(f"tenants.{i}.name", "") for i in tenants),
+            tenant_names=tuple(self.text(f"tenants.{index}.name", "") for index in tenants),
             zone_names=tuple(self.items("zones")),
             report_fields=tuple(self.items("report.fields")),
-            max_messages=self.positive_integer("caps.max-open", str(1 << 30)),
+            max_messages=self.positive_integer("caps.max-open", str(UNLIMITED_MESSAGES)),
             connection_idle_timeout=self.integer("caps.conn-idle", "0"),
-            drain_grace=self.integer("invariants.drain-grace", "2000000000"),
+            drain_grace=self.integer("invariants.drain-grace", str(DEFAULT_DRAIN_GRACE)),
         )
--- a/honeyhitch/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -1,4 +1,4 @@
-"""The table `[mqtt]` of the operator's file."""
+"""The table `[mqtt]` of the operator's file, which turns the MQTT frontend and transport on."""
 
 from __future__ import annotations
 
@@ -10,47 +10,61 @@
 from honeyhitch.policy.settings import Settings
 
 
-def _topic(text: str, name: str, wild: bool) -> str:
-    if not text or "\0" in text or (not wild and ("+" in text or "#" in text)):
-        raise ConfigError(f"{name}: expected {'a topic filter' if wild else 'one topic name'}, got {text!r}")
-    return text
-
+def parse_mqtt(value: object, name: str, settings: Settings, environ: Mapping[str, str]) -> MqttSettings:
+    """The frontend, its session and the endpoints behind the broker. Raises ConfigError.
 
-def parse_mqtt(told: object, name: str, settings: Settings, environ: Mapping[str, str]) -> MqttSettings:
-    """The front, its session and the members behind the broker."""
-    table = ConfigTable(told, "mqtt")
-    members = []
-    for i, row in enumerate(table.get("member", list, [])):
-        inner = ConfigTable(row, f"mqtt.member.{i}")
-        member = MqttEndpoint(
-            id=inner.get("id", str),
-            topic=_topic(inner.get("topic", str), f"{inner.path}.topic", False),
-            destination=inner.get("dest", int),
-            kind=inner.get("kind", str, settings.kinds[0].name),
-            zone=inner.get("zone", str, ""),
-            rate=inner.get("rate", float, 1.0),
-        )
-        if member.kind not in [kind.name for kind in settings.kinds]:
-            raise ConfigError(f"{inner.path}.kind: not a kind in the settings: {member.kind!r}")
-        inner.reject_unknown_keys()
-        members.append(member)
-    password, secure = table.optional("password", str), table.optional("tls", dict)
-    parse_mqtt = MqttSettings(
+    `name` is the instance's, and the client id where none is given.
+    """
+    table = ConfigTable(value, "mqtt")
+    rows = table.get("member", list, [])
+    endpoints = tuple(
+        _parse_endpoint(ConfigTable(row, f"mqtt.member.{index}"), settings) for index, row in enumerate(rows)
+    )
+    password = table.optional("password", str)
+    tls_table = table.optional("tls", dict)
+    parsed = MqttSettings(
         broker=str(Address.parse(table.get("broker", str), "mqtt.broker")),
-        intake=_topic(table.get("intake", str, "honeyhitch/intake"), "mqtt.intake", True),
+        intake=_topic_filter(table.get("intake", str, "honeyhitch/intake"), "mqtt.intake"),
         client_id=table.get("client-id", str, name),
         keep_alive_seconds=table.get("keep-alive", int, 20),
         session_expiry_seconds=table.get("session-expiry", int, 3600),
         username=table.optional("username", str),
         password=None if password is None else password.encode(),
-        endpoints=tuple(members),
-        tls=tls.parse_broker_tls(secure, environ) if secure is not None else None,
+        endpoints=endpoints,
+        tls=tls.parse_broker_tls(tls_table, environ) if tls_table is not None else None,
     )
-    for key, value, least in (
-        ("keep-alive", parse_mqtt.keep_alive_seconds, 1),
-        ("session-expiry", parse_mqtt.session_expiry_seconds, 1),
+    for key, seconds in (
+        ("keep-alive", parsed.keep_alive_seconds),
+        ("session-expiry", parsed.session_expiry_seconds),
     ):
-        if value < least:
-            raise ConfigError(f"mqtt.{key}: expected at least {least}, got {value}")
+        if seconds < 1:
+            raise table.error(key, f"expected at least 1, got {seconds}")
+    table.reject_unknown_keys()
+    return parsed
+
+
+def _parse_endpoint(table: ConfigTable, settings: Settings) -> MqttEndpoint:
+    endpoint = MqttEndpoint(
+        id=table.get("id", str),
+        topic=_topic_name(table.get("topic", str), f"{table.path}.topic"),
+        destination=table.get("dest", int),
+        kind=table.get("kind", str, settings.kinds[0].name),
+        zone=table.get("zone", str, ""),
+        rate=table.get("rate", float, 1.0),
+    )
+    if endpoint.kind not in [kind.name for kind in settings.kinds]:
+        raise table.error("kind", f"not a kind in the settings: {endpoint.kind!r}")
     table.reject_unknown_keys()
-    return parse_mqtt
+    return endpoint
+
+
+def _topic_filter(text: str, name: str) -> str:
+    if not text or "\0" in text:
+        raise ConfigError(f"{name}: expected a topic filter, got {text!r}")
+    return text
+
+
+def _topic_name(text: str, name: str) -> str:
+    if not text or "\0" in text or "+" in text or "#" in text:
+        raise ConfigError(f"{name}: expected one topic name, got {text!r}")
+    return text
--- a/honeyhitch/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -4,11 +4,12 @@
 
 import tomllib
 from collections.abc import Mapping
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 from honeyhitch import logs
-from honeyhitch.config import fleet, mqtt, tls, undelivered
+from honeyhitch.config import dead_letters, fleet, mqtt, tls
 from honeyhitch.config.deployment import Address, ConfigError, ControlSettings, OperatorSettings
 from honeyhitch.config.values import ConfigTable
 from honeyhitch.policy.settings import Settings
@@ -16,16 +17,22 @@
 
 
 def read_tls(path: str, environ: Mapping[str, str]) -> list[Partner]:
-    """The partners of the file at this path alone, and the broker, for a look without an instance's
-    settings.
+    """The TLS partners of the file at this path, and the broker, without an instance's settings.
+
+    Raises ConfigError.
     """
-    told = _toml(path)
-    found = list(tls.parse_tls(told["tls"], None, environ).partners) if "tls" in told else []
-    broker = told.get("mqtt", {}).get("tls") if isinstance(told.get("mqtt"), dict) else None
-    return [*found, *([tls.parse_broker_tls(broker, environ)] if broker is not None else [])]
+    document = _read_toml(path)
+    partners = list[Partner]()
+    if "tls" in document:
+        partners += tls.parse_tls(document["tls"], None, environ).partners
+    mqtt_table = document.get("mqtt")
+    broker = mqtt_table.get("tls") if isinstance(mqtt_table, dict) else None
+    if broker is not None:
+        partners.append(tls.parse_broker_tls(broker, environ))
+    return partners
 
 
-def _toml(path: str) -> dict[str, Any]:
+def _read_toml(path: str) -> dict[str, Any]:
     try:
         return tomllib.loads(Path(path).read_text())
     except OSError as error:
@@ -34,46 +41,89 @@
         raise ConfigError(f"ROUTER_OPERATOR: {path} is not TOML: {error}") from error
 
 
+@dataclass(frozen=True, slots=True)
+class _Tables:
+    """The file's tables of features, before they are read; None where one is missing."""
+
+    tls: object
+    mqtt: object
+    undelivered: object
+    fleet: object
+
+
 def read(path: str, name: str, settings: Settings, environ: Mapping[str, str]) -> OperatorSettings:
-    """The file at this path, or nothing where there is none."""
+    """The settings of the file at this path, or the defaults where the path is empty.
+
+    `name` is the instance's. Raises ConfigError.
+    """
     if not path:
         return OperatorSettings()
-    table = ConfigTable(_toml(path), path)
-    beside = ConfigTable(table.get("beside", dict, {}), "beside")
-    addresses = {key: beside.optional(key, str) for key in ("agent-check", "health")}
-    beside.reject_unknown_keys()
-    log = ConfigTable(table.get("log", dict, {}), "log")
-    form, level = log.choice("format", logs.FORMATS, "console"), log.choice("level", logs.LEVELS, "info")
-    log.reject_unknown_keys()
-    told_tls = table.optional("tls", dict)
-    told_mqtt = table.optional("mqtt", dict)
-    control = _control(table.optional("control", dict))
-    told_undelivered = table.optional("undelivered", dict)
-    told_fleet = table.optional("fleet", dict)
-    table.reject_unknown_keys()
-    for key, other in (("mqtt", told_mqtt), ("undelivered", told_undelivered)):
-        if told_fleet is not None and other is not None:
-            raise ConfigError(f"{key}: cannot be had beside [fleet] yet")
-    parsed = {key: Address.parse(text, f"beside.{key}") if text else None for key, text in addresses.items()}
-    setup = mqtt.parse_mqtt(told_mqtt, name, settings, environ) if told_mqtt is not None else None
-    partners = tls.parse_tls(told_tls, settings, environ) if told_tls is not None else None
-    kept = (
-        undelivered.parse_dead_letters(told_undelivered, settings) if told_undelivered is not None else None
+    document = ConfigTable(_read_toml(path), path)
+    addresses = _read_addresses(document)
+    log_format, log_level = _parse_log(document)
+    tls_table = document.optional("tls", dict)
+    mqtt_table = document.optional("mqtt", dict)
+    control = _parse_control(document.optional("control", dict))
+    tables = _Tables(
+        tls_table, mqtt_table, document.optional("undelivered", dict), document.optional("fleet", dict)
     )
-    if kept is not None:  # it is looked at and cared for through the control socket
-        control = control or ControlSettings()
-    shared = fleet.parse_fleet(told_fleet, name) if told_fleet is not None else None
+    document.reject_unknown_keys()
+    _check_combination(tables)
+    parsed_addresses = {
+        key: Address.parse(text, f"beside.{key}") if text else None for key, text in addresses.items()
+    }
+    mqtt_settings = mqtt.parse_mqtt(tables.mqtt, name, settings, environ) if tables.mqtt is not None else None
+    tls_settings = tls.parse_tls(tables.tls, settings, environ) if tables.tls is not None else None
+    dead_letter_settings = None
+    if tables.undelivered is not None:
+        dead_letter_settings = dead_letters.parse_dead_letters(tables.undelivered, settings)
+        control = control or ControlSettings()  # dead letters are managed through the control socket
+    fleet_settings = fleet.parse_fleet(tables.fleet, name) if tables.fleet is not None else None
     return OperatorSettings(
-        setup, parsed["agent-check"], parsed["health"], form, level, partners, kept, control, shared
+        mqtt=mqtt_settings,
+        agent_check=parsed_addresses["agent-check"],
+        health=parsed_addresses["health"],
+        log_format=log_format,
+        log_level=log_level,
+        tls=tls_settings,
+        dead_letters=dead_letter_settings,
+        control=control,
+        fleet=fleet_settings,
     )
 
 
-def _control(told: object) -> ControlSettings | None:
-    if told is None:
+def _read_addresses(document: ConfigTable) -> dict[str, str | None]:
+    table = ConfigTable(document.get("beside", dict, {}), "beside")
+    addresses = {key: table.optional(key, str) for key in ("agent-check", "health")}
+    table.reject_unknown_keys()
+    return addresses
+
+
+def _parse_log(document: ConfigTable) -> tuple[str, str]:
+    """The format and the level of the log."""
+    table = ConfigTable(document.get("log", dict, {}), "log")
+    log_format = table.choice("format", logs.FORMATS, "console")
+    log_level = table.choice("level", logs.LEVELS, "info")
+    table.reject_unknown_keys()
+    return log_format, log_level
+
+
+def _check_combination(tables: _Tables) -> None:
+    if tables.fleet is None:
+        return
+    for key, table in (("mqtt", tables.mqtt), ("undelivered", tables.undelivered)):
+        if table is not None:
+            raise ConfigError(f"{key}: cannot be had beside [fleet] yet")
+
+
+def _parse_control(value: object) -> ControlSettings | None:
+    if value is None:
         return None
-    table = ConfigTable(told, "control")
+    table = ConfigTable(value, "control")
     path = table.optional("path", str)
     table.reject_unknown_keys()
-    if path is not None and not Path(path).is_absolute():
+    if path is None:
+        return ControlSettings()
+    if not Path(path).is_absolute():
         raise ConfigError(f"control.path: expected an absolute path, got {path!r}")
-    return ControlSettings(Path(path) if path is not None else None)
+    return ControlSettings(Path(path))
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -4,144 +4,165 @@
 
 import base64
 import binascii
+import math
 import time
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
 
 from honeyhitch.config.deployment import ConfigError
 from honeyhitch.config.values import ConfigTable
 from honeyhitch.policy.settings import Settings
+from honeyhitch.time_units import DAY, SECOND
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
-SECOND = 10**9  # ns
-KEYS = (
+TERM_KEYS = (
     "server-name", "ca", "crl", "certificate", "key", "key-password-env", "least-version", "pins", "resume",
     "handshakes", "handshake-rate", "handshake-timeout", "retire-within", "warn-days",
 )  # fmt: skip
-SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
+PARTNER_SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
+MAX_DURATION_SECONDS = DAY // SECOND
+MAX_NAME_LENGTH = 253  # of a host name (RFC 1035)
+PIN_BYTES = 32  # of a SHA-256
+PIN_HEX_DIGITS = 2 * PIN_BYTES
 
 
-def parse_tls(told: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
-    """`[tls]` with its partners; the defaults stand in `[tls]` itself. Without settings no kind is known to
-    be wrong.
+def parse_tls(value: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
+    """`[tls]` with its partners; the defaults are in `[tls]` itself. Raises ConfigError.
+
+    Without settings, no kind is known to be wrong.
     """
-    table = ConfigTable(told, "tls")
+    table = ConfigTable(value, "tls")
     rows = table.get("partner", list, [])
-    defaults = {key: table.unread.pop(key) for key in KEYS if key in table.unread}
+    defaults = {key: table.unread.pop(key) for key in TERM_KEYS if key in table.unread}
     table.reject_unknown_keys()
-    _terms(ConfigTable(dict(defaults), "tls"))  # a mistake in the defaults is named as theirs
-    partners: list[Partner] = []
-    for i, row in enumerate(rows):
-        inner = ConfigTable(row, f"tls.partner.{i}")
-        scope, value = _scope(inner, settings)
-        for j, other in enumerate(partners):
-            if (other.scope, other.value) == (scope, value):
-                raise ConfigError(f"{inner.path}.{scope.value}: {value} is matched by tls.partner.{j}, too")
-        inner.unread = {**defaults, **inner.unread}
-        partners.append(Partner(scope, value, _terms(inner)))
+    _parse_terms(ConfigTable(dict(defaults), "tls"))  # an error in the defaults is named as theirs
+    partners = list[Partner]()
+    for index, row in enumerate(rows):
+        partner_table = ConfigTable(row, f"tls.partner.{index}")
+        scope, matched = _parse_scope(partner_table, settings)
+        _check_unique(partner_table, scope, matched, partners)
+        partner_table.unread = {**defaults, **partner_table.unread}
+        partners.append(Partner(scope, matched, _parse_terms(partner_table)))
     if not partners:
         raise ConfigError("tls.partner: at least one is needed; [tls] alone turns nothing on")
-    for i, partner in enumerate(partners):
-        check_files(partner, f"tls.partner.{i}", environ)
+    for index, partner in enumerate(partners):
+        check_files(partner, f"tls.partner.{index}", environ)
     return TlsSettings(tuple(partners))
 
 
-def parse_broker_tls(told: object, environ: Mapping[str, str]) -> Partner:
-    """`[mqtt.tls]`, with the same keys as a partner's table."""
-    partner = Partner(Scope.BROKER, "mqtt", _terms(ConfigTable(told, "mqtt.tls")))
+def _check_unique(table: ConfigTable, scope: Scope, matched: str, partners: list[Partner]) -> None:
+    for index, other in enumerate(partners):
+        if (other.scope, other.value) == (scope, matched):
+            raise table.error(scope.value, f"{matched} is matched by tls.partner.{index}, too")
+
+
+def parse_broker_tls(value: object, environ: Mapping[str, str]) -> Partner:
+    """`[mqtt.tls]`, with the same keys as a partner's table. Raises ConfigError."""
+    partner = Partner(Scope.BROKER, "mqtt", _parse_terms(ConfigTable(value, "mqtt.tls")))
     check_files(partner, "mqtt.tls", environ)
     return partner
 
 
-def check_files(partner: Partner, at: str, environ: Mapping[str, str]) -> None:
-    """Refuse files that cannot be used, with key and file named."""
+def check_files(partner: Partner, path: str, environ: Mapping[str, str]) -> None:
+    """Raise ConfigError where a partner's files cannot be used, naming the key and the file."""
     try:
         from honeyhitch.tls import material
     except ImportError as error:
-        raise ConfigError(f"{at}: needs the extra honeyhitch[tls] ({error})") from error
+        raise ConfigError(f"{path}: needs the extra honeyhitch[tls] ({error})") from error
     try:
         material.load(partner.terms, environ, time.time_ns())
     except material.MaterialError as error:
-        raise ConfigError(f"{at}.{error}") from error
+        raise ConfigError(f"{path}.{error}") from error
 
 
-def _scope(table: ConfigTable, settings: Settings | None) -> tuple[Scope, str]:
-    named = [scope for scope in SCOPES if scope.value in table.unread]
-    if len(named) != 1:
+def _parse_scope(table: ConfigTable, settings: Settings | None) -> tuple[Scope, str]:
+    """By what a partner's table is matched, and the value that it matches."""
+    scopes = [scope for scope in PARTNER_SCOPES if scope.value in table.unread]
+    if len(scopes) != 1:
         raise ConfigError(f"{table.path}: expected exactly one of member, dest and kind")
-    scope = named[0]
+    scope = scopes[0]
     if scope is Scope.DEST:
         return scope, str(table.get("dest", int))
-    value = table.get(scope.value, str)
-    kinds = [kind.name for kind in settings.kinds] if settings is not None else [value]
-    if scope is Scope.KIND and value not in kinds:
-        raise ConfigError(f"{table.path}.kind: not a kind in the settings: {value!r}")
-    if not value:
-        raise ConfigError(f"{table.path}.{scope.value}: must not be empty")
-    return scope, value
-
-
-def _terms(table: ConfigTable) -> Terms:
-    standard = Terms()
-
-    def path(key: str) -> Path | None:
-        text = table.optional(key, str)
-        if text == "":
-            raise ConfigError(f"{table.path}.{key}: must not be empty")
-        return Path(text) if text is not None else None
-
-    def span(key: str, default: int) -> int:
-        seconds = table.get(key, float, default / SECOND)
-        if not 0 < seconds <= 24 * 3600:
-            raise ConfigError(
-                f"{table.path}.{key}: expected seconds above 0 and at most a day, got {seconds:g}"
-            )
-        return int(seconds * SECOND)
+    matched = table.get(scope.value, str)
+    kinds = [kind.name for kind in settings.kinds] if settings is not None else [matched]
+    if scope is Scope.KIND and matched not in kinds:
+        raise table.error("kind", f"not a kind in the settings: {matched!r}")
+    if not matched:
+        raise table.error(scope.value, "must not be empty")
+    return scope, matched
+
 
+def _parse_terms(table: ConfigTable) -> Terms:
+    defaults = Terms()
     terms = Terms(
-        server_name=_name(table),
-        ca=path("ca"),
-        crl=path("crl"),
-        certificate=path("certificate"),
-        key=path("key"),
+        server_name=_parse_server_name(table),
+        ca=_parse_path(table, "ca"),
+        crl=_parse_path(table, "crl"),
+        certificate=_parse_path(table, "certificate"),
+        key=_parse_path(table, "key"),
         key_password_env=table.get("key-password-env", str, ""),
-        least_version=table.choice("least-version", ("1.2", "1.3"), standard.least_version),
-        pins=tuple(_pin(one, f"{table.path}.pins.{i}") for i, one in enumerate(table.get("pins", list, []))),
-        resume=table.get("resume", bool, standard.resume),
-        handshakes=table.get("handshakes", int, standard.handshakes),
-        handshake_rate=table.get("handshake-rate", float, standard.handshake_rate),
-        handshake_timeout=span("handshake-timeout", standard.handshake_timeout),
-        retire_within=span("retire-within", standard.retire_within),
-        warn_days=table.get("warn-days", int, standard.warn_days),
+        least_version=table.choice("least-version", ("1.2", "1.3"), defaults.least_version),
+        pins=_parse_pins(table),
+        resume=table.get("resume", bool, defaults.resume),
+        handshakes=table.get("handshakes", int, defaults.handshakes),
+        handshake_rate=table.get("handshake-rate", float, defaults.handshake_rate),
+        handshake_timeout=_parse_duration(table, "handshake-timeout", defaults.handshake_timeout),
+        retire_within=_parse_duration(table, "retire-within", defaults.retire_within),
+        warn_days=table.get("warn-days", int, defaults.warn_days),
     )
     table.reject_unknown_keys()
+    _check_terms(table, terms)
+    return terms
+
+
+def _check_terms(table: ConfigTable, terms: Terms) -> None:
     if (terms.certificate is None) != (terms.key is None):
         missing = "key" if terms.key is None else "certificate"
-        raise ConfigError(f"{table.path}.{missing}: missing; certificate and key go together")
+        raise table.error(missing, "missing; certificate and key go together")
     if terms.handshakes < 1:
-        raise ConfigError(f"{table.path}.handshakes: expected at least 1, got {terms.handshakes}")
-    if not 0 < terms.handshake_rate < float("inf"):
-        raise ConfigError(f"{table.path}.handshake-rate: expected more than 0, got {terms.handshake_rate:g}")
+        raise table.error("handshakes", f"expected at least 1, got {terms.handshakes}")
+    if not 0 < terms.handshake_rate < math.inf:
+        raise table.error("handshake-rate", f"expected more than 0, got {terms.handshake_rate:g}")
     if terms.warn_days < 0:
-        raise ConfigError(f"{table.path}.warn-days: must not be negative")
-    return terms
+        raise table.error("warn-days", "must not be negative")
+
+
+def _parse_path(table: ConfigTable, key: str) -> Path | None:
+    text = table.optional(key, str)
+    if text == "":
+        raise table.error(key, "must not be empty")
+    return Path(text) if text is not None else None
+
 
+def _parse_duration(table: ConfigTable, key: str, default: int) -> int:
+    """A duration in nanoseconds, from seconds; the default is in nanoseconds."""
+    seconds = table.seconds(key, default)
+    if not 0 < seconds <= MAX_DURATION_SECONDS:
+        raise table.error(key, f"expected seconds above 0 and at most a day, got {seconds:g}")
+    return int(seconds * SECOND)
 
-def _name(table: ConfigTable) -> str:
+
+def _parse_server_name(table: ConfigTable) -> str:
     name = table.get("server-name", str, "")
-    if name.startswith(".") or "\0" in name or any(c.isspace() for c in name) or len(name) > 253:
-        raise ConfigError(f"{table.path}.server-name: expected a host name or an IP address, got {name!r}")
+    forbidden = "\0" in name or any(character.isspace() for character in name)
+    if name.startswith(".") or forbidden or len(name) > MAX_NAME_LENGTH:
+        raise table.error("server-name", f"expected a host name or an IP address, got {name!r}")
     return name
 
 
-def _pin(told: Any, at: str) -> bytes:
+def _parse_pins(table: ConfigTable) -> tuple[bytes, ...]:
+    values = table.get("pins", list, [])
+    return tuple(_parse_pin(value, f"{table.path}.pins.{index}") for index, value in enumerate(values))
+
+
+def _parse_pin(value: object, path: str) -> bytes:
     """SHA-256 in base64 or hexadecimal digits, with or without `sha256/` before it."""
-    text = told.removeprefix("sha256/") if isinstance(told, str) else ""
+    text = value.removeprefix("sha256/") if isinstance(value, str) else ""
     try:
-        pin = bytes.fromhex(text) if len(text) == 64 else base64.b64decode(text, validate=True)
+        is_hex = len(text) == PIN_HEX_DIGITS
+        pin = bytes.fromhex(text) if is_hex else base64.b64decode(text, validate=True)
     except (ValueError, binascii.Error):
         pin = b""
-    if len(pin) != 32:
-        raise ConfigError(f"{at}: expected the SHA-256 of a public key in base64 or hexadecimal digits")
+    if len(pin) != PIN_BYTES:
+        raise ConfigError(f"{path}: expected the SHA-256 of a public key in base64 or hexadecimal digits")
     return pin
