--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -114,7 +114,7 @@
         self.response.has_trailing_data = self.complete
 
     def on_status(self, status: bytes) -> None:
-        """The status line is complete; `status` is its reason phrase."""
+        """The status line is complete."""
         if not self.complete:
             self.response.status = self.parser.get_status_code()
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -19,7 +19,7 @@
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.journal.journal import Journal
-from honeyhitch.journal.state import decode_records
+from honeyhitch.journal.record_codec import decode_frames
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
@@ -120,7 +120,7 @@
         self.journal.close()
 
     def records(self, kind: str) -> list[dict[str, object]]:
-        told = [fields for fields, _, _ in decode_records(self.journal.path.read_bytes())]
+        told = [fields for fields, _, _ in decode_frames(self.journal.path.read_bytes())]
         return [fields for fields in told if fields["t"] == kind]
 
 
@@ -216,7 +216,7 @@
         rig.list({"host_port": f"127.0.0.1:{two.port}", "id": "s-0" if told == "moved" else "s-1"})
         if told != "moved":
             rig.list({"cell": 2} if told == "another's" else {"phase": told})
-        await until(lambda: not rig.core.events)
+        await until(lambda: not rig.core.event_queue.events)
         line.doors[0].set()
         two.answers.put_nowait(OK)
         await until(lambda: len(rig.core.messages) == 0)
