--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -53,35 +53,9 @@
 from honeyhitch.policy.message import Execution, PendingMessage
 from honeyhitch.policy.ordering import HOLDING_OUTCOMES, OrderedQueue
 from honeyhitch.policy.settings import Settings
-from honeyhitch.policy.state import (
-    ANSWERS_BEFORE_POOLING,
-    ASK_GAP,
-    ASK_MOST,
-    ATTEMPTS,
-    AVOID_STEPS,
-    BACKOFF_STEPS,
-    EJECTION_FAILURE_FRACTION,
-    HEALTHY_SHARE,
-    JITTER,
-    LONG_FADE,
-    LOW_ALLOWANCE,
-    NEVER,
-    REACH,
-    RESTING,
-    SECOND,
-    SICK_SHARE,
-    TABLE,
-    TIGHT,
-    TIMEOUT_FACTOR,
-    TRIAL_SLACK,
-    UNSAFE_ROOM,
-    YIELD,
-    Call,
-    Destination,
-    DestinationState,
-    EndpointState,
-    PendingMessage,
-)
+from honeyhitch.policy.tenant_quotas import TenantQuotas
+from honeyhitch.policy.timers import Scheduler
+from honeyhitch.time_units import NEVER
 
 
 class Offer(NamedTuple):
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -209,7 +209,7 @@
     number = one.destination_with_home()
     one.run_with_heartbeats(2)
     lane = one.dispatcher.policy.destinations[number].state
-    assert (lane is not None and lane.quota() == 40.0 / 1.0 / 4 / 1) or lane.quota() == 10.0
+    assert (lane is not None and lane.rate.quota() == 40.0 / 1.0 / 4 / 1) or lane.rate.quota() == 10.0
     assert one.submit("a", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -290,5 +290,5 @@
     gated.end(call, Outcome.CONNECT_FAILED, connection_stale=True)
     gated.tell(0)
     lane = gated.dispatcher.policy.destinations[1].endpoints["s-1"].state
-    assert not lane.ejected
-    assert lane.consecutive_failures == 0
+    assert not lane.circuit.ejected
+    assert lane.circuit.consecutive_failures == 0
