--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -1,6 +1,6 @@
-"""What a deployment sets up, as typed values; nothing here reads a file, and nothing decides.
+"""What a deployment sets up, as typed values, and the error of a value that cannot be used.
 
-The files are read in `lifecycle/config`; whoever uses a value imports its type from here.
+The other modules of this package read the files; whoever uses a value imports its type from here.
 """
 
 from __future__ import annotations
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from honeyhitch.addresses import split_host_port
 from honeyhitch.dead_letters.settings import DeadLetterSettings
 from honeyhitch.partitioning.settings import FleetSettings
 from honeyhitch.tls.settings import Partner, TlsSettings
@@ -19,55 +20,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where something listens."""
+    """Where something listens, or is reached."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: object, name: str) -> Address:
-        """From HOST:PORT."""
-        host, _, port = str(text).rpartition(":")
-        if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-            raise ConfigError(f"{name}: expected HOST:PORT, got {text!r}")
-        return cls(host, int(port))
+        """From HOST:PORT; `name` is its key. Raises ConfigError."""
+        try:
+            return cls(*split_host_port(str(text)))
+        except ValueError:
+            raise ConfigError(f"{name}: expected HOST:PORT, got {text!r}") from None
 
     def __str__(self) -> str:
+        """HOST:PORT."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """What the machine grants; going over it is a crash."""
+class ResourceLimits:
+    """What the machine grants to the process; it must not use more."""
 
-    sockets: int = 1024  # descriptors
-    disk: int = 3_000_000  # bytes in the lasting folder
+    sockets: int = 1024  # file descriptors
+    disk_bytes: int = 3_000_000  # in the state directory
 
 
 @dataclass(frozen=True, slots=True)
 class MqttEndpoint:
-    """A pool member behind the broker."""
+    """An endpoint of the pool that is reached through the broker."""
 
     id: str
     topic: str
     destination: int
     kind: str = ""
     zone: str = ""
-    rate: float = 1.0
+    rate: float = 1.0  # as an endpoint of a list states it
 
 
 @dataclass(frozen=True, slots=True)
 class MqttSettings:
-    """The MQTT front, as the operator's file sets it up."""
+    """The MQTT frontend and transport, as the operator's file sets them up."""
 
-    broker: str
-    intake: str
+    broker: str  # HOST:PORT
+    intake: str  # the topic filter of submitted messages
     client_id: str
-    keep_alive: int = 20  # seconds
-    session_expiry: int = 3600  # seconds
+    keep_alive_seconds: int = 20
+    session_expiry_seconds: int = 3600
     username: str | None = None
     password: bytes | None = None
-    members: tuple[MqttEndpoint, ...] = ()
+    endpoints: tuple[MqttEndpoint, ...] = ()
     tls: Partner | None = None
 
 
@@ -75,11 +77,11 @@
 class ControlSettings:
     """The control socket."""
 
-    path: Path | None = None  # in the state folder where it is not set
+    path: Path | None = None  # `control.sock` in the state directory where it is not set
 
-    def at(self, state: Path) -> Path:
-        """Where the socket is."""
-        return self.path if self.path is not None else state / "control.sock"
+    def path_in(self, state_directory: Path) -> Path:
+        """The path of the socket."""
+        return self.path if self.path is not None else state_directory / "control.sock"
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,6 +94,6 @@
     log_format: str = "console"
     log_level: str = "info"
     tls: TlsSettings | None = None
-    undelivered: DeadLetterSettings | None = None
+    dead_letters: DeadLetterSettings | None = None
     control: ControlSettings | None = None
     fleet: FleetSettings | None = None
--- a/honeyhitch/partitioning/view.py
+++ b/honeyhitch/partitioning/view.py
@@ -13,12 +13,13 @@
 from types import MappingProxyType
 from typing import Any
 
+from honeyhitch.addresses import split_host_port
 from honeyhitch.partitioning.settings import FleetSettings
+from honeyhitch.time_units import MILLISECOND
 
-MS = 1_000_000  # ns
-MOST_INSTANCES = 10_000
-MOST_NAME = 128  # characters
-LATEST_MS = 1 << 53  # what a JSON number holds exactly
+MAX_INSTANCES = 10_000
+MAX_NAME_LENGTH = 128
+MAX_JSON_INTEGER = 1 << 53  # the largest one that every JSON reader keeps exact
 
 
 class FleetViewError(ValueError):
@@ -29,11 +30,10 @@
     """Whether an instance may own partitions."""
 
     READY = "Ready"
-    # It drains, restarts or does not answer; its place in the fleet stays its own.
-    TERMINATING = "Terminating"
+    TERMINATING = "Terminating"  # it drains, restarts or does not answer, and stays a member of the fleet
 
 
-GONE = "Gone"  # only among changes
+GONE_PHASE = "Gone"  # of an instance that a change takes off the list
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +45,8 @@
     region: str
     zone: str
     phase: InstancePhase = InstancePhase.READY
-    since: int = 0  # when its phase was published
-    joined: int = 0  # when it was first listed
+    phase_since: int = 0  # when its phase was published
+    joined_at: int = 0  # when it was first listed
 
     @property
     def ready(self) -> bool:
@@ -61,70 +61,110 @@
     revision: int = 0
     instances: Mapping[str, Instance] = field(default_factory=lambda: MappingProxyType({}))
 
-    def updated(self, told: Mapping[str, Any], settings: FleetSettings) -> FleetView:
-        """The view after a list or a change in discovery's form. Raises FleetViewError, and changes nothing,
-        where it is older than this one or cannot be read.
+    def updated(self, update: Mapping[str, Any], settings: FleetSettings) -> FleetView:
+        """The view after a list or a change in discovery's form.
+
+        Raises FleetViewError, and changes nothing, for an update that is older than this view or faulty.
         """
-        revision = _whole(told.get("revision"), "revision")
+        revision = _parse_integer(update.get("revision"), "revision")
         if revision < self.revision:
             raise FleetViewError(f"revision: {revision} is older than {self.revision}")
-        rows = told.get("members")
+        rows = update.get("members")
         if not isinstance(rows, list):
             raise FleetViewError("members: expected a list")
-        complete = told.get("complete") is True
+        instances = self._apply_rows(rows, settings, complete=update.get("complete") is True)
+        if not instances:
+            raise FleetViewError("members: a fleet has one instance at least")
+        if len(instances) > MAX_INSTANCES:
+            raise FleetViewError(f"members: at most {MAX_INSTANCES} instances, got {len(instances)}")
+        return FleetView(revision, MappingProxyType(instances))
+
+    def _apply_rows(self, rows: list[Any], settings: FleetSettings, complete: bool) -> dict[str, Instance]:
+        """The instances by name after these entries, which are all of them where the list is complete."""
         instances = {} if complete else dict(self.instances)
-        named = set[str]()
+        seen = set[str]()
         for number, row in enumerate(rows):
-            name = _name(row, number)
-            if name in named:
+            name = _parse_name(row, number)
+            if name in seen:
                 raise FleetViewError(f"members.{number}.id: {name!r} is named twice")
-            named.add(name)
-            if row.get("phase") == GONE:
+            seen.add(name)
+            if row.get("phase") == GONE_PHASE:
                 instances.pop(name, None)
             else:
-                instances[name] = _instance(row, name, settings, self.instances.get(name))
-        if not instances:
-            raise FleetViewError("members: a fleet has one instance at least")
-        if len(instances) > MOST_INSTANCES:
-            raise FleetViewError(f"members: at most {MOST_INSTANCES} instances, got {len(instances)}")
-        return FleetView(revision, MappingProxyType(instances))
+                instances[name] = _parse_instance(row, name, settings, self.instances.get(name))
+        return instances
+
+    def member_rows(self) -> list[dict[str, Any]]:
+        """All instances in discovery's form, as `updated` reads them."""
+        return [
+            {
+                "id": instance.name,
+                "host_port": instance.address,
+                "locality": instance.zone,
+                "flavor": instance.region,
+                "phase": instance.phase.value,
+                "up_since_ms": instance.phase_since // MILLISECOND,
+                "joined_ms": instance.joined_at // MILLISECOND,
+            }
+            for instance in self.instances.values()
+        ]
 
     def in_zone(self, zone: str) -> Iterable[Instance]:
         """The instances of one zone."""
-        return (one for one in self.instances.values() if one.zone == zone)
+        return (instance for instance in self.instances.values() if instance.zone == zone)
 
 
-def _whole(value: object, name: str) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= LATEST_MS:
-        raise FleetViewError(f"{name}: expected a whole number of 0 or more, got {value!r}")
+def _parse_integer(value: object, field_name: str) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_JSON_INTEGER:
+        raise FleetViewError(f"{field_name}: expected a whole number of 0 or more, got {value!r}")
     return value
 
 
-def _name(row: object, number: int) -> str:
+def _parse_milliseconds(row: Mapping[str, Any], field_name: str, instance: str) -> int:
+    """A time of an entry in nanoseconds; 0 where it is missing."""
+    return _parse_integer(row.get(field_name, 0), f"{instance}: {field_name}") * MILLISECOND
+
+
+def _parse_name(row: object, number: int) -> str:
     name = row.get("id") if isinstance(row, dict) else None
-    if not isinstance(name, str) or not 0 < len(name) <= MOST_NAME or not name.isprintable():
-        raise FleetViewError(f"members.{number}.id: expected 1 to {MOST_NAME} characters, got {name!r}")
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
+        raise FleetViewError(f"members.{number}.id: expected 1 to {MAX_NAME_LENGTH} characters, got {name!r}")
     return name
 
 
-def _instance(
-    row: Mapping[str, Any], name: str, settings: FleetSettings, before: Instance | None
+def _parse_instance(
+    row: Mapping[str, Any], name: str, settings: FleetSettings, previous: Instance | None
 ) -> Instance:
-    zone, region = row.get("locality"), row.get("flavor")
+    zone = row.get("locality")
+    region = row.get("flavor")
     if zone not in settings.zones:
         raise FleetViewError(f"{name}: locality: unknown zone {zone!r}")
     if region != settings.region_of(str(zone)):
         raise FleetViewError(f"{name}: flavor: {region!r} is not the region of zone {zone!r}")
-    if before is not None and before.zone != zone:  # its leases in the other zone would be nobody's
-        raise FleetViewError(f"{name}: locality: {zone!r}, but it was in {before.zone!r}; list it anew")
+    if previous is not None and previous.zone != zone:  # its leases in the other zone would have no holder
+        raise FleetViewError(f"{name}: locality: {zone!r}, but it was in {previous.zone!r}; list it anew")
+    return Instance(
+        name=name,
+        phase=_parse_phase(row, name),
+        address=_parse_address(row, name),
+        region=str(region),
+        zone=str(zone),
+        phase_since=_parse_milliseconds(row, "up_since_ms", name),
+        joined_at=_parse_milliseconds(row, "joined_ms", name),
+    )
+
+
+def _parse_phase(row: Mapping[str, Any], name: str) -> InstancePhase:
     try:
-        phase = InstancePhase(row.get("phase", InstancePhase.READY.value))
+        return InstancePhase(row.get("phase", InstancePhase.READY.value))
     except ValueError:
         raise FleetViewError(f"{name}: phase: unknown phase {row.get('phase')!r}") from None
+
+
+def _parse_address(row: Mapping[str, Any], name: str) -> str:
     address = row.get("host_port")
-    host, _, port = str(address).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 1 << 16:
-        raise FleetViewError(f"{name}: host_port: expected HOST:PORT, got {address!r}")
-    since = _whole(row.get("up_since_ms", 0), f"{name}: up_since_ms")
-    joined = _whole(row.get("joined_ms", 0), f"{name}: joined_ms")
-    return Instance(name, str(address), str(region), str(zone), phase, since * MS, joined * MS)
+    try:
+        split_host_port(str(address))
+    except ValueError:
+        raise FleetViewError(f"{name}: host_port: expected HOST:PORT, got {address!r}") from None
+    return str(address)
--- a/tests/keeping_rig.py
+++ b/tests/dead_letters_rig.py
@@ -9,13 +9,14 @@
 from typing import Any
 
 from honeyhitch.dead_letters.journal_transfer import JournalTransfer
-from honeyhitch.dead_letters.settings import Limits, Terms
+from honeyhitch.dead_letters.settings import ResendSettings, StoreLimits
 from honeyhitch.dead_letters.store import Store
-from honeyhitch.dead_letters.worker import Done, Job
-from honeyhitch.journal import journal as journal_module
+from honeyhitch.dead_letters.worker import Job, JobCallback
 from honeyhitch.journal.journal import Journal
+from honeyhitch.journal.record_codec import encode_record
+from honeyhitch.journal.records import Record
 
-from .rig import Stand, VirtualTime
+from .rig import DispatcherRig, VirtualTime
 from .world import SECOND
 
 
@@ -44,13 +45,13 @@
 
     points = Points()
 
-    def _write(self, fields: dict[str, object], body: bytes = b"", share: float = 0.95) -> None:
+    def append(self, record: Record, disk_fraction: float = 0.95) -> None:
         self.points.strike()
         if self.points():
-            record = journal_module.pack(fields, body)
-            os.write(self.fd, record[: len(record) // 2])
+            data = encode_record(record)
+            os.write(self.fd, data[: len(data) // 2])
             raise Killed
-        super()._write(fields, body, share)
+        super().append(record, disk_fraction)
         self.points.strike()
 
 
@@ -60,12 +61,12 @@
     points = Points()
 
     @contextlib.contextmanager
-    def at_once(self) -> Iterator[None]:
-        if self.db.in_transaction:
+    def transaction(self) -> Iterator[None]:
+        if self.database.in_transaction:
             yield
             return
         self.points.strike()
-        with super().at_once():
+        with super().transaction():
             yield
             self.points.strike()
         self.points.strike()
@@ -79,16 +80,16 @@
         self.store: Store | None = None
         self.broken: Exception | None = None
 
-    def submit(self, job: Job, done: Done) -> bool:
+    def submit(self, job: Job, done: JobCallback) -> bool:
         self.time.call_at(self.time.time, lambda: self._do(job, done))
         return True
 
-    def _do(self, job: Job, done: Done) -> None:
+    def _do(self, job: Job, done: JobCallback) -> None:
         try:
             if self.broken is not None:
                 raise self.broken
             self.store = self.store or self.open_store()
-            with self.store.at_once():
+            with self.store.transaction():
                 result = job(self.store)
         except Exception as error:
             result = error
@@ -100,16 +101,16 @@
             self.store = None
 
 
-class KeepingStand(Stand):
+class KeepingStand(DispatcherRig):
     """A stand with a store. `points` decides where it is killed."""
 
-    terms = Terms()
+    terms = ResendSettings()
 
     def __init__(
         self, folder: Path, time: VirtualTime | None = None, points: Points | None = None, **more: Any
     ) -> None:
         self.folder, self.points = folder, points or Points()
-        self.limits: Limits = more.pop("limits", Limits())
+        self.limits: StoreLimits = more.pop("limits", StoreLimits())
         super().__init__(folder, time, **more)
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
@@ -120,16 +121,16 @@
 
     def _store(self) -> Store:
         folder = self.folder / "undelivered"
-        store = KilledStore(folder, self.limits, clock=self.time.now, terms=self.terms)
+        store = KilledStore(folder, self.limits, clock=self.time.now, resend_settings=self.terms)
         store.points = self.points
         return store
 
     def prepare(self) -> None:
         self.worker = Inline(self._store, self.time)
         self.moving = JournalTransfer(
-            self.s, self.journal, self.time, self.worker.submit, self.core.dead_letter_stored
+            self.settings, self.journal, self.time, self.worker.submit, self.dispatcher.dead_letter_stored
         )
-        self.core.dead_letter_sink = self.moving
+        self.dispatcher.dead_letter_sink = self.moving
 
     @property
     def store(self) -> Store:
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -14,30 +14,30 @@
 from typing import Any
 
 from honeyhitch.dead_letters import rules
-from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.filters import RecordFilter
 from honeyhitch.dead_letters.records import Record
-from honeyhitch.dead_letters.resending import ResendScheduler
-from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, Rule, Terms
+from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
+from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, ResendSettings, Rule
 from honeyhitch.dispatcher.delivery import Call
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.settings import Idempotency
 
-from .keeping_rig import KeepingStand, Killed, Points
-from .rig import NAMED, VirtualTime
+from .dead_letters_rig import KeepingStand, Killed, Points
+from .rig import STANDARD_CLASS, VirtualTime
 from .world import SECOND
 
 CLASSES = (
     dataclasses.replace(
-        NAMED,
+        STANDARD_CLASS,
         name="safe",
         idempotency=Idempotency.IDEMPOTENT,
         deadline=6 * SECOND,
         deduplication_window=0,
     ),
-    dataclasses.replace(NAMED, name="keyed", deadline=6 * SECOND, deduplication_window=90 * SECOND),
+    dataclasses.replace(STANDARD_CLASS, name="keyed", deadline=6 * SECOND, deduplication_window=90 * SECOND),
     dataclasses.replace(
-        NAMED,
+        STANDARD_CLASS,
         name="unsafe",
         idempotency=Idempotency.NON_IDEMPOTENT,
         deadline=6 * SECOND,
@@ -45,8 +45,15 @@
     ),
 )
 SAFE, KEYED, UNSAFE = range(3)
-RULE = Rule("all", Action.RESEND, most_times=50, healthy=2 * SECOND, pause=2 * SECOND, rate=20.0)
-TERMS = Terms(grace=8 * SECOND, elsewhere=False)
+RULE = Rule(
+    "all",
+    Action.RESEND,
+    max_resends=50,
+    min_healthy_duration=2 * SECOND,
+    retry_pause=2 * SECOND,
+    rate_per_second=20.0,
+)
+TERMS = ResendSettings(client_retry_grace=8 * SECOND, duplicates_elsewhere=False)
 MODES = (
     "deliver", "refuse", "reset-before", "reset-after", "late", "late-lost", "500-after", "500-before",
     "spoilt", "part",
@@ -84,7 +91,7 @@
         rng: random.Random,
         points: Points | None = None,
         rule: tuple[Rule, ...] = (RULE,),
-        terms: Terms = TERMS,
+        terms: ResendSettings = TERMS,
         **more: Any,
     ) -> None:
         self.partner, self.rng, self.rule, self.terms = partner, rng, rule, terms
@@ -97,17 +104,17 @@
 
     def prepare(self) -> None:
         super().prepare()
-        setup = DeadLetterSettings(rules=self.rule, terms=self.terms)
-        self.resending = ResendScheduler(setup, self.core, self.time, self.worker.submit)
-        self.moving.after.append(self.resending.kept)
-        self.core.accepting = False
+        setup = DeadLetterSettings(rules=self.rule, resend_settings=self.terms)
+        self.resending = ResendScheduler(setup, self.dispatcher, self.time, self.worker.submit)
+        self.moving.stored_listeners.append(self.resending.records_stored)
+        self.dispatcher.accepting = False
 
     def resume(self) -> None:
         def ready() -> None:
-            self.core.accepting = True
-            self.core.recover()
+            self.dispatcher.accepting = True
+            self.dispatcher.recover()
 
-        self.resending.begin(ready)
+        self.resending.load(ready)
 
     def start(self, call: Call) -> None:
         super().start(call)
@@ -138,7 +145,7 @@
         from honeyhitch.dispatcher.delivery import CallResult
 
         told = [(one, one is Outcome.DELIVERED) for one in results]
-        self.core.call_ended(call, CallResult(told))
+        self.dispatcher.call_ended(call, CallResult(told))
 
 
 @dataclass
@@ -164,11 +171,13 @@
 def plans(stand: ResendStand, found: list[Record]) -> dict[str, rules.Plan]:
     """What the rules say of each record now."""
     now, longest = stand.time.now(), {cls.name: cls.latency_objective for cls in CLASSES}
-    return {one.id: rules.plan(one, stand.rule, stand.terms, now, longest[one.cls]) for one in found}
+    return {
+        one.id: rules.plan_record(one, stand.rule, stand.terms, now, longest[one.class_name]) for one in found
+    }
 
 
 def records(stand: ResendStand) -> list[Record]:
-    found = stand.store.page(Filter(), most=1000)
+    found = stand.store.page(RecordFilter(), limit=1000)
     assert not [one.fault for one in found if one.fault]
     return [one.record for one in found]
 
@@ -176,13 +185,13 @@
 def step(stand: ResendStand, clients: list[Client], rng: random.Random, fresh: bool) -> None:
     """A fifth of a second of the clients' day: new messages, and copies of what they were told to bring."""
     now = stand.time.now()
-    if fresh and rng.random() < 0.25 and stand.core.accepting:
+    if fresh and rng.random() < 0.25 and stand.dispatcher.accepting:
         name = f"m{len(clients)}"
         client = Client(f"key-{name}", rng.randrange(3), rng.choice((1, 2)), [name])
         clients.append(client)
         hand_in(stand, client, name)
     for client in clients:
-        if client.copy_at is not None and client.copy_at <= now and stand.core.accepting:
+        if client.copy_at is not None and client.copy_at <= now and stand.dispatcher.accepting:
             client.copy_at = None
             name = f"{client.ids[0]}-{len(client.ids)}"
             client.ids.append(name)
@@ -215,7 +224,7 @@
     one = Transaction(
         name, client.cls, client.dest, stand.time.time + 6 * SECOND, b"body", key=client.key, frontend="mqtt"
     )
-    if not stand.core.submit(one).accepted:
+    if not stand.dispatcher.submit(one).accepted:
         client.ids.remove(name)
         client.copy_at = stand.time.time + SECOND
 
@@ -239,11 +248,11 @@
         """What the rules would still have resent, or what is on its way and does not end."""
         found = records(self.stand)
         told = plans(self.stand, found)
-        moving = (rules.Step.RESEND, rules.Step.LATER)
+        moving = (rules.Step.RESEND, rules.Step.POSTPONE)
         return [
-            f"{one.id} {one.standing.value} {told[one.id].reason}"
+            f"{one.id} {one.status.value} {told[one.id].reason}"
             for one in found
-            if one.standing.value == "sending" or told[one.id].step in moving
+            if one.status.value == "sending" or told[one.id].step in moving
         ]
 
 
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -19,20 +19,20 @@
 
 from honeyhitch import config
 from honeyhitch.cli.main import main
-from honeyhitch.dead_letters.filters import Filter
+from honeyhitch.dead_letters.filters import RecordFilter
 from honeyhitch.dead_letters.records import RecordStatus
-from honeyhitch.dead_letters.report import Fate, Report
-from honeyhitch.dead_letters.resending import ResendScheduler
-from honeyhitch.dead_letters.settings import Terms
+from honeyhitch.dead_letters.report import Disposition, Report
+from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
+from honeyhitch.dead_letters.settings import ResendSettings
 from honeyhitch.dead_letters.store import Store
-from honeyhitch.service.service import run
-from honeyhitch.transports.control_client import ControlClient, ControlRefusedError
+from honeyhitch.service.run import run
+from honeyhitch.transports.control_client import ControlClient, ControlCommandError
 
 from .agent import Agent
 from .broker import Broker
 from .partner import Partner
 from .program import free_port, play, started, write
-from .rig import START, row
+from .rig import START, endpoint_row
 from .test_dead_letters_store import record
 from .test_program import Client
 
@@ -69,7 +69,7 @@
 def test_a_message_that_fails_is_kept_and_shown_by_the_running_program(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         control = tmp_path / "state" / "control.sock"
         async with started(tmp_path, agent.port, members, OPERATOR) as port:
@@ -102,7 +102,7 @@
             assert state["undelivered"]["moved"] == 1
             assert state["undelivered"]["loaded"]
             client = ControlClient(control)
-            state = await asyncio.to_thread(client.ask, "GET", "/state")
+            state = await asyncio.to_thread(client.request, "GET", "/state")
             assert state["phase"] == "ready"
             assert state["pid"] == os.getpid()
             for method, path, body, error in (
@@ -111,8 +111,8 @@
                 ("POST", "/undelivered/list", {"most": -1}, "most: expected a whole number"),
             ):
                 try:
-                    await asyncio.to_thread(client.ask, method, path, body)
-                except ControlRefusedError as refused:
+                    await asyncio.to_thread(client.request, method, path, body)
+                except ControlCommandError as refused:
                     assert str(refused).startswith(error)
                 else:
                     raise AssertionError(f"{path} was not refused")
@@ -148,7 +148,7 @@
 def test_a_store_that_cannot_be_opened_does_not_touch_live_traffic(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         (tmp_path / "file").write_text("in the way")
         operator = f'[undelivered]\nfolder = "{tmp_path}/file"\n'
@@ -173,7 +173,7 @@
     except Exception:
         return []
     try:
-        return [one.record for one in store.page(Filter())]
+        return [one.record for one in store.page(RecordFilter())]
     finally:
         store.close()
 
@@ -239,7 +239,7 @@
 def test_verify_names_what_was_altered(tmp_path: Path) -> None:
     where = filled(tmp_path / "s", 3)
     store = Store(tmp_path / "s")
-    store.db.execute("UPDATE detail SET body = 'other' WHERE seq = 2")
+    store.database.execute("UPDATE detail SET body = 'other' WHERE seq = 2")
     store.close()
     assert "record 2 (" in cli(tmp_path, *where, "verify", code=1)
     assert "ALTERED" in cli(tmp_path, *where, "list")
@@ -264,13 +264,13 @@
         with socket.socket(socket.AF_UNIX) as left:
             left.bind(f"{tmp_path}/c.sock")
         async with started(tmp_path, agent.port, [], operator):
-            state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+            state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert state["phase"] == "ready"
             (tmp_path / "second").mkdir()
             async with started(tmp_path / "second", agent.port, [], operator):
-                again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+                again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
                 assert again == state
-            again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").ask, "GET", "/state")
+            again = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert again == state, "the second one's end must not take the first one's socket away"
 
     play(work())
@@ -282,27 +282,27 @@
     store.add(
         [
             record(body=body, tenant="<b>one</b>"),
-            record(body=body, ran=True, effect="unsafe", destination=2),
-            record(
-                body=b'{"invoice": {"total": "4.5"}}', standing=RecordStatus.SETTLED, settled_by="resend:x"
-            ),
-            record(
-                body=b'{"invoice": {"total": 1e99}}', standing=RecordStatus.SETTLED, settled_by="person:me"
-            ),
-            record(body=b"no JSON", standing=RecordStatus.DISCARDED),
-            record(body=body, standing=RecordStatus.REPLACED),
+            record(body=body, ran=True, idempotency="unsafe", destination=2),
+            record(body=b'{"invoice": {"total": "4.5"}}', status=RecordStatus.SETTLED, settled_by="resend:x"),
+            record(body=b'{"invoice": {"total": 1e99}}', status=RecordStatus.SETTLED, settled_by="person:me"),
+            record(body=b"no JSON", status=RecordStatus.DISCARDED),
+            record(body=body, status=RecordStatus.REPLACED),
             record(body=body, destination=10),
         ]
     )
-    store.db.execute("UPDATE record SET tenant = 'other' WHERE seq = 7")
-    told = Report(Terms(), START, "invoice.total")
-    told.add(store.all(Filter()))
+    store.database.execute("UPDATE record SET tenant = 'other' WHERE seq = 7")
+    told = Report(ResendSettings(), START, "invoice.total")
+    told.add(store.iterate(RecordFilter()))
     store.close()
-    sums = {fate: (cell.count, str(cell.amount), cell.without) for fate, cell in told.total.items()}
+    sums = {fate: (cell.count, str(cell.amount), cell.without_amount) for fate, cell in told.total.items()}
     assert sums == {
-        Fate.SAFE: (1, "10.25", 0), Fate.NOT_SAFE: (1, "10.25", 0), Fate.RESENT: (1, "4.5", 0),
-        Fate.SETTLED: (1, "0", 1), Fate.DISCARDED: (1, "0", 1), Fate.ALTERED: (1, "0", 1),
-    }  # fmt: skip
+        Disposition.SAFE: (1, "10.25", 0),
+        Disposition.NOT_SAFE: (1, "10.25", 0),
+        Disposition.RESENT: (1, "4.5", 0),
+        Disposition.SETTLED: (1, "0", 1),
+        Disposition.DISCARDED: (1, "0", 1),
+        Disposition.ALTERED: (1, "0", 1),
+    }
     assert told.replaced == 1
     assert set(told.groups["destination"]) == {"1", "2", "10"}
     out = tmp_path / "report.html"
@@ -349,18 +349,24 @@
         partner, broker = await Partner(200, holds=True).start(), Broker()
         await broker.start()
         client = Client(asyncio.get_running_loop())
-        members = [{**row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
+        members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         store = Store(tmp_path / "state" / "undelivered")
         now = time.time_ns()
-        told = {"ended_at": now, "came_at": now, "tries": (), "ending": "rejected", "body": b"body of copy"}
-        store.add([record(id="m1", key="k-copy", **told)])
+        fields: dict[str, Any] = {
+            "ended_at": now,
+            "accepted_at": now,
+            "attempts": (),
+            "ending": "rejected",
+            "body": b"body of copy",
+        }
+        store.add([record(id="m1", key="k-copy", **fields)])
         held = RULES.replace("resend", "hold").replace("healthy = 0\n", "")
         rules = held if first == "copy" else RULES  # the rule comes later where the client is first
         store.close()
         async with started(tmp_path, agent.port, members, rules.format(broker=broker.port)) as port:
             client.connect(broker.port)
-            while "n0-intake" not in broker.kept or "client" not in broker.kept:
+            while not broker.subscribed("n0-intake", "client"):
                 await asyncio.sleep(0.01)
 
             async def copy() -> None:
@@ -385,7 +391,7 @@
                 await client.until(1)
                 assert client.answers["copy"][0]["status"] == "delivered"
             folder = tmp_path / "state" / "undelivered"
-            await until(lambda: [one.standing for one in kept(folder)] == [RecordStatus.SETTLED])
+            await until(lambda: [one.status for one in kept(folder)] == [RecordStatus.SETTLED])
         client.paho.disconnect()
         client.paho.loop_stop()
         (one,) = kept(tmp_path / "state" / "undelivered")
@@ -399,7 +405,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     held: list[Any] = []
-    monkeypatch.setattr(ResendScheduler, "begin", lambda self, ready: held.append(ready))
+    monkeypatch.setattr(ResendScheduler, "load", lambda _self, on_ready: held.append(on_ready))
     management = free_port()
 
     async def asked(port: int, line: bytes) -> bytes:
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -10,60 +10,71 @@
 import pytest
 
 from honeyhitch.journal.transactions import Ending, Transaction
+from honeyhitch.partitioning.view import InstancePhase
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import forwarding, resp
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.resp import Route
+from honeyhitch.protocols.transaction_parser import TransactionParser
 from honeyhitch.service import fleet as service
-from honeyhitch.service.fleet import FILE, FleetService
+from honeyhitch.service.fleet import VIEW_FILE_NAME, FleetService
 
-from .fleet_control import LEASE, MS, SKEW, entry, fleet_settings
-from .rig import SETTINGS, Stand, row
+from .fleet_control import LEASE, MS, SKEW, START, entry, fleet_settings
+from .rig import SETTINGS, DispatcherRig, endpoint_row
 from .world import SECOND, settings
 
 ROWS = [entry(f"{zone}-{number}", zone) for zone in ("a1", "a2", "b1", "b2") for number in range(3)]
 NAME = "a1-0"
+SAVED_BY_A5E6918 = Path(__file__).parent / "fixtures" / "fleet-view-1" / VIEW_FILE_NAME
 
 
-class FleetStand(Stand):
+class FleetServiceRig(DispatcherRig):
     """One dispatcher of a fleet; its heartbeats come when a test says so."""
 
     refetched = 0
 
     def prepare(self) -> None:
-        self.core.scheduler = self.time
+        self.dispatcher.scheduler = self.time
         loop = cast(Any, None)  # of the connections to other instances, which are not used here
         self.fleet = FleetService(
-            fleet_settings(NAME, "a1"), self.core, self.time, loop, self.folder, Random(1), self.refetch
+            fleet_settings(NAME, "a1"),
+            self.dispatcher,
+            self.time,
+            loop,
+            self.directory,
+            Random(1),
+            self.refetch,
         )
         self.fleet.restore()
 
     def __init__(self, folder: Path, **more: Any) -> None:
-        self.folder = folder
-        listed = [{**row(f"s-{number}", number), "size": 40.0} for number in range(1, 60)]
+        self.directory = folder
+        listed = [{**endpoint_row(f"s-{number}", number), "size": 40.0} for number in range(1, 60)]
         known = {"revision": 1, "complete": True, "members": listed}
         super().__init__(folder, known=known, instance_count=4, **more)
 
     def refetch(self) -> None:
         self.refetched += 1
 
-    def hear(self, revision: int = 1, complete: bool = True, members: Any = ROWS, **more: Any) -> None:
+    def receive_update(
+        self, revision: int = 1, complete: bool = True, members: Any = ROWS, **more: Any
+    ) -> None:
         """A list, a change or a heartbeat comes from the control machines."""
         told = {"revision": revision, "complete": complete, "members": members, "issued_ms": self.now // MS}
-        self.fleet.take({**told, **more})
+        self.fleet.apply_update({**told, **more})
 
     @property
     def now(self) -> int:
         return self.time.time
 
-    def beats(self, seconds: int, revision: int = 1) -> None:
+    def run_with_heartbeats(self, seconds: int, revision: int = 1) -> None:
         """Time passes with a heartbeat in each second."""
         for _ in range(seconds):
-            self.hear(revision, False, [])
+            self.receive_update(revision, False, [])
             self.time.run(1)
-            self.fleet.look_if_due()
+            self.fleet.refresh_if_due()
 
-    def home(self, second: str | None = None) -> int:
+    def destination_with_home(self, second: str | None = None) -> int:
         """A destination that this instance is home to, or the second candidate of, behind that one."""
         for number in range(1, 60):
             names = [
@@ -77,14 +88,14 @@
         return self.fleet.route(Transaction("probe", 0, number, self.now + SECOND, b""), forwarded)
 
 
-def stand(folder: Path, **more: Any) -> FleetStand:
+def restarted_rig(folder: Path, **more: Any) -> FleetServiceRig:
     """With the view of an earlier process at hand, as after a restart."""
-    first = FleetStand(folder / "first", **more)
-    first.hear()
-    saved = (folder / "first" / FILE).read_bytes()
+    first = FleetServiceRig(folder / "first", **more)
+    first.receive_update()
+    saved = (folder / "first" / VIEW_FILE_NAME).read_bytes()
     (folder / "next").mkdir()
-    (folder / "next" / FILE).write_bytes(saved)
-    return FleetStand(folder / "next", **more)
+    (folder / "next" / VIEW_FILE_NAME).write_bytes(saved)
+    return FleetServiceRig(folder / "next", **more)
 
 
 @pytest.fixture(autouse=True)
@@ -95,37 +106,37 @@
 def test_before_any_view_nothing_is_this_instances_and_the_first_one_has_lists_asked_for(
     tmp_path: Path,
 ) -> None:
-    one = FleetStand(tmp_path / "first")
+    one = FleetServiceRig(tmp_path / "first")
     assert not one.fleet.ready
-    assert one.route(1) is Route.REFUSE
-    assert not one.core.pool.endpoints
-    one.hear()
+    assert one.route(1) is Route.REJECT
+    assert not one.dispatcher.pool.endpoints
+    one.receive_update()
     assert one.fleet.ready
     assert one.refetched == 1
-    one.hear(1, False, [])
+    one.receive_update(1, False, [])
     assert one.refetched == 1, "once"
 
 
 def test_only_what_may_become_its_own_is_kept_of_a_list(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    kept = {member.destination for member in one.core.pool.endpoints.values()}
-    assert kept == {number for number in range(1, 60) if one.fleet.fleet.keeps(number)}
+    one = restarted_rig(tmp_path)
+    kept = {member.destination for member in one.dispatcher.pool.endpoints.values()}
+    assert kept == {number for number in range(1, 60) if one.fleet.fleet.is_candidate(number)}
     assert 0 < len(kept) < 59
     other = next(number for number in range(1, 60) if number not in kept)
-    assert one.fleet.serves(other), "its owner knows it"
-    change = {"revision": 2, "complete": False, "members": [row("s-9999", other)]}
-    assert not one.core.pool.update(change).listings
+    assert one.fleet.has_destination(other), "its owner knows it"
+    change = {"revision": 2, "complete": False, "members": [endpoint_row("s-9999", other)]}
+    assert not one.dispatcher.pool.update(change).listings
 
 
 def test_messages_are_taken_for_what_is_held_and_passed_on_for_the_rest(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    one.hear()
-    mine, other = one.home(), one.home(second="a1-1")
+    one = restarted_rig(tmp_path)
+    one.receive_update()
+    mine, other = one.destination_with_home(), one.destination_with_home(second="a1-1")
     assert one.route(mine) is Route.LOCAL
     assert one.route(mine, forwarded=True) is Route.LOCAL
     assert one.route(other) is Route.FORWARD
-    assert one.route(other, forwarded=True) is Route.REFUSE
-    assert one.hand_in("held", mine)
+    assert one.route(other, forwarded=True) is Route.REJECT
+    assert one.submit("held", mine)
     held = Transaction("held", 0, mine, one.now + SECOND, b"")
     one.time.run(LEASE / SECOND + 30)
     assert one.fleet.route(held, False) is Route.LOCAL, "its reserved part, also while control is silent"
@@ -133,81 +144,81 @@
 
 def test_nothing_is_sent_once_the_share_has_run_out_and_what_never_ran_is_handed_back(tmp_path: Path) -> None:
     """The second candidate owns the leased part while the first one is away, until control falls silent."""
-    one = stand(tmp_path)
-    number = one.home(second="a1-1")
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home(second="a1-1")
     away = entry("a1-1", "a1", "Terminating", since=one.now)
-    one.hear(2, False, [away])
+    one.receive_update(2, False, [away])
     assert one.fleet.quota_fraction(number, one.now) == 0
-    assert one.fleet.fleet.awaits(destination=number, now=one.now)
-    one.beats(4, 2)
+    assert one.fleet.fleet.awaits_lease(destination=number, now=one.now)
+    one.run_with_heartbeats(4, 2)
     assert one.fleet.quota_fraction(number, one.now) == 0.25
-    one.hear(2, False, [])
-    assert one.hand_in("sent", number)
+    one.receive_update(2, False, [])
+    assert one.submit("sent", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED)
-    lease_ends = one.fleet.fleet.heard + LEASE - SKEW  # type: ignore[operator]
+    lease_ends = one.fleet.fleet.last_heartbeat + LEASE - SKEW  # type: ignore[operator]
     one.time.run((lease_ends - one.now) / SECOND + 0.001)
-    assert one.hand_in("late", number)
+    assert one.submit("late", number)
     assert not one.run(1), "its share has run out before the first byte"
-    one.fleet.look_if_due()
+    one.fleet.refresh_if_due()
     late = next(answer for answer in one.answers if answer.id == "late")
     assert late.ending is Ending.REJECTED
     assert late.retry_after > 0
-    assert "late" not in one.core.messages.by_id
+    assert "late" not in one.dispatcher.messages.by_id
 
 
 def test_a_call_that_is_out_keeps_its_end_and_what_may_have_run_is_not_handed_back(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    number = one.home()
-    one.hear()
-    assert one.hand_in("out", number)
-    assert one.hand_in("ran", number)
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home()
+    one.receive_update()
+    assert one.submit("out", number)
+    assert one.submit("ran", number)
     calls = one.run(0.1)
     one.end(calls[-1], Outcome.ERROR)
     gone_from = next(row for row in ROWS if row["id"] == NAME)
-    one.hear(2, False, [{**gone_from, "phase": "Gone"}])
+    one.receive_update(2, False, [{**gone_from, "phase": "Gone"}])
     assert one.fleet.quota_fraction(number, one.now) == 0
     names = {part.id for call in calls for part in call.messages}
-    assert names <= set(one.core.messages.by_id), "neither is answered for it"
+    assert names <= set(one.dispatcher.messages.by_id), "neither is answered for it"
     assert not one.run(2), "and neither is sent again"
     one.end(calls[0], Outcome.DELIVERED)
-    assert calls[0].messages[0].id not in one.core.messages.by_id
+    assert calls[0].messages[0].id not in one.dispatcher.messages.by_id
 
 
 def test_what_was_out_as_its_share_was_lost_and_never_ran_is_handed_back_then(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    number = one.home()
-    one.hear()
-    assert one.hand_in("out", number)
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home()
+    one.receive_update()
+    assert one.submit("out", number)
     (call,) = one.run(0.1)
     gone = next(row for row in ROWS if row["id"] == NAME)
-    one.hear(2, False, [{**gone, "phase": "Gone"}])
+    one.receive_update(2, False, [{**gone, "phase": "Gone"}])
     one.time.run(1)
-    one.fleet.look_if_due()
-    assert "out" in one.core.messages.by_id, "its call is out"
+    one.fleet.refresh_if_due()
+    assert "out" in one.dispatcher.messages.by_id, "its call is out"
     one.end(call, Outcome.REJECTED)
     one.time.run(0.2)
-    one.fleet.look_if_due()
+    one.fleet.refresh_if_due()
     assert [answer.ending for answer in one.answers] == [Ending.REJECTED]
-    one.fleet.look_if_due()
-    assert not one.fleet._lost, "and nothing more is looked for"
+    one.fleet.refresh_if_due()
+    assert not one.fleet.lost_partitions, "and nothing more is looked for"
 
 
 def test_the_module_is_told_the_part_of_listed_and_of_reported_limits(tmp_path: Path) -> None:
-    one = stand(tmp_path)
-    number = one.home()
-    one.beats(2)
-    lane = one.core.policy.destinations[number].state
+    one = restarted_rig(tmp_path)
+    number = one.destination_with_home()
+    one.run_with_heartbeats(2)
+    lane = one.dispatcher.policy.destinations[number].state
     assert (lane is not None and lane.rate.quota() == 40.0 / 1.0 / 4 / 1) or lane.rate.quota() == 10.0
-    assert one.hand_in("a", number)
+    assert one.submit("a", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
     assert lane.rate.quota() == 5.0
     one.time.run(LEASE / SECOND)
-    one.fleet.look_if_due()
+    one.fleet.refresh_if_due()
     one.run(0.1)
-    assert one.hand_in("b", number)
+    assert one.submit("b", number)
     (call,) = one.run(0.1)
     one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     one.run(0.1)
@@ -216,33 +227,55 @@
 
 def test_a_saved_view_that_cannot_be_read_is_as_good_as_none(tmp_path: Path) -> None:
     for text in ("", "{", "[]", '{"form": 9}', json.dumps({"form": 1, "revision": 1, "members": 3})):
-        (tmp_path / "first" / FILE).write_text(text)
-        assert not FleetStand(tmp_path / "first").fleet.ready
+        (tmp_path / "first" / VIEW_FILE_NAME).write_text(text)
+        assert not FleetServiceRig(tmp_path / "first").fleet.ready
+
+
+def test_a_view_that_a5e6918_saved_is_read(tmp_path: Path) -> None:
+    (tmp_path / "first" / VIEW_FILE_NAME).write_bytes(SAVED_BY_A5E6918.read_bytes())
+    fleet = FleetServiceRig(tmp_path / "first").fleet.fleet
+    assert fleet.view.revision == 8
+    assert fleet.last_heartbeat == START
+    assert sorted(fleet.view.instances) == sorted([*(row["id"] for row in ROWS), "b2-n1"])
+    away, joined = fleet.view.instances["a1-1"], fleet.view.instances["b2-n1"]
+    assert (away.phase, away.phase_since) == (InstancePhase.TERMINATING, START + 5 * SECOND)
+    assert (joined.zone, joined.region, joined.address) == ("b2", "west", "10.0.0.1:6379")
+    assert (joined.phase_since, joined.joined_at) == (START + 6 * SECOND, START + 6 * SECOND)
+
+
+def test_the_view_that_a5e6918_saved_is_saved_with_the_same_bytes(tmp_path: Path) -> None:
+    """An earlier version, which a deployment may go back to, reads what it wrote itself."""
+    one = FleetServiceRig(tmp_path / "first")
+    one.receive_update(7)
+    away = entry("a1-1", "a1", "Terminating", since=START + 5 * SECOND)
+    joined = entry("b2-n1", "b2", since=START + 6 * SECOND, joined=START + 6 * SECOND)
+    one.receive_update(8, False, [away, joined])
+    assert (tmp_path / "first" / VIEW_FILE_NAME).read_bytes() == SAVED_BY_A5E6918.read_bytes()
 
 
 def test_a_view_too_large_to_save_is_used_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service, "MOST_SAVED", 100)
-    one = FleetStand(tmp_path / "first")
-    one.hear()
+    monkeypatch.setattr(service, "MAX_SAVED_VIEW_BYTES", 100)
+    one = FleetServiceRig(tmp_path / "first")
+    one.receive_update()
     assert one.fleet.ready
-    assert not (tmp_path / "first" / FILE).exists()
+    assert not (tmp_path / "first" / VIEW_FILE_NAME).exists()
 
 
 def test_a_request_that_is_passed_on_says_what_is_left_of_its_time_and_who_passed_it_on() -> None:
     given = settings(**SETTINGS)
     now = 1_700_000_000 * SECOND
     one = Transaction("id", 0, 7, now + 900 * MS, b"a\r\nb", key="k", recovered_from_journal=True)
-    data = forwarding.request(given, one, NAME, now + 100 * MS)
+    data = forwarding.encode_request(given, one, NAME, now + 100 * MS)
     assert data is not None
     command, buffer = resp.CommandReader(), Buffer()
-    with buffer.room() as room:
+    with buffer.free_space() as room:
         room[: len(data)] = data
-    buffer.filled(len(data))
-    parts = command.next(buffer)
+    buffer.advance(len(data))
+    parts = command.read_command(buffer)
     assert parts is not None
-    fields = resp.pairs(parts[3])
+    fields = resp.parse_fields(parts[3])
     assert fields == {
         "c": "standard",
         "t": "studio",
@@ -252,6 +285,6 @@
         "again": "1",
         "via": NAME,
     }
-    read = resp.MessageFields(given, lambda number: True).transaction(parts[2], fields, parts[4], now)
+    read = TransactionParser(given, lambda number: True).parse(parts[2], fields, parts[4], now)
     assert (read.id, read.body, read.key, read.recovered_from_journal) == ("id", b"a\r\nb", "k", True)
-    assert forwarding.request(given, one, NAME, one.deadline - MS // 2) is None
+    assert forwarding.encode_request(given, one, NAME, one.deadline - MS // 2) is None
