--- a/honeyhitch/policy/actions.py
+++ b/honeyhitch/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy asks of its caller. Times and durations are integer nanoseconds."""
+"""Actions: the output of the policy, for its caller to carry out. Times and durations are in ns."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Stop waiting for the outcome of an attempt."""
 
     message: str
     attempt: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not done, handing it in again after `come_back` is harmless."""
+    """Final answer: not delivered; submitting it again after `retry_after` is harmless (rule 2)."""
 
     message: str
     retry_after: int
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; it may or may not have been executed."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired at this time."""
+    """Request a TimerFired at this time."""
 
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes of the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnections:
-    """Messages wait for a gated endpoint: connections for so many more calls are wanted."""
+    """Open connections for so many calls to an endpoint that takes calls on open connections only."""
 
     endpoint: str
     calls: int
--- a/honeyhitch/policy/destination.py
+++ b/honeyhitch/policy/destination.py
@@ -40,7 +40,7 @@
         self.concurrent_calls = 0
         self.max_messages_per_call = 1
         self.next_check_at = 0
-        self.reported_blocked_until = 0  # `blocked_until` when messages were last given up for it
+        self.reported_blocked_until = 0  # the latest for which messages ended
 
     def enqueue(self, message: PendingMessage, sequence: int) -> None:
         """Queue a message that may be sent; `sequence` keeps the order of equals."""
--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -89,8 +89,8 @@
     )
 
 
-def calls_wanted(destination: Destination, endpoint: EndpointState, now: int, settings: Settings) -> int:
-    """For how many calls connections to this endpoint are wanted: one where its rate is limited."""
+def calls_to_open_for(destination: Destination, endpoint: EndpointState, now: int, settings: Settings) -> int:
+    """For how many calls connections to this endpoint are to be opened: one where its rate is limited."""
     if endpoint.state.circuit.ejected or endpoint.state.rate.send_rate(now) < inf:
         return 1
     return min(destination.queue_length(), settings.max_concurrent_calls)
--- a/honeyhitch/policy/endpoint_list.py
+++ b/honeyhitch/policy/endpoint_list.py
@@ -50,7 +50,7 @@
             destination.endpoints = kept
 
     def _apply_listing(self, listing: EndpointListing) -> Destination:
-        """An endpoint that drains or is gone gets nothing new (rule 3); calls in flight still know it."""
+        """An endpoint that drains or is gone gets nothing new (rule 3); its calls in flight go on."""
         destination = self.destination(listing.destination)
         endpoint = destination.endpoints.get(listing.endpoint)
         if endpoint is None:
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -1,4 +1,4 @@
-"""The delivery policy: which message goes where and when, and when it is given up.
+"""The delivery policy: which message goes where and when, and when delivery is abandoned.
 
 It has no input or output and no clock: the caller hands in events with the time, and carries out the actions.
 """
@@ -33,7 +33,7 @@
 )
 from honeyhitch.policy.call import Call, attempt_timeout, may_share_call
 from honeyhitch.policy.destination import Destination
-from honeyhitch.policy.endpoint_choice import calls_wanted, choose_endpoint
+from honeyhitch.policy.endpoint_choice import calls_to_open_for, choose_endpoint
 from honeyhitch.policy.endpoint_list import EndpointList
 from honeyhitch.policy.endpoint_state import EndpointState
 from honeyhitch.policy.events import (
@@ -169,8 +169,8 @@
         endpoint = destination.endpoints.get(event.endpoint)
         # One that is gone asked on behalf of all that are left.
         bound = [endpoint] if endpoint else destination.endpoints.values()
-        for one in bound:
-            one.state.honor_retry_after(event.until)
+        for bound_endpoint in bound:
+            bound_endpoint.state.honor_retry_after(event.until)
         self.dispatchable[destination] = None
 
     def _on_shutdown(self, event: ShutdownStarted) -> None:
@@ -212,8 +212,8 @@
         if event.not_started:
             message.attempts -= 1
         if message.ordering_key in self.ordered_queues and event.outcome in HOLDING_OUTCOMES:
-            held = self.ordered_queues[message.ordering_key]
-            held.hold_until = self.now + self.settings.ordering_pause
+            ordered = self.ordered_queues[message.ordering_key]
+            ordered.blocked_until = self.now + self.settings.ordering_pause
         if event.outcome is Outcome.DELIVERED:
             call.any_delivered = True
         note_broken_call(event, call)
@@ -247,8 +247,8 @@
         if ordered is None:
             return
         ordered.drop_concluded()
-        if ordered.hold_until > self.now:
-            self.scheduler.schedule(ordered.hold_until, self._advance_ordered, key)
+        if ordered.blocked_until > self.now:
+            self.scheduler.schedule(ordered.blocked_until, self._advance_ordered, key)
         elif not ordered.messages:
             del self.ordered_queues[key]
         elif (head := ordered.startable_head()) is not None:
@@ -358,8 +358,8 @@
             endpoint, ready_at, connect_to = choose_endpoint(message, now, self.settings)
             check_at = min(check_at, ready_at)
             if connect_to is not None:
-                wanted = calls_wanted(destination, connect_to, now, self.settings)
-                self._actions.append(OpenConnections(connect_to.name, wanted))
+                calls = calls_to_open_for(destination, connect_to, now, self.settings)
+                self._actions.append(OpenConnections(connect_to.name, calls))
             if endpoint is not None:
                 latency = endpoint.state.latency.mean
                 value = message.value(now + int(latency), self.settings.late_decay)
@@ -390,7 +390,7 @@
         destination = message.destination
         state = endpoint.state
         call = Call(endpoint, self.now)
-        self._take_slot(call, destination)
+        self._occupy_slot(call, destination)
         self._start_attempt(message, call)
         if state.circuit.ejected:  # a probe
             return
@@ -403,7 +403,7 @@
                 call.add_message()
                 self._start_attempt(other, call)
 
-    def _take_slot(self, call: Call, destination: Destination) -> None:
+    def _occupy_slot(self, call: Call, destination: Destination) -> None:
         endpoint = call.endpoint
         self.concurrent_calls += 1
         destination.concurrent_calls += 1
--- a/honeyhitch/policy/events.py
+++ b/honeyhitch/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what the policy is told. Times and durations are integer nanoseconds."""
+"""Events: the input of the policy. Times and durations are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
     """How an attempt ended."""
 
     DELIVERED = "delivered"
-    ERROR = "error"  # may have run
-    REJECTED = "refused"  # never ran
-    TIMEOUT = "timeout"  # may have run
-    CONNECT_FAILED = "connect-failed"  # never ran
-    RESET = "reset"  # may have run
-    CANCELLED = "cancelled"  # may have run
-    NOT_SENT = "not-sent"  # never ran, counts as an attempt
+    ERROR = "error"  # may have been executed
+    REJECTED = "refused"  # not executed
+    TIMEOUT = "timeout"  # may have been executed
+    CONNECT_FAILED = "connect-failed"  # not executed
+    RESET = "reset"  # may have been executed
+    CANCELLED = "cancelled"  # may have been executed
+    NOT_SENT = "not-sent"  # not executed, yet it counts as an attempt
 
     @property
     def proves_not_executed(self) -> bool:
-        """It proves that the attempt did not run."""
+        """Whether it proves that the attempt was not executed."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class EndpointStatus(Enum):
-    """State of an endpoint in the list; it tells nothing of health."""
+    """State of an endpoint in the list; it says nothing about health."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -33,12 +33,12 @@
 
 
 class UpdateMode(Enum):
-    """What a list event carries."""
+    """What an update of the list carries."""
 
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"
-    FAILED = "failed"  # an ask failed or the subscription broke
+    FAILED = "failed"  # a request to discovery failed, or the subscription broke
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,12 +51,12 @@
     zone: int = 0
     listed_rate: float = 1.0
     status: EndpointStatus = EndpointStatus.READY
-    requires_open_connection: bool = False  # takes calls on open connections alone, of which `Room` tells
+    requires_open_connection: bool = False  # see ConnectionCapacity
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """News of the list of endpoints."""
+    """A change of the list of endpoints, or the complete list."""
 
     mode: UpdateMode
     listings: tuple[EndpointListing, ...] = ()
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewMessage:
-    """A message was taken and is owed exactly one final answer."""
+    """A message was accepted: it gets exactly one final answer."""
 
     message: str
     class_index: int
@@ -72,12 +72,12 @@
     time_left: int
     ordering_key: int | None = None
     tenant: int = 0
-    expected_work: int = 0  # guess of the call's time, 0 if none
+    expected_work: int = 0  # estimate of the call's duration, 0 if none
     recovered_from_journal: bool = False
-    attempts: int = 0  # made before a restart of the process
-    first_possible_execution: int | None = None  # when an earlier attempt may first have run, if one may have
+    attempts: int = 0  # made before the process restarted
+    first_possible_execution: int | None = None  # when an earlier attempt may first have been executed
     first_execution_zone: int = 0  # and in which zone
-    low_priority: bool = False  # it goes only where nothing else wants to
+    low_priority: bool = False  # sent only where no other message waits
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,49 +89,48 @@
     endpoint: str
     outcome: Outcome
     elapsed: int
-    message_concluded: bool  # the message is concluded, by this or earlier
-    retry_after: int = 0  # told wait, 0 if none
-    limit_remaining: float = 1.0  # told share of the limit that is left
-    rate_limit: float = 0.0  # told limit in calls a second, 0 if there is none
-    connection_stale: bool = False  # a kept connection broke without a word: it tells of the connection alone
-    connection_limited: bool = (
-        False  # turned away as its connection came up: the member's table of them is full
-    )
-    not_started: bool = False  # no byte of it went: no attempt was used up, and its number is given again
+    message_concluded: bool  # by this attempt or earlier
+    retry_after: int = 0  # 0 if none was received
+    limit_remaining: float = 1.0  # reported fraction of the limit that remains
+    rate_limit: float = 0.0  # reported limit in calls a second, 0 if there is none
+    connection_stale: bool = False  # a pooled connection broke without a response; says nothing about health
+    connection_limited: bool = False  # rejected as it connected: the endpoint's connection limit is reached
+    not_started: bool = False  # no byte was sent: the attempt does not count, and its number is used again
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCapacity:
-    """How many calls a gated endpoint's connections take, and how the latest try to open one ended."""
+    """How many calls the open connections of an endpoint take, and how the latest connect ended.
+
+    Sent for endpoints with `requires_open_connection`; a failed connect is no attempt of any message.
+    """
 
     endpoint: str
     destination: int
-    capacity: int  # out at once, until told otherwise
-    connect_failed: bool = False  # none came up, as in an outage: nothing ran, and no message was tried
-    elapsed: int = 0  # until it failed
-    connect_blocked_for: int = 0  # time from now for which none will be opened, 0 if one may be
-    failure_reason: str = (
-        ""  # the name of the failure, where the latest try failed; it tells people, not the module
-    )
+    capacity: int  # concurrent calls, until the next such event
+    connect_failed: bool = False  # as in an outage: no message was attempted
+    elapsed: int = 0  # from the connect to its failure
+    connect_blocked_for: int = 0  # no connection will be opened for so long
+    failure_reason: str = ""  # name of the failure of the latest connect, for logs and metrics
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """Nobody wants the message any more."""
+    """The client does not want the message delivered any more."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process is about to end, and nothing is decided for so long at the least."""
+    """The process is about to stop: nothing is sent for at least `pause`."""
 
     pause: int
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfterReceived:
-    """An endpoint told another process of this dispatcher to wait until then."""
+    """Another process of this dispatcher received Retry-After: send nothing before `until`."""
 
     destination: int
     endpoint: str
@@ -140,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was asked for has come."""
+    """A timer fired that a SetTimer requested."""
 
 
 Event = (
--- a/honeyhitch/policy/ordering.py
+++ b/honeyhitch/policy/ordering.py
@@ -11,11 +11,11 @@
 
 
 class OrderedQueue:
-    """The pending messages of one key; only the head may be sent, and not before `hold_until` (ns)."""
+    """The pending messages of one key; only the head may be sent, and not before `blocked_until` (ns)."""
 
     def __init__(self) -> None:
         self.messages: deque[PendingMessage] = deque()
-        self.hold_until = 0
+        self.blocked_until = 0
 
     def drop_concluded(self) -> None:
         """Drop the leading messages that have ended and have no attempt in flight."""
--- a/honeyhitch/policy/rate_limiting.py
+++ b/honeyhitch/policy/rate_limiting.py
@@ -10,7 +10,7 @@
 ROUGH_RATE_DIVISOR = 1.5  # a rough listed rate may be this much too high
 MIN_QUOTA_PER_SECOND = 0.001
 MIN_UNLISTED_QUOTA_PER_SECOND = 0.5
-SLOW_START_SAFETY_FACTOR = 0.8  # of what a destination in slow start bears
+SLOW_START_SAFETY_FACTOR = 0.8  # of the calls that a destination in slow start sustains
 NOTICE_PERIOD = 3 * SECOND  # instances whose calls fell in it learned of an outage together
 REJECTION_FACTOR = 0.5  # applied to the send rate by each further rejection
 FIRST_REJECTION_FACTOR = 0.6  # applied to the measured rate by the first rejection
@@ -61,7 +61,7 @@
         return max(MIN_QUOTA_PER_SECOND, capacity / self._settings.instance_count)
 
     def slow_start_rate(self, recovered_for: int, outage_duration: int) -> float:
-        """Calls a second that a destination in slow start bears, shared by those that knew of its outage."""
+        """Calls a second that a destination in slow start sustains, shared by those that knew of its outage."""
         settings = self._settings
         progress = min(1.0, recovered_for / settings.slow_start_duration)
         fraction = settings.slow_start_fraction + (1 - settings.slow_start_fraction) * progress
@@ -78,7 +78,7 @@
         self.recovered_at = -NEVER
 
     def in_slow_start(self, now: int) -> bool:
-        """Whether the destination recovered so lately that it may not bear its whole capacity."""
+        """Whether the destination recovered so recently that it may not have its full capacity."""
         return now - self.recovered_at < self._settings.slow_start_duration
 
     def send_rate(self, now: int) -> float:
