--- a/honeyhitch/policy/rate_limiting.py
+++ b/honeyhitch/policy/rate_limiting.py
@@ -61,7 +61,7 @@
         return max(MIN_QUOTA_PER_SECOND, capacity / self._settings.instance_count)
 
     def slow_start_rate(self, recovered_for: int, outage_duration: int) -> float:
-        """Calls a second that a destination in slow start sustains, shared by those that knew of its outage."""
+        """Calls a second that a destination in slow start sustains, for all that knew of its outage."""
         settings = self._settings
         progress = min(1.0, recovered_for / settings.slow_start_duration)
         fraction = settings.slow_start_fraction + (1 - settings.slow_start_fraction) * progress
