--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -25,14 +25,6 @@
     connect_to: EndpointState | None  # would take the message if it had an open connection
 
 
-class EndpointRank(NamedTuple):
-    """How well an endpoint suits a message; the lowest is chosen."""
-
-    failures: int
-    load: int
-    unused_since: int  # the latest used is the likeliest to have an open connection
-
-
 def choose_endpoint(message: PendingMessage, now: int, settings: Settings) -> EndpointChoice:
     """The endpoint that suits a message best among those that may take a call now (rules 2, 3 and 4)."""
     destination = message.destination
@@ -57,9 +49,11 @@
                 ready_at = NEVER
                 unconnected.append(endpoint)
         soonest = min(soonest, ready_at)
-    best = _best(ready, message, now, settings)
-    connect_to = None if ready else _best(unconnected, message, now, settings)
-    return EndpointChoice(best, soonest, connect_to)
+    if ready:
+        return EndpointChoice(_best(ready, message, now, settings), soonest, None)
+    if unconnected:
+        return EndpointChoice(None, soonest, _best(unconnected, message, now, settings))
+    return EndpointChoice(None, soonest, None)
 
 
 def _slots_used_up(endpoint: EndpointState, destination: Destination, now: int, settings: Settings) -> bool:
@@ -72,21 +66,20 @@
 
 def _best(
     endpoints: list[EndpointState], message: PendingMessage, now: int, settings: Settings
-) -> EndpointState | None:
-    if not endpoints:
-        return None
+) -> EndpointState:
     return min(endpoints, key=lambda endpoint: _rank(endpoint, message, now, settings))
 
 
-def _rank(endpoint: EndpointState, message: PendingMessage, now: int, settings: Settings) -> EndpointRank:
+def _rank(
+    endpoint: EndpointState, message: PendingMessage, now: int, settings: Settings
+) -> tuple[int, int, int]:
+    """The sort key of an endpoint: failures, load, and how long ago it was used."""
     crosses_zones = settings.cross_zone_cost > 0 and endpoint.zone != settings.zone
     repeated = endpoint.name == message.last_endpoint
     failure_fraction = endpoint.failures_by_class[message.class_index].failure_fraction(now)
-    return EndpointRank(
-        int(FAILURE_RANKS * failure_fraction),
-        endpoint.concurrent_calls + crosses_zones + repeated,
-        -endpoint.last_used_at,
-    )
+    load = endpoint.concurrent_calls + crosses_zones + repeated
+    # The latest used is the likeliest to have an open connection.
+    return int(FAILURE_RANKS * failure_fraction), load, -endpoint.last_used_at
 
 
 def calls_to_open_for(destination: Destination, endpoint: EndpointState, now: int, settings: Settings) -> int:
