--- /dev/null
+++ b/honeyhitch/simulator_host/host.py
@@ -0,0 +1,248 @@
+"""Hosts instances of the policy for a simulator: collects the events of a batch, and writes their actions."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import NamedTuple, TextIO
+
+from honeyhitch import logs
+from honeyhitch.config.deployment import ConfigError
+from honeyhitch.config.instance import SettingsReader
+from honeyhitch.config.values import parse_integer
+from honeyhitch.policy.engine import DeliveryPolicy
+from honeyhitch.policy.events import (
+    EndpointListing,
+    EndpointListUpdate,
+    Event,
+    MessageWithdrawn,
+    TimerFired,
+    UpdateMode,
+)
+from honeyhitch.simulator_host.lines import (
+    WireError,
+    check_health_result,
+    format_action,
+    format_policy_error,
+    format_ready,
+    parse_arrival,
+    parse_attempt_ended,
+    parse_listing,
+    parse_update_mode,
+)
+
+log = logs.get()
+PAGES = 16
+MAX_QUOTED_LENGTH = 80  # characters of a wrong line in its error
+
+
+class Instance:
+    """One hosted policy, and what is remembered for it."""
+
+    def __init__(self, policy: DeliveryPolicy, report_fields: tuple[str, ...]) -> None:
+        self.policy = policy
+        self.report_fields = report_fields
+        self.events: list[Event] = []
+
+
+class Batch(NamedTuple):
+    """The batch that is being read."""
+
+    now: int  # ns
+    number: str  # as it was written
+
+
+@dataclass
+class IncompletePage:
+    """A page of the endpoint list whose lines are being read."""
+
+    number: int
+    size: int
+    listings: list[EndpointListing] = field(default_factory=list)
+
+    @property
+    def missing(self) -> int:
+        """How many lines are still to come."""
+        return self.size - len(self.listings)
+
+
+class LineReader(NamedTuple):
+    """What reads the lines of one name."""
+
+    value_count: int
+    read: Callable[[list[str]], object]
+
+
+class Host:
+    """All instances of this process; it reads batches and writes replies.
+
+    `handle_line` raises ConfigError, or its subclass WireError, for a line that the wire does not allow.
+    """
+
+    def __init__(self, output: TextIO) -> None:
+        self.instances: dict[str, Instance] = {}
+        self._output = output
+        self._pages: dict[int, tuple[EndpointListing, ...]] = {}
+        self._incomplete_page: IncompletePage | None = None
+        self._batch: Batch | None = None
+        self._clock = 0
+        self._addressed: dict[str, None] = {}  # instances with an event in this batch, in order
+        self._readers = {
+            "ledger": LineReader(2, self._start_page),
+            "endpoint": LineReader(7, self._add_listing),
+            "down": LineReader(1, self._stop),
+            "membership": LineReader(4, self._update_list),
+            "arrival": LineReader(9, lambda values: self._add(values[0], parse_arrival(values))),
+            "returned": LineReader(9, self._end_attempt),
+            "abandoned": LineReader(2, lambda values: self._add(values[0], MessageWithdrawn(values[1]))),
+            "fired": LineReader(2, lambda values: self._add(values[0], TimerFired())),
+            "accepted": LineReader(5, lambda values: self._address(values[0])),
+            "health_result": LineReader(5, self._read_health_result),
+            "note_from": LineReader(3, lambda values: self._address(values[0])),
+        }
+
+    @property
+    def in_batch(self) -> bool:
+        """Whether a batch was started and not committed."""
+        return self._batch is not None
+
+    def handle_line(self, line: str) -> None:
+        """Handle one line of input."""
+        name, *values = line.split(" ")
+        if self._batch is None:
+            if line:
+                self._start_batch(line, name, values)
+            return
+        if self._incomplete_page is not None and name != "endpoint":
+            missing = self._incomplete_page.missing
+            raise WireError(f"expected {missing} more 'endpoint' lines, got {line[:MAX_QUOTED_LENGTH]!r}")
+        if name == "commit":
+            if values:
+                raise WireError("expected 'commit' alone")
+            self._commit(self._batch)
+        elif name == "power_on":
+            self._start(values)
+        elif name in self._readers:
+            reader = self._readers[name]
+            if len(values) != reader.value_count:
+                raise WireError(f"{name}: expected {reader.value_count} values, got {len(values)}")
+            reader.read(values)
+        else:
+            raise WireError(f"expected an event or 'commit', got {line[:MAX_QUOTED_LENGTH]!r}")
+
+    def _start_batch(self, line: str, name: str, values: list[str]) -> None:
+        if name != "tick" or len(values) != 2:
+            raise WireError(f"expected 'tick CLOCK NUMBER', got {line[:MAX_QUOTED_LENGTH]!r}")
+        now = parse_integer(values[0], "clock")
+        number = values[1]
+        parse_integer(number, "batch number")
+        if now < self._clock:
+            raise WireError("clock: expected a time not before the last batch's")
+        self._clock = now
+        self._batch = Batch(now, number)
+
+    def _address(self, name: str) -> Instance:
+        """The running instance of this name, which may act in this batch."""
+        instance = self.instances.get(name)
+        if instance is None:
+            raise WireError(f"expected the name of a running instance, got {name!r}")
+        self._addressed[name] = None
+        return instance
+
+    def _add(self, name: str, event: Event) -> None:
+        self._address(name).events.append(event)
+
+    def _start(self, values: list[str]) -> None:
+        if len(values) < 2:
+            raise WireError("power_on: expected an instance, a seed and settings")
+        name, seed, *pairs = values
+        try:
+            settings = SettingsReader.from_pairs(pairs).settings()
+        except (ConfigError, ValueError) as error:
+            raise WireError(f"power_on: {error}") from error
+        policy = DeliveryPolicy(settings, parse_integer(seed, "seed"))
+        self.instances[name] = Instance(policy, settings.report_fields)
+        self._addressed[name] = None
+
+    def _stop(self, values: list[str]) -> None:
+        name = values[0]
+        self._address(name)
+        del self.instances[name]
+        del self._addressed[name]
+
+    def _start_page(self, values: list[str]) -> None:
+        page = parse_integer(values[0], "page")
+        size = parse_integer(values[1], "hosts")
+        if not 0 <= page < PAGES or size < 0:
+            raise WireError(f"ledger: expected a page from 0 to {PAGES - 1} and a count, got {page} {size}")
+        self._pages[page] = ()
+        self._incomplete_page = IncompletePage(page, size) if size else None
+
+    def _add_listing(self, values: list[str]) -> None:
+        page = self._incomplete_page
+        if page is None:
+            raise WireError("endpoint: expected only inside a ledger")
+        page.listings.append(parse_listing(values))
+        if not page.missing:
+            self._pages[page.number] = tuple(page.listings)
+            self._incomplete_page = None
+
+    def _update_list(self, values: list[str]) -> None:
+        mode = parse_update_mode(values[1])
+        if mode is UpdateMode.FAILED:
+            self._add(values[0], EndpointListUpdate(mode))
+            return
+        page = parse_integer(values[2], "page")
+        if page not in self._pages:
+            raise WireError(f"membership: expected the page of an earlier ledger, got {page}")
+        self._add(values[0], EndpointListUpdate(mode, self._pages[page]))
+
+    def _end_attempt(self, values: list[str]) -> None:
+        instance = self._address(values[0])
+        instance.events.append(parse_attempt_ended(values, instance.report_fields))
+
+    def _read_health_result(self, values: list[str]) -> None:
+        self._address(values[0])
+        check_health_result(values)
+
+    def _commit(self, batch: Batch) -> None:
+        """Let each instance with an event decide, and write the reply."""
+        lines: list[str] = []
+        for name in self._addressed:
+            lines += self._decide(name, batch.now)
+        lines.append(format_ready(batch.number))
+        self._output.write("\n".join(lines))
+        self._output.flush()
+        self._batch = None
+        self._addressed = {}
+
+    def _decide(self, name: str, now: int) -> list[str]:
+        instance = self.instances[name]
+        events = instance.events
+        instance.events = []
+        lines: list[str] = []
+        try:
+            for action in instance.policy.handle(now, events):
+                lines.append(format_action(name, action))
+        except Exception as error:  # the wire reports whatever a policy raises, and goes on
+            log.exception("policy.failed", instance=name)
+            lines.append(format_policy_error(name, error))
+        return lines
+
+
+def main() -> int:
+    """Run until the input ends; 0 at the end of a batch, 1 on a line that the wire does not allow."""
+    sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
+    sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
+    host = Host(sys.stdout)
+    line_number = 0
+    try:
+        for line_number, line in enumerate(sys.stdin, 1):
+            host.handle_line(line.rstrip("\n"))
+        if host.in_batch:
+            raise WireError("the input ended inside a batch, expected 'commit'")
+    except (ConfigError, UnicodeDecodeError) as error:
+        log.error("input.line-rejected", line=line_number, error=str(error))
+        return 1
+    return 0
--- a/honeyhitch/wirehost.py
+++ b/honeyhitch/wirehost.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from honeyhitch.simulator_host import main
+from honeyhitch.simulator_host.host import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from honeyhitch.simulator_host import Host, WireError
+from honeyhitch.simulator_host.host import Host
+from honeyhitch.simulator_host.lines import WireError
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = (
@@ -97,14 +98,14 @@
 ) -> None:
     host = Host(sys.stdout)
     for line in START:
-        host.line(line)
+        host.handle_line(line)
 
     def broken(*_: object) -> None:
         raise RuntimeError("torn\napart")
 
     monkeypatch.setattr(host.instances["dispatcher-0"].policy, "handle", broken)
     for line in ["tick 2000 2", ARRIVAL, "commit"]:
-        host.line(line)
+        host.handle_line(line)
     out, err = capsys.readouterr()
     assert "bug dispatcher-0 RuntimeError: torn apart\nready 2" in out
     assert "Traceback" in err
@@ -113,10 +114,10 @@
 def test_a_killed_instance_forgets_and_starts_again() -> None:
     host = Host(sys.stdout)
     for line in [*START, "tick 2000 2", "down dispatcher-0", *START[1:]]:
-        host.line(line)
+        host.handle_line(line)
     with pytest.raises(WireError):
         for line in ["tick 3000 3", "down dispatcher-0", ARRIVAL]:
-            host.line(line)
+            host.handle_line(line)
 
 
 def test_deploy_file_names_the_module_and_the_adapter() -> None:
