--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -458,7 +458,7 @@
             self.call_at(self.now + HEARTBEAT_INTERVAL, self._send_heartbeats)
 
     def _refresh(self, dispatcher: HollowDispatcher) -> None:
-        """Tell the policy of quotas that changed, and return messages of lost destinations, as the service does."""
+        """Update the quotas, and return the messages of lost destinations, as the service does."""
         assert dispatcher.fleet is not None
         now = self._clock(dispatcher)
         listings: list[EndpointListing] = []
