--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -14,7 +14,8 @@
 import click
 
 from honeyhitch import config as configuration
-from honeyhitch.endpoints.pool import EndpointPool, PoolError
+from honeyhitch.endpoints.list_rows import PoolError
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.policy.settings import DestinationKind, Idempotency, MessageClass, Settings
 from honeyhitch.tls.settings import Partner, Scope, TlsSettings
 
--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -8,7 +8,7 @@
 from honeyhitch.dispatcher.context import DispatcherContext
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.outcomes import CallOutcomes
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.journal import JournalFullError
 from honeyhitch.policy.actions import Send
 from honeyhitch.policy.events import Outcome, RetryAfterReceived
--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Outcome
 
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -17,7 +17,8 @@
 from honeyhitch.dispatcher.ports import Scheduler
 from honeyhitch.dispatcher.recovery import Recovery
 from honeyhitch.dispatcher.rounds import RoundRunner
-from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.journal.journal import Journal
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import ConnectionCapacity, EndpointListUpdate, Event, RetryAfterReceived
--- a/honeyhitch/dispatcher/outcomes.py
+++ b/honeyhitch/dispatcher/outcomes.py
@@ -5,7 +5,7 @@
 from honeyhitch.dispatcher.context import DispatcherContext
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.endings import Endings
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Attempt, Ending, Transaction
 from honeyhitch.policy.events import AttemptEnded, Outcome, RetryAfterReceived
 
--- a/honeyhitch/dispatcher/ports.py
+++ b/honeyhitch/dispatcher/ports.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from honeyhitch.dispatcher.delivery import Call
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Event, Outcome
 
--- /dev/null
+++ b/honeyhitch/endpoints/list_rows.py
@@ -0,0 +1,113 @@
+"""Discovery's lists of endpoints: the only place that knows the field names of their rows (wire page)."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from math import inf
+from typing import Any
+
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.policy.events import EndpointStatus
+
+MAX_PORT = (1 << 16) - 1
+MAX_PORT_DIGITS = 5
+DEFAULT_SIZE = 1.0  # calls a second
+NO_DESTINATION = -1
+STATUS_BY_PHASE = {
+    "Ready": EndpointStatus.READY,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.GONE,
+}
+
+Row = dict[str, Any]
+
+
+class PoolError(ValueError):
+    """A list from discovery that cannot be read."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointList:
+    """One list or one change, its rows not read yet."""
+
+    rows: list[Row]
+    revision: int
+    complete: bool
+
+    @classmethod
+    def parse(cls, received: dict[str, Any]) -> EndpointList:
+        """KeyError, TypeError, ValueError or OverflowError if it is no list."""
+        return cls(received["members"], int(received["revision"]), bool(received.get("complete", False)))
+
+
+def row_id(row: Row) -> str:
+    """The endpoint that a row is about; KeyError or TypeError if it is no row."""
+    return str(row["id"])
+
+
+def row_destination(row: Row) -> int | None:
+    """The destination that a row names, if it names one."""
+    cell = row.get("cell")
+    return cell if isinstance(cell, int) else None
+
+
+def row_is_known(row: Row, endpoints: dict[str, PoolEndpoint]) -> bool:
+    """Whether a row is about one of these; KeyError or TypeError if it is no row."""
+    return row["id"] in endpoints
+
+
+class RowParser:
+    """Reads rows, with the operator's names of kinds and zones; an unknown name counts as the first one."""
+
+    def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
+        self.kinds = kinds
+        self.zones = zones
+
+    def parse(self, row: Row, known: PoolEndpoint | None) -> PoolEndpoint:
+        """The endpoint of a row; what the row leaves out is taken from the `known` one with its id.
+
+        PoolError names the field that is unusable. KeyError, TypeError, ValueError or OverflowError if it is
+        no row at all.
+        """
+        status = STATUS_BY_PHASE.get(str(row.get("phase", "Ready")), EndpointStatus.READY)
+        if status is EndpointStatus.GONE and known is not None:
+            return replace(known, status=status)
+        return PoolEndpoint(
+            id=row_id(row),
+            destination=_parse_destination(row, known),
+            address=_parse_address(row, known, status),
+            listed_rate=_parse_size(row),
+            kind=_index_of(self.kinds, row.get("flavor")),
+            zone=_index_of(self.zones, row.get("locality")),
+            status=status,
+        )
+
+
+def _parse_destination(row: Row, known: PoolEndpoint | None) -> int:
+    cell = row.get("cell")
+    if cell is not None:
+        return int(cell)
+    return known.destination if known is not None else NO_DESTINATION
+
+
+def _parse_address(row: Row, known: PoolEndpoint | None, status: EndpointStatus) -> str:
+    address = str(row.get("host_port") or (known.address if known is not None else ""))
+    host, _, port = address.rpartition(":")
+    if status is not EndpointStatus.GONE and not (host and _is_port(port)):
+        raise PoolError(f"host_port: expected HOST:PORT, got {address!r}")
+    return address
+
+
+def _parse_size(row: Row) -> float:
+    size = float(row.get("size", DEFAULT_SIZE))
+    if not 0 <= size < inf:  # nor a NaN, which would spoil every rate computed from it
+        raise PoolError(f"size: expected a number of 0 or more, got {size}")
+    return size
+
+
+def _is_port(text: str) -> bool:
+    return text.isascii() and text.isdigit() and len(text) <= MAX_PORT_DIGITS and int(text) <= MAX_PORT
+
+
+def _index_of(names: tuple[str, ...], value: object) -> int:
+    return names.index(value) if isinstance(value, str) and value in names else 0
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -1,63 +1,27 @@
-"""The pool: the members that discovery has named, and where each is reached."""
+"""The pool: the endpoints that discovery has listed, and those that the operator set up."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, replace
-from math import inf
+from dataclasses import replace
 from typing import Any
 
-from honeyhitch.addresses import split_host_port
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.list_rows import (
+    EndpointList,
+    PoolError,
+    Row,
+    RowParser,
+    row_destination,
+    row_id,
+    row_is_known,
+)
 from honeyhitch.policy.events import EndpointListing, EndpointListUpdate, EndpointStatus, UpdateMode
 from honeyhitch.policy.settings import Settings
 
-TLS_TRANSPORT = "tls"  # the carrier whose members take calls on connections that are open already
-MAX_PORT_DIGITS = 5
-PHASES = {
-    "Ready": EndpointStatus.READY,
-    "Terminating": EndpointStatus.DRAINING,
-    "Gone": EndpointStatus.GONE,
-}
-
-
-@dataclass(slots=True)
-class PoolEndpoint:
-    """One member; `carrier` names what carries calls to it."""
-
-    id: str
-    address: str
-    destination: int
-    kind: int = 0
-    zone: int = 0
-    listed_rate: float = 1.0
-    status: EndpointStatus = EndpointStatus.READY
-    transport: str = "http"
-
-    def listing(self) -> EndpointListing:
-        """The member as the module sees it."""
-        gated = self.transport == TLS_TRANSPORT
-        return EndpointListing(
-            self.id, self.destination, self.kind, self.zone, self.listed_rate, self.status, gated
-        )
-
-
-class PoolError(ValueError):
-    """A list from discovery that cannot be read."""
-
-
-def _check_address(address: str) -> None:
-    try:
-        split_host_port(address, min_port=0, max_digits=MAX_PORT_DIGITS)
-    except ValueError:
-        raise PoolError(f"host_port: expected HOST:PORT, got {address!r}") from None
-
-
-def _index(names: tuple[str, ...], value: object, default: int = 0) -> int:
-    return names.index(value) if isinstance(value, str) and value in names else default
-
 
 class EndpointPool:
-    """Members by id. Those that are gone are forgotten; a call still out knows its own."""
+    """Endpoints by id. Those that are gone are forgotten; a call in flight knows its own."""
 
     def __init__(self, settings: Settings) -> None:
         self.kinds = tuple(kind.name for kind in settings.kinds)
@@ -65,98 +29,92 @@
         self.endpoints: dict[str, PoolEndpoint] = {}
         self.pinned: dict[str, PoolEndpoint] = {}  # set up by the operator, never in discovery's list
         self.revision = 0
-        self.transport_of: Callable[[PoolEndpoint], str] = lambda member: member.transport
-        self.keeps_destination: Callable[[int], bool] | None = (
-            None  # destinations whose members are kept, if not all
-        )
-        self.quota_fraction: Callable[[int], float] | None = (
-            None  # of a listed rate that this instance may use
-        )
-        self.destinations: set[int] = set()  # each that was ever listed; one between two members still exists
+        self.destinations: set[int] = set()  # each that was ever listed, also while it has no endpoint
+        self.transport_of: Callable[[PoolEndpoint], str] = lambda endpoint: endpoint.transport
+        # Destinations whose endpoints are kept, if not all.
+        self.keeps_destination: Callable[[int], bool] | None = None
+        # The fraction of a listed rate that this instance may use, 0 to 1.
+        self.quota_fraction: Callable[[int], float] | None = None
+        self._parser = RowParser(self.kinds, self.zones)
 
     def has_destination(self, destination: int) -> bool:
-        """Whether there is such a destination, as far as can be told."""
+        """Whether there is such a destination; true as long as none was listed."""
         return destination in self.destinations or not self.destinations
 
-    def pin(self, member: PoolEndpoint) -> None:
-        """Add a member that the operator set up; a whole list from discovery leaves it in place."""
-        self.pinned[member.id] = self.endpoints[member.id] = member
-        self.destinations.add(member.destination)
+    def pin(self, endpoint: PoolEndpoint) -> None:
+        """Add an endpoint that the operator set up; a complete list from discovery leaves it in place."""
+        self.pinned[endpoint.id] = endpoint
+        self.endpoints[endpoint.id] = endpoint
+        self.destinations.add(endpoint.destination)
+
+    def update(self, received: dict[str, Any], cached: bool = False) -> EndpointListUpdate:
+        """Apply one list or one change, in discovery's form, and return what is new.
 
-    def update(self, told: dict[str, Any], cached: bool = False) -> EndpointListUpdate:
-        """Enter one list or one change, in discovery's form, and say what is new."""
+        PoolError, and nothing is changed, if it cannot be read or comes late.
+        """
         try:
-            rows, revision = told["members"], int(told["revision"])
-            complete = bool(told.get("complete", False))
-            read = [self._parse_endpoint(row) for row in rows if self.keeps_row(row, complete)]
+            listed = EndpointList.parse(received)
+            read = [self._read(row) for row in listed.rows if self.keeps_row(row, listed.complete)]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise PoolError(f"members: {type(error).__name__}: {error}") from error
-        if revision < self.revision and not complete:
-            # Late, it would bring back what went since; an agent that counts anew has to give its whole list.
-            raise PoolError(f"revision: a change of {revision} after {self.revision}")
-        members = [one for one in read if one.status is not EndpointStatus.GONE or one.id in self.endpoints]
-        # One that is another destination's now has gone from the one it was of.
-        known = [(self.endpoints.get(one.id, one), one) for one in members]
-        moved = [
-            replace(old, status=EndpointStatus.GONE)
-            for old, one in known
-            if old.destination != one.destination
-        ]
-        self.revision, news = revision, tuple(self._listing(member) for member in [*moved, *members])
-        if complete:  # what a whole list leaves out is gone as well
-            named = {entry.endpoint for entry in news} | self.pinned.keys()
-            self.endpoints = {name: member for name, member in self.endpoints.items() if name in named}
-        for member in members:
-            if member.status is not EndpointStatus.GONE:
-                self.endpoints[member.id] = member
-            elif member.id not in self.pinned:
-                self.endpoints.pop(member.id, None)
-        self.destinations.update(entry.destination for entry in news)
-        if not complete:
-            return EndpointListUpdate(UpdateMode.CHANGES, news)
-        news += tuple(self._listing(member) for member in self.pinned.values())
-        return EndpointListUpdate(UpdateMode.CACHED if cached else UpdateMode.FULL, news)
-
-    def keeps_row(self, row: dict[str, Any], complete: bool = False) -> bool:
-        """Whether an entry is kept: one of a destination that is, or a change of a member that was."""
+        if listed.revision < self.revision and not listed.complete:
+            # It would bring back what went since; an agent that counts anew has to send its complete list.
+            raise PoolError(f"revision: a change of {listed.revision} after {self.revision}")
+        endpoints = [one for one in read if one.status is not EndpointStatus.GONE or one.id in self.endpoints]
+        listings = tuple(self._listing(one) for one in [*self._moved_away(endpoints), *endpoints])
+        self.revision = listed.revision
+        self._apply(endpoints, listings, listed.complete)
+        if not listed.complete:
+            return EndpointListUpdate(UpdateMode.CHANGES, listings)
+        listings += tuple(self._listing(one) for one in self.pinned.values())
+        return EndpointListUpdate(UpdateMode.CACHED if cached else UpdateMode.FULL, listings)
+
+    def keeps_row(self, row: Row, complete: bool = False) -> bool:
+        """Whether a row is kept: one of a destination that is, or a change of an endpoint that was."""
         if self.keeps_destination is None:
             return True
-        known, cell = row["id"] in self.endpoints, row.get("cell")
-        return (isinstance(cell, int) and self.keeps_destination(cell)) or (known and not complete)
-
-    def _listing(self, member: PoolEndpoint) -> EndpointListing:
-        entry = member.listing()
-        if self.quota_fraction is None:
-            return entry
-        return replace(entry, listed_rate=entry.listed_rate * self.quota_fraction(member.destination))
+        known = row_is_known(row, self.endpoints)
+        destination = row_destination(row)
+        if destination is not None and self.keeps_destination(destination):
+            return True
+        return known and not complete
 
     def changed_listings(self, changed: Callable[[int], bool]) -> EndpointListUpdate:
-        """The entries of destinations whose portion has changed, as a change of the list."""
-        members = [member for member in self.endpoints.values() if changed(member.destination)]
-        return EndpointListUpdate(UpdateMode.CHANGES, tuple(self._listing(member) for member in members))
-
-    def _parse_endpoint(self, row: dict[str, Any]) -> PoolEndpoint:
-        name = str(row["id"])
-        old = self.endpoints.get(name)
-        status = PHASES.get(str(row.get("phase", "Ready")), EndpointStatus.READY)
-        if status is EndpointStatus.GONE and old is not None:
-            return replace(old, status=status)
-        cell = row.get("cell")
-        destination = int(cell) if cell is not None else old.destination if old else -1
-        address = str(row.get("host_port") or (old.address if old else ""))
-        if status is not EndpointStatus.GONE:
-            _check_address(address)
-        size = float(row.get("size", 1.0))
-        if not 0 <= size < inf:  # nor a NaN, which would spoil every pace computed from it
-            raise PoolError(f"size: expected a number of 0 or more, got {size}")
-        member = PoolEndpoint(
-            id=name,
-            address=address,
-            destination=destination,
-            kind=_index(self.kinds, row.get("flavor")),
-            zone=_index(self.zones, row.get("locality")),
-            listed_rate=size,
-            status=status,
-        )
-        member.transport = self.transport_of(member)
-        return member
+        """The listings of destinations whose quota has changed, as a change of the list."""
+        listings = tuple(self._listing(one) for one in self.endpoints.values() if changed(one.destination))
+        return EndpointListUpdate(UpdateMode.CHANGES, listings)
+
+    def _read(self, row: Row) -> PoolEndpoint:
+        known = self.endpoints.get(row_id(row))
+        endpoint = self._parser.parse(row, known)
+        if endpoint.status is not EndpointStatus.GONE or known is None:
+            endpoint.transport = self.transport_of(endpoint)
+        return endpoint
+
+    def _moved_away(self, endpoints: list[PoolEndpoint]) -> list[PoolEndpoint]:
+        """Endpoints listed for another destination than before, as gone from the one that they were of."""
+        moved = []
+        for endpoint in endpoints:
+            known = self.endpoints.get(endpoint.id, endpoint)
+            if known.destination != endpoint.destination:
+                moved.append(replace(known, status=EndpointStatus.GONE))
+        return moved
+
+    def _apply(
+        self, endpoints: list[PoolEndpoint], listings: tuple[EndpointListing, ...], complete: bool
+    ) -> None:
+        if complete:  # what a complete list leaves out is gone as well
+            named = {listing.endpoint for listing in listings} | self.pinned.keys()
+            self.endpoints = {name: one for name, one in self.endpoints.items() if name in named}
+        for endpoint in endpoints:
+            if endpoint.status is not EndpointStatus.GONE:
+                self.endpoints[endpoint.id] = endpoint
+            elif endpoint.id not in self.pinned:
+                self.endpoints.pop(endpoint.id, None)
+        self.destinations.update(listing.destination for listing in listings)
+
+    def _listing(self, endpoint: PoolEndpoint) -> EndpointListing:
+        listing = endpoint.listing()
+        if self.quota_fraction is None:
+            return listing
+        return replace(listing, listed_rate=listing.listed_rate * self.quota_fraction(endpoint.destination))
--- a/honeyhitch/service/features/mqtt.py
+++ b/honeyhitch/service/features/mqtt.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from honeyhitch.config.deployment import MqttEndpoint, MqttSettings
-from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.service.service import Service
 from honeyhitch.transports.mqtt_transport import BrokerConnector, MqttFrontend, MqttTransport
 
--- a/honeyhitch/service/features/tls.py
+++ b/honeyhitch/service/features/tls.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from honeyhitch.config.deployment import OperatorSettings
-from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
+from honeyhitch.endpoints.endpoint import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.service.service import Service
 from honeyhitch.tls.partners import Partners
 from honeyhitch.tls.settings import TlsSettings
--- a/honeyhitch/service/start.py
+++ b/honeyhitch/service/start.py
@@ -4,7 +4,7 @@
 
 from honeyhitch import logs
 from honeyhitch.config import ConfigError
-from honeyhitch.endpoints.pool import PoolError
+from honeyhitch.endpoints.list_rows import PoolError
 from honeyhitch.service.listeners import listen_for_clients, listen_for_monitoring
 from honeyhitch.service.service import Service
 
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -8,7 +8,7 @@
 from honeyhitch import logs
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.dispatcher import Dispatcher
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import calls, http1
 from honeyhitch.protocols.buffer import Buffer
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -13,7 +13,7 @@
 from honeyhitch.config.deployment import MqttSettings
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.dispatcher import Dispatcher
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import mqtt_messages as messages
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -13,7 +13,7 @@
 
 from honeyhitch import logs
 from honeyhitch.dispatcher.dispatcher import Dispatcher
-from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
+from honeyhitch.endpoints.endpoint import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.time_units import SECOND
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -10,7 +10,8 @@
 
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.dispatcher import Dispatcher
-from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.journal.journal import Journal
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Outcome
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.transactions import Ending
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.settings import DestinationKind
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -10,7 +10,8 @@
 import pytest
 
 from honeyhitch import config
-from honeyhitch.endpoints.pool import EndpointPool, PoolError
+from honeyhitch.endpoints.list_rows import PoolError
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.policy.events import EndpointStatus
 
 from .program import SETTINGS, write
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -14,7 +14,9 @@
 import pytest
 
 from honeyhitch.dispatcher.delivery import Admission, Call, DispatcherState, Phase
-from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint, PoolError
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.list_rows import PoolError
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import (
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -17,7 +17,8 @@
 
 from honeyhitch.config.deployment import MqttSettings
 from honeyhitch.dispatcher.dispatcher import Dispatcher
-from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.journal.journal import Journal
 from honeyhitch.journal.record_codec import decode_frames
 from honeyhitch.journal.transactions import Ending, Transaction
--- a/tests/test_http_transport.py
+++ b/tests/test_http_transport.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from honeyhitch.dispatcher.delivery import Call
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import http1
 from honeyhitch.protocols.buffer import Buffer
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -17,7 +17,8 @@
 
 from honeyhitch import config
 from honeyhitch.dispatcher.delivery import Call
-from honeyhitch.endpoints.pool import PoolEndpoint, PoolError
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.list_rows import PoolError
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.service.run import run
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from honeyhitch.dispatcher.delivery import Call
-from honeyhitch.endpoints.pool import TLS_TRANSPORT, PoolEndpoint
+from honeyhitch.endpoints.endpoint import TLS_TRANSPORT, PoolEndpoint
 from honeyhitch.policy.events import ConnectionCapacity, Outcome
 from honeyhitch.tls import retirement
 from honeyhitch.tls.connection_gate import EndpointConnections
