--- a/tests/broker.py
+++ b/tests/broker.py
@@ -73,13 +73,13 @@
         old = None if packet.flag else self.kept.get(packet.client_id)
         kept = self.kept[packet.client_id] = old or Kept()
         kept.writer = writer
-        self._write(kept, Packet(Kind.CONNACK, flag=old is not None))
+        self.write(kept, Packet(Kind.CONNACK, flag=old is not None))
         for owed in kept.owed.values():
             owed.dup = owed.kind is Kind.PUBLISH
-            self._write(kept, owed)
+            self.write(kept, owed)
         return kept
 
-    def _write(self, kept: Kept, packet: Packet | None) -> None:
+    def write(self, kept: Kept, packet: Packet | None) -> None:
         if packet is not None and kept.writer is not None:
             kept.writer.write(encode(packet))
 
@@ -87,27 +87,27 @@
         match packet.kind:
             case Kind.SUBSCRIBE:
                 kept.filters |= {topic: options & 3 for topic, options in packet.filters}
-                self._write(kept, Packet(Kind.SUBACK, id=packet.id, reasons=[1] * len(packet.filters)))
+                self.write(kept, Packet(Kind.SUBACK, id=packet.id, reasons=[1] * len(packet.filters)))
             case Kind.PUBACK | Kind.PUBCOMP:
                 kept.owed.pop(packet.id, None)
             case Kind.PUBREC:
                 kept.owed[packet.id] = Packet(Kind.PUBREL, id=packet.id)
-                self._write(kept, kept.owed[packet.id])
+                self.write(kept, kept.owed[packet.id])
             case Kind.PUBREL:
                 kept.half.discard(packet.id)
-                self._write(kept, Packet(Kind.PUBCOMP, id=packet.id))
+                self.write(kept, Packet(Kind.PUBCOMP, id=packet.id))
             case Kind.PINGREQ:
-                self._write(kept, Packet(Kind.PINGRESP))
+                self.write(kept, Packet(Kind.PINGRESP))
             case Kind.PUBLISH:
                 self._publish(kept, packet)
 
     def _publish(self, kept: Kept, packet: Packet) -> None:
         self.published.append(packet)
         if packet.topic.startswith("partner/") and self.partner is not None:
-            self._write(kept, self.partner(packet))
+            self.write(kept, self.partner(packet))
             return
         if packet.qos == 2 and packet.id in kept.half:  # a repeat of one that was taken
-            self._write(kept, Packet(Kind.PUBREC, id=packet.id))
+            self.write(kept, Packet(Kind.PUBREC, id=packet.id))
             return
         for other in self.kept.values():
             if packet.topic in other.filters:
@@ -116,8 +116,8 @@
                 copy.qos = min(packet.qos, other.filters[packet.topic])
                 copy.properties, copy.user = dict(packet.properties), list(packet.user)
                 other.owed[copy.id] = copy
-                self._write(other, copy)
+                self.write(other, copy)
         if packet.qos == 2:
             kept.half.add(packet.id)
         if packet.qos:
-            self._write(kept, Packet(Kind.PUBREC if packet.qos == 2 else Kind.PUBACK, id=packet.id))
+            self.write(kept, Packet(Kind.PUBREC if packet.qos == 2 else Kind.PUBACK, id=packet.id))
--- a/tests/polling.py
+++ b/tests/polling.py
@@ -41,3 +41,19 @@
             if await condition():
                 return
             await asyncio.sleep(interval)
+
+
+async def poll_condition(
+    condition: Callable[[], object],
+    interval: float = INTERVAL_SECONDS,
+    limit: float = LIMIT_SECONDS,
+) -> None:
+    """Check the state of this process every `interval` seconds until it holds; 0 is each turn of the loop.
+
+    Raises TimeoutError after `limit` seconds.
+    """
+    async with asyncio.timeout(limit):
+        while True:
+            if condition():
+                return
+            await asyncio.sleep(interval)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""Virtual time and stand-in ports for tests of the core; nothing here opens a socket."""
+"""Virtual time and stand-in ports for tests of the dispatcher; nothing here opens a socket."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 START = 1_700_000_000 * SECOND
 STANDARD_CLASS = dataclasses.replace(
     settings().classes[1], name="standard", deadline=20 * SECOND, deduplication_window=5 * SECOND
-)  # keyed, a repeat is dropped inside the window
+)  # with a key, a repeat is dropped inside the deduplication window
 SETTINGS: dict[str, Any] = {
     "classes": (STANDARD_CLASS,),
     "kinds": (DestinationKind(max_messages_per_call=3, name="large"), DestinationKind(name="small")),
@@ -34,11 +34,17 @@
 }
 
 
+def retention(_: Transaction) -> int:
+    """How long the ids and keys of ended messages are remembered."""
+    return 20 * SECOND
+
+
 class VirtualTime:
-    """The core's scheduler in virtual time."""
+    """The dispatcher's scheduler in virtual time."""
 
     def __init__(self, now: int = START) -> None:
-        self.time, self.sequence = now, 0
+        self.time = now
+        self.sequence = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
 
     def now(self) -> int:
@@ -59,7 +65,7 @@
 
 
 class DispatcherRig:
-    """One dispatcher between a stand-in carrier and a stand-in front."""
+    """One dispatcher between a stand-in transport and a stand-in frontend."""
 
     def __init__(
         self,
@@ -73,7 +79,7 @@
         self.time = time or VirtualTime()
         self.journal = self.make_journal(folder, disk)
         self.calls: list[Call] = []
-        self.closed_endpoints: list[str] = []  # members whose idle connections were closed
+        self.closed_endpoints: list[str] = []  # endpoints whose idle connections were closed
         self.answers: list[Transaction] = []
         self.confirms_answers = True
         self.dispatcher = Dispatcher(self.settings, 7, EndpointPool(self.settings), self.journal, self.time)
@@ -91,10 +97,10 @@
         self.dispatcher.recover()
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
-        return Journal(folder, disk, self.time.now, lambda ended: 20 * SECOND)
+        return Journal(folder, disk, self.time.now, retention)
 
     def prepare(self) -> None:
-        """What a test adds before what the journal holds is taken up again."""
+        """What a test adds before the messages of the journal are resumed."""
 
     def start(self, call: Call) -> None:
         """Its connection is up at once."""
@@ -106,8 +112,8 @@
     def cancel(self, call: Call) -> None:
         self.end(call, Outcome.CANCELLED)
 
-    def close_idle(self, member: PoolEndpoint) -> None:
-        self.closed_endpoints.append(member.id)
+    def close_idle(self, endpoint: PoolEndpoint) -> None:
+        self.closed_endpoints.append(endpoint.id)
 
     def answer(self, transaction: Transaction) -> None:
         self.answers.append(transaction)
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -1,5 +1,6 @@
-"""Real processes under the limits of their machine: descriptors that idle clients fill while discovery is
-down, and many restarts at once. Loopback only; each process is ended by its id.
+"""Real processes under the limits of their machine, on loopback sockets.
+
+Idle clients fill the descriptors while discovery is down, and many processes restart at once.
 """
 
 from __future__ import annotations
@@ -10,10 +11,9 @@
 import time
 from asyncio.subprocess import Process
 from pathlib import Path
-from typing import Any
 
 from .agent import Agent
-from .polling import Changes
+from .polling import Changes, poll_until
 from .processes import (
     PING,
     PONG,
@@ -28,13 +28,14 @@
 from .rig import endpoint_row
 
 SOCKETS = 72  # descriptors of the process, as its configuration says
-CLIENTS = 300  # that connect and say nothing
-RESTARTED, OWED = 10, 30  # processes killed at once, messages that each of them holds
-READY_WITHIN = 10.0  # seconds; nine in ten restarted processes (standing test)
+CLIENTS = 300  # that connect and send nothing
+RESTARTED = 10  # processes killed at once
+MESSAGES_EACH = 30  # held by each of them
+READY_WITHIN = 10.0  # seconds; nine in ten restarted processes
 
 
 async def idle(port: int) -> None:
-    """A client that says nothing, and connects anew as often as it is closed."""
+    """A client that sends nothing, and reconnects whenever it is closed."""
     while True:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -60,7 +61,7 @@
             agent.go_down()
             watches = len(agent.watches)
             crowd = [asyncio.ensure_future(idle(port)) for _ in range(CLIENTS)]
-            assert await request_line(port, PING) == PONG, "a client that speaks has its place"
+            assert await request_line(port, PING) == PONG, "a client that sends something has its place"
             await agent.start()
             await events.wait_until(lambda: len(agent.watches) > watches)  # discovery
             assert await request_line(port, enqueue("one")) == b"+OK\r\n"
@@ -70,8 +71,11 @@
             await events.wait_until(lambda: "two" in agent.notices)  # and a notice
             agent.change({**endpoint_row("s-3", 3), "host_port": f"127.0.0.1:{partner.port}"})
             other = enqueue("three").replace(b"dest=1", b"dest=3")
-            while await request_line(port, other) != b"+OK\r\n":  # until the change has arrived
-                await asyncio.sleep(0.02)
+
+            async def change_has_arrived() -> bool:
+                return await request_line(port, other) == b"+OK\r\n"
+
+            await poll_until(change_has_arrived)
             await events.wait_until(lambda: partner.calls.total() == 2)
             assert process.returncode is None
             for task in crowd:
@@ -94,36 +98,37 @@
         async with killed_at_end(processes):
             for process, port in zip(processes, paths, strict=True):
                 await until_ready(process, port)
-                for number in range(OWED):
+                for number in range(MESSAGES_EACH):
                     assert await request_line(port, enqueue(f"{port}-{number}", left=20_000)) == b"+OK\r\n"
             for process in processes:
                 process.kill()
             for process in processes:
                 await process.wait()
-            began, took = time.monotonic(), list[float]()
+            started_at = time.monotonic()
+            start_times: list[float] = []
             processes[:] = [await spawn(path) for path in paths.values()]
 
             async def timed(process: Process, port: int) -> None:
                 await until_ready(process, port)
-                took.append(time.monotonic() - began)
+                start_times.append(time.monotonic() - started_at)
 
             await asyncio.gather(*(timed(*one) for one in zip(processes, paths, strict=True)))
-            assert sum(one <= READY_WITHIN for one in took) >= 0.9 * RESTARTED, sorted(took)
+            in_time = sum(seconds <= READY_WITHIN for seconds in start_times)
+            assert in_time >= 0.9 * RESTARTED, sorted(start_times)
             for port, path in paths.items():
-                owed = await request_line(
-                    port, enqueue(f"{port}-0")
-                )  # its journal was read: it knows what it holds
-                assert owed == b"+OK\r\n"
-                assert held(json.loads(Path(path).read_text())) >= OWED
+                repeated = await request_line(port, enqueue(f"{port}-0"))
+                assert repeated == b"+OK\r\n", "its journal was read: it knows what it holds"
+                assert messages_held(path) >= MESSAGES_EACH
 
     play(work())
 
 
-def held(told: dict[str, Any]) -> int:
+def messages_held(config_path: str) -> int:
     """Messages named in the journal of a process with this configuration."""
-    names = set[bytes]()
-    for file in Path(told["state"]).iterdir():
+    state = Path(json.loads(Path(config_path).read_text())["state"])
+    numbers = set[int]()
+    for file in state.iterdir():
         if file.is_file():
             data = file.read_bytes()
-            names |= {b"%d" % number for number in range(OWED) if f"-{number}".encode() in data}
-    return len(names)
+            numbers |= {number for number in range(MESSAGES_EACH) if f"-{number}".encode() in data}
+    return len(numbers)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -257,7 +257,8 @@
         stand.run(0.1)
     stand.submit("b")
     calls = stand.run(6)
-    assert calls and all(one.sent_at >= ends for one in calls), "begun inside the told wait"
+    assert calls
+    assert all(one.sent_at >= ends for one in calls), "started before the Retry-After was over"
 
 
 def test_a_restart_ends_what_was_told_before_it(tmp_path: Path) -> None:
@@ -266,7 +267,8 @@
     stand.dispatcher.journal.record_retry_after(1, "s-1", stand.time.time + 10 * SECOND)
     again = DispatcherRig(tmp_path, stand.time)
     tried = [part.id for call in again.run(1) for part in call.messages]
-    assert tried == ["a"] and not again.answers, "it is tried, and not given up for a wait that has ended"
+    assert tried == ["a"], "it is attempted"
+    assert not again.answers, "and not rejected for a Retry-After that the restart ended"
 
 
 @pytest.mark.parametrize("how", ["late", "no tries", "nobody waits"])
@@ -289,7 +291,8 @@
     stand.run(0.1)
     stand.submit("next", dest=2)
     calls = stand.run(6)
-    assert calls and all(one.sent_at >= ends for one in calls), "begun inside the told wait"
+    assert calls
+    assert all(one.sent_at >= ends for one in calls), "started before the Retry-After was over"
 
 
 @pytest.mark.parametrize("whole", [True, False])
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -90,7 +90,11 @@
 
 
 @pytest.mark.parametrize("row", [7, "s-1", None, [], {}])
-@pytest.mark.parametrize("keeps", [None, lambda destination: True, lambda destination: False])
+@pytest.mark.parametrize(
+    "keeps",
+    [None, lambda _: True, lambda _: False],
+    ids=["all are kept", "each is asked for and kept", "each is asked for and left out"],
+)
 def test_a_row_that_is_no_member_is_a_pool_error_whatever_is_kept(
     row: object, keeps: Callable[[int], bool] | None
 ) -> None:
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -29,9 +29,12 @@
 from honeyhitch.transports.mqtt_transport import MqttTransport
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
-from .rig import SETTINGS, endpoint_row
+from .polling import poll_condition
+from .rig import SETTINGS, endpoint_row, retention
 from .world import SECOND, settings
 
+LIMIT_SECONDS = 30
+
 
 class Line:
     """Connections of the carrier: each waits at its door until the test opens it."""
@@ -85,7 +88,7 @@
         self.tasks, scheduler = Tasks(self.loop), LoopScheduler(self.loop)
         self.s = settings(**{**SETTINGS, "max_concurrent_calls": 12, "connect_timeout": 20 * SECOND, **more})
         folder.mkdir(exist_ok=True)
-        self.journal = Journal(folder, 3_000_000, scheduler.now, lambda ended: 20 * SECOND)
+        self.journal = Journal(folder, 3_000_000, scheduler.now, retention)
         self.core = Dispatcher(self.s, 7, EndpointPool(self.s), self.journal, scheduler)
         self.carrier = HttpTransport(self.core, scheduler, self.tasks, 8)
         self.core.transports["http"], self.core.frontends["resp"] = self.carrier, self
@@ -134,15 +137,14 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-async def until(holds: Callable[[], object]) -> None:
-    """Let the loop turn till it holds."""
-    while not holds():
-        await asyncio.sleep(0)
+async def until(condition: Callable[[], object]) -> None:
+    """Let the loop turn until the condition holds."""
+    await poll_condition(condition, interval=0, limit=LIMIT_SECONDS)
 
 
 def play(work: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(30):
+        async with asyncio.timeout(LIMIT_SECONDS):
             await work
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -251,7 +253,8 @@
     play(work())
 
 
-def test_what_could_not_connect_counts_as_an_attempt_over_a_restart(tmp_path: Path, line: Line) -> None:
+@pytest.mark.usefixtures("line")
+def test_what_could_not_connect_counts_as_an_attempt_over_a_restart(tmp_path: Path) -> None:
     async def work() -> None:
         one = Member()
         one.port = 9  # nobody listens there
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -11,11 +11,16 @@
 from honeyhitch.journal.record_codec import decode_frames
 from honeyhitch.journal.transactions import Ending, Transaction
 
-NOW = 1_000
+NOW = 1_000  # ns
+RETENTION = 500  # ns
+
+
+def retention(_: Transaction) -> int:
+    return RETENTION
 
 
 def opened(folder: Path, disk: int = 1_000_000) -> Journal:
-    return Journal(folder, disk, lambda: NOW, lambda ended: 500)
+    return Journal(folder, disk, lambda: NOW, retention)
 
 
 def transaction(name: str, body: bytes = b"\r\n\x00\xff body") -> Transaction:
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -242,6 +242,6 @@
         play(run(told, lambda before: before))
 
 
-def test_ending_names_stay(tmp_path: Path) -> None:
+def test_ending_names_stay() -> None:
     """They stand in journals: a name that changes makes an older journal unreadable."""
     assert {one.value for one in Ending} == {"delivered", "rejected", "failed", "over"}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -27,6 +27,7 @@
 from honeyhitch.protocols.mqtt_packets import Kind, Packet
 
 from .broker import Broker
+from .polling import poll_condition
 from .program import Peer, free_port, play, started, write
 from .rig import endpoint_row
 from .test_exchanges import raw
@@ -45,54 +46,93 @@
         assert len(got) < len(pattern) + 64, got
 
 
+class ScriptRunner:
+    """Plays a recorded script: each line names a party, and what it sends, receives or does."""
+
+    def __init__(self, directory: Path) -> None:
+        self.directory = directory
+        self.port = free_port()
+        self.peers: dict[str, Peer] = {"client": Peer()}
+        self.members: list[dict[str, Any]] = []
+
+    async def start_peers(self) -> None:
+        for name in ("agent", "watch", "next", "one", "two"):
+            self.peers[name] = await Peer().start()
+        for name, kind, cell in (("one", "small", 1), ("two", "large", 2)):
+            address = f"127.0.0.1:{self.peers[name].port}"
+            self.members.append({**endpoint_row(name, cell, kind), "host_port": address})
+        self.members.append(endpoint_row("leaving", 9, phase="Terminating"))
+
+    async def run(self, lines: list[str]) -> None:
+        """One process, from its start to its end."""
+        agent = self.peers["agent"]
+        stopped = "stop" in lines
+        async with started(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
+            # The first connection to the agent is the watch; notices come on another.
+            self.peers["watch"].now = await agent.came.get()
+            await watched(self.peers["watch"], agent.port)
+            agent.now = None
+            await self.peers["client"].dial(self.port)
+            for line in lines:
+                name, _, what = line.partition(" ")
+                if name in ("stop", "dial", "reload"):
+                    await self._act(name, what)
+                else:
+                    await self._play(name, what)
+        for name in ("agent", "one", "two"):
+            self.peers[name].now = None
+
+    async def _act(self, name: str, what: str) -> None:
+        if name == "stop":
+            os.kill(os.getpid(), signal.SIGTERM)
+        elif name == "dial":
+            await self.peers["client"].dial(self.port)
+        else:
+            await self._reload(self.peers[what])
+
+    async def _reload(self, other_agent: Peer) -> None:
+        """A faulty configuration changes nothing; the next one names another agent."""
+        client = self.peers["client"]
+        (self.directory / "config.json").write_text("{")
+        os.kill(os.getpid(), signal.SIGHUP)
+        await client.dial(self.port)
+        (await client.accepted())[1].write(b"PING\r\n")
+        await receive(client, b"+PONG\r\n")
+        write(self.directory, self.port, other_agent.port, [])
+        os.kill(os.getpid(), signal.SIGHUP)
+        await listed(other_agent, other_agent.port, self.members)
+        other_agent.now = None  # notices come on another connection
+
+    async def _play(self, name: str, what: str) -> None:
+        if what == "ended":
+            reader, _ = self._connection(name)
+            assert await reader.read(1) == b""
+        elif what == "close":
+            _, writer = self._connection(name)
+            writer.close()
+            self.peers[name].now = None
+        elif name[-1] == ">":
+            (await self.peers[name[:-1]].accepted())[1].write(raw(what))
+        else:
+            peer = self.peers[name[:-1]]
+            await receive(peer, raw(what.replace("PORT", str(peer.port))))
+
+    def _connection(self, name: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        connection = self.peers[name].now
+        assert connection is not None
+        return connection
+
+
 @pytest.mark.parametrize("file", PROGRAMS, ids=lambda file: file.stem)
 def test_program(file: Path, tmp_path: Path) -> None:
+    script = [line for line in file.read_text().splitlines() if line and line[0] != "#"]
+    processes = "\n".join(script).split("\nrestart\n")
+
     async def work() -> None:
-        peers = {name: await Peer().start() for name in ("agent", "watch", "next", "one", "two")}
-        members = []
-        for name, kind, cell in (("one", "small", 1), ("two", "large", 2)):
-            members.append({**endpoint_row(name, cell, kind), "host_port": f"127.0.0.1:{peers[name].port}"})
-        members.append(endpoint_row("leaving", 9, phase="Terminating"))
-        client, port = Peer(), free_port()
-        peers["client"] = client
-        script = [line for line in file.read_text().splitlines() if line and line[0] != "#"]
-        for part in "\n".join(script).split("\nrestart\n"):
-            stopped = "stop" in part.splitlines()
-            async with started(tmp_path, peers["agent"].port, members, port=port, stopped=stopped):
-                agent = peers["agent"]
-                # The first connection to the agent is the watch; notices come on another.
-                peers["watch"].now = await agent.came.get()
-                await watched(peers["watch"], agent.port)
-                agent.now = None
-                await client.dial(port)
-                for line in part.splitlines():
-                    name, _, what = line.partition(" ")
-                    if name == "stop":
-                        os.kill(os.getpid(), signal.SIGTERM)
-                    elif name == "dial":
-                        await client.dial(port)
-                    elif name == "reload":
-                        (tmp_path / "config.json").write_text("{")  # a faulty one changes nothing
-                        os.kill(os.getpid(), signal.SIGHUP)
-                        await client.dial(port)
-                        (await client.accepted())[1].write(b"PING\r\n")
-                        await receive(client, b"+PONG\r\n")
-                        write(tmp_path, port, peers[what].port, [])
-                        os.kill(os.getpid(), signal.SIGHUP)
-                        await listed(peers[what], peers[what].port, members)
-                        peers[what].now = None  # notices come on another connection
-                    elif what == "ended":
-                        assert await peers[name].now[0].read(1) == b""  # type: ignore[index]
-                    elif what == "close":
-                        peers[name].now[1].close()  # type: ignore[index]
-                        peers[name].now = None
-                    elif name[-1] == ">":
-                        (await peers[name[:-1]].accepted())[1].write(raw(what))
-                    else:
-                        address = str(peers[name[:-1]].port)
-                        await receive(peers[name[:-1]], raw(what.replace("PORT", address)))
-            for name in ("agent", "one", "two"):
-                peers[name].now = None
+        runner = ScriptRunner(tmp_path)
+        await runner.start_peers()
+        for process in processes:
+            await runner.run(process.splitlines())
 
     play(work())
 
@@ -136,8 +176,7 @@
             assert client.now is not None
             client.now[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
-            while faults:
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: not faults)
             await member.accepted()  # the connection of the faulty call, which carries nothing
             member.now = None
             reader, _ = await member.accepted()
@@ -222,6 +261,16 @@
             await self.came.wait()
 
 
+def calls_to_partner(broker: Broker) -> list[Packet]:
+    return [packet for packet in broker.published if packet.topic == "partner/1"]
+
+
+def journal_records(directory: Path, kind: str) -> list[dict[str, Any]]:
+    """The stored fields of the journal's records of one kind."""
+    data = (directory / "state" / "journal").read_bytes()
+    return [fields for fields, _, _ in decode_frames(data) if fields["t"] == kind]
+
+
 def ended(broker: Broker, reasons: dict[str, int]) -> None:
     """The partner behind the broker: acknowledges each call once, with a reason by the message's id."""
 
@@ -240,8 +289,7 @@
         client = Client(asyncio.get_running_loop())
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
-            while not broker.subscribed("n0-intake", "client"):
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.hand_in("good", 1)
             await client.until(1)
             client.hand_in("silent", 1, left=300)
@@ -251,8 +299,8 @@
             client.hand_in("", 1)
             client.hand_in("", 1)
             await client.until(6)
-            while len(client.answers[""]) < 2:  # without an id, each is answered by itself
-                await asyncio.sleep(0.01)
+            # Without an id, each is answered by itself.
+            await poll_condition(lambda: len(client.answers[""]) == 2)
         client.paho.disconnect()
         client.paho.loop_stop()
         assert all(len(answers) == 1 + (name == "") for name, answers in client.answers.items())
@@ -280,8 +328,7 @@
         client = Client(asyncio.get_running_loop())
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
-            while not broker.subscribed("n0-intake", "client"):
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             for i in range(count):
                 client.hand_in(f"m{i}", 1)
                 if i in (10, 25):
@@ -295,7 +342,7 @@
         assert {name: len(answers) for name, answers in client.answers.items()} == {
             f"m{i}": 1 for i in range(count)
         }
-        calls = [packet for packet in broker.published if packet.topic == "partner/1"]
+        calls = calls_to_partner(broker)
         assert not any(packet.dup for packet in calls), "no call is repeated by itself"
 
     play(work())
@@ -309,18 +356,16 @@
         client = Client(asyncio.get_running_loop())
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
-            while not broker.subscribed("n0-intake", "client"):
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.hand_in("m", 1)
-            while not any(packet.topic == "partner/1" for packet in broker.published):
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: calls_to_partner(broker))
             await broker.kill()
             ended(broker, {})
             await broker.start()
             await client.until(1)
         client.paho.disconnect()
         client.paho.loop_stop()
-        calls = [packet for packet in broker.published if packet.topic == "partner/1"]
+        calls = calls_to_partner(broker)
         assert len(calls) == 2
         assert not any(packet.dup for packet in calls)
         assert {dict(packet.user)["key"] for packet in calls} == {"k-m"}, "its key lets the partner drop it"
@@ -338,11 +383,9 @@
         operator = OPERATOR.format(port=broker.port, dest=1)
         async with started(tmp_path, agent.port, [], operator):
             client.connect(broker.port)
-            while not broker.subscribed("n0-intake", "client"):
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.hand_in("m", 1)
-            while not any(packet.topic == "partner/1" for packet in broker.published):
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: calls_to_partner(broker))
         ended(broker, {})
         async with started(tmp_path, agent.port, [], operator):
             client.hand_in("m", 1)  # handed in twice: the id is known over the restart
@@ -352,7 +395,7 @@
         client.paho.disconnect()
         client.paho.loop_stop()
         assert [answer["status"] for answer in client.answers["m"]] == ["delivered"]
-        calls = [packet for packet in broker.published if packet.topic == "partner/1"]
+        calls = calls_to_partner(broker)
         assert [dict(packet.user)["id"] for packet in calls] == ["m", "m", "n"]
 
     play(work())
@@ -365,8 +408,7 @@
         ended(broker, {})
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
         async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
-            while "n0-calls" not in broker.kept:
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: "n0-calls" in broker.kept)
             await client.dial(port)
             assert client.now is not None
             client.now[1].write(raw(ENQUEUE))
@@ -374,10 +416,8 @@
             reader, writer = await member.accepted()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 429 No\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n")
-            while not any(packet.topic == "partner/1" for packet in broker.published):
-                await asyncio.sleep(0.01)
-        records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
-        attempts = [int(str(fields["at"])) for fields in records if fields["t"] == "attempt"]
+            await poll_condition(lambda: calls_to_partner(broker))
+        attempts = [int(fields["at"]) for fields in journal_records(tmp_path, "attempt")]
         assert len(attempts) == 2
         assert attempts[1] - attempts[0] >= 800 * MS
 
@@ -402,22 +442,18 @@
         broker.partner, client = partner, Client(loop)
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
-            while not broker.subscribed("n0-intake", "client"):
-                await asyncio.sleep(0.01)
+            await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.hand_in("brief", 1, left=300)
             await client.until(1)
             (one,), told = silent, loop.time()
             wait = Packet(Kind.PUBACK, id=one.id, reason=0x97, user=[("Retry-After", "0.5")])
-            broker._write(broker.kept["n0-calls"], wait)
-            while not any(
-                fields["t"] == "wait"
-                for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())
-            ):
-                await asyncio.sleep(0.01)
+            broker.write(broker.kept["n0-calls"], wait)
+            await poll_condition(lambda: journal_records(tmp_path, "wait"))
             client.hand_in("next", 1)
             await client.until(2)
         client.paho.disconnect()
         client.paho.loop_stop()
-        assert len(heard) == 1 and heard[0] >= told + 0.5, "begun inside the told wait"
+        assert len(heard) == 1
+        assert heard[0] >= told + 0.5, "started before the Retry-After was over"
 
     play(work())
