--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -25,7 +25,7 @@
 from honeyhitch.partitioning.settings import FleetSettings, Region
 
 from .agent import Agent
-from .polling import Changes
+from .polling import Changes, poll_until
 from .processes import CountingEndpoint, listening_port, request_line, spawn, until_ready
 from .program import enqueue, play, write
 from .rig import endpoint_row
@@ -93,6 +93,8 @@
             await self.spawn(name)
         for name in INSTANCES:
             await self.wait_until_ready(name)
+        for name in INSTANCES:  # the messages of that wait are counted before a test reads any figure
+            await self.wait_until_idle(name)
 
     async def spawn(self, name: str) -> None:
         path, operator = self.paths[name]
@@ -102,8 +104,20 @@
         """Until it answers, and has the complete list, which it asks for again once the view has come."""
         await until_ready(self.processes[name], self.ports[name])
         number = self.destination_owned_by(name)
-        while not (await self.submit(name, f"ready-{name}-{time.monotonic_ns()}", number)).startswith(b"+"):
-            await asyncio.sleep(0.02)
+
+        async def accepted() -> bool:
+            reply = await self.submit(name, f"ready-{name}-{time.monotonic_ns()}", number)
+            return reply.startswith(b"+")
+
+        await poll_until(accepted)
+
+    async def wait_until_idle(self, name: str) -> None:
+        """Until the instance holds no message any more, and has counted the ends of all that it held."""
+
+        async def idle() -> bool:
+            return bool((await self.management_call(name, "stats"))["active"] == 0)
+
+        await poll_until(idle)
 
     def destination_owned_by(self, name: str) -> int:
         """A destination that an instance is home to."""
@@ -135,8 +149,14 @@
         return dict(json.loads(line))
 
     async def wait_for_quota(self, name: str, destination: int, quota_fraction: float) -> None:
-        while (await self.management_call(name, f"owner {destination}"))["portion"] != quota_fraction:
-            await asyncio.sleep(0.02)
+        """Until the instance may use this fraction of its zone's quota of a destination."""
+
+        async def reached() -> bool:
+            return bool(
+                (await self.management_call(name, f"owner {destination}"))["portion"] == quota_fraction
+            )
+
+        await poll_until(reached)
 
     async def wait_until_delivered(self, *messages: str) -> None:
         """Until each was delivered; and no message was sent twice."""
@@ -224,8 +244,11 @@
             rig.processes["y"].send_signal(signal.SIGSTOP)
             asked = asyncio.ensure_future(rig.submit("x", "doubtful", number))
             if ended == "killed":
-                while not asked.done() and not await has_unread_bytes(rig.ports["y"]):
-                    await asyncio.sleep(0.005)
+
+                async def request_arrived() -> bool:
+                    return asked.done() or has_unread_bytes(rig.ports["y"])
+
+                await poll_until(request_arrived, interval=0.005)
                 rig.processes["y"].kill()
             assert await asked == b""
             assert not rig.endpoint.calls["doubtful"], "neither x nor z took it on"
@@ -237,7 +260,7 @@
     play(work())
 
 
-async def has_unread_bytes(port: int) -> bool:
+def has_unread_bytes(port: int) -> bool:
     """Whether a connection with unread bytes stands at a port, as the system tells."""
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
