--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -1,11 +1,11 @@
 """Structured events: the one place where logging is set up, and the one way in which modules log.
 
 An event has a name in dots, such as `accept.failed`, and named fields. It is written to standard error as a
-line for people (`console`) or as one JSON object (`json`). Nothing is logged for a message that goes well.
+line for people (`console`) or as one JSON object (`json`). Nothing is logged for a message that is delivered.
 
-Events that repeat are limited by name and `key` (a field): of each, `BURST` pass in a `SPAN`, and the
-next one that passes, or `flush`, says how many were left out in a field `left_out`. The table of keys is
-bounded.
+Events that repeat are limited by name and by the field `key`: of each, `BURST_EVENTS` pass in
+`BURST_SECONDS`. The next one that passes, or `flush`, says in a field `left_out` how many did not. The table
+of names and keys is bounded.
 """
 
 from __future__ import annotations
@@ -16,94 +16,101 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, TextIO
+from typing import Any, NamedTuple, TextIO
 
 import structlog
 
 FORMATS = ("console", "json")
 LEVELS = ("debug", "info", "warning", "error")
-BURST_EVENTS, BURST_SECONDS = (
-    5,
-    10.0,
-)  # events of one name and key that pass, and the seconds after which as many pass again
-MAX_KEYS = 1024  # names and keys that are told apart; the one unheard for longest is forgotten first
+BURST_EVENTS = 5  # of one name and key that pass in a burst
+BURST_SECONDS = 10.0
+MAX_KEYS = 1024  # names and keys that are counted; the one used least recently is dropped first
 
 Event = structlog.typing.EventDict
 
 
+class SuppressedEvents(NamedTuple):
+    """How many events of one name and key did not pass."""
+
+    name: str
+    key: str
+    event_count: int
+
+
 @dataclass(slots=True)
-class _EventCount:
-    since: float
+class _Burst:
+    """The events of one name and key since `started_at`, in seconds of the limiter's clock."""
+
+    started_at: float
     passed: int = 0
-    left_out: int = 0
+    suppressed: int = 0
 
 
 class EventLimiter:
-    """Lets the first events of each name and key pass, and counts the rest; its clock gives seconds."""
+    """Lets the first events of each name and key pass, and counts the rest. It is a structlog processor."""
 
     def __init__(
-        self, clock: Callable[[], float], burst: int = BURST_EVENTS, burst_seconds: float = BURST_SECONDS
+        self,
+        clock: Callable[[], float],
+        burst: int = BURST_EVENTS,
+        burst_seconds: float = BURST_SECONDS,
     ) -> None:
-        self.clock, self.burst, self.burst_seconds = clock, burst, burst_seconds
-        self.counts: OrderedDict[tuple[str, str], _EventCount] = OrderedDict()
+        """`clock` gives seconds; `burst` events pass in `burst_seconds`."""
+        self.clock = clock
+        self.burst = burst
+        self.burst_seconds = burst_seconds
+        self.bursts: OrderedDict[tuple[str, str], _Burst] = OrderedDict()
 
     def __call__(self, _logger: Any, _method: str, event: Event) -> Event:
-        """As a structlog processor: the event, or DropEvent for one too many."""
-        now, name = self.clock(), (str(event.get("event", "")), str(event.get("key", "")))
-        one = self.counts.get(name)
-        if one is None or now - one.since >= self.burst_seconds:
-            left_out = one.left_out if one is not None else 0
-            one = self.counts[name] = _EventCount(now)
-            if left_out:
-                event["left_out"] = left_out
-        self.counts.move_to_end(name)
-        if len(self.counts) > MAX_KEYS:
-            self.counts.popitem(last=False)
-        if one.passed >= self.burst:
-            one.left_out += 1
+        """The event, with the count of those left out before it. Raises DropEvent for one too many."""
+        now = self.clock()
+        name_and_key = str(event.get("event", "")), str(event.get("key", ""))
+        burst = self.bursts.get(name_and_key)
+        if burst is None or now - burst.started_at >= self.burst_seconds:
+            if burst is not None and burst.suppressed:
+                event["left_out"] = burst.suppressed
+            burst = self.bursts[name_and_key] = _Burst(now)
+        self.bursts.move_to_end(name_and_key)
+        if len(self.bursts) > MAX_KEYS:
+            self.bursts.popitem(last=False)
+        if burst.passed >= self.burst:
+            burst.suppressed += 1
             raise structlog.DropEvent
-        one.passed += 1
+        burst.passed += 1
         return event
 
-    def take_suppressed(self, everything: bool = False) -> list[tuple[str, str, int]]:
-        """Names, keys and counts of what was left out and whose span has passed; each is told once."""
-        now, told = self.clock(), []
-        for (name, key), one in list(self.counts.items()):
-            if everything or now - one.since >= self.burst_seconds:
-                if one.left_out:
-                    told.append((name, key, one.left_out))
-                del self.counts[name, key]
-        return told
+    def take_suppressed(self, everything: bool = False) -> list[SuppressedEvents]:
+        """What was left out in bursts that are over, or in all of them; each is reported once."""
+        now = self.clock()
+        suppressed: list[SuppressedEvents] = []
+        for (name, key), burst in list(self.bursts.items()):
+            if everything or now - burst.started_at >= self.burst_seconds:
+                if burst.suppressed:
+                    suppressed.append(SuppressedEvents(name, key, burst.suppressed))
+                del self.bursts[name, key]
+        return suppressed
 
 
 _limiter = EventLimiter(time.monotonic)
 
 
-def setup(form: str = "console", level: str = "info", stream: TextIO | None = None) -> None:
-    """Write events in this form from this level on, to `stream` (standard error unless given).
+def setup(log_format: str = "console", level: str = "info", stream: TextIO | None = None) -> None:
+    """Write events in this format from this level on, to `stream` (standard error unless given).
 
-    ValueError names a form or level that does not exist.
+    Raises ValueError for a format or level that does not exist.
     """
-    if form not in FORMATS:
-        raise ValueError(f"log format: expected one of {', '.join(FORMATS)}, got {form!r}")
+    if log_format not in FORMATS:
+        raise ValueError(f"log format: expected one of {', '.join(FORMATS)}, got {log_format!r}")
     if level not in LEVELS:
         raise ValueError(f"log level: expected one of {', '.join(LEVELS)}, got {level!r}")
     global _limiter
     _limiter = EventLimiter(time.monotonic)
-    shape: list[structlog.typing.Processor]
-    if form == "json":
-        shape = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=str)]
-    else:
-        plain = structlog.dev.plain_traceback
-        shape = [
-            structlog.dev.ConsoleRenderer(colors=(stream or sys.stderr).isatty(), exception_formatter=plain)
-        ]
     structlog.configure(
         processors=[
             _limiter,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            *shape,
+            *_renderers(log_format, stream or sys.stderr),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelNamesMapping()[level.upper()]),
         logger_factory=lambda *_: structlog.PrintLogger(stream or sys.stderr),
@@ -111,14 +118,24 @@
     )
 
 
+def _renderers(log_format: str, stream: TextIO) -> list[structlog.typing.Processor]:
+    if log_format == "json":
+        return [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=str)]
+    return [
+        structlog.dev.ConsoleRenderer(
+            colors=stream.isatty(), exception_formatter=structlog.dev.plain_traceback
+        )
+    ]
+
+
 def get(**fields: Any) -> structlog.typing.FilteringBoundLogger:
-    """A logger; the fields stand in each of its events."""
+    """A logger that adds these fields to each of its events."""
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger(**fields)
     return logger
 
 
 def flush(everything: bool = False) -> None:
-    """Say of each name and key whose span has passed how many events were left out; at the end, of all."""
+    """Log how many events were left out in bursts that are over, or in all of them, as at the end."""
     for name, key, count in _limiter.take_suppressed(everything):
         get().info(name, key=key, left_out=count)
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -71,7 +71,8 @@
         return True
 
     assert [passes("a", "x") for _ in range(5)] == [True, True, False, False, False]
-    assert passes("a", "y") and passes("b", "x"), "each name and key has its own count"
+    assert passes("a", "y"), "each key has its own count"
+    assert passes("b", "x"), "each name has its own count"
     now[0] = 10.0
     assert limiter(None, "info", {"event": "a", "key": "x"}) == {"event": "a", "key": "x", "left_out": 3}
     assert [passes("a", "x") for _ in range(2)] == [True, False]
@@ -84,7 +85,7 @@
     limiter = logs.EventLimiter(lambda: 0.0)
     for i in range(3 * logs.MAX_KEYS):
         limiter(None, "info", {"event": "a", "key": str(i)})
-    assert len(limiter.counts) == logs.MAX_KEYS
+    assert len(limiter.bursts) == logs.MAX_KEYS
 
 
 def test_what_was_left_out_is_told_at_the_end() -> None:
