--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -1,4 +1,9 @@
-"""ASGI middleware: it gives an application the dispatcher and runs it over the application's lifespan."""
+"""ASGI middleware: runs a dispatcher over an application's lifespan, and lets its handlers send messages.
+
+An application in the same process submits messages without a socket and waits for their delivery:
+
+    await request.state.honeyhitch.deliver(destination, body)
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,6 @@
 from typing import Any
 
 from honeyhitch import config as configuration
-from honeyhitch.dispatcher.delivery import Admission
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.protocols.transaction_parser import TransactionParser
@@ -18,8 +22,13 @@
 from honeyhitch.service.service import Service
 from honeyhitch.service.shutdown import close, drain_and_stop
 from honeyhitch.service.start import start
+from honeyhitch.time_units import MILLISECOND, SECOND
+
+FRONTEND = "app"  # the name under which messages of the application are journalled
+STATE_KEY = "honeyhitch"  # of the frontend, in the state of each ASGI scope
+ID_BYTES = 8  # of a message's id, which is random
+MILLISECONDS_PER_SECOND = SECOND // MILLISECOND
 
-SECOND = 10**9  # ns
 Message = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
@@ -27,7 +36,7 @@
 
 
 class RejectedError(Exception):
-    """The message was not done; handing it in again after `come_back` seconds is harmless."""
+    """The message was not executed. Submitting it again after `retry_after` seconds is harmless."""
 
     def __init__(self, retry_after: float) -> None:
         super().__init__(f"rejected; come back after {retry_after:g} s")
@@ -35,21 +44,19 @@
 
 
 class UndeliverableError(Exception):
-    """The message failed for good."""
+    """The message failed for good; its id is the exception's argument."""
 
 
 class AppFrontend:
-    """The front of an application in the same process: it hands in and waits for final answers."""
+    """The frontend of an application in the same process: it submits messages and waits for their ends."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        self.dispatcher, self.fields = (
-            dispatcher,
-            TransactionParser(dispatcher.settings, dispatcher.pool.has_destination),
-        )
+        self.dispatcher = dispatcher
+        self.parser = TransactionParser(dispatcher.settings, dispatcher.pool.has_destination)
         self.pending: dict[str, asyncio.Future[Transaction]] = {}
 
     def answer(self, transaction: Transaction) -> None:
-        """A final answer; after a restart of the process nobody waits for it any more."""
+        """A final answer. After a restart of the process there is no caller left to receive it."""
         waiter = self.pending.pop(transaction.id, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(transaction)
@@ -65,136 +72,188 @@
         tenant: str | None = None,
         time_left: float | None = None,
     ) -> str:
-        """Hand a message in without waiting for its end; its id. Raises Rejected.
+        """Submit a message without waiting for its end; returns its id.
 
-        ValueError names a field that cannot be used.
+        Unless given, `cls` is the first class of the settings, `tenant` the first tenant, `key` the id, and
+        `time_left`, in seconds, the deadline of the first class. Raises RejectedError where the dispatcher
+        does not accept the message, and ValueError naming an invalid field.
         """
         settings = self.dispatcher.settings
-        left = settings.classes[0].deadline / SECOND if time_left is None else time_left
-        name = secrets.token_hex(8)
-        told = {"c": settings.classes[0].name if cls is None else cls, "dest": str(destination)}
-        told |= {"k": key or name, "d": str(max(0, int(left * 1000)))}
-        told["t"] = tenant if tenant is not None else next(iter(settings.tenant_names), "")
+        if time_left is None:
+            time_left = settings.classes[0].deadline / SECOND
+        if tenant is None:
+            tenant = next(iter(settings.tenant_names), "")
+        message_id = secrets.token_hex(ID_BYTES)
+        fields = {
+            "c": settings.classes[0].name if cls is None else cls,
+            "dest": str(destination),
+            "k": key or message_id,
+            "d": str(max(0, int(time_left * MILLISECONDS_PER_SECOND))),
+            "t": tenant,
+        }
         now = self.dispatcher.scheduler.now()
-        transaction = self.fields.parse(name.encode(), told, body, now)
-        transaction.frontend = "app"
-        admission: Admission = self.dispatcher.submit(transaction)
+        transaction = self.parser.parse(message_id.encode(), fields, body, now)
+        transaction.frontend = FRONTEND
+        admission = self.dispatcher.submit(transaction)
         if not admission.accepted:
             raise RejectedError(admission.retry_after / SECOND)
-        return name
+        return message_id
 
-    async def deliver(self, destination: int, body: bytes, **more: Any) -> str:
-        """Hand a message in and wait till it is delivered; its id. Raises Rejected or Undeliverable.
+    async def deliver(self, destination: int, body: bytes, **options: Any) -> str:
+        """Submit a message and wait until it is delivered; returns its id.
 
-        A caller that is cancelled withdraws the message: nothing more is tried for it.
+        `options` are those of `submit`. Raises RejectedError where it was not executed and may be submitted
+        again, UndeliverableError where it failed for good, and ValueError naming an invalid field. A caller
+        that is cancelled withdraws the message: no further attempt is made.
         """
-        name = self.submit(destination, body, **more)
-        waiter = self.pending[name] = asyncio.get_running_loop().create_future()
+        message_id = self.submit(destination, body, **options)
+        waiter = self.pending[message_id] = asyncio.get_running_loop().create_future()
         try:
             ended = await waiter
         except asyncio.CancelledError:
-            self.dispatcher.withdraw(name)
+            self.dispatcher.withdraw(message_id)
             raise
         finally:
-            self.pending.pop(name, None)
+            self.pending.pop(message_id, None)
         if ended.ending is Ending.REJECTED:
             raise RejectedError(ended.retry_after / SECOND)
         if ended.ending is not Ending.DELIVERED:
-            raise UndeliverableError(name)
-        return name
+            raise UndeliverableError(message_id)
+        return message_id
 
 
 class DispatcherMiddleware:
-    """Wraps an ASGI application. In it, `scope["state"]["honeyhitch"]` is the AppFront.
+    """Wraps an ASGI application. In it, `scope["state"]["honeyhitch"]` is the `AppFrontend`.
 
-    The dispatcher starts before the application's own start and stops after its end. An application that
-    lets Rejected out before it has begun to answer gives its client 503 with Retry-After. Add it as the
-    framework's own middleware: outside of one that answers 500 for every exception it would come too late.
+    The dispatcher starts before the application's own startup and stops after its shutdown. If the
+    application raises RejectedError before its response has begun, the client gets 503 with Retry-After. Add
+    it as the framework's own middleware: a middleware inside it that replies 500 to every exception would
+    hide the error.
     """
 
     def __init__(self, app: App, config: configuration.Config | None = None, listen: bool = False) -> None:
-        self.app, self.config, self.listen = app, config, listen
+        """Without `config` the environment names it, as for `serve`; with `listen` clients are served too."""
+        self.app = app
+        self.config = config
+        self.listen = listen
         self.service: Service | None = None
         self.frontend: AppFrontend | None = None
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
-        """One ASGI scope."""
+        """Handle one ASGI scope. Raises RuntimeError where the server did not run the lifespan."""
         if scope["type"] == "lifespan":
-            await self._lifespan(scope, receive, send)
+            await _Lifespan(self, scope, receive, send).run()
             return
         if self.frontend is None:
             raise RuntimeError("the dispatcher is not running: the server must run the lifespan")
-        scope.setdefault("state", {})["honeyhitch"] = self.frontend
-        if scope["type"] != "http":
+        scope.setdefault("state", {})[STATE_KEY] = self.frontend
+        if scope["type"] == "http":
+            await self._handle_request(scope, receive, send)
+        else:
             await self.app(scope, receive, send)
-            return
-        begun = False
 
-        async def watched(message: Message) -> None:
-            nonlocal begun
-            begun = begun or message["type"] == "http.response.start"
+    async def _handle_request(self, scope: Message, receive: Receive, send: Send) -> None:
+        response_started = False
+
+        async def observe_response(message: Message) -> None:
+            nonlocal response_started
+            response_started = response_started or message["type"] == "http.response.start"
             await send(message)
 
         try:
-            await self.app(scope, receive, watched)
-        except RejectedError as reject:
-            if begun:
+            await self.app(scope, receive, observe_response)
+        except RejectedError as error:
+            if response_started:
                 raise
-            wait = str(max(1, math.ceil(reject.retry_after))).encode()
-            headers = [(b"retry-after", wait), (b"content-type", b"text/plain"), (b"content-length", b"0")]
-            await send({"type": "http.response.start", "status": 503, "headers": headers})
-            await send({"type": "http.response.body", "body": b""})
+            await _send_unavailable(send, error.retry_after)
 
-    async def _start(self) -> None:
+    async def start(self) -> None:
+        """Start the dispatcher. Raises ConfigError where its configuration cannot be used."""
         service = assemble(self.config or configuration.read(os.environ), self.listen)
-        front = service.dispatcher.frontends["app"] = AppFrontend(service.dispatcher)
+        frontend = AppFrontend(service.dispatcher)
+        service.dispatcher.frontends[FRONTEND] = frontend
         try:
             start(service, self.listen)
         except BaseException:
             await close(service)
             raise
-        self.service, self.frontend = service, front
+        self.service = service
+        self.frontend = frontend
 
-    async def _stop(self) -> None:
-        service, self.service, self.frontend = self.service, None, None
+    async def stop(self) -> None:
+        """Drain and stop the dispatcher, if it runs."""
+        service = self.service
+        self.service = None
+        self.frontend = None
         if service is not None:
             await drain_and_stop(service)
             await close(service)
 
-    async def _lifespan(self, scope: Message, receive: Receive, send: Send) -> None:
-        """The application's own lifespan runs inside the dispatcher's, if it has one."""
-        asked = up = finished = False
-
-        async def inner_receive() -> Message:
-            nonlocal asked
-            message = await receive()
-            if message["type"] == "lifespan.startup":
-                asked = True
-                await self._start()
-                scope.setdefault("state", {})["honeyhitch"] = self.frontend
-            return message
-
-        async def inner_send(message: Message) -> None:
-            nonlocal up, finished
-            up = up or message["type"] == "lifespan.startup.complete"
-            if message["type"] != "lifespan.startup.complete":
-                finished = True
-                await self._stop()
-            await send(message)
 
+class _Lifespan:
+    """Runs the application's own lifespan, if it has one, inside the dispatcher's."""
+
+    def __init__(
+        self, middleware: DispatcherMiddleware, scope: Message, receive: Receive, send: Send
+    ) -> None:
+        self.middleware = middleware
+        self.scope = scope
+        self.receive = receive
+        self.send = send
+        self.startup_received = False
+        self.startup_completed = False
+        self.finished = False
+
+    async def run(self) -> None:
+        """Until the server has shut the application down, or its startup has failed."""
         try:
-            await self.app(scope, inner_receive, inner_send)
+            await self.middleware.app(self.scope, self._receive_startup, self._observe_events)
         except Exception as error:
-            if asked and self.service is None and not finished:  # the dispatcher could not start
-                await send({"type": "lifespan.startup.failed", "message": str(error)})
+            if self._dispatcher_failed():
+                await self.send({"type": "lifespan.startup.failed", "message": str(error)})
                 return
-            if up:
-                await self._stop()
+            if self.startup_completed:
+                await self.middleware.stop()
                 raise
-        if not finished:  # the application knows no lifespan; the dispatcher has one all the same
-            if not asked:
-                await inner_receive()
-            await send({"type": "lifespan.startup.complete"})
-            await receive()
-            await self._stop()
-            await send({"type": "lifespan.shutdown.complete"})
+        if not self.finished:
+            await self._run_without_application()
+
+    def _dispatcher_failed(self) -> bool:
+        """Whether the dispatcher could not start."""
+        return self.startup_received and self.middleware.service is None and not self.finished
+
+    async def _receive_startup(self) -> Message:
+        message = await self.receive()
+        if message["type"] == "lifespan.startup":
+            self.startup_received = True
+            await self.middleware.start()
+            self.scope.setdefault("state", {})[STATE_KEY] = self.middleware.frontend
+        return message
+
+    async def _observe_events(self, message: Message) -> None:
+        if message["type"] == "lifespan.startup.complete":
+            self.startup_completed = True
+        else:
+            self.finished = True
+            await self.middleware.stop()
+        await self.send(message)
+
+    async def _run_without_application(self) -> None:
+        """The application has no lifespan; the dispatcher has one all the same."""
+        if not self.startup_received:
+            await self._receive_startup()
+        await self.send({"type": "lifespan.startup.complete"})
+        await self.receive()
+        await self.middleware.stop()
+        await self.send({"type": "lifespan.shutdown.complete"})
+
+
+async def _send_unavailable(send: Send, retry_after: float) -> None:
+    """Reply 503; `retry_after` is in seconds, which the header gives rounded up, as 1 at least."""
+    headers = [
+        (b"retry-after", str(max(1, math.ceil(retry_after))).encode()),
+        (b"content-type", b"text/plain"),
+        (b"content-length", b"0"),
+    ]
+    await send({"type": "http.response.start", "status": 503, "headers": headers})
+    await send({"type": "http.response.body", "body": b""})
