--- a/honeyhitch/service/assembly.py
+++ b/honeyhitch/service/assembly.py
@@ -10,7 +10,7 @@
 from honeyhitch.service.service import Service
 
 if TYPE_CHECKING:  # a plain start does not load MQTT
-    from honeyhitch.transports.mqtt_transport import BrokerConnector
+    from honeyhitch.transports.mqtt_link import BrokerConnector
 
 
 def assemble(config: Config, listen: bool = True) -> Service:
--- a/honeyhitch/service/features/mqtt.py
+++ b/honeyhitch/service/features/mqtt.py
@@ -5,7 +5,9 @@
 from honeyhitch.config.deployment import MqttEndpoint, MqttSettings
 from honeyhitch.endpoints.pool import EndpointPool, PoolEndpoint
 from honeyhitch.service.service import Service
-from honeyhitch.transports.mqtt_transport import BrokerConnector, MqttFrontend, MqttTransport
+from honeyhitch.transports.mqtt_frontend import MqttFrontend
+from honeyhitch.transports.mqtt_link import BrokerConnector, MqttContext
+from honeyhitch.transports.mqtt_transport import MqttTransport
 
 MQTT = "mqtt"  # the name of the frontend and of the transport
 
@@ -16,8 +18,9 @@
     `connector` opens the connections to the broker; without one they are plain TCP.
     """
     dispatcher = service.dispatcher
-    frontend = MqttFrontend(settings, dispatcher, service.scheduler, service.tasks, connector)
-    transport = MqttTransport(settings, dispatcher, service.scheduler, service.tasks, connector)
+    context = MqttContext(settings, dispatcher, service.scheduler, service.tasks, connector)
+    frontend = MqttFrontend(context)
+    transport = MqttTransport(context)
     dispatcher.frontends[MQTT] = frontend
     dispatcher.transports[MQTT] = transport
     for endpoint in settings.endpoints:
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -1,4 +1,4 @@
-"""The control socket: a Unix-domain socket (0600) that answers processes of the same user, and root."""
+"""The control socket: a Unix-domain socket (mode 0600) that serves processes of the same user, and root."""
 
 from __future__ import annotations
 
@@ -12,31 +12,39 @@
 from pathlib import Path
 
 from honeyhitch import logs
-from honeyhitch.protocols import control
 from honeyhitch.protocols.buffer import Buffer, BufferOverflowError
-from honeyhitch.protocols.control import CommandRegistry, ControlError
+from honeyhitch.protocols.control import (
+    CommandRegistry,
+    ControlError,
+    ControlRequest,
+    ControlRequestParser,
+    encode_response,
+)
 from honeyhitch.transports import sockets
 from honeyhitch.transports.tasks import Tasks
 
 log = logs.get()
-MAX_CONNECTIONS = 8  # connections at once
-IDLE_TIMEOUT_SECONDS = 30.0  # seconds a connection may say nothing
-ACCEPT_RETRY_SECONDS = 0.05  # seconds before accepting again when no descriptor was left
-PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid, as SO_PEERCRED gives them (unix(7))
+MAX_CONNECTIONS = 8
+IDLE_TIMEOUT_SECONDS = 30.0  # a connection may be silent for this long
+ACCEPT_RETRY_SECONDS = 0.05  # pause when no file descriptor was left
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid and gid, as SO_PEERCRED gives them (unix(7))
+OWNER_ONLY_UMASK = 0o177
+ROOT_UID = 0
 
 
 class ControlSocketError(Exception):
-    """The socket cannot be made; the message says why."""
+    """The socket cannot be opened; the message says why."""
 
 
 def peer_uid(sock: socket.socket) -> int:
-    """The uid of who is at the other end."""
-    told = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
-    return int(PEER_CREDENTIALS.unpack(told)[1])
+    """The uid of the process at the other end."""
+    credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
+    return int(uid)
 
 
 def user_name(uid: int) -> str:
-    """A user's name, or the number where there is none."""
+    """A user's name, or the number if the user has none."""
     try:
         return pwd.getpwuid(uid).pw_name
     except KeyError:
@@ -47,7 +55,11 @@
     """One control socket and its connections."""
 
     def __init__(self, path: Path, commands: CommandRegistry, tasks: Tasks) -> None:
-        self.path, self.commands, self.tasks, self.loop = path, commands, tasks, tasks.loop
+        """Bind and listen. Raises ControlSocketError."""
+        self.path = path
+        self.commands = commands
+        self.tasks = tasks
+        self.loop = tasks.loop
         self.open_connections = 0
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.listener.setblocking(False)
@@ -58,20 +70,24 @@
             raise ControlSocketError(f"{path}: {error.strerror or error}") from error
 
     def _bind(self) -> None:
-        if self.path.is_socket():  # of a process that is gone, or of one that still serves
-            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as trial, contextlib.suppress(OSError):
-                trial.connect(str(self.path))
-                raise ControlSocketError(f"{self.path}: another process answers there")
-            self.path.unlink(missing_ok=True)
-        before = os.umask(0o177)  # nobody else may connect, not even for a moment
+        if self.path.is_socket():
+            self._remove_stale_socket()
+        previous_umask = os.umask(OWNER_ONLY_UMASK)  # nobody else may connect, not even for a moment
         try:
             self.listener.bind(str(self.path))
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
         self.listener.listen(MAX_CONNECTIONS)
 
+    def _remove_stale_socket(self) -> None:
+        """Remove the socket of a process that has ended. Raises ControlSocketError if one still serves it."""
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe, contextlib.suppress(OSError):
+            probe.connect(str(self.path))
+            raise ControlSocketError(f"{self.path}: another process answers there")
+        self.path.unlink(missing_ok=True)
+
     async def accept(self) -> None:
-        """Accept connections for ever."""
+        """Accept connections. Never returns."""
         while True:
             try:
                 sock, _ = await self.loop.sock_accept(self.listener)
@@ -81,53 +97,59 @@
                 continue
             sock.setblocking(False)
             uid = peer_uid(sock)
-            if uid not in (os.getuid(), 0):
+            allowed = uid in (os.getuid(), ROOT_UID)
+            if not allowed:
                 log.warning("control.refused", uid=uid, key=str(uid))
-            if uid not in (os.getuid(), 0) or self.open_connections >= MAX_CONNECTIONS:
+            if not allowed or self.open_connections >= MAX_CONNECTIONS:
                 sock.close()
                 continue
             self.open_connections += 1
             self.tasks.start(self._serve(sock, user_name(uid)))
 
-    async def _serve(self, sock: socket.socket, who: str) -> None:
-        machine, buffer = control.ControlRequestParser(who), Buffer()
+    async def _serve(self, sock: socket.socket, actor: str) -> None:
+        parser = ControlRequestParser(actor)
+        buffer = Buffer()
         try:
-            while not machine.closing:
+            while not parser.closing:
                 async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
                     if not await sockets.read(self.loop, sock, buffer):
                         return
-                broken: ControlError | None = None
-                try:
-                    machine.feed(buffer.consume_all())
-                except ControlError as error:
-                    broken = error
-                asked, machine.requests = machine.requests, []
-                for i, one in enumerate(asked):
-                    last = machine.closing and broken is None and i == len(asked) - 1
-                    await self.loop.sock_sendall(sock, await self._answer(one, last))
-                if broken is not None:
-                    await self.loop.sock_sendall(sock, _refused(broken, close=True))
+                await self._answer_requests(sock, parser, buffer.consume_all())
         except (OSError, BufferOverflowError, TimeoutError):
-            pass  # it went away, or says nothing
+            pass  # the client has gone, or is silent
         finally:
             self.open_connections -= 1
             sock.close()
 
-    async def _answer(self, asked: control.ControlRequest, close: bool) -> bytes:
+    async def _answer_requests(self, sock: socket.socket, parser: ControlRequestParser, data: bytes) -> None:
+        malformed: ControlError | None = None
+        try:
+            parser.feed(data)
+        except ControlError as error:
+            malformed = error
+        requests = parser.requests
+        parser.requests = []
+        for index, request in enumerate(requests):
+            last = parser.closing and malformed is None and index == len(requests) - 1
+            await self.loop.sock_sendall(sock, await self._execute(request, last))
+        if malformed is not None:
+            await self.loop.sock_sendall(sock, _encode_error(malformed, close=True))
+
+    async def _execute(self, request: ControlRequest, close: bool) -> bytes:
         try:
-            return control.encode_response(HTTPStatus.OK, await self.commands.execute(asked), close)
+            return encode_response(HTTPStatus.OK, await self.commands.execute(request), close)
         except ControlError as error:
-            return _refused(error, close)
+            return _encode_error(error, close)
         except Exception as error:
-            log.error("control.failed", path=asked.path, exc_info=error)
-            why = f"{type(error).__name__}: {error}"
-            return control.encode_response(HTTPStatus.INTERNAL_SERVER_ERROR, {"error": why}, close)
+            log.error("control.failed", path=request.path, exc_info=error)
+            reason = f"{type(error).__name__}: {error}"
+            return encode_response(HTTPStatus.INTERNAL_SERVER_ERROR, {"error": reason}, close)
 
     def close(self) -> None:
-        """Stop listening, and take the socket away."""
+        """Stop listening, and remove the socket."""
         self.listener.close()
         self.path.unlink(missing_ok=True)
 
 
-def _refused(error: ControlError, close: bool) -> bytes:
-    return control.encode_response(error.status, {"error": error.reason}, close)
+def _encode_error(error: ControlError, close: bool) -> bytes:
+    return encode_response(error.status, {"error": error.reason}, close)
--- a/honeyhitch/transports/control_client.py
+++ b/honeyhitch/transports/control_client.py
@@ -1,4 +1,4 @@
-"""Asks a running dispatcher something over its control socket; for the command line, not for the daemon."""
+"""The client of the control socket, for the command line; it blocks, so the service does not use it."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-RESPONSE_TIMEOUT_SECONDS = 60.0  # seconds for an answer
+RESPONSE_TIMEOUT_SECONDS = 60.0
+REQUEST_HEADERS = {"Content-Type": "application/json"}
 
 
 class ControlCommandError(Exception):
-    """The dispatcher answered that it cannot or will not; the message says why."""
+    """The dispatcher rejected a command, or its response is malformed; the message says why."""
 
 
 class ControlConnection(http.client.HTTPConnection):
@@ -23,7 +24,7 @@
         self.path = path
 
     def connect(self) -> None:
-        """Connect to the socket in place of a host."""
+        """Connect to the socket in place of a host. Raises OSError."""
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.settimeout(self.timeout)
         try:
@@ -34,28 +35,28 @@
 
 
 class ControlClient:
-    """One connection, opened with the first request."""
+    """One connection to a running dispatcher, opened with the first request."""
 
     def __init__(self, path: Path) -> None:
         self.connection = ControlConnection(path)
 
     def request(self, method: str, path: str, arguments: dict[str, Any] | None = None) -> dict[str, Any]:
-        """The answer. Raises ControlRefused, and OSError where nobody answers there."""
+        """Run a command; returns its result. Raises ControlCommandError, and OSError if nobody serves it."""
         body = json.dumps(arguments).encode() if arguments is not None else None
         try:
-            self.connection.request(method, path, body, {"Content-Type": "application/json"})
+            self.connection.request(method, path, body, REQUEST_HEADERS)
             response = self.connection.getresponse()
             text = response.read()
         except http.client.HTTPException as error:
             raise ControlCommandError(f"the dispatcher's answer cannot be read: {error!r}") from error
         try:
-            answer = json.loads(text)
+            result = json.loads(text)
         except ValueError as error:
             raise ControlCommandError(f"the dispatcher's answer is not JSON: {error}") from error
         if response.status != http.client.OK:
-            raise ControlCommandError(str(answer.get("error", response.status)))
-        return dict(answer)
+            raise ControlCommandError(str(result.get("error", response.status)))
+        return dict(result)
 
     def close(self) -> None:
-        """Let go of the connection."""
+        """Close the connection."""
         self.connection.close()
--- /dev/null
+++ b/honeyhitch/transports/mqtt_frontend.py
@@ -0,0 +1,107 @@
+"""The MQTT frontend: accepts messages from the intake topic, and publishes each final answer.
+
+Both sessions are kept by the broker, so that no message and no answer is lost with a connection.
+"""
+
+from __future__ import annotations
+
+from honeyhitch import logs
+from honeyhitch.journal.transactions import Transaction
+from honeyhitch.protocols import mqtt_messages
+from honeyhitch.protocols.mqtt_packets import FIRST_ERROR_REASON, Packet
+from honeyhitch.protocols.transaction_parser import FieldError, TransactionParser
+from honeyhitch.time_units import MILLISECOND, SECOND
+from honeyhitch.transports.mqtt_link import MqttContext
+
+log = logs.get()
+IMPLEMENTATION_SPECIFIC_ERROR = 0x83  # reason code of PUBACK
+MAX_REJECTED_IDS = 10_000  # rejected ids that are remembered, to recognize a redelivery
+QUOTA_RETRY_DELAY = SECOND  # ns before an answer is sent again that exceeded the broker's quota
+
+
+class MqttFrontend:
+    """Submits what comes on the intake topic, and answers each message where its publish says."""
+
+    def __init__(self, context: MqttContext) -> None:
+        settings = context.settings
+        dispatcher = context.dispatcher
+        self.dispatcher = dispatcher
+        self.scheduler = context.scheduler
+        self.transaction_parser = TransactionParser(
+            dispatcher.settings, dispatcher.pool.has_destination, dispatcher.metrics.message_invalid
+        )
+        expiry = settings.session_expiry_seconds
+        self.intake = context.create_session("intake", expiry, clean_start=False)
+        self.intake.subscriptions = [settings.intake]
+        self.intake.on_publish = self._on_publish
+        self.replies = context.create_session("answers", expiry)
+        self.intake_link = context.create_link(self.intake)
+        self.replies_link = context.create_link(self.replies)
+        self.links = (self.intake_link, self.replies_link)
+        self.rejected: dict[str, None] = {}  # the latest ids that were answered and not accepted
+
+    def _on_publish(self, packet: Packet) -> None:
+        if self.dispatcher.draining or not self.dispatcher.accepting:
+            return  # not acknowledged: the broker gives it to the next process, or to another dispatcher
+        message_id = dict(packet.user).get("id", "")
+        try:
+            reply_context = mqtt_messages.encode_reply_context(packet)
+        except FieldError as error:  # there is nowhere to send an answer
+            log.warning("intake.rejected", error=str(error))
+            self.intake.acknowledge(packet, IMPLEMENTATION_SPECIFIC_ERROR)
+            return
+        if message_id not in self.rejected:
+            rejection = self._submit(packet, reply_context, message_id)
+            if rejection is not None:
+                self._remember_rejected(message_id)
+                self._publish(rejection, None)
+        # Only now: an accepted message is in the journal, so the broker may forget it.
+        self.intake.acknowledge(packet)
+        self.intake_link.output_ready.set()
+
+    def _submit(self, packet: Packet, reply_context: str, message_id: str) -> Packet | None:
+        """Submit a message; returns the answer if it is not accepted."""
+        try:
+            transaction = mqtt_messages.parse_transaction(
+                self.transaction_parser, packet, self.scheduler.now()
+            )
+            admission = self.dispatcher.submit(transaction)
+        except FieldError as error:
+            return mqtt_messages.encode_answer(reply_context, message_id, "error", {"reason": str(error)})
+        if admission.accepted:
+            return None
+        details: dict[str, object] = {"again_ms": admission.retry_after // MILLISECOND}
+        return mqtt_messages.encode_answer(reply_context, message_id, "deferred", details)
+
+    def _remember_rejected(self, message_id: str) -> None:
+        if message_id:  # messages without an id cannot be told apart, and are answered each time
+            self.rejected[message_id] = None
+        if len(self.rejected) > MAX_REJECTED_IDS:
+            del self.rejected[next(iter(self.rejected))]
+
+    def answer(self, transaction: Transaction) -> None:
+        """Publish the final answer to an accepted message."""
+        self._publish(mqtt_messages.encode_final_answer(transaction), transaction)
+
+    def _publish(self, answer: Packet, transaction: Transaction | None) -> None:
+        def on_done(acknowledgement: Packet | None, _may_have_left: bool) -> None:
+            if acknowledgement is not None and acknowledgement.reason == mqtt_messages.QUOTA_EXCEEDED:
+                retry_at = self.scheduler.now() + QUOTA_RETRY_DELAY
+                self.scheduler.call_at(retry_at, lambda: self._publish(answer, transaction))
+                return
+            _report_unconfirmed(answer, acknowledgement)
+            if transaction is not None:
+                self.dispatcher.answer_sent(transaction)
+
+        self.replies.publish(answer, on_done)
+        self.replies_link.output_ready.set()
+
+
+def _report_unconfirmed(answer: Packet, acknowledgement: Packet | None) -> None:
+    if acknowledgement is None:
+        problem = "no acknowledgement"
+    elif acknowledgement.reason >= FIRST_ERROR_REASON:
+        problem = f"reason {acknowledgement.reason:#x}"
+    else:
+        return
+    log.warning("answer.unconfirmed", topic=answer.topic, told=problem, key=answer.topic)
--- /dev/null
+++ b/honeyhitch/transports/mqtt_link.py
@@ -0,0 +1,149 @@
+"""Connections to an MQTT broker: each carries one session, and is made anew when it breaks."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from typing import Protocol
+
+from honeyhitch.config.deployment import MqttSettings
+from honeyhitch.dispatcher.dispatcher import Dispatcher
+from honeyhitch.protocols.buffer import Buffer
+from honeyhitch.protocols.mqtt import Session
+from honeyhitch.transports import sockets
+from honeyhitch.transports.channel import Channel, PlainChannel
+from honeyhitch.transports.tasks import LoopScheduler, Tasks
+
+CONNECT_TIMEOUT_SECONDS = 5.0  # to connect, and for the server's CONNACK
+DRAIN_TIMEOUT_SECONDS = 20.0  # for publishes in flight before a connection is replaced
+DRAIN_POLL_SECONDS = 0.05
+READ_TIMEOUT_FACTOR = 1.5  # times the keep-alive (MQTT 5.0, 3.1.2.10)
+
+
+class BrokerConnector(Protocol):
+    """How connections to the broker are made."""
+
+    async def connect(self, address: str) -> Channel:
+        """Connect to HOST:PORT. Raises OSError."""
+
+    async def wait_until_outdated(self, channel: Channel) -> None:
+        """Return once the connection should be replaced by a new one."""
+
+
+class PlainConnector:
+    """Connections without encryption."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self.loop = loop
+
+    async def connect(self, address: str) -> Channel:
+        """Connect to HOST:PORT. Raises OSError."""
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
+            return PlainChannel(self.loop, await sockets.connect(self.loop, address))
+
+    async def wait_until_outdated(self, _channel: Channel) -> None:
+        """Never return."""
+        await asyncio.Event().wait()
+
+
+class BrokerLink:
+    """One session's connection to the broker at HOST:PORT.
+
+    Set `output_ready` after the session was given something to send.
+    """
+
+    def __init__(
+        self, address: str, session: Session, tasks: Tasks, connector: BrokerConnector | None = None
+    ) -> None:
+        self.address = address
+        self.session = session
+        self.loop = tasks.loop
+        self.connector = connector or PlainConnector(tasks.loop)
+        self.output_ready = asyncio.Event()
+
+    async def run(self) -> None:
+        """Serve one connection until it breaks. Raises OSError, TimeoutError and MqttError."""
+        channel = await self.connector.connect(self.address)
+        self.session.open()
+        jobs = (self._read(channel), self._write(channel), self._ping(), self._replace(channel))
+        try:
+            async with asyncio.TaskGroup() as group:
+                for job in jobs:
+                    group.create_task(job)
+        except BaseExceptionGroup as failures:
+            raise failures.exceptions[0] from None
+        finally:
+            channel.close()
+            self.session.connection_lost()
+
+    async def _replace(self, channel: Channel) -> None:
+        """End a connection that is outdated, once nothing is in flight on it."""
+        await self.connector.wait_until_outdated(channel)
+        self.session.paused = True
+        deadline = self.loop.time() + DRAIN_TIMEOUT_SECONDS
+        while True:
+            if not self.session.outgoing or self.loop.time() >= deadline:
+                break
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
+        raise ConnectionAbortedError("made anew: what it was verified with has changed")
+
+    async def _read(self, channel: Channel) -> None:
+        buffer = Buffer()
+        while True:
+            async with asyncio.timeout(self._read_timeout()):
+                count = await channel.read(buffer)
+            if not count:
+                raise ConnectionResetError("the broker closed the connection")
+            self.session.receive(buffer)
+            self.output_ready.set()
+
+    def _read_timeout(self) -> float | None:
+        """Seconds, or None where the session has no keep-alive."""
+        if not self.session.connected:
+            return CONNECT_TIMEOUT_SECONDS
+        return READ_TIMEOUT_FACTOR * self.session.keep_alive or None
+
+    async def _write(self, channel: Channel) -> None:
+        while True:
+            if data := self.session.take_output():
+                await channel.send(data)
+            else:
+                self.output_ready.clear()
+                await self.output_ready.wait()
+
+    async def _ping(self) -> None:
+        while True:
+            await asyncio.sleep(self.session.keep_alive / 2 or CONNECT_TIMEOUT_SECONDS)
+            if self.session.connected and self.session.keep_alive:
+                self.session.ping()
+                self.output_ready.set()
+
+
+@dataclass(frozen=True, slots=True)
+class MqttContext:
+    """What the MQTT frontend and the MQTT transport have in common.
+
+    `connector` makes the connections to the broker; without one they are not encrypted.
+    """
+
+    settings: MqttSettings
+    dispatcher: Dispatcher
+    scheduler: LoopScheduler
+    tasks: Tasks
+    connector: BrokerConnector | None = None
+
+    def create_session(self, suffix: str, session_expiry: int, clean_start: bool = True) -> Session:
+        """A session whose client id ends in `suffix`; `session_expiry` is in seconds."""
+        session = Session(
+            f"{self.settings.client_id}-{suffix}",
+            session_expiry,
+            self.settings.keep_alive_seconds,
+            clean_start=clean_start,
+        )
+        session.username = self.settings.username
+        session.password = self.settings.password
+        return session
+
+    def create_link(self, session: Session) -> BrokerLink:
+        """The link that connects a session to the broker."""
+        return BrokerLink(self.settings.broker, session, self.tasks, self.connector)
--- a/honeyhitch/transports/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -1,4 +1,4 @@
-"""Connections to the other instances of a fleet, over which transactions are passed on to their owners."""
+"""Connections to the other instances of a fleet, over which messages are forwarded to their owners."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from honeyhitch.transports import sockets
 
 log = logs.get()
-CONNECT_TIMEOUT_SECONDS = 0.1  # seconds; owners are on the same network
-FORWARD_TIMEOUT_SECONDS = 0.35  # seconds for all of it: a client waits 0.4 s for its reply (protocol page)
+CONNECT_TIMEOUT_SECONDS = 0.1  # owners are on the same network
+FORWARD_TIMEOUT_SECONDS = 0.35  # for everything: a client waits 0.4 s for its reply (protocol page)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerConnection:
-    """A connection in use; one that was kept from an earlier request may be closed at the other end."""
+    """A connection in use; one that is reused from an earlier request may be closed at the other end."""
 
     sock: socket.socket
     address: str
@@ -37,43 +37,51 @@
 
 
 class PeerConnections:
-    """A bounded number of connections, one request at a time on each; those that rest are used again."""
+    """A pool with a limit on open connections; each carries one request at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, max_connections: int) -> None:
-        self.loop, self.max_connections, self.in_use = loop, max_connections, 0
-        self.idle: dict[str, deque[socket.socket]] = {}
+        self.loop = loop
+        self.max_connections = max_connections
+        self.in_use = 0
+        self.idle: dict[str, deque[socket.socket]] = {}  # by address, the last used one last
 
     @property
     def open(self) -> int:
-        """Connections in use and at rest."""
+        """The number of connections, in use or idle."""
         return self.in_use + sum(map(len, self.idle.values()))
 
     async def acquire(self, address: str, deadline: float, fresh: bool = False) -> PeerConnection | None:
-        """A connection on which nothing is open, a new one if it has to be `fresh`; None where none can be
-        had until then.
+        """A connection to HOST:PORT without a pending reply; a new one if it has to be `fresh`.
+
+        None if the limit is reached, or if no connection can be made until `deadline` on the loop's clock.
         """
-        resting = self.idle.get(address, deque())
-        while resting and not fresh:
-            sock = resting.pop()
-            if sockets.is_reusable(sock):
-                self.in_use += 1
-                return PeerConnection(sock, address, reused=True)
-            sock.close()
+        if not fresh and (connection := self._take_idle(address)) is not None:
+            return connection
         if self.open >= self.max_connections and not self._close_idle():
             return None
         self.in_use += 1
         try:
             async with asyncio.timeout_at(deadline):
                 return PeerConnection(await sockets.connect(self.loop, address), address, reused=False)
-        except OSError:  # a TimeoutError is one
+        except OSError:  # TimeoutError among them
             self.in_use -= 1
             return None
         except BaseException:
             self.in_use -= 1
             raise
 
+    def _take_idle(self, address: str) -> PeerConnection | None:
+        idle = self.idle.get(address, deque())
+        while idle:
+            sock = idle.pop()
+            if sockets.is_reusable(sock):
+                self.in_use += 1
+                return PeerConnection(sock, address, reused=True)
+            sock.close()
+        return None
+
     def release(self, connection: PeerConnection, reusable: bool) -> None:
-        """Done with it; one that is not reusable is closed."""
+        """Return a connection to the pool; one that is not reusable is closed."""
         self.in_use -= 1
         if reusable:
             self.idle.setdefault(connection.address, deque()).append(connection.sock)
@@ -81,22 +89,22 @@
             connection.sock.close()
 
     def _close_idle(self) -> bool:
-        """Close the connection at rest that has been there for longest at the address with most of them."""
-        fullest = max(self.idle.values(), key=len, default=None)
-        if not fullest:
+        """Close the longest idle connection of the address that has most of them; false if none is idle."""
+        largest = max(self.idle.values(), key=len, default=None)
+        if not largest:
             return False
-        fullest.popleft().close()
+        largest.popleft().close()
         return True
 
     def close(self) -> None:
-        """Close all that rest."""
-        for resting in self.idle.values():
-            while resting:
-                resting.pop().close()
+        """Close all idle connections."""
+        for idle in self.idle.values():
+            while idle:
+                idle.pop().close()
 
 
 class Forwarder:
-    """Passes transactions on to owners, one after the other until one was reached."""
+    """Forwards messages to owners, one after the other until one was reached."""
 
     def __init__(
         self,
@@ -107,25 +115,26 @@
         clock: Callable[[], int],
         rejection: bytes,
     ) -> None:
-        """`owners` gives the addresses of a destination's owners in the order in which to ask them, and
-        `refusal` is the reply where none of them can be reached.
+        """`instance` is the name of this one.
+
+        `owners` gives the addresses of a destination's owners in the order in which to ask them; `rejection`
+        is the reply if none of them can be reached; `clock` gives the Unix time in nanoseconds.
         """
-        self.settings, self.instance, self.owners = settings, instance, owners
-        self.connections, self.clock, self.rejection = connections, clock, rejection
+        self.settings = settings
+        self.instance = instance
+        self.owners = owners
+        self.connections = connections
+        self.clock = clock
+        self.rejection = rejection
         self.loop = connections.loop
 
     async def forward(self, transaction: Transaction) -> bytes | None:
-        """The reply for the client; None where an owner got bytes of the request and gave no reply."""
-        by = self.loop.time() + FORWARD_TIMEOUT_SECONDS
+        """The reply for the client; None if an owner received some of the request and gave no reply."""
+        deadline = self.loop.time() + FORWARD_TIMEOUT_SECONDS
         for address in self.owners(transaction.destination):
-            if self.loop.time() >= by:
+            if self.loop.time() >= deadline:
                 break
-            outcome = await self._forward_to(address, transaction, by)
-            if isinstance(outcome, ConnectionEnded):
-                outcome = await self._forward_to(address, transaction, by, fresh=True)
-                if isinstance(outcome, NothingWritten):
-                    outcome = Unanswered()  # the first bytes were: nobody else may have it
-            match outcome:
+            match await self._forward_to_owner(address, transaction, deadline):
                 case Relayed(reply):
                     return reply
                 case Unanswered() | ConnectionEnded():
@@ -134,11 +143,22 @@
         log.warning("forward.unreachable", message=transaction.id, key=str(transaction.destination))
         return self.rejection
 
-    async def _forward_to(
-        self, address: str, transaction: Transaction, by: float, fresh: bool = False
+    async def _forward_to_owner(
+        self, address: str, transaction: Transaction, deadline: float
+    ) -> ForwardOutcome:
+        """Try once more on a new connection where a reused one has ended."""
+        outcome = await self._attempt(address, transaction, deadline)
+        if not isinstance(outcome, ConnectionEnded):
+            return outcome
+        outcome = await self._attempt(address, transaction, deadline, fresh=True)
+        # The first request was written: no other owner may get the message.
+        return Unanswered() if isinstance(outcome, NothingWritten) else outcome
+
+    async def _attempt(
+        self, address: str, transaction: Transaction, deadline: float, fresh: bool = False
     ) -> ForwardOutcome:
-        connect_by = min(by, self.loop.time() + CONNECT_TIMEOUT_SECONDS)
-        connection = await self.connections.acquire(address, connect_by, fresh)
+        connect_deadline = min(deadline, self.loop.time() + CONNECT_TIMEOUT_SECONDS)
+        connection = await self.connections.acquire(address, connect_deadline, fresh)
         if connection is None:
             return NothingWritten()
         outcome: ForwardOutcome = NothingWritten()
@@ -146,8 +166,8 @@
             request = forwarding.encode_request(self.settings, transaction, self.instance, self.clock())
             if request is None:
                 return outcome
-            outcome = Unanswered()  # from here on bytes may be on their way
-            async with asyncio.timeout_at(by):
+            outcome = Unanswered()  # from here on bytes may have been sent
+            async with asyncio.timeout_at(deadline):
                 outcome = await self._exchange(connection, request)
         except (OSError, ValueError) as error:
             log.warning("forward.failed", error=f"{type(error).__name__}: {error}", key=address)
@@ -156,14 +176,15 @@
         return outcome
 
     async def _exchange(self, connection: PeerConnection, request: bytes) -> ForwardOutcome:
-        reader, buffer, sock = forwarding.ReplyReader(), Buffer(), connection.sock
-        began = False
+        reader = forwarding.ReplyReader()
+        buffer = Buffer()
+        reply_began = False
         try:
-            await self.loop.sock_sendall(sock, request)
-            while await sockets.read(self.loop, sock, buffer):
-                began = True
+            await self.loop.sock_sendall(connection.sock, request)
+            while await sockets.read(self.loop, connection.sock, buffer):
+                reply_began = True
                 if (reply := reader.feed(buffer.consume_all())) is not None:
                     return Relayed(reply)
         except ConnectionError as error:
             log.warning("forward.failed", error=str(error), key=connection.address)
-        return ConnectionEnded() if connection.reused and not began else Unanswered()
+        return ConnectionEnded() if connection.reused and not reply_began else Unanswered()
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -25,6 +25,7 @@
 from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
 from honeyhitch.transports import sockets
 from honeyhitch.transports.http_transport import HttpTransport
+from honeyhitch.transports.mqtt_link import MqttContext
 from honeyhitch.transports.mqtt_transport import MqttTransport
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
@@ -360,7 +361,8 @@
     async def work() -> None:
         setup = MqttSettings("127.0.0.1:1", "in", "n0")
         rig = Rig(tmp_path, [])
-        carrier = MqttTransport(setup, rig.core, rig.core.scheduler, rig.tasks)  # type: ignore[arg-type]
+        context = MqttContext(setup, rig.core, rig.core.scheduler, rig.tasks)  # type: ignore[arg-type]
+        carrier = MqttTransport(context)
         rig.core.transports["mqtt"] = carrier
         one = PoolEndpoint("m", "partner/1", 1, kind=1, listed_rate=100.0, transport="mqtt")
         rig.core.pool.pin(one)
