--- a/honeyhitch/cli/fleet.py
+++ b/honeyhitch/cli/fleet.py
@@ -1,4 +1,4 @@
-"""The commands that show a fleet as one of its dispatchers sees it, asked at its `management` address."""
+"""The commands that show a fleet as one of its dispatchers sees it; they call its `management` address."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-from honeyhitch.cli.management import call_figures, management_options
+from honeyhitch.cli.management import fetch_figures, management_options
 
 
 @click.group()
@@ -18,14 +18,14 @@
 @management_options
 def show(at: str | None, path: str | None, as_json: bool) -> None:
     """Print the view in force, how old it is, and what this instance owns."""
-    figures = call_figures(at, path, "fleet")
+    figures = fetch_figures(at, path, "fleet")
     if as_json:
         click.echo(json.dumps(figures))
         return
-    age = figures["heartbeat_age_ms"]
+    heartbeat_age = figures["heartbeat_age_ms"]
     click.echo(f"instance     {figures['name']} in zone {figures['zone']}, region {figures['region']}")
     click.echo(f"view         revision {figures['revision']}")
-    click.echo(f"heartbeat    {'none yet' if age is None else f'{age} ms old'}")
+    click.echo(f"heartbeat    {'none yet' if heartbeat_age is None else f'{heartbeat_age} ms old'}")
     click.echo(f"instances    {figures['instances']}, of which {figures['ready']} ready")
     click.echo(
         f"partitions   holds {figures['holds']} and keeps {figures['keeps']} of {figures['partitions']}"
@@ -39,7 +39,7 @@
 @management_options
 def owner(destination: int, at: str | None, path: str | None, as_json: bool) -> None:
     """Print who may own DESTINATION in each zone, the first that is Ready before the others."""
-    figures = call_figures(at, path, f"owner {destination}")
+    figures = fetch_figures(at, path, f"owner {destination}")
     if as_json:
         click.echo(json.dumps(figures))
         return
--- a/honeyhitch/cli/main.py
+++ b/honeyhitch/cli/main.py
@@ -14,30 +14,34 @@
 from honeyhitch import __version__, logs
 from honeyhitch import config as configuration
 
-GROUPS = {
+COMMAND_MODULES = {
     "fleet": "honeyhitch.cli.fleet",
     "stats": "honeyhitch.cli.management",
     "status": "honeyhitch.cli.management",
     "tls": "honeyhitch.cli.tls",
     "undelivered": "honeyhitch.cli.undelivered",
 }
+MESSAGE_ID_BYTES = 8
+REQUEST_KEY = b"0" * 16  # the first argument of ENQUEUE
+SEND_TIMEOUT_SECONDS = 5
+CONFIG_ERROR_EXIT_CODE = 2
 
 
-class Main(click.Group):
-    """Commands with modules of their own are imported when asked for: `serve` starts without them."""
+class LazyGroup(click.Group):
+    """Commands with modules of their own are imported when they are run: `serve` starts without them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names, in the order of the alphabet."""
-        return sorted({*super().list_commands(ctx), *GROUPS})
+        """All names, in alphabetical order."""
+        return sorted({*super().list_commands(ctx), *COMMAND_MODULES})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """The command of this name."""
-        if cmd_name in GROUPS and cmd_name not in self.commands:
-            self.add_command(getattr(import_module(GROUPS[cmd_name]), cmd_name))
+        if cmd_name in COMMAND_MODULES and cmd_name not in self.commands:
+            self.add_command(getattr(import_module(COMMAND_MODULES[cmd_name]), cmd_name))
         return super().get_command(ctx, cmd_name)
 
 
-@click.group(cls=Main)
+@click.group(cls=LazyGroup)
 def main() -> None:
     """A dispatcher of messages to outside receivers."""
 
@@ -51,12 +55,12 @@
     """Run one dispatcher in the foreground till SIGTERM; SIGHUP makes it read its configuration again."""
     from honeyhitch.service.run import serve as run
 
-    config = _read(path, operator)
+    config = _read_config(path, operator)
     logs.setup(log_format or config.operator.log_format, log_level or config.operator.log_level)
     try:
-        run(config, lambda before: configuration.read(os.environ, path, operator, before))
+        run(config, lambda previous: configuration.read(os.environ, path, operator, previous))
     except configuration.ConfigError as error:
-        _refused(error)
+        _exit_on_config_error(error)
 
 
 @main.command()
@@ -64,7 +68,7 @@
 @click.option("--operator", type=click.Path(), help="An operator's TOML file; or ROUTER_OPERATOR names it.")
 def check(path: str | None, operator: str | None) -> None:
     """Read the configuration and say what is wrong with it, or how it was understood."""
-    config = _read(path, operator)
+    config = _read_config(path, operator)
     click.echo(f"name {config.name}, listens on {config.listen}, discovery at {config.discovery}")
     click.echo(
         f"journal in {config.state}, at most {config.limits.disk_bytes} bytes;"
@@ -89,28 +93,33 @@
 @click.option("--key", default="", help="Its idempotency key; a fresh one otherwise.")
 def send(address: str, body: str, dest: int, cls: str, tenant: str, left: int, key: str) -> None:
     """Hand one message in at ADDRESS (HOST:PORT) and print the answer."""
-    name = secrets.token_hex(8)
-    fields = f"c={cls},t={tenant},d={left},dest={dest},k={key or name}"
-    parts = [b"ENQUEUE", b"0" * 16, name.encode(), fields.encode(), body.encode()]
-    request = b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
+    message_id = secrets.token_hex(MESSAGE_ID_BYTES)
+    fields = f"c={cls},t={tenant},d={left},dest={dest},k={key or message_id}"
+    request = _encode_command([b"ENQUEUE", REQUEST_KEY, message_id.encode(), fields.encode(), body.encode()])
     try:
-        told = configuration.Address.parse(address, "address")
-        with socket.create_connection((told.host, told.port), timeout=5) as sock:
+        target = configuration.Address.parse(address, "address")
+        with socket.create_connection((target.host, target.port), timeout=SEND_TIMEOUT_SECONDS) as sock:
             sock.sendall(request)
             answer = sock.makefile("rb").readline().decode(errors="replace").strip()
     except (OSError, configuration.ConfigError) as error:
         raise click.ClickException(str(error)) from error
-    click.echo(f"{name} {answer}")
+    click.echo(f"{message_id} {answer}")
     sys.exit(0 if answer.startswith("+") else 1)
 
 
-def _read(path: str | None, operator: str | None) -> configuration.Config:
+def _encode_command(arguments: list[bytes]) -> bytes:
+    """A command of the RESP2 protocol."""
+    head = b"*%d\r\n" % len(arguments)
+    return head + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments)
+
+
+def _read_config(path: str | None, operator: str | None) -> configuration.Config:
     try:
         return configuration.read(os.environ, path, operator)
     except configuration.ConfigError as error:
-        _refused(error)
+        _exit_on_config_error(error)
 
 
-def _refused(error: configuration.ConfigError) -> NoReturn:
+def _exit_on_config_error(error: configuration.ConfigError) -> NoReturn:
     click.echo(f"configuration: {error}", err=True)
-    sys.exit(2)
+    sys.exit(CONFIG_ERROR_EXIT_CODE)
--- a/honeyhitch/cli/management.py
+++ b/honeyhitch/cli/management.py
@@ -7,6 +7,7 @@
 import socket
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import click
@@ -14,46 +15,59 @@
 from honeyhitch import config as configuration
 from honeyhitch.protocols.management import ManagementReply
 
-ANSWER_TIMEOUT_SECONDS = 3.0  # seconds; an answer is owed within 1
-COLUMNS = ("ok", "shed", "errors", "tries")
+REPLY_TIMEOUT_SECONDS = 3.0  # a reply is due within 1
+READ_BYTES = 65536
+RESPONSE_COLUMNS = ("ok", "shed", "errors", "tries")
+RESPONSES = "responses"  # the figures by message class
 
 
-def _where(at: str | None, path: str | None) -> configuration.Address:
-    """The address: as said, as the variable says, or as the configuration's file does."""
+@dataclass(frozen=True, slots=True)
+class ManagementCall:
+    """A dispatcher's reply to one call."""
+
+    accepted: bool
+    message: str
+    figures: dict[str, Any]
+
+
+def _find_address(at: str | None, path: str | None) -> configuration.Address:
+    """The address from the option, the variable or the configuration's file, in this order."""
     try:
-        told = at or os.environ.get("ROUTER_MANAGEMENT")
-        if told:
-            return configuration.Address.parse(told, "management")
-        found = configuration.read(os.environ, path).management
+        text = at or os.environ.get("ROUTER_MANAGEMENT")
+        if text:
+            return configuration.Address.parse(text, "management")
+        address = configuration.read(os.environ, path).management
     except configuration.ConfigError as error:
         raise click.ClickException(str(error)) from error
-    if found is None:
+    if address is None:
         raise click.ClickException("management: not set; name it with --at, ROUTER_MANAGEMENT or in the file")
-    return found
+    return address
 
 
-def _call(at: configuration.Address, call: str) -> tuple[bool, str, dict[str, Any]]:
-    answer = ManagementReply()
+def _call(address: configuration.Address, request: str) -> ManagementCall:
+    reply = ManagementReply()
     try:
-        with socket.create_connection((at.host, at.port), timeout=ANSWER_TIMEOUT_SECONDS) as sock:
-            sock.sendall(call.encode() + b"\r\n")
-            while (data := sock.recv(65536)) and not answer.feed(data):
-                pass
-        return answer.result()
+        with socket.create_connection((address.host, address.port), timeout=REPLY_TIMEOUT_SECONDS) as sock:
+            sock.sendall(request.encode() + b"\r\n")
+            complete = False
+            while not complete and (data := sock.recv(READ_BYTES)):
+                complete = reply.feed(data)
+        return ManagementCall(*reply.result())
     except (OSError, ValueError) as error:
-        raise click.ClickException(f"no answer from {at}: {error}") from error
+        raise click.ClickException(f"no answer from {address}: {error}") from error
 
 
-def call_figures(at: str | None, path: str | None, call: str) -> dict[str, Any]:
-    """The figures that a running dispatcher answers a call with. Raises ClickException if it gives none."""
-    address = _where(at, path)
-    yes, why, figures = _call(address, call)
-    if not yes:
-        raise click.ClickException(f"{address}: {why or 'no answer'}")
-    return figures
+def fetch_figures(at: str | None, path: str | None, request: str) -> dict[str, Any]:
+    """The figures with which a running dispatcher replies. Raises ClickException if it sends none."""
+    address = _find_address(at, path)
+    reply = _call(address, request)
+    if not reply.accepted:
+        raise click.ClickException(f"{address}: {reply.message or 'no answer'}")
+    return reply.figures
 
 
 def management_options(command: Callable[..., None]) -> Callable[..., None]:
+    """The options of a command that calls a running dispatcher: `at`, `path` and `as_json`."""
     for option in (
         click.option("--json", "as_json", is_flag=True, help="For programs."),
         click.option(
@@ -69,26 +83,34 @@
 @management_options
 def status(at: str | None, path: str | None, as_json: bool) -> None:
     """Say whether a dispatcher takes clients; exit code 0 if it does."""
-    address = _where(at, path)
-    yes, why, _ = _call(address, "status")
-    told = {"ready": yes, "told": why, "at": str(address)}
-    click.echo(json.dumps(told) if as_json else f"{address}: {why or ('ready' if yes else 'no answer')}")
-    sys.exit(0 if yes else 1)
+    address = _find_address(at, path)
+    reply = _call(address, "status")
+    if as_json:
+        click.echo(json.dumps({"ready": reply.accepted, "told": reply.message, "at": str(address)}))
+    else:
+        click.echo(f"{address}: {reply.message or ('ready' if reply.accepted else 'no answer')}")
+    sys.exit(0 if reply.accepted else 1)
 
 
 @click.command()
 @management_options
 def stats(at: str | None, path: str | None, as_json: bool) -> None:
     """Print the figures of a dispatcher; they count from its process's start."""
-    figures = call_figures(at, path, "stats")
+    figures = fetch_figures(at, path, "stats")
     if as_json:
         click.echo(json.dumps(figures))
         return
-    rows = [("class", *COLUMNS)]
-    rows += [(name, *(str(row[key]) for key in COLUMNS)) for name, row in figures["responses"].items()]
-    widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
-    for row in rows:
-        click.echo("  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)))
+    for line in _format_responses(figures[RESPONSES]):
+        click.echo(line)
     for name, value in figures.items():
-        if name != "responses":
+        if name != RESPONSES:
             click.echo(f"{name}: {value}")
+
+
+def _format_responses(responses: dict[str, dict[str, Any]]) -> list[str]:
+    """A table with a line for each message class, its cells aligned to the right."""
+    rows: list[tuple[str, ...]] = [("class", *RESPONSE_COLUMNS)]
+    for class_name, counts in responses.items():
+        rows.append((class_name, *(str(counts[column]) for column in RESPONSE_COLUMNS)))
+    widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
+    return ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -1,4 +1,4 @@
-"""`honeyhitch tls`: what an operator asks of the TLS settings and of the partners."""
+"""`honeyhitch tls`: checks the TLS settings, their files, and what partners present."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 import os
 import sys
 import time
+from pathlib import Path
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import click
 
 from honeyhitch import config as configuration
 from honeyhitch.endpoints.pool import EndpointPool, PoolError
 from honeyhitch.policy.settings import DestinationKind, Idempotency, MessageClass, Settings
+from honeyhitch.time_units import DAY
 from honeyhitch.tls.settings import Partner, Scope, TlsSettings
 
 if TYPE_CHECKING:
     from honeyhitch.tls.certificates import Facts
     from honeyhitch.tls.partners import Partners
+    from honeyhitch.transports.tls_probe import Seen
 
-# For a look at files alone: what an instance would be told matters to neither trust nor names.
+# Stands for an instance's settings where only files are checked: nothing of it matters to trust or names.
 PLACEHOLDER_SETTINGS = Settings(
     classes=(MessageClass(Idempotency.IDEMPOTENT, latency_objective=1, deadline=1),),
     kinds=(DestinationKind(),),
@@ -31,6 +34,8 @@
     slow_start_fraction=1.0,
     slow_start_duration=1,
 )
+Target = tuple[Partner, str]  # a partner, and the HOST:PORT to connect to
+Report = dict[str, Any]  # of a partner's files or of an address, as it is printed with --json
 
 
 @click.group()
@@ -55,123 +60,148 @@
 ) -> None:
     """Say of each partner what its files hold and, with --connect, what it shows; exit 1 on a failure."""
     try:
-        told = configuration.read_tls(operator, os.environ)
+        configured = configuration.read_tls(operator, os.environ)
         config = configuration.read(os.environ, path, operator) if path else None
         for address in addresses:
             configuration.Address.parse(address, "--address")
     except configuration.ConfigError as error:
-        click.echo(f"configuration: {error}", err=True)
-        sys.exit(1)
-    if not told:
-        click.echo("no [[tls.partner]] and no [mqtt.tls]: nothing is spoken to over TLS", err=True)
-        sys.exit(1)
+        _fail(f"configuration: {error}")
+    if not configured:
+        _fail("no [[tls.partner]] and no [mqtt.tls]: nothing is spoken to over TLS")
     from honeyhitch.tls.partners import Partners  # the files could be read, so the extra is there
 
     settings = config.settings if config is not None else PLACEHOLDER_SETTINGS
-    partners = Partners(TlsSettings(tuple(told)), settings, os.environ, time.time_ns, Random())
-    reports = [_files(partners, partner, warn_days) for partner in told]
+    partners = Partners(TlsSettings(tuple(configured)), settings, os.environ, time.time_ns, Random())
+    reports = [_report_files(partners, partner, warn_days) for partner in configured]
     if connect:
-        targets = _targets(config, told) + [(partner, one) for partner in told for one in addresses]
+        targets = _known_targets(config, configured)
+        targets += [(partner, address) for partner in configured for address in addresses]
         if not targets:
-            click.echo("--connect: no member is known; name --config or --address", err=True)
-            sys.exit(1)
-        reports += asyncio.run(_connect(partners, targets, warn_days))
-    click.echo(json.dumps(reports, indent=2) if as_json else "\n".join(map(_text, reports)))
+            _fail("--connect: no member is known; name --config or --address")
+        reports += asyncio.run(_report_connections(partners, targets, warn_days))
+    click.echo(json.dumps(reports, indent=2) if as_json else "\n".join(map(_format_report, reports)))
     sys.exit(1 if any(report["failure"] for report in reports) else 0)
 
 
-def _targets(config: configuration.Config | None, told: list[Partner]) -> list[tuple[Partner, str]]:
+def _fail(message: str) -> NoReturn:
+    click.echo(message, err=True)
+    sys.exit(1)
+
+
+def _known_targets(config: configuration.Config | None, configured: list[Partner]) -> list[Target]:
+    """The endpoints of the configuration's `known` list that have a partner, and the broker."""
     if config is None:
         return []
-    pool, found = EndpointPool(config.settings), []
+    pool = EndpointPool(config.settings)
     try:
         pool.update(config.known)
     except PoolError as error:
         raise click.ClickException(f"known: {error}") from error
-    setup = TlsSettings(tuple(told))
-    for member in pool.endpoints.values():
-        kind = config.settings.kind(member.kind).name
-        partner = setup.partner_of(member.id, member.destination, kind)
+    targets = list[Target]()
+    tls_settings = TlsSettings(tuple(configured))
+    for endpoint in pool.endpoints.values():
+        kind = config.settings.kind(endpoint.kind).name
+        partner = tls_settings.partner_of(endpoint.id, endpoint.destination, kind)
         if partner is not None:
-            found.append((partner, member.address))
+            targets.append((partner, endpoint.address))
     if config.operator.mqtt is not None:
         broker = config.operator.mqtt.broker
-        found += [(partner, broker) for partner in told if partner.scope is Scope.BROKER]
-    return found
+        targets += [(partner, broker) for partner in configured if partner.scope is Scope.BROKER]
+    return targets
 
 
-def _warnings(facts: list[Facts], within: int) -> list[str]:
+def _expiry_warnings(certificates: list[Facts], warn_days: int) -> list[str]:
     now = time.time_ns()
-    left = [(one, one.days_left(now)) for one in facts]
-    return [f"{one.subject} ends in {days:.1f} days" for one, days in left if days < within]
+    warnings = list[str]()
+    for certificate in certificates:
+        days = certificate.days_left(now)
+        if days < warn_days:
+            warnings.append(f"{certificate.subject} ends in {days:.1f} days")
+    return warnings
 
 
-def _facts(one: Facts) -> dict[str, Any]:
+def _report_certificate(certificate: Facts) -> dict[str, Any]:
     return {
-        "subject": one.subject,
-        "issuer": one.issuer,
-        "names": list(one.names),
-        "days_left": round(one.days_left(time.time_ns()), 1),
-        "pin": "sha256/" + base64.b64encode(one.pin).decode(),
+        "subject": certificate.subject,
+        "issuer": certificate.issuer,
+        "names": list(certificate.names),
+        "days_left": round(certificate.days_left(time.time_ns()), 1),
+        "pin": _format_pin(certificate.pin),
     }
 
 
-def _files(partners: Partners, partner: Partner, warn_days: int | None) -> dict[str, Any]:
-    known = partners.known[partner]
-    own, terms = known.material.own, partner.terms
-    within = terms.warn_days if warn_days is None else warn_days
-    report: dict[str, Any] = {"partner": partner.name, "failure": "", "reason": ""}
-    report["trust"] = str(terms.ca) if terms.ca is not None else "the system's roots"
-    report["pins"] = ["sha256/" + base64.b64encode(pin).decode() for pin in terms.pins]
-    report["own"] = _facts(own) if own is not None else None
-    report["warnings"] = _warnings([own] if own is not None else [], within)
-    crl_days = (known.material.crl_until - time.time_ns()) / (24 * 3600 * 10**9)
+def _format_pin(pin: bytes) -> str:
+    return "sha256/" + base64.b64encode(pin).decode()
+
+
+def _report_files(partners: Partners, partner: Partner, warn_days: int | None) -> Report:
+    material = partners.known[partner].material
+    own, terms = material.own, partner.terms
+    report: Report = {
+        "partner": partner.name,
+        "failure": "",
+        "reason": "",
+        "trust": str(terms.ca) if terms.ca is not None else "the system's roots",
+        "pins": [_format_pin(pin) for pin in terms.pins],
+        "own": _report_certificate(own) if own is not None else None,
+        "warnings": _expiry_warnings(
+            [own] if own is not None else [], terms.warn_days if warn_days is None else warn_days
+        ),
+    }
     if terms.crl is not None:
-        report["crl_days_left"] = round(crl_days, 1)
-        if crl_days <= 0:
-            report["failure"], report["reason"] = "crl-unusable", f"{terms.crl} is out of date"
-        elif crl_days < 1:
-            report["warnings"].append(f"{terms.crl} is out of date in less than a day")
+        _add_revocation_list(report, terms.crl, (material.crl_until - time.time_ns()) / DAY)
     return report
 
 
-async def _connect(
-    partners: Partners, targets: list[tuple[Partner, str]], warn_days: int | None
-) -> list[dict[str, Any]]:
+def _add_revocation_list(report: Report, path: Path, days_left: float) -> None:
+    report["crl_days_left"] = round(days_left, 1)
+    if days_left <= 0:
+        report["failure"] = "crl-unusable"
+        report["reason"] = f"{path} is out of date"
+    elif days_left < 1:
+        report["warnings"].append(f"{path} is out of date in less than a day")
+
+
+async def _report_connections(
+    partners: Partners, targets: list[Target], warn_days: int | None
+) -> list[Report]:
     from honeyhitch.transports.tls_probe import look
 
-    reports = []
+    reports = list[Report]()
     for partner, address in targets:
         seen = await look(partners, partners.known[partner], address)
-        within = partner.terms.warn_days if warn_days is None else warn_days
-        reports.append(
-            {
-                "partner": partner.name,
-                "address": address,
-                "failure": seen.failure,
-                "reason": seen.reason,
-                "version": seen.version,
-                "cipher": seen.cipher,
-                "resumes": seen.resumes,
-                "chain": [_facts(one) for one in seen.chain],
-                "warnings": _warnings(seen.chain, within),
-            }
-        )
+        partner_warn_days = partner.terms.warn_days if warn_days is None else warn_days
+        reports.append(_report_connection(partner, address, seen, partner_warn_days))
     return reports
 
 
-def _text(report: dict[str, Any]) -> str:
-    told = f"{report['reason']}" if report["reason"] else ""
-    state = f"FAILED {report['failure']} {told}".rstrip() if report["failure"] else "good"
+def _report_connection(partner: Partner, address: str, seen: Seen, warn_days: int) -> Report:
+    return {
+        "partner": partner.name,
+        "address": address,
+        "failure": seen.failure,
+        "reason": seen.reason,
+        "version": seen.version,
+        "cipher": seen.cipher,
+        "resumes": seen.resumes,
+        "chain": [_report_certificate(certificate) for certificate in seen.chain],
+        "warnings": _expiry_warnings(seen.chain, warn_days),
+    }
+
+
+def _format_report(report: Report) -> str:
+    state = f"FAILED {report['failure']} {report['reason']}".rstrip() if report["failure"] else "good"
     lines = [f"{report['partner']} {report.get('address', 'files')}: {state}"]
     if report.get("version"):
         resumes = "resumes" if report["resumes"] else "does not resume"
         lines.append(f"  {report['version']}, {report['cipher']}, {resumes}")
     if "trust" in report:
         lines.append(f"  trusts {report['trust']}; {len(report['pins'])} pins")
-    for one in [report["own"]] if report.get("own") else report.get("chain", []):
-        names = f" for {', '.join(one['names'])}" if one["names"] else ""
-        lines.append(f"  {one['subject']}{names}, by {one['issuer']}, {one['days_left']} days left")
-        lines.append(f"    {one['pin']}")
+    certificates = [report["own"]] if report.get("own") else report.get("chain", [])
+    for certificate in certificates:
+        names = f" for {', '.join(certificate['names'])}" if certificate["names"] else ""
+        subject = f"{certificate['subject']}{names}, by {certificate['issuer']}"
+        lines.append(f"  {subject}, {certificate['days_left']} days left")
+        lines.append(f"    {certificate['pin']}")
     lines += [f"  warning: {text}" for text in report["warnings"]]
     return "\n".join(lines)
