--- a/honeyhitch/cli/undelivered/options.py
+++ b/honeyhitch/cli/undelivered/options.py
@@ -80,7 +80,7 @@
             record_filter["may_have_run"] = may_have_executed
         return command(record_filter=record_filter, **options)
 
-    wrapped: Command = _keep_name(with_filter, command)
+    wrapped: Command = _copy_name(with_filter, command)
     for option in reversed(FILTER_OPTIONS):
         wrapped = click.option(option.flag, option.filter_name, type=option.type, help=option.help)(wrapped)
     executed = "may_have_executed"
@@ -97,12 +97,12 @@
     def with_store(context: click.Context, /, **options: Any) -> Any:
         return command(context.obj(), **options)
 
-    wrapped = _keep_name(with_store, command)
+    wrapped = _copy_name(with_store, command)
     wrapped.__click_params__ = _parameters(command)  # type: ignore[attr-defined]
     return wrapped
 
 
-def _keep_name(wrapped: Command, command: Command) -> Command:
+def _copy_name(wrapped: Command, command: Command) -> Command:
     wrapped.__name__ = command.__name__
     wrapped.__doc__ = command.__doc__
     return wrapped
@@ -157,7 +157,7 @@
             request = ChangeRequest(names, record_filter, everything, change_reason, dry_run, as_json)
             return command(store, request, **more)
 
-        wrapped = filter_options(store_access(_keep_name(with_request, command)))
+        wrapped = filter_options(store_access(_copy_name(with_request, command)))
         for option in (
             click.option("--json", "as_json", is_flag=True, help="For programs."),
             click.option("--dry-run", is_flag=True, help="Say what would be done, and do nothing."),
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -14,7 +14,7 @@
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.policy.settings import Settings
 
-INSTANCE_KEYS = ("name", "listen", "discovery", "management", "state")  # each with a variable of its own
+INSTANCE_KEYS = ("name", "listen", "discovery", "management", "state")  # each has a variable, too
 ADDRESS_KEYS = ("listen", "discovery", "management")
 OPTIONAL_KEYS = ("management",)
 RESERVED_DESCRIPTORS = 32  # standard streams, loop, journal, listeners, discovery, broker, one just accepted
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -1,6 +1,6 @@
 """The settings of an instance, in both of their forms: nested JSON, and the words of a line.
 
-This module alone knows the keys of both forms; the policy has names of its own for them.
+This module alone knows the keys of both forms; the policy has other names for them.
 """
 
 from __future__ import annotations
--- a/honeyhitch/dead_letters/connection.py
+++ b/honeyhitch/dead_letters/connection.py
@@ -78,7 +78,7 @@
         except SealError as error:
             raise StoreError(str(error)) from error
 
-    def is_in_place(self) -> bool:
+    def file_unmoved(self) -> bool:
         """Whether the open file still has its name: what is written to one that was moved would be lost."""
         try:
             return files.identity(self.directory / files.DATABASE_FILE) == self._file_identity
--- a/honeyhitch/dead_letters/files.py
+++ b/honeyhitch/dead_letters/files.py
@@ -18,7 +18,9 @@
 BUSY_TIMEOUT_SECONDS = 5.0  # that a statement waits for another connection's lock
 CACHE_KILOBYTES = 8_000
 JOURNAL_SIZE_BYTES = 4_000_000  # of the write-ahead log between transactions
-FILE_SLACK_BYTES = 16_000_000  # by which the file may outgrow what its records take, and half of that again
+FILE_OVERHEAD_BYTES = (
+    16_000_000  # by which the file may outgrow what its records take, and half of that again
+)
 HOLDER_BYTES = 32  # of the lock file, which names the process that holds it
 
 # UnicodeDecodeError stands where SQLite's own message quotes a damaged name.
@@ -88,7 +90,7 @@
         database.execute(f"PRAGMA cache_size=-{CACHE_KILOBYTES}")
         (page_bytes,) = database.execute("PRAGMA page_size").fetchone()
         schema.migrate(database)
-        max_file_bytes = max_bytes + max_bytes // 2 + FILE_SLACK_BYTES
+        max_file_bytes = max_bytes + max_bytes // 2 + FILE_OVERHEAD_BYTES
         database.execute(f"PRAGMA max_page_count={max_file_bytes // page_bytes}")
     except (*DAMAGE_ERRORS, schema.SchemaError) as error:
         database.close()
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -1,4 +1,4 @@
-"""Moves messages that ended undelivered out of the journal and into the store. No I/O of its own.
+"""Moves messages that ended undelivered out of the journal and into the store. It does no I/O itself.
 
 A message is in the journal until the store's transaction has been committed; a transfer that is repeated
 after a kill in between finds the record there already and changes nothing. Where the store fails, messages
--- a/honeyhitch/dead_letters/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -145,8 +145,8 @@
 def _not_releasable(record: Record) -> str:
     if record.status is not RecordStatus.PENDING:
         return f"it is {record.status.value}"
-    submitted_again = record.client_retry_at is not None or record.recovered_from_journal
-    if not record.may_have_executed and not submitted_again:
+    duplicate_possible = record.client_retry_at is not None or record.recovered_from_journal
+    if not record.may_have_executed and not duplicate_possible:
         return "it never ran: nothing has to be proved before it is sent"
     return "it is released already" if record.evidence else ""
 
--- a/honeyhitch/dead_letters/pacing.py
+++ b/honeyhitch/dead_letters/pacing.py
@@ -1,6 +1,6 @@
 """How many resends may start at a destination now. No I/O; the clock is passed in.
 
-Resends give way to live traffic: they take a bounded fraction of the call slots and of the destination's
+Resends yield to live traffic: they take a bounded fraction of the call slots and of the destination's
 quota, one at a time until one call was delivered, and none while the destination is unhealthy, in slow start,
 or has sent Retry-After. A destination without live traffic would never be found recovered: it is probed with
 single resends at growing intervals.
@@ -70,7 +70,7 @@
         """How many resends may start there now."""
         pacing = self.observe(destination, health, now)
         available = self.max_concurrent_resends - self.resends_in_flight
-        if available <= 0 or self._gives_way(health, now):
+        if available <= 0 or self._blocked(health, now):
             return 0
         if health.unhealthy:
             return int(self.may_probe(destination, health, now))
@@ -80,7 +80,7 @@
         own_limit = self.max_concurrent_resends - pacing.resends_in_flight
         return max(0, min(concurrent, own_limit, int(pacing.tokens)))
 
-    def _gives_way(self, health: DestinationHealth, now: int) -> bool:
+    def _blocked(self, health: DestinationHealth, now: int) -> bool:
         """Whether live traffic needs the destination or the call slots, or nothing may be sent there."""
         if not health.listed or health.has_queued_messages or health.retry_after_until > now:
             return True
@@ -123,7 +123,7 @@
     def __init__(self) -> None:
         self._tokens: dict[str, tuple[float, int]] = {}  # by rule: tokens, and when they were counted
 
-    def try_acquire(self, rule_name: str, rate_per_second: float, now: int) -> bool:
+    def acquire(self, rule_name: str, rate_per_second: float, now: int) -> bool:
         """Whether the rule may start one more resend at `now` (ns); if so, it counts as started."""
         tokens, updated_at = self._tokens.get(rule_name, (1.0, now))
         refill = rate_per_second * max(0, now - updated_at) / SECOND
--- a/honeyhitch/dead_letters/record_codec.py
+++ b/honeyhitch/dead_letters/record_codec.py
@@ -17,7 +17,7 @@
 
 COMPRESSION_LEVEL = 3  # of zstandard
 MAX_BODY_BYTES = 16 << 20  # of a body when unpacked; nothing that was accepted is greater
-FIXED_RECORD_BYTES = 300  # of a record beside its texts, as counted against the store's limit
+FIXED_RECORD_BYTES = 300  # of a record apart from its texts, as counted against the store's limit
 
 # The columns of the table `record` that hold a field of Record, in the order in which they are written.
 FIELD_OF_COLUMN = {
--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -1,7 +1,7 @@
 """Resends what the rules allow: from the store through the journal and the policy, and back to the store.
 
-No I/O of its own: the store's work is submitted to its thread, the clock is the dispatcher's. Every step is
-written down before the next one, and may be repeated after a kill:
+It does no I/O itself: the store's work is submitted to its thread, the clock is the dispatcher's. Every step
+is written down before the next one, and may be repeated after a kill:
 
 1. the resend is written to the journal, under an id that follows from the record;
 2. the store claims the record for it (`sending`), or says that it must not be sent;
@@ -204,7 +204,7 @@
         health = destination_health(self.dispatcher.policy, record.destination, now)
         if not self.pacing.available_resends(record.destination, health, now):
             return  # its health has changed meanwhile; the record is still due
-        if not self.rule_rates.try_acquire(rule.name, rule.rate_per_second, now):
+        if not self.rule_rates.acquire(rule.name, rule.rate_per_second, now):
             self._postpone(record, now + int(SECOND / rule.rate_per_second))
             return
         resend = resend_store.resend_transaction(candidate, self.dispatcher.settings, now)
@@ -353,8 +353,8 @@
         if outcome is Outcome.DELIVERED:
             self.pacing.call_delivered(transaction.destination)
         key = self.duplicates.key_of(transaction)
-        resend_goes_on = transaction.frontend == RESEND_FRONTEND and transaction.ending is None
-        if resend_goes_on and key in self.waiting_duplicates:
+        resend_in_progress = transaction.frontend == RESEND_FRONTEND and transaction.ending is None
+        if resend_in_progress and key in self.waiting_duplicates:
             self._cancel_resend(transaction)
 
     def message_concluded(self, transaction: Transaction) -> None:
--- a/honeyhitch/dead_letters/retention.py
+++ b/honeyhitch/dead_letters/retention.py
@@ -9,7 +9,7 @@
 MAX_NAMED_IDS = 5  # ids of dropped records that are reported
 NO_LIMIT = -1
 
-# Records that may have been executed, and that nobody has decided on yet, are dropped last; resends in flight
+# Records that may have been executed, and are still undecided, are dropped last; resends in flight
 # are never dropped. The second value is whether the record may have been executed.
 DROP_ORDER = (
     (RecordStatus.REPLACED, False),
--- a/honeyhitch/dead_letters/seal.py
+++ b/honeyhitch/dead_letters/seal.py
@@ -16,7 +16,7 @@
 
 KEY_BYTES = 32  # also the length of a seal
 FILE_MODE = 0o600
-OTHERS_MODE = 0o077  # the permissions that the group and others must not have
+PUBLIC_MODE_BITS = 0o077  # the permissions that the group and others must not have
 
 
 class SealError(Exception):
@@ -47,7 +47,7 @@
         except OSError as error:
             raise SealError(f"{path}: cannot be read: {error.strerror}") from error
         with os.fdopen(descriptor, "rb") as file:
-            if stat.S_IMODE(os.fstat(descriptor).st_mode) & OTHERS_MODE:
+            if stat.S_IMODE(os.fstat(descriptor).st_mode) & PUBLIC_MODE_BITS:
                 raise SealError(f"{path}: others may read it; its mode must be 0600")
             return cls(_parse_keys(path, file.read()))
 
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -73,14 +73,14 @@
         """Learn what the store holds; `on_ready` is called then, or once it has taken too long."""
         called = False
 
-        def ready_once() -> None:
+        def call_ready() -> None:
             nonlocal called
             if not called:
                 called = True
                 on_ready()
 
-        self.resend_scheduler.load(ready_once)
-        self._loop.call_later(QUEUE_TIMEOUT_SECONDS, ready_once)
+        self.resend_scheduler.load(call_ready)
+        self._loop.call_later(QUEUE_TIMEOUT_SECONDS, call_ready)
 
     def metrics(self) -> dict[str, Any]:
         """The service's state, for the control socket."""
@@ -109,7 +109,7 @@
         future: asyncio.Future[Any] = self._loop.create_future()
 
         def done(result: Any) -> None:
-            if future.done():  # nobody waits any longer
+            if future.done():  # the request was cancelled
                 return
             if isinstance(result, Exception):
                 future.set_exception(result)
--- a/honeyhitch/dead_letters/settings.py
+++ b/honeyhitch/dead_letters/settings.py
@@ -43,8 +43,8 @@
         """Whether this rule, which stands earlier, applies to whatever the later one matches."""
         for name in MATCHED_SETS:
             own: frozenset[object] = getattr(self, name)
-            others: frozenset[object] = getattr(later, name)
-            if own and (not others or not others <= own):
+            matched: frozenset[object] = getattr(later, name)
+            if own and (not matched or not matched <= own):
                 return False
         same_execution = self.may_have_executed in (None, later.may_have_executed)
         return same_execution and self.min_age <= later.min_age
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -87,7 +87,7 @@
     def _settle_duplicates(self, delivered: Record) -> None:
         """A client's duplicate was delivered: the records with its key are settled.
 
-        One with another body may be a message of its own: all that is sure then is that the key was used.
+        One with another body may be another message: all that is sure then is that the key was used.
         """
         for record in self.unresolved_duplicates(delivered):
             if record.body == delivered.body:
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -76,7 +76,7 @@
         try:
             results = self._run_in_transaction([job for job, _ in batch])
         except Exception as error:
-            if len(batch) > 1:  # one of them may be at fault: each in a transaction of its own
+            if len(batch) > 1:  # one of them may be at fault: each in a separate transaction
                 for queued in batch:
                     self._run_batch([queued])
                 return
@@ -92,7 +92,7 @@
             self._close()  # opened anew for the next job
 
     def _run_in_transaction(self, jobs: list[Job]) -> list[Any]:
-        if self._store is not None and not self._store.is_in_place():
+        if self._store is not None and not self._store.file_unmoved():
             self._close()
         if not jobs:
             return []
@@ -105,7 +105,7 @@
             return [job(store) for job in jobs]
 
     def _report(self, done: JobCallback, result: Any) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
+        with contextlib.suppress(RuntimeError):  # the loop is closed
             self._post(lambda: done(result))
 
     def _close(self) -> None:
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -265,6 +265,6 @@
 
 def test_a_rule_keeps_its_rate() -> None:
     rates = RuleRates()
-    taken = sum(rates.try_acquire("r", 2.0, NOW + i * SECOND // 100) for i in range(1000))
+    taken = sum(rates.acquire("r", 2.0, NOW + i * SECOND // 100) for i in range(1000))
     assert 19 <= taken <= 22
-    assert sum(rates.try_acquire("slow", 0.01, NOW + i * SECOND) for i in range(250)) == 3
+    assert sum(rates.acquire("slow", 0.01, NOW + i * SECOND) for i in range(250)) == 3
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -218,9 +218,9 @@
 
 def test_a_moved_file_is_noticed(tmp_path: Path) -> None:
     store = opened(tmp_path)
-    assert store.is_in_place()
+    assert store.file_unmoved()
     os.rename(tmp_path / files.DATABASE_FILE, tmp_path / "away")
-    assert not store.is_in_place()
+    assert not store.file_unmoved()
 
 
 def test_cut_anywhere_it_is_refused_or_told_and_never_taken_for_whole(tmp_path: Path) -> None:
