--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -8,9 +8,7 @@
 from functools import partial
 
 from honeyhitch.dispatcher.delivery import Call, CallResult
-from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.endpoints.endpoint import PoolEndpoint
-from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import mqtt_messages
 from honeyhitch.protocols.mqtt import OutgoingPublish
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from honeyhitch.cli.main import GROUPS, main
+from honeyhitch.cli.main import COMMAND_MODULES, main
 
 LOOK = "import json, sys; import honeyhitch.cli.main, honeyhitch.service.run; "
 LOOK += "print(json.dumps(sorted(sys.modules)))"
@@ -44,7 +44,7 @@
         "honeyhitch.transports.peers",
         "honeyhitch.transports.mqtt_transport",
         "honeyhitch.transports.control",
-        *GROUPS.values(),
+        *COMMAND_MODULES.values(),
     ],
 )
 def test_a_plain_start_does_not_load(loaded: set[str], name: str) -> None:
@@ -52,7 +52,7 @@
     assert name not in loaded
 
 
-@pytest.mark.parametrize("name", sorted(GROUPS))
+@pytest.mark.parametrize("name", sorted(COMMAND_MODULES))
 def test_each_group_is_named_and_loaded_when_it_is_asked_for(name: str) -> None:
     assert name in CliRunner().invoke(main, ["--help"]).output
     told = CliRunner().invoke(main, [name, "--help"])
