--- a/honeyhitch/__init__.py
+++ b/honeyhitch/__init__.py
@@ -4,4 +4,4 @@
 from honeyhitch.policy.settings import Settings
 
 __all__ = ["DeliveryPolicy", "Settings", "__version__"]
-__version__ = "0.1.0"
+__version__ = "0.2.0"
