--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -60,7 +60,8 @@
 
         What starts is written to the journal, and what must not start any more leaves the call, with no
         attempt used up. A connection takes time to come up, and meanwhile a Retry-After may have been
-        received, the endpoint may drain or be at another address, or the process may have been told to stop.
+        received, the endpoint may drain or be at another address, or the process may have started to shut
+        down.
         """
         now = self.context.scheduler.now()
         reachable = self._is_reachable(call.endpoint) and self._has_quota(call.endpoint, now)
--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether the dispatcher accepted a message, and owes its final answer from now on."""
+    """Whether the dispatcher accepted a message: then a final answer follows."""
 
     accepted: bool
     retry_after: int = 0  # nanoseconds; of a rejection
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -29,7 +29,7 @@
 class Dispatcher(DispatcherContext):
     """One policy, the messages held, and the ports; all frontends share it.
 
-    What other packages call; the work is done by the modules beside this one.
+    What other packages call; the work is done by the other modules of this package.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.endings.conclude(transaction, ending, retry_after)
 
     def withdraw(self, name: str) -> None:
-        """Nobody wants the message any more: no further attempt is made, and no answer is sent."""
+        """The client wants the message no longer: no further attempt is made, and no answer is sent."""
         self.endings.withdraw(name)
 
     def return_unattempted(self, destination: int, retry_after: int) -> None:
@@ -151,7 +151,7 @@
         """The metrics as operators read them; those of messages and calls start at 0 with the process."""
         return {
             "responses": self.metrics.snapshot(),
-            "tries": sum(one.attempts for one in self.metrics.classes),
+            "tries": sum(counters.attempts for counters in self.metrics.classes),
             "active": len(self.messages) - len(self.journal.handed_over),
             "pool_size": len(self.pool.endpoints),
             "pool_ejected": ejected_endpoints(self.policy, self.scheduler.now()),
--- a/honeyhitch/dispatcher/endings.py
+++ b/honeyhitch/dispatcher/endings.py
@@ -32,7 +32,7 @@
         )
 
     def withdraw(self, name: str) -> None:
-        """Nobody wants it any more: no further attempt is made, and no answer is sent."""
+        """The client wants it no longer: no further attempt is made, and no answer is sent."""
         message = self.context.undecided(name)
         if message is not None:
             self.context.journal.record_end(message, Ending.UNANSWERED)
@@ -90,7 +90,7 @@
         frontend = self.context.frontends.get(message.frontend)
         if frontend is not None:
             frontend.answer(message)
-        else:  # accepted by a frontend that this process was started without: nobody can be notified
+        else:  # accepted by a frontend that this process was started without: there is no client to notify
             log.warning("answer.frontend-missing", message=message.id, front=message.frontend)
             self.answer_sent(message)
 
--- a/honeyhitch/dispatcher/metrics.py
+++ b/honeyhitch/dispatcher/metrics.py
@@ -47,7 +47,7 @@
         self.classes[class_index].failed += 1
 
     def message_concluded(self, transaction: Transaction, ending: Ending) -> None:
-        """It was decided how a message ends; one that nobody waits for any more is not counted."""
+        """It was decided how a message ends; one that is not waited for is not counted."""
         counters = self.classes[transaction.class_index]
         match ending:
             case Ending.DELIVERED:
--- a/honeyhitch/dispatcher/outcomes.py
+++ b/honeyhitch/dispatcher/outcomes.py
@@ -23,14 +23,14 @@
     def call_ended(self, call: Call, result: CallResult) -> None:
         """A call ended.
 
-        Its messages share one fate. If its answer comes after one message's time, nobody can tell whether it
+        Its messages share one fate. If its answer comes after one message's time, it is unknown whether it
         counts for the others (docs/fleet-questions.md): they may have been executed, which says nothing of
         the endpoint's health.
         """
         self.retry_after_received(call.endpoint, result.retry_after)
         if call.message_expired and any(outcome is Outcome.DELIVERED for outcome, _ in result.outcomes):
             uncertain = {(Outcome.DELIVERED, True): (Outcome.RESET, False)}
-            result.outcomes = [uncertain.get(one, one) for one in result.outcomes]
+            result.outcomes = [uncertain.get(reported, reported) for reported in result.outcomes]
             result.connection_stale = True
         for index, (outcome, concluded) in enumerate(result.outcomes):
             if not call.pending[index]:
@@ -54,14 +54,14 @@
 
     def message_expired(self, call: Call, message: Transaction) -> None:
         """The time of one message of a call in flight is over; a call not started goes on without it."""
-        for index, one in enumerate(call.messages):
-            if one is message and call.pending[index]:
+        for index, candidate in enumerate(call.messages):
+            if candidate is message and call.pending[index]:
                 if call.started:
                     call.message_expired = True
                     self.attempt_ended(call, index, Outcome.TIMEOUT, False, CallResult([]))
                 else:
                     self.message_not_started(call, index)
-                if not any(call.pending):  # nobody waits for its answer any more
+                if not any(call.pending):  # its answer is not waited for any more
                     self.context.transports[call.endpoint.transport].cancel(call)
 
     def message_not_started(self, call: Call, index: int) -> None:
--- a/honeyhitch/dispatcher/ports.py
+++ b/honeyhitch/dispatcher/ports.py
@@ -66,7 +66,7 @@
         """What the policy must know of the Retry-After times that the other process received."""
 
     def has_accepted(self, name: str) -> bool:
-        """Whether the other process accepted this message, and owes the answer."""
+        """Whether the other process accepted this message, and has to answer it."""
 
 
 class ArrivalDecision(Enum):
--- a/honeyhitch/dispatcher/recovery.py
+++ b/honeyhitch/dispatcher/recovery.py
@@ -25,7 +25,7 @@
         """After a start: resume the messages of the journal, and give the store its dead letters."""
         messages = self.context.messages
         handed_over = self.context.journal.handed_over
-        pending = [one for one in messages.by_id.values() if one.id not in handed_over]
+        pending = [message for name, message in messages.by_id.items() if name not in handed_over]
         self.take_over(pending, list(messages.pending_dead_letters.values()))
 
     def take_over(self, pending: list[Transaction], dead_letters: list[Transaction]) -> None:
@@ -37,7 +37,7 @@
         elif dead_letters:  # they stay for a start with a store
             log.warning("dead-letter.store-missing", waiting=len(dead_letters))
         # Resends first: what came later may be a copy of one.
-        for message in sorted(pending, key=lambda one: one.frontend != RESEND_FRONTEND):
+        for message in sorted(pending, key=lambda message: message.frontend != RESEND_FRONTEND):
             if message.ending is not None:
                 self._resume_decided(message)
             elif message.frontend == RESEND_FRONTEND:
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -31,8 +31,8 @@
         self.revision = 0
         self.destinations: set[int] = set()  # each that was ever listed, also while it has no endpoint
         self.transport_of: Callable[[PoolEndpoint], str] = lambda endpoint: endpoint.transport
-        # Destinations whose endpoints are kept, if not all.
-        self.keeps_destination: Callable[[int], bool] | None = None
+        # Destinations whose endpoints enter the pool, if not all.
+        self.accepts_destination: Callable[[int], bool] | None = None
         # The fraction of a listed rate that this instance may use, 0 to 1.
         self.quota_fraction: Callable[[int], float] | None = None
         self._parser = RowParser(self.kinds, self.zones)
@@ -54,34 +54,40 @@
         """
         try:
             listed = EndpointList.parse(received)
-            read = [self._read(row) for row in listed.rows if self.keeps_row(row, listed.complete)]
+            read = [self._read(row) for row in listed.rows if self.accepts_row(row, listed.complete)]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise PoolError(f"members: {type(error).__name__}: {error}") from error
         if listed.revision < self.revision and not listed.complete:
             # It would bring back what went since; an agent that counts anew has to send its complete list.
             raise PoolError(f"revision: a change of {listed.revision} after {self.revision}")
-        endpoints = [one for one in read if one.status is not EndpointStatus.GONE or one.id in self.endpoints]
-        listings = tuple(self._listing(one) for one in [*self._moved_away(endpoints), *endpoints])
+        endpoints = [
+            endpoint
+            for endpoint in read
+            if endpoint.status is not EndpointStatus.GONE or endpoint.id in self.endpoints
+        ]
+        listings = tuple(self._listing(endpoint) for endpoint in [*self._moved_away(endpoints), *endpoints])
         self.revision = listed.revision
         self._apply(endpoints, listings, listed.complete)
         if not listed.complete:
             return EndpointListUpdate(UpdateMode.CHANGES, listings)
-        listings += tuple(self._listing(one) for one in self.pinned.values())
+        listings += tuple(self._listing(endpoint) for endpoint in self.pinned.values())
         return EndpointListUpdate(UpdateMode.CACHED if cached else UpdateMode.FULL, listings)
 
-    def keeps_row(self, row: Row, complete: bool = False) -> bool:
+    def accepts_row(self, row: Row, complete: bool = False) -> bool:
         """Whether a row is kept: one of a destination that is, or a change of an endpoint that was."""
-        if self.keeps_destination is None:
+        if self.accepts_destination is None:
             return True
         known = row_is_known(row, self.endpoints)
         destination = row_destination(row)
-        if destination is not None and self.keeps_destination(destination):
+        if destination is not None and self.accepts_destination(destination):
             return True
         return known and not complete
 
     def changed_listings(self, changed: Callable[[int], bool]) -> EndpointListUpdate:
         """The listings of destinations whose quota has changed, as a change of the list."""
-        listings = tuple(self._listing(one) for one in self.endpoints.values() if changed(one.destination))
+        listings = tuple(
+            self._listing(endpoint) for endpoint in self.endpoints.values() if changed(endpoint.destination)
+        )
         return EndpointListUpdate(UpdateMode.CHANGES, listings)
 
     def _read(self, row: Row) -> PoolEndpoint:
@@ -105,7 +111,7 @@
     ) -> None:
         if complete:  # what a complete list leaves out is gone as well
             named = {listing.endpoint for listing in listings} | self.pinned.keys()
-            self.endpoints = {name: one for name, one in self.endpoints.items() if name in named}
+            self.endpoints = {name: endpoint for name, endpoint in self.endpoints.items() if name in named}
         for endpoint in endpoints:
             if endpoint.status is not EndpointStatus.GONE:
                 self.endpoints[endpoint.id] = endpoint
--- a/honeyhitch/journal/directory.py
+++ b/honeyhitch/journal/directory.py
@@ -1,4 +1,4 @@
-"""The state directory and who holds it: in a hand-over two processes do, each with a journal of its own.
+"""The state directory and who holds it: in a hand-over two processes do, each with its journal.
 
 A slot is held by a lock that the kernel releases when its process ends, however it ends (flock(2)). The first
 slot's journal is the one that an earlier version reads; the second one's exists only while two processes
--- a/honeyhitch/journal/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -25,8 +25,8 @@
     def read(self) -> bool:
         """Apply the records written since the last call; false if there is no file.
 
-        A file that was replaced, or became shorter, is read from its start: it holds everything. Without news
-        this is two system calls. OSError if the file cannot be read.
+        A file that was replaced, or became shorter, is read from its start: it holds everything. If nothing
+        was written, this is two system calls. OSError if the file cannot be read.
         """
         try:
             found = os.stat(self.path)
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -128,8 +128,8 @@
         if not self.detailed:
             return
         self._append_if_possible(AttemptOutcome(transaction.id, attempt))
-        others = [one for one in transaction.attempt_history if one.number != attempt.number]
-        transaction.attempt_history = [*others, attempt]
+        earlier = [entry for entry in transaction.attempt_history if entry.number != attempt.number]
+        transaction.attempt_history = [*earlier, attempt]
 
     def record_not_executed(self, transaction: Transaction, number: int) -> None:
         """The outcome of an attempt proves that it was never executed; other outcomes change nothing."""
@@ -184,7 +184,7 @@
         if self.calls_in_flight is None:
             self.compact()
         for start in range(0, len(transactions), MAX_IDS_PER_RECORD):
-            batch = {one.id: one for one in transactions[start : start + MAX_IDS_PER_RECORD]}
+            batch = {message.id: message for message in transactions[start : start + MAX_IDS_PER_RECORD]}
             self.append(MessagesHandedOver(list(batch)))
             self.handed_over |= batch
         self.record_calls_in_flight(calls_in_flight)
@@ -218,10 +218,10 @@
         returned = self._settle_handed_over(other)
         known = self.messages
         known_ids = known.by_id.keys() | known.concluded.keys()
-        new = [one for one in other.messages.by_id.values() if one.id not in known_ids]
+        new = [message for name, message in other.messages.by_id.items() if name not in known_ids]
         pending = [
-            one
-            for key, one in other.messages.pending_dead_letters.items()
+            message
+            for key, message in other.messages.pending_dead_letters.items()
             if key not in known.pending_dead_letters
         ]
         for transaction in new:
@@ -246,7 +246,7 @@
         for name in accepted:
             del self.messages.by_id[name]
             self.live_bytes -= self.sizes.pop(name)
-        returned = [one for name, one in self.handed_over.items() if name not in accepted]
+        returned = [message for name, message in self.handed_over.items() if name not in accepted]
         self.handed_over = {}
         self.calls_in_flight = None
         return returned
@@ -320,13 +320,13 @@
             if self.size + excess > 0:
                 raise JournalFullError("the disk's share is used up")
 
-    def _compact_if_worthwhile(self, wanted_bytes: float) -> None:
+    def _compact_if_worthwhile(self, required_bytes: float) -> None:
         """Compact if that frees as much, and enough to be worth it.
 
         Without the second condition a full journal would be rewritten for every message that it rejects.
         """
         gain = self.size - self.live_bytes - self.compaction_overhead
-        if self.calls_in_flight is None and gain >= max(wanted_bytes, MIN_COMPACTION_GAIN * self.size):
+        if self.calls_in_flight is None and gain >= max(required_bytes, MIN_COMPACTION_GAIN * self.size):
             self.compact()
 
     def compact(self) -> None:
--- a/honeyhitch/journal/records.py
+++ b/honeyhitch/journal/records.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageEnded:
-    """The final answer to a message was sent, or nobody waits for one."""
+    """The final answer to a message was sent, or is not waited for."""
 
     message: str
     ending: Ending
--- a/honeyhitch/journal/transactions.py
+++ b/honeyhitch/journal/transactions.py
@@ -1,4 +1,4 @@
-"""The messages that a dispatcher holds: each was accepted and is owed exactly one final answer."""
+"""The messages that a dispatcher holds: each was accepted and gets exactly one final answer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     DELIVERED = "delivered"
     REJECTED = "rejected"  # submitting it again is harmless
     FAILED = "failed"
-    UNANSWERED = "over"  # nobody waits for an answer
+    UNANSWERED = "over"  # no answer is waited for
 
 
 class PossibleExecution(NamedTuple):
@@ -82,7 +82,10 @@
 
     def first_possible_execution(self) -> Execution | None:
         """The earliest attempt that may have been executed."""
-        return min((Execution(one.started_at, one.zone) for one in self.possible_executions), default=None)
+        return min(
+            (Execution(possible.started_at, possible.zone) for possible in self.possible_executions),
+            default=None,
+        )
 
     def add_attempt(self, number: int, started_at: int, zone: int, endpoint: str | None) -> None:
         """An attempt starts; `endpoint` is None where no history of attempts is kept."""
@@ -94,7 +97,9 @@
     def mark_not_executed(self, number: int) -> None:
         """An attempt was certainly not executed; it counts as an attempt, even if it was never started."""
         self.attempt_count = max(self.attempt_count, number + 1)
-        self.possible_executions = [one for one in self.possible_executions if one.attempt != number]
+        self.possible_executions = [
+            possible for possible in self.possible_executions if possible.attempt != number
+        ]
 
 
 class MessageTable:
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -73,7 +73,7 @@
         self._refresh_at: int | None = 0  # when a quota may change though no update comes
         self._lease_was_valid = False  # at the last refresh
         dispatcher.quota_source = self
-        dispatcher.pool.keeps_destination = self.fleet.is_candidate
+        dispatcher.pool.accepts_destination = self.fleet.is_candidate
         dispatcher.pool.quota_fraction = self._current_quota_fraction
 
     # Routing, quotas and reports.
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -83,7 +83,7 @@
 
     def _keep_member(self, row: dict[str, Any]) -> bool:
         """A row without an id is kept, so that the list is rejected for it as any other would be."""
-        return "id" not in row or self.dispatcher.pool.keeps_row(row)
+        return "id" not in row or self.dispatcher.pool.accepts_row(row)
 
     def _apply_update(self, update: dict[str, Any]) -> None:
         self.dispatcher.apply_list_update(self.dispatcher.pool.update(update))
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -99,6 +99,6 @@
     row: object, keeps: Callable[[int], bool] | None
 ) -> None:
     one = EndpointPool(settings())
-    one.keeps_destination = keeps
+    one.accepts_destination = keeps
     with pytest.raises(PoolError, match="members"):
         one.update({"revision": 1, "complete": True, "members": [row]})
