--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -60,14 +60,14 @@
 
 def one_handshake(partners: Partners, context: ssl.SSLContext) -> tuple[float, bool]:
     """CPU seconds of our side, and whether it was resumed; its session is kept."""
-    known = partners.of("m", 1, "")
+    known = partners.find("m", 1, "")
     assert known is not None
     incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
     server, up = context.wrap_bio(incoming, outgoing, server_side=True), False
     began = time.thread_time()
-    key = partners.key(known, "127.0.0.1:1")
-    machine = partners.machine(known, key)
-    out = machine.take_out()
+    key = partners.session_key(known, "127.0.0.1:1")
+    machine = partners.create_machine(known, key)
+    out = machine.take_output()
     spent = time.thread_time() - began
     while out or not up:
         incoming.write(out)
@@ -78,12 +78,12 @@
         said = outgoing.read()
         began = time.thread_time()
         machine.feed(said)
-        out = machine.take_out()
+        out = machine.take_output()
         spent += time.thread_time() - began
         if machine.failure is not None:
             raise machine.failure
     began = time.thread_time()
-    peer = partners.verified(known, machine)
+    peer = partners.verify(known, machine)
     partners.keep_session(known, key, machine, peer)
     return spent + time.thread_time() - began, machine.resumed
 
@@ -340,7 +340,7 @@
     """Kilobytes for an open connection with its buffers, and for a cached session."""
     from honeyhitch.protocols.buffer import Buffer
     from honeyhitch.protocols.http1 import ResponseParser
-    from honeyhitch.tls.sessions import Key, SessionCache
+    from honeyhitch.tls.sessions import SessionCache, SessionKey
     from honeyhitch.transports.tls_channel import TlsChannel, open_tls
 
     pki = Authority(folder)
@@ -376,7 +376,9 @@
                 session = channel.machine.session()
                 assert session is not None
                 sessions.append(session)
-                cache.put(Key("dest:1", "localhost", f"{round_}:{i}", 0), session, time.time_ns(), 1 << 62)
+                cache.put(
+                    SessionKey("dest:1", "localhost", f"{round_}:{i}", 0), session, time.time_ns(), 1 << 62
+                )
         cached = (rss() - before) / len(cache)
         assert all(channel.machine.phase is Phase.OPEN for channel, _, _ in kept)
         return each / 1000, cached / 1000
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -19,7 +19,7 @@
 from honeyhitch.tls.settings import Partner, Scope, TlsSettings
 
 if TYPE_CHECKING:
-    from honeyhitch.tls.certificates import Facts
+    from honeyhitch.tls.certificates import CertificateInfo
     from honeyhitch.tls.partners import Partners
 
 # For a look at files alone: what an instance would be told matters to neither trust nor names.
@@ -91,7 +91,7 @@
     setup = TlsSettings(tuple(told))
     for member in pool.endpoints.values():
         kind = config.settings.kind(member.kind).name
-        partner = setup.partner_of(member.id, member.destination, kind)
+        partner = setup.find_partner(member.id, member.destination, kind)
         if partner is not None:
             found.append((partner, member.address))
     if config.operator.mqtt is not None:
@@ -100,13 +100,13 @@
     return found
 
 
-def _warnings(facts: list[Facts], within: int) -> list[str]:
+def _warnings(facts: list[CertificateInfo], within: int) -> list[str]:
     now = time.time_ns()
     left = [(one, one.days_left(now)) for one in facts]
     return [f"{one.subject} ends in {days:.1f} days" for one, days in left if days < within]
 
 
-def _facts(one: Facts) -> dict[str, Any]:
+def _facts(one: CertificateInfo) -> dict[str, Any]:
     return {
         "subject": one.subject,
         "issuer": one.issuer,
@@ -117,7 +117,7 @@
 
 
 def _files(partners: Partners, partner: Partner, warn_days: int | None) -> dict[str, Any]:
-    known = partners.known[partner]
+    known = partners.states[partner]
     own, terms = known.material.own, partner.terms
     within = terms.warn_days if warn_days is None else warn_days
     report: dict[str, Any] = {"partner": partner.name, "failure": "", "reason": ""}
@@ -138,11 +138,11 @@
 async def _connect(
     partners: Partners, targets: list[tuple[Partner, str]], warn_days: int | None
 ) -> list[dict[str, Any]]:
-    from honeyhitch.transports.tls_probe import look
+    from honeyhitch.transports.tls_probe import probe
 
     reports = []
     for partner, address in targets:
-        seen = await look(partners, partners.known[partner], address)
+        seen = await probe(partners, partners.states[partner], address)
         within = partner.terms.warn_days if warn_days is None else warn_days
         reports.append(
             {
--- a/honeyhitch/protocols/__init__.py
+++ b/honeyhitch/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: protocol machines that are fed bytes and know no socket."""
+"""Wire protocols as sans-I/O state machines: they are fed bytes, and open no socket."""
--- a/honeyhitch/service/features/tls.py
+++ b/honeyhitch/service/features/tls.py
@@ -30,7 +30,7 @@
     _add_transport(service, partners, max_idle)
     if broker is None:
         return None
-    return TlsConnector(service.loop, partners, partners.known[broker])
+    return TlsConnector(service.loop, partners, partners.states[broker])
 
 
 def _add_transport(service: Service, partners: Partners, max_idle: int) -> None:
@@ -42,7 +42,7 @@
 
     def transport_of(endpoint: PoolEndpoint) -> str:
         kind = service.config.settings.kind(endpoint.kind).name
-        if partners.of(endpoint.id, endpoint.destination, kind) is None:
+        if partners.find(endpoint.id, endpoint.destination, kind) is None:
             return endpoint.transport
         return TLS_TRANSPORT
 
--- a/honeyhitch/tls/certificates.py
+++ b/honeyhitch/tls/certificates.py
@@ -1,4 +1,4 @@
-"""What a certificate says, read from its DER with `cryptography`: names, times, the digest of its key."""
+"""What a certificate says, parsed with `cryptography`: names, validity, and the digest of its key."""
 
 from __future__ import annotations
 
@@ -9,13 +9,11 @@
 from cryptography import x509
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat
 
-from honeyhitch.time_units import SECOND
-
-DAY = 24 * 3600 * SECOND
+from honeyhitch.time_units import DAY, SECOND
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class CertificateInfo:
     """One certificate. Times are Unix times in nanoseconds."""
 
     subject: str
@@ -28,37 +26,43 @@
     pin: bytes  # SHA-256 of the SubjectPublicKeyInfo, as in RFC 7469, 2.4
 
     def days_left(self, now: int) -> float:
-        """Till its end; below 0 once that has passed."""
+        """Days until it expires; negative once it has."""
         return (self.not_after - now) / DAY
 
 
-def unix(when: datetime) -> int:
-    """Nanoseconds since 1970."""
+def unix_nanoseconds(when: datetime) -> int:
+    """A time as a Unix time in nanoseconds."""
     return int(when.timestamp()) * SECOND
 
 
-def facts(certificate: x509.Certificate) -> Facts:
-    """What it says."""
+def describe(certificate: x509.Certificate) -> CertificateInfo:
+    """What a certificate says. Raises ValueError if its key cannot be read."""
+    public_key = certificate.public_key()
+    key_info = public_key.public_bytes(Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
+    return CertificateInfo(
+        subject=certificate.subject.rfc4514_string(),
+        issuer=certificate.issuer.rfc4514_string(),
+        issuer_der=certificate.issuer.public_bytes(),
+        serial=certificate.serial_number,
+        names=_alternative_names(certificate),
+        not_before=unix_nanoseconds(certificate.not_valid_before_utc),
+        not_after=unix_nanoseconds(certificate.not_valid_after_utc),
+        pin=hashlib.sha256(key_info).digest(),
+    )
+
+
+def _alternative_names(certificate: x509.Certificate) -> tuple[str, ...]:
+    """DNS names and IP addresses; a certificate without any is rejected by the verification."""
     names: list[str] = []
     try:
         san = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
         names += san.get_values_for_type(x509.DNSName)
         names += [str(address) for address in san.get_values_for_type(x509.IPAddress)]
     except (x509.ExtensionNotFound, ValueError):
-        pass  # without names it is refused anyway
-    spki = certificate.public_key().public_bytes(Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
-    return Facts(
-        subject=certificate.subject.rfc4514_string(),
-        issuer=certificate.issuer.rfc4514_string(),
-        issuer_der=certificate.issuer.public_bytes(),
-        serial=certificate.serial_number,
-        names=tuple(names),
-        not_before=unix(certificate.not_valid_before_utc),
-        not_after=unix(certificate.not_valid_after_utc),
-        pin=hashlib.sha256(spki).digest(),
-    )
+        pass
+    return tuple(names)
 
 
-def of_der(der: bytes) -> Facts:
-    """What a certificate in DER says; ValueError if it cannot be read."""
-    return facts(x509.load_der_x509_certificate(der))
+def describe_der(der: bytes) -> CertificateInfo:
+    """What a certificate in DER says. Raises ValueError if it cannot be parsed."""
+    return describe(x509.load_der_x509_certificate(der))
--- a/honeyhitch/tls/connection_gate.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -1,7 +1,7 @@
-"""One member's connections, counted: what is open, what is being opened, and when more may be. No I/O.
+"""Counts one endpoint's TLS connections, and decides when another handshake may start. No I/O.
 
-The driver asks it before each handshake and tells it of each end; it says what the module is to be told.
-Every time is Unix time in nanoseconds and is passed in.
+The transport asks before each handshake and reports each result; the returned capacity is for the policy.
+Times are Unix times in nanoseconds, and the clock is an argument.
 """
 
 from __future__ import annotations
@@ -11,70 +11,86 @@
 
 from honeyhitch.policy.events import ConnectionCapacity
 from honeyhitch.tls.failures import TlsError
-from honeyhitch.tls.handshake_budget import HandshakeBudget, Start
+from honeyhitch.tls.handshake_budget import HandshakeBudget, HandshakeStart
 
 
 class EndpointConnections:
-    """The way to one member through its partner's budget."""
+    """The connections to one endpoint, within its partner's handshake budget.
+
+    `block_duration` gives the nanoseconds to block the endpoint for after so many lasting failures in a row.
+    """
 
     def __init__(
-        self, member: str, destination: int, budget: HandshakeBudget, pause: Callable[[int], int]
+        self,
+        endpoint_id: str,
+        destination: int,
+        budget: HandshakeBudget,
+        block_duration: Callable[[int], int],
     ) -> None:
-        self.member, self.destination, self.budget, self.pause = member, destination, budget, pause
-        self.ready = self.busy = self.opening = 0  # connections idle, with a call, and in a handshake
+        self.endpoint_id = endpoint_id
+        self.destination = destination
+        self.budget = budget
+        self.block_duration = block_duration
+        self.idle = 0  # connections without a call
+        self.busy = 0  # connections with a call
+        self.opening = 0  # connections in a handshake
         self.failures = 0  # lasting ones in a row
-        self.blocked_until = 0  # after a lasting one
+        self.blocked_until = 0  # after a lasting failure
 
     @property
     def open(self) -> int:
-        """Connections that are up."""
-        return self.ready + self.busy
+        """The number of connections that may carry calls."""
+        return self.idle + self.busy
 
-    def shut_until(self, now: int) -> int:
-        """When a handshake may start as far as can be told; at most `now` if at once."""
+    def start_blocked_until(self, now: int) -> int:
+        """The earliest start of a handshake, as far as can be told; at most `now` if at once."""
         return max(self.blocked_until, self.budget.ready_at(now))
 
-    def start(self, now: int) -> Start | None:
+    def start(self, now: int) -> HandshakeStart | None:
         """Permission for one handshake, which is counted from now on; None if it must wait."""
-        if self.shut_until(now) > now:
+        if self.start_blocked_until(now) > now:
             return None
         self.opening += 1
         return self.budget.start(now)
 
-    def opened(self, start: Start, now: int, resumed: bool) -> ConnectionCapacity:
-        """It came up, and its connection is ready."""
-        self.opening, self.ready = self.opening - 1, self.ready + 1
-        self.failures = self.blocked_until = 0
-        self.budget.ended(start, now, resumed)
-        return self.room(now)
+    def opened(self, start: HandshakeStart, now: int, resumed: bool) -> ConnectionCapacity:
+        """The handshake succeeded, and its connection is idle."""
+        self.opening -= 1
+        self.idle += 1
+        self.unblock()
+        self.budget.succeeded(start, now, resumed)
+        return self.capacity(now)
 
-    def failed(self, start: Start, now: int, error: TlsError) -> ConnectionCapacity:
-        """It did not. A lasting failure bars the member; any other is an outage as the module knows it."""
+    def failed(self, start: HandshakeStart, now: int, error: TlsError) -> ConnectionCapacity:
+        """The handshake failed. A lasting failure blocks the endpoint; any other counts as an outage."""
         self.opening -= 1
         lasting = error.failure.lasting
-        self.budget.failed(start, now, outage=not lasting)
+        self.budget.failed(start, outage=not lasting)
+        reason = error.failure.label
         if lasting:
-            self.bar(now)
-            return replace(self.room(now), failure_reason=error.failure.label)
-        return replace(
-            self.room(now), connect_failed=True, elapsed=now - start.at, failure_reason=error.failure.label
-        )
+            self.block(now)
+            return replace(self.capacity(now), failure_reason=reason)
+        elapsed = now - start.at
+        return replace(self.capacity(now), connect_failed=True, elapsed=elapsed, failure_reason=reason)
 
-    def given_up(self, start: Start, now: int) -> None:
-        """It was cut short by us; that tells nothing of the partner."""
+    def abandoned(self, start: HandshakeStart, now: int) -> None:
+        """We stopped the handshake, which says nothing of the partner."""
         self.opening -= 1
-        self.budget.failed(start, now, outage=False)
+        self.budget.failed(start, outage=False)
 
-    def bar(self, now: int) -> None:
-        """A lasting failure: leave the member alone for a growing while."""
-        self.blocked_until = now + self.pause(self.failures)
+    def block(self, now: int) -> None:
+        """After a lasting failure: start no handshake for a growing time."""
+        self.blocked_until = now + self.block_duration(self.failures)
         self.failures += 1
 
-    def unbar(self) -> None:
-        """What connections are made with has changed: try at once."""
-        self.failures = self.blocked_until = 0
+    def unblock(self) -> None:
+        """Allow handshakes at once, as one succeeded or the partner's terms have changed."""
+        self.failures = 0
+        self.blocked_until = 0
 
-    def room(self, now: int) -> ConnectionCapacity:
-        """What the module is told."""
-        shut = max(0, self.shut_until(now) - now)
-        return ConnectionCapacity(self.member, self.destination, self.open, connect_blocked_for=shut)
+    def capacity(self, now: int) -> ConnectionCapacity:
+        """The capacity as the policy needs to know it."""
+        blocked_for = max(0, self.start_blocked_until(now) - now)
+        return ConnectionCapacity(
+            self.endpoint_id, self.destination, self.open, connect_blocked_for=blocked_for
+        )
--- a/honeyhitch/tls/failures.py
+++ b/honeyhitch/tls/failures.py
@@ -1,7 +1,7 @@
-"""What can go wrong with TLS, each failure by its own name, and what each means for a call.
+"""The failures of TLS connections, each with its own name, and what each means for a call.
 
-The names stand in the log and in outcomes; operators and tests rely on them. Alerts are those of RFC 8446,
-section 6; verification codes are those of OpenSSL's x509_vfy.h.
+The names stand in the log and in outcomes; operators rely on them. Alerts are those of RFC 8446, section 6;
+verification codes are those of OpenSSL's x509_vfy.h.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 import ssl
 from enum import Enum
 
+TLS_1_3 = "TLSv1.3"  # as OpenSSL names it
+
 
 class Failure(Enum):
-    """One name each. The second value says that trying again soon cannot help: someone must change
-    something.
-    """
+    """A name in the log, and whether the failure is lasting: only a change of configuration can help."""
 
     UNTRUSTED = ("untrusted", True)  # no chain to a trusted root
     WRONG_NAME = ("wrong-name", True)
@@ -23,42 +23,44 @@
     CRL_UNUSABLE = ("crl-unusable", True)  # none for this issuer, out of date, or not signed by it
     WRONG_USE = ("wrong-use", True)  # key usage, or not a server's certificate
     WEAK = ("weak", True)  # a key or signature below the security level
-    UNVERIFIED = ("unverified", True)  # any other reason of the verifier's
+    UNVERIFIED = ("unverified", True)  # any other reason of the verifier
     PIN_MISMATCH = ("pin-mismatch", True)
     NO_COMMON_VERSION = ("no-common-version", True)
     NO_COMMON_CIPHER = ("no-common-cipher", True)
-    NOT_TLS = ("not-tls", True)  # the peer speaks something else
-    OUR_CERTIFICATE_REFUSED = ("our-certificate-refused", True)
-    NAME_UNKNOWN_THERE = ("name-unknown-there", True)  # the server has no such name
-    HANDSHAKE_REFUSED = ("handshake-refused", True)  # any other fatal alert before the handshake was over
-    STALLED = ("stalled", False)
-    UNREACHABLE = ("unreachable", False)  # TCP did not come up
-    HANDSHAKE_CUT = ("handshake-cut", False)  # the connection ended in the middle of it
-    OVERLOADED = ("overloaded", False)  # internal_error before the handshake was over
-    TRUNCATED = ("truncated", False)  # an end without close_notify, which anyone on the way can make
+    NOT_TLS = ("not-tls", True)  # the peer speaks another protocol
+    OUR_CERTIFICATE_REJECTED = ("our-certificate-refused", True)
+    NAME_UNKNOWN_TO_SERVER = ("name-unknown-there", True)
+    HANDSHAKE_REJECTED = ("handshake-refused", True)  # any other fatal alert during the handshake
+    STALLED = ("stalled", False)  # the handshake took too long
+    UNREACHABLE = ("unreachable", False)  # no TCP connection
+    HANDSHAKE_CUT = ("handshake-cut", False)  # the connection ended during the handshake
+    OVERLOADED = ("overloaded", False)  # internal_error during the handshake
+    TRUNCATED = ("truncated", False)  # an end without close_notify, which anyone on the way can cause
     ALERT = ("alert", False)  # a fatal alert on an open connection
-    SPOILT = ("spoilt", False)  # records that cannot be decrypted or are not allowed here
+    MALFORMED_RECORD = ("spoilt", False)  # cannot be decrypted, or is not allowed here
 
     @property
     def label(self) -> str:
-        """As it stands in the log."""
+        """The name in the log."""
         return self.value[0]
 
     @property
     def lasting(self) -> bool:
-        """No outage: probing it again and again would tell nothing new."""
+        """Not an outage: probing again soon would show nothing new."""
         return self.value[1]
 
 
 class TlsError(ConnectionError):
-    """A TLS connection that did not come up or did not last; `reason` is OpenSSL's own word."""
+    """A TLS connection that could not be opened or that broke; `reason` is OpenSSL's own text."""
 
     def __init__(self, failure: Failure, reason: str = "") -> None:
         super().__init__(f"tls: {failure.label}" + (f" ({reason})" if reason else ""))
-        self.failure, self.reason = failure, reason
+        self.failure = failure
+        self.reason = reason
 
 
-VERIFY = {
+# OpenSSL's X509_V_ERR_* codes.
+FAILURE_BY_VERIFY_CODE = {
     9: Failure.NOT_YET_VALID,
     10: Failure.EXPIRED,
     23: Failure.REVOKED,
@@ -77,7 +79,7 @@
     68: Failure.WEAK,
     **dict.fromkeys((2, 7, 18, 19, 20, 21, 24, 25, 27, 28), Failure.UNTRUSTED),
 }
-# Alerts by which a server refuses our certificate: OpenSSL's names end with one of these (RFC 8446, 6.2).
+# Alerts by which a server rejects our certificate: OpenSSL's reasons end with one of these (RFC 8446, 6.2).
 CERTIFICATE_ALERTS = (
     "ALERT_BAD_CERTIFICATE",
     "ALERT_UNSUPPORTED_CERTIFICATE",
@@ -87,51 +89,66 @@
     "ALERT_UNKNOWN_CA",
     "ALERT_CERTIFICATE_REQUIRED",
 )
-NOT_TLS = ("WRONG_VERSION_NUMBER", "HTTP_REQUEST", "PACKET_LENGTH_TOO_LONG", "RECORD_LAYER_FAILURE")
-VERSIONS = ("ALERT_PROTOCOL_VERSION", "UNSUPPORTED_PROTOCOL", "VERSION_TOO_LOW", "NO_PROTOCOLS_AVAILABLE")
-CIPHERS = ("ALERT_INSUFFICIENT_SECURITY", "NO_CIPHERS_AVAILABLE", "NO_SHARED_CIPHER", "WRONG_CIPHER_RETURNED")
-WEAK = ("DH_KEY_TOO_SMALL", "EE_KEY_TOO_SMALL", "CA_MD_TOO_WEAK", "BAD_ECPOINT")
+CERTIFICATE_REQUIRED = "ALERT_CERTIFICATE_REQUIRED"
+NOT_TLS_REASONS = ("WRONG_VERSION_NUMBER", "HTTP_REQUEST", "PACKET_LENGTH_TOO_LONG", "RECORD_LAYER_FAILURE")
+VERSION_REASONS = (
+    "ALERT_PROTOCOL_VERSION",
+    "UNSUPPORTED_PROTOCOL",
+    "VERSION_TOO_LOW",
+    "NO_PROTOCOLS_AVAILABLE",
+)
+CIPHER_REASONS = (
+    "ALERT_INSUFFICIENT_SECURITY",
+    "NO_CIPHERS_AVAILABLE",
+    "NO_SHARED_CIPHER",
+    "WRONG_CIPHER_RETURNED",
+)
+WEAK_REASONS = ("DH_KEY_TOO_SMALL", "EE_KEY_TOO_SMALL", "CA_MD_TOO_WEAK", "BAD_ECPOINT")
+UNKNOWN_NAME_REASONS = ("UNRECOGNIZED_NAME",)
+OVERLOAD_REASONS = ("ALERT_INTERNAL_ERROR", "ALERT_USER_CANCELLED")
+# The failure of a handshake by the end of OpenSSL's reason; the first match counts.
+FAILURE_BY_REASON = (
+    (CERTIFICATE_ALERTS, Failure.OUR_CERTIFICATE_REJECTED),
+    (NOT_TLS_REASONS, Failure.NOT_TLS),
+    (VERSION_REASONS, Failure.NO_COMMON_VERSION),
+    (CIPHER_REASONS, Failure.NO_COMMON_CIPHER),
+    (WEAK_REASONS, Failure.WEAK),
+    (UNKNOWN_NAME_REASONS, Failure.NAME_UNKNOWN_TO_SERVER),
+    (OVERLOAD_REASONS, Failure.OVERLOADED),
+)
 
 
-def of_handshake(error: ssl.SSLError) -> TlsError:
-    """What an error of OpenSSL's means before the handshake is over."""
+def classify_handshake_error(error: ssl.SSLError) -> TlsError:
+    """What an error of OpenSSL means during the handshake."""
     if isinstance(error, ssl.SSLCertVerificationError):
-        failure = VERIFY.get(int(error.verify_code), Failure.UNVERIFIED)
+        failure = FAILURE_BY_VERIFY_CODE.get(int(error.verify_code), Failure.UNVERIFIED)
         return TlsError(failure, str(error.verify_message))
     reason = str(error.reason or error)
-    if reason.endswith(CERTIFICATE_ALERTS):
-        return TlsError(Failure.OUR_CERTIFICATE_REFUSED, reason)
-    for words, failure in (
-        (NOT_TLS, Failure.NOT_TLS),
-        (VERSIONS, Failure.NO_COMMON_VERSION),
-        (CIPHERS, Failure.NO_COMMON_CIPHER),
-        (WEAK, Failure.WEAK),
-        (("UNRECOGNIZED_NAME",), Failure.NAME_UNKNOWN_THERE),
-        (("ALERT_INTERNAL_ERROR", "ALERT_USER_CANCELLED"), Failure.OVERLOADED),
-    ):
-        if reason.endswith(words):
+    for endings, failure in FAILURE_BY_REASON:
+        if reason.endswith(endings):
             return TlsError(failure, reason)
-    return TlsError(Failure.HANDSHAKE_REFUSED if _alert(reason) else Failure.SPOILT, reason)
+    return TlsError(Failure.HANDSHAKE_REJECTED if _is_alert(reason) else Failure.MALFORMED_RECORD, reason)
 
 
-def _alert(reason: str) -> bool:
-    """Whether it names an alert that came; OpenSSL calls most of them so, and the rest by the version."""
+def _is_alert(reason: str) -> bool:
+    """Whether it names a received alert; OpenSSL calls most of them so, and the rest by the version."""
     return "ALERT" in reason or reason.startswith(("TLSV1_", "TLSV13_"))
 
 
-def of_connection(error: ssl.SSLError, answered: bool, version: str, own_certificate: bool) -> TlsError:
-    """What an error means after our handshake was over.
+def classify_connection_error(
+    error: ssl.SSLError, answered: bool, version: str, own_certificate: bool
+) -> TlsError:
+    """What an error of OpenSSL means after our side of the handshake was complete.
 
-    In TLS 1.3 the client is done before the server has looked at its certificate (RFC 8446, 4.4.4 and
-    appendix E.1.2), so the refusal comes after the first request was written. Such an alert is sent before
-    the server reads a byte of that request, hence proves that it never ran: if it is one of the certificate
-    alerts, nothing has been answered on this connection before, and we sent a certificate or the alert says
-    that one is missing. Any other alert proves nothing.
+    In TLS 1.3 the client is done before the server has checked its certificate (RFC 8446, 4.4.4 and appendix
+    E.1.2), so a rejection comes after the first request was written. The server sends such an alert before
+    it reads a byte of that request, so it proves that the request was not executed, if it is one of the
+    certificate alerts, if nothing was received on this connection before (`answered`), and if we sent a
+    certificate (`own_certificate`) or the alert says that one is missing. Any other alert proves nothing.
     """
     reason = str(error.reason or error)
-    ours = own_certificate or reason.endswith("ALERT_CERTIFICATE_REQUIRED")
-    if ours and reason.endswith(CERTIFICATE_ALERTS) and not answered and version == "TLSv1.3":
-        return TlsError(Failure.OUR_CERTIFICATE_REFUSED, reason)
-    if _alert(reason):
-        return TlsError(Failure.ALERT, reason)
-    return TlsError(Failure.SPOILT, reason)
+    about_certificate = own_certificate or reason.endswith(CERTIFICATE_REQUIRED)
+    rejected = about_certificate and reason.endswith(CERTIFICATE_ALERTS)
+    if rejected and not answered and version == TLS_1_3:
+        return TlsError(Failure.OUR_CERTIFICATE_REJECTED, reason)
+    return TlsError(Failure.ALERT if _is_alert(reason) else Failure.MALFORMED_RECORD, reason)
--- a/honeyhitch/tls/handshake_budget.py
+++ b/honeyhitch/tls/handshake_budget.py
@@ -1,15 +1,17 @@
-"""How many handshakes a partner gets from this dispatcher: at once, and a second. No I/O; the clock is
-passed in.
-
-A partner's figures (`handshakes`, `handshake-rate`) are for all dispatchers together. Nobody coordinates
-them, so each takes an equal share. The rate counts full handshakes; a resumed one costs a partner a
-fraction of that and is charged `RESUMED` once it has turned out to be one: a session that is offered may be
-refused, so each start is charged whole. The window is a sliding one and longer than a second by `MARGIN`,
-for what the network bunches up.
-
-After an outage the partner is cold. Its ramp is the module's own (`Lane.budget` in brain.py): from
-`cold_share` to the whole over `cold`. An outage is a handshake that failed for no lasting reason, or more
-than half of the open connections lost within `WINDOW`, as when it restarts.
+"""How many handshakes a partner gets from this dispatcher, concurrently and per second.
+
+No I/O; times are Unix times in nanoseconds, and the clock is an argument.
+
+A partner's limits (`handshakes`, `handshake-rate`) are for all dispatchers together. Nothing coordinates
+them, so each takes an equal share. The rate limits full handshakes. A resumed one costs a partner a fraction
+of that and is charged `RESUMED_WEIGHT` once it is known to be one; until then it is charged in full, as the
+server may not accept the session. The rate window slides, and is longer by `WINDOW_MARGIN`, as the network
+delivers handshakes in bursts.
+
+After an outage the partner is in slow start, with the same ramp as destinations have: from
+`slow_start_fraction` to the whole in `slow_start_duration`. An outage is a handshake that failed for a reason
+that is not lasting, or the loss of more than half of the open connections within `RATE_WINDOW`, as by a
+restart.
 """
 
 from __future__ import annotations
@@ -17,105 +19,123 @@
 from collections import deque
 from dataclasses import dataclass
 
-from honeyhitch.time_units import SECOND
+from honeyhitch.time_units import MILLISECOND, NEVER, SECOND
 
-WINDOW, MARGIN = SECOND, 1.25  # ns; times as long as the window that the setting speaks of
-RESUMED = 0.25  # of a full handshake's cost, for a partner that only checks a ticket and one key exchange
-LEAST_LOST = 2  # connections lost at once that can mean a restart
-RETRY = 100_000_000  # ns after which to ask again where only a handshake's end can make room
+RATE_WINDOW = SECOND  # ns
+WINDOW_MARGIN = 1.25  # times the rate window
+RESUMED_WEIGHT = 0.25  # of a full handshake's cost: the partner checks a ticket and does one key exchange
+MIN_LOST_FOR_RESTART = 2  # connections lost within the window
+RETRY_DELAY = 100 * MILLISECOND  # ns after which to ask again while too many handshakes are running
 
 
 @dataclass(slots=True, eq=False)
-class Start:
-    """One handshake that was allowed."""
+class HandshakeStart:
+    """One handshake that was allowed; `at` is a time in nanoseconds."""
 
     at: int
-    weight: float = 1.0
+    weight: float = 1.0  # of a full handshake
 
 
 class HandshakeBudget:
-    """The share that one of `instances` dispatchers has of a partner's handshakes.
+    """The share that one of `instance_count` dispatchers has of a partner's handshakes.
 
-    With fewer handshakes at once than dispatchers each still has one; with a rate of less than one a second
-    each, they are spaced further apart, and the whole holds on the average only. `warnings` says so.
+    With fewer concurrent handshakes than dispatchers each still has one; with a rate below one a second for
+    each, they are spaced further apart and the total holds on average only. `warnings` reports both.
     """
 
     def __init__(
-        self, handshakes: int, rate: float, instances: int = 1, cold_share: float = 1.0, cold: int = 1
+        self,
+        handshakes: int,
+        rate: float,
+        instance_count: int = 1,
+        slow_start_fraction: float = 1.0,
+        slow_start_duration: int = 1,
     ) -> None:
-        self.at_once, self.rate = max(1, handshakes // instances), rate / instances
-        self.cold_share, self.cold = cold_share, cold
-        self.running: set[Start] = set()
-        self.recent: deque[Start] = deque()  # oldest first
-        self.back_at, self.out = -(1 << 62), False
-        self.lost: deque[int] = deque()
+        self.max_concurrent = max(1, handshakes // instance_count)
+        self.rate = rate / instance_count  # per second
+        self.slow_start_fraction = slow_start_fraction
+        self.slow_start_duration = slow_start_duration
+        self.running: set[HandshakeStart] = set()
+        self.recent: deque[HandshakeStart] = deque()  # oldest first
+        self.recovered_at = -NEVER  # the end of the last outage
+        self.unavailable = False
+        self.lost_at: deque[int] = deque()  # when open connections were lost, oldest first
 
     @staticmethod
-    def warnings(handshakes: int, rate: float, instances: int) -> list[str]:
-        """What cannot be held exactly with so many dispatchers."""
-        told = []
-        if handshakes < instances:
-            told.append(f"handshakes: {handshakes} at once cannot be shared by {instances} dispatchers")
-        if rate < instances:
-            told.append(
-                f"handshake-rate: {rate:g} a second for {instances} dispatchers holds on average only"
+    def warnings(handshakes: int, rate: float, instance_count: int) -> list[str]:
+        """Limits that cannot be kept exactly with so many dispatchers."""
+        found = []
+        if handshakes < instance_count:
+            found.append(f"handshakes: {handshakes} at once cannot be shared by {instance_count} dispatchers")
+        if rate < instance_count:
+            found.append(
+                f"handshake-rate: {rate:g} a second for {instance_count} dispatchers holds on average only"
             )
-        return told
+        return found
 
-    def share(self, now: int) -> float:
-        """Of the figures, for how cold the partner is; while it is out, only one handshake at a time."""
-        if self.out:
+    def slow_start_share(self, now: int) -> float:
+        """The fraction of the limits that slow start allows; 0 in an outage, when one handshake may run."""
+        if self.unavailable:
             return 0.0
-        warm = min(1.0, (now - self.back_at) / self.cold)
-        return self.cold_share + (1 - self.cold_share) * warm
+        progress = min(1.0, (now - self.recovered_at) / self.slow_start_duration)
+        return self.slow_start_fraction + (1 - self.slow_start_fraction) * progress
 
     def ready_at(self, now: int) -> int:
-        """When the next handshake may start, as far as can be told now; not later than `now` if at once."""
-        share = self.share(now)
-        if len(self.running) >= max(1, int(self.at_once * share)):
-            return now + RETRY  # an end comes sooner, and the asker is told of it
-        rate = self.rate * max(share, self.cold_share)
-        window = int(max(WINDOW, SECOND / rate) * MARGIN)
-        while self.recent and self.recent[0].at <= now - max(window, int(SECOND / self._least() * MARGIN)):
-            self.recent.popleft()
-        room = max(1.0, rate)
+        """The earliest start of the next handshake, as far as can be told; at most `now` if at once."""
+        share = self.slow_start_share(now)
+        if len(self.running) >= max(1, int(self.max_concurrent * share)):
+            return now + RETRY_DELAY  # the end of a handshake comes sooner, and is reported
+        rate = self.rate * max(share, self.slow_start_fraction)
+        window = _window(rate)
+        self._forget_before(now - max(window, self._longest_window()))
+        available = max(1.0, rate)
         for start in reversed(self.recent):
             if start.at <= now - window:
                 break
-            room -= start.weight
-            if room < 1.0:
+            available -= start.weight
+            if available < 1.0:
                 return start.at + window
         return now
 
-    def _least(self) -> float:
-        return min(1.0, self.rate * self.cold_share)
+    def _longest_window(self) -> int:
+        lowest_rate = min(1.0, self.rate * self.slow_start_fraction)
+        return int(SECOND / lowest_rate * WINDOW_MARGIN)
+
+    def _forget_before(self, oldest: int) -> None:
+        while self.recent and self.recent[0].at <= oldest:
+            self.recent.popleft()
 
-    def start(self, now: int) -> Start:
-        """A handshake starts; it was asked for first."""
-        one = Start(now)
-        self.running.add(one)
-        self.recent.append(one)
-        return one
+    def start(self, now: int) -> HandshakeStart:
+        """A handshake starts; `ready_at` has allowed it."""
+        start = HandshakeStart(now)
+        self.running.add(start)
+        self.recent.append(start)
+        return start
 
-    def ended(self, one: Start, now: int, resumed: bool) -> None:
-        """It came up."""
-        self.running.discard(one)
+    def succeeded(self, start: HandshakeStart, now: int, resumed: bool) -> None:
+        """The handshake succeeded, which ends an outage."""
+        self.running.discard(start)
         if resumed:
-            one.weight = RESUMED
-        if self.out:
-            self.out, self.back_at = False, now
-
-    def failed(self, one: Start, now: int, outage: bool) -> None:
-        """It did not; `outage` if that says that the partner is down, and not that it or we are
-        misconfigured.
-        """
-        self.running.discard(one)
-        self.out = self.out or outage
-
-    def broke(self, now: int, left: int) -> None:
-        """An open connection was lost unasked, and so many are left: most lost at once means a restart."""
-        self.lost.append(now)
-        while self.lost[0] <= now - WINDOW:
-            self.lost.popleft()
-        if len(self.lost) >= LEAST_LOST and len(self.lost) > left and not self.out:
-            self.back_at = now
+            start.weight = RESUMED_WEIGHT
+        if self.unavailable:
+            self.unavailable = False
+            self.recovered_at = now
+
+    def failed(self, start: HandshakeStart, outage: bool) -> None:
+        """The handshake failed; `outage` if the partner is down rather than one side misconfigured."""
+        self.running.discard(start)
+        self.unavailable = self.unavailable or outage
+
+    def connection_lost(self, now: int, remaining: int) -> None:
+        """An open connection was lost and `remaining` are left: losing most at once means a restart."""
+        self.lost_at.append(now)
+        while self.lost_at[0] <= now - RATE_WINDOW:
+            self.lost_at.popleft()
+        lost = len(self.lost_at)
+        if lost >= MIN_LOST_FOR_RESTART and lost > remaining and not self.unavailable:
+            self.recovered_at = now
+
+
+def _window(rate: float) -> int:
+    """The sliding window in nanoseconds; longer than the standard one if the rate is below one a second."""
+    return int(max(RATE_WINDOW, SECOND / rate) * WINDOW_MARGIN)
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -1,9 +1,7 @@
-"""Partners as the running process knows them: what their terms were last read as, sessions, budgets,
-events.
+"""The state of each partner in the running process: files as last read, sessions, budget and warnings.
 
-Reading files is `material`'s part; this module holds the outcome and says who must be told. Each change of
-what a partner's connections are made with is a new generation. What cannot be used leaves the old
-generation whole.
+`material` reads the files; this module keeps the result and notifies those concerned. Each change of what a
+partner's connections are made with begins a new generation. Unusable files leave the previous one in force.
 """
 
 from __future__ import annotations
@@ -15,182 +13,215 @@
 
 from honeyhitch import logs
 from honeyhitch.policy.settings import Settings
-from honeyhitch.time_units import SECOND
+from honeyhitch.time_units import DAY, SECOND
 from honeyhitch.tls import material
-from honeyhitch.tls.certificates import Facts, of_der
+from honeyhitch.tls.certificates import CertificateInfo, describe_der
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.handshake_budget import HandshakeBudget
 from honeyhitch.tls.machine import TlsMachine
 from honeyhitch.tls.material import Material, MaterialError
-from honeyhitch.tls.sessions import Key, SessionCache
+from honeyhitch.tls.sessions import SessionCache, SessionKey
 from honeyhitch.tls.settings import Partner, TlsSettings
 
 log = logs.get()
-DAY = 24 * 3600 * SECOND
-FIRST_PAUSE, MOST_PAUSE, SPREAD = SECOND, 60 * SECOND, 0.2  # ns, ns, share; between tries
-MOST_PEERS = 1024  # certificates whose facts are remembered, to spare reading them at each handshake
+INITIAL_BLOCK = SECOND  # ns without handshakes after a lasting failure
+MAX_BLOCK = 60 * SECOND  # ns
+MAX_BLOCK_DOUBLINGS = 10
+BLOCK_JITTER = 0.2  # fraction of the block
+MAX_CACHED_CERTIFICATES = 1024  # whose contents are kept, to spare parsing them at each handshake
+
+FileStamps = tuple[object, ...]
 
 
 @dataclass(slots=True, eq=False)
-class Known:
-    """One partner."""
+class PartnerState:
+    """One partner, and what its connections are made with now."""
 
     partner: Partner
     material: Material
     budget: HandshakeBudget
     generation: int = 0
-    stamps: tuple[object, ...] = ()
-    refused: str = ""  # what was wrong with the files when they were last looked at
-    told_ends: dict[bytes, int] = field(default_factory=dict)  # pins, and when their end was last told
+    stamps: FileStamps = ()
+    last_rejection: str = ""  # why the files were unusable when they were last read
+    expiry_warned_at: dict[bytes, int] = field(default_factory=dict)  # ns, by the certificate's pin
 
     @property
     def name(self) -> str:
-        """As it is called in the log."""
+        """The name in the log."""
         return self.partner.name
 
 
 class Partners:
-    """All partners. `now` gives Unix time in nanoseconds."""
+    """All partners. `now` gives the Unix time in nanoseconds.
+
+    The functions in `on_change` are called with a partner at each new generation.
+    """
 
     def __init__(
         self,
-        setup: TlsSettings,
+        tls_settings: TlsSettings,
         settings: Settings,
         environ: Mapping[str, str],
         now: Callable[[], int],
         rng: Random,
     ) -> None:
-        self.environ, self.now, self.rng, self.settings = environ, now, rng, settings
+        """Read the files of all partners. Raises MaterialError."""
+        self.tls_settings = tls_settings
+        self.settings = settings
+        self.environ = environ
+        self.now = now
+        self.rng = rng
         self.sessions = SessionCache()
-        self.peers: dict[bytes, Facts] = {}
-        self.known = {partner: self._fresh(partner) for partner in setup.partners}
-        self.setup = setup
-        self.changed: list[Callable[[Known], None]] = []  # told of each new generation
+        self.certificate_cache: dict[bytes, CertificateInfo] = {}  # by DER
+        self.states = {partner: self._create_state(partner) for partner in tls_settings.partners}
+        self.on_change: list[Callable[[PartnerState], None]] = []
 
-    def _fresh(self, partner: Partner) -> Known:
-        terms, s = partner.terms, self.settings
+    def _create_state(self, partner: Partner) -> PartnerState:
+        terms = partner.terms
+        settings = self.settings
         budget = HandshakeBudget(
             terms.handshakes,
             terms.handshake_rate,
-            s.instance_count,
-            s.slow_start_fraction,
-            s.slow_start_duration,
+            settings.instance_count,
+            settings.slow_start_fraction,
+            settings.slow_start_duration,
         )
-        for what in HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, s.instance_count):
-            log.warning("tls.budget-limited", partner=partner.name, what=what, key=partner.name)
-        stamps = material.stamps(terms)
-        return Known(partner, material.load(terms, self.environ, self.now()), budget, stamps=stamps)
-
-    def of(self, member: str, destination: int, kind: str) -> Known | None:
-        """The partner whose terms hold for this member; None if it is spoken to in plain."""
-        partner = self.setup.partner_of(member, destination, kind)
-        return self.known[partner] if partner is not None else None
+        limits = HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, settings.instance_count)
+        for limit in limits:
+            log.warning("tls.budget-limited", partner=partner.name, what=limit, key=partner.name)
+        stamps = material.file_stamps(terms)
+        loaded = material.load(terms, self.environ, self.now())
+        return PartnerState(partner, loaded, budget, stamps=stamps)
+
+    def find(self, endpoint_id: str, destination: int, kind: str) -> PartnerState | None:
+        """The partner whose terms apply to an endpoint; None for an endpoint without TLS."""
+        partner = self.tls_settings.find_partner(endpoint_id, destination, kind)
+        return self.states[partner] if partner is not None else None
 
     # Handshakes.
 
-    def key(self, known: Known, address: str) -> Key:
-        """Under which a connection's session is kept."""
-        name = known.partner.terms.server_name or address.rpartition(":")[0]
-        return Key(known.name, name, address, known.generation)
-
-    def machine(self, known: Known, key: Key) -> TlsMachine:
-        """For a new connection, with a session to resume if there is one."""
-        session = self.sessions.get(key, self.now()) if known.partner.terms.resume else None
-        own = known.material.own is not None
+    def session_key(self, state: PartnerState, address: str) -> SessionKey:
+        """The key of the session of a connection to HOST:PORT."""
+        host, _, _ = address.rpartition(":")
+        server_name = state.partner.terms.server_name or host
+        return SessionKey(state.name, server_name, address, state.generation)
+
+    def create_machine(self, state: PartnerState, key: SessionKey) -> TlsMachine:
+        """The machine of a new connection, with a session to resume if there is one."""
+        session = self.sessions.get(key, self.now()) if state.partner.terms.resume else None
+        context = state.material.context
+        own_certificate = state.material.own is not None
         try:
-            return TlsMachine(known.material.context, key.server_name, session, own)
-        except (ValueError, ssl.SSLError):  # a session that OpenSSL will not take is no reason to fail
+            return TlsMachine(context, key.server_name, session, own_certificate)
+        except (ValueError, ssl.SSLError):  # OpenSSL does not accept the session
             self.sessions.forget(key)
-            return TlsMachine(known.material.context, key.server_name, None, own)
-
-    def verified(self, known: Known, machine: TlsMachine) -> Facts:
-        """Look at what OpenSSL does not: pins, and time and revocation if resumed. Raises TlsError."""
-        der = machine.peer
-        peer = self.peers.get(der)
-        if peer is None:
-            try:
-                peer = of_der(der)
-            except ValueError as error:
-                raise TlsError(Failure.UNVERIFIED, str(error)) from error
-            if len(self.peers) >= MOST_PEERS:
-                self.peers.clear()
-            self.peers[der] = peer
-        objection = known.material.objection(peer, self.now())
+            return TlsMachine(context, key.server_name, None, own_certificate)
+
+    def verify(self, state: PartnerState, machine: TlsMachine) -> CertificateInfo:
+        """Check what OpenSSL does not: pins, and validity and revocation after a resumption.
+
+        Returns the partner's certificate. Raises TlsError.
+        """
+        certificate = self._describe(machine.peer_certificate)
+        objection = state.material.find_objection(certificate, self.now())
         if objection is not None:
             raise objection
-        self._near_end(known, peer, "partner")
-        return peer
+        self._warn_if_expiring(state, certificate, "partner")
+        return certificate
 
-    def keep_session(self, known: Known, key: Key, machine: TlsMachine, peer: Facts) -> None:
-        """Remember the connection's session for the next one, if it has one and its terms still hold."""
-        if not machine.news or not machine.at_rest:
+    def _describe(self, der: bytes) -> CertificateInfo:
+        certificate = self.certificate_cache.get(der)
+        if certificate is not None:
+            return certificate
+        try:
+            certificate = describe_der(der)
+        except ValueError as error:
+            raise TlsError(Failure.UNVERIFIED, str(error)) from error
+        if len(self.certificate_cache) >= MAX_CACHED_CERTIFICATES:
+            self.certificate_cache.clear()
+        self.certificate_cache[der] = certificate
+        return certificate
+
+    def keep_session(
+        self, state: PartnerState, key: SessionKey, machine: TlsMachine, certificate: CertificateInfo
+    ) -> None:
+        """Keep the connection's session for the next one, if it has one and its terms are still in force."""
+        if not machine.may_have_ticket or not machine.quiescent:
             return
-        machine.news = False
-        holds = known.partner.terms.resume and key.generation == known.generation
-        if holds and self.sessions.wants(key, self.now()):
-            session = machine.session()
-            if session is not None:
-                self.sessions.put(key, session, self.now(), known.material.until(peer))
-
-    def pause(self, failures: int) -> int:
-        """How long (ns) to leave a partner alone after so many lasting failures in a row; jittered."""
-        return int(
-            min(MOST_PAUSE, FIRST_PAUSE << min(failures, 10)) * self.rng.uniform(1 - SPREAD, 1 + SPREAD)
-        )
+        machine.may_have_ticket = False
+        in_force = state.partner.terms.resume and key.generation == state.generation
+        if not in_force or not self.sessions.needs_newer(key, self.now()):
+            return
+        session = machine.session()
+        if session is not None:
+            self.sessions.put(key, session, self.now(), state.material.valid_until(certificate))
+
+    def block_duration(self, failures: int) -> int:
+        """Nanoseconds without handshakes after so many lasting failures in a row, with jitter."""
+        block = min(MAX_BLOCK, INITIAL_BLOCK << min(failures, MAX_BLOCK_DOUBLINGS))
+        return int(block * self.rng.uniform(1 - BLOCK_JITTER, 1 + BLOCK_JITTER))
 
     # Files that change.
 
-    def look(self, everything: bool = False) -> list[tuple[Known, tuple[object, ...]]]:
-        """Partners whose files look different from when they were last read, with how they look now."""
-        seen = [(known, material.stamps(known.partner.terms)) for known in self.known.values()]
-        return [(known, stamps) for known, stamps in seen if everything or stamps != known.stamps]
+    def changed_files(self, everything: bool = False) -> list[tuple[PartnerState, FileStamps]]:
+        """Partners whose files have changed since they were last read, with the new stamps.
 
-    def read(self, known: Known) -> Material | MaterialError:
+        With `everything`, all partners. Reads the file system, so call it in a thread.
+        """
+        current = [(state, material.file_stamps(state.partner.terms)) for state in self.states.values()]
+        return [(state, stamps) for state, stamps in current if everything or stamps != state.stamps]
+
+    def read_files(self, state: PartnerState) -> Material | MaterialError:
         """Read a partner's files again; may run in a thread."""
         try:
-            return material.load(known.partner.terms, self.environ, self.now())
+            return material.load(state.partner.terms, self.environ, self.now())
         except MaterialError as error:
             return error
 
-    def take(self, known: Known, stamps: tuple[object, ...], read: Material | MaterialError) -> bool:
-        """Use what was read from now on; False if it cannot be used or is as before."""
-        known.stamps = stamps
-        if isinstance(read, MaterialError):
-            if known.refused != str(read):
-                log.error("tls.files-rejected", partner=known.name, error=str(read), kept="the old ones")
-            known.refused = str(read)
+    def apply_files(self, state: PartnerState, stamps: FileStamps, loaded: Material | MaterialError) -> bool:
+        """Use what was read from now on; false if it is unusable or unchanged."""
+        state.stamps = stamps
+        if isinstance(loaded, MaterialError):
+            if state.last_rejection != str(loaded):
+                log.error("tls.files-rejected", partner=state.name, error=str(loaded), kept="the old ones")
+            state.last_rejection = str(loaded)
             return False
-        known.refused = ""
-        if read.digest == known.material.digest:
+        state.last_rejection = ""
+        if loaded.digest == state.material.digest:
             return False
-        self._renew(known, read)
+        self._begin_generation(state, loaded)
         return True
 
-    def _renew(self, known: Known, read: Material) -> None:
-        known.material, known.generation = read, known.generation + 1
-        self.sessions.drop_before(known.name, known.generation)
-        log.info("tls.files-reloaded", partner=known.name, generation=known.generation)
-        for told in self.changed:
-            told(known)
-
-    def near_ends(self) -> None:
-        """Tell of own certificates that near their end."""
-        for known in self.known.values():
-            if known.material.own is not None:
-                self._near_end(known, known.material.own, "own")
-
-    def _near_end(self, known: Known, facts: Facts, whose: str) -> None:
+    def _begin_generation(self, state: PartnerState, loaded: Material) -> None:
+        state.material = loaded
+        state.generation += 1
+        self.sessions.drop_before(state.name, state.generation)
+        log.info("tls.files-reloaded", partner=state.name, generation=state.generation)
+        for callback in self.on_change:
+            callback(state)
+
+    def warn_of_expiry(self) -> None:
+        """Report our own certificates that expire soon."""
+        for state in self.states.values():
+            if state.material.own is not None:
+                self._warn_if_expiring(state, state.material.own, "own")
+
+    def _warn_if_expiring(self, state: PartnerState, certificate: CertificateInfo, whose: str) -> None:
+        """Report a certificate that expires soon, at most once a day."""
         now = self.now()
-        left = facts.days_left(now)
-        if left < known.partner.terms.warn_days and now - known.told_ends.get(facts.pin, -DAY) >= DAY:
-            if len(known.told_ends) >= MOST_PEERS:
-                known.told_ends.clear()
-            known.told_ends[facts.pin] = now
-            log.warning(
-                "tls.certificate-expiring",
-                partner=known.name,
-                whose=whose,
-                subject=facts.subject,
-                days_left=round(left, 1),
-                key=f"{known.name} {whose} {facts.pin.hex()}",
-            )
+        days_left = certificate.days_left(now)
+        if days_left >= state.partner.terms.warn_days:
+            return
+        if now - state.expiry_warned_at.get(certificate.pin, -DAY) < DAY:
+            return
+        if len(state.expiry_warned_at) >= MAX_CACHED_CERTIFICATES:
+            state.expiry_warned_at.clear()
+        state.expiry_warned_at[certificate.pin] = now
+        log.warning(
+            "tls.certificate-expiring",
+            partner=state.name,
+            whose=whose,
+            subject=certificate.subject,
+            days_left=round(days_left, 1),
+            key=f"{state.name} {whose} {certificate.pin.hex()}",
+        )
--- a/honeyhitch/tls/retirement.py
+++ b/honeyhitch/tls/retirement.py
@@ -1,16 +1,20 @@
-"""When connections that were made under terms that hold no more are closed: spread out, never all at once.
+"""When outdated connections are closed: spread over a time, never all at once.
 
-No I/O; clock and randomness are arguments.
+No I/O; the clock and the random generator are arguments.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-READY = 0.8  # of the time allowed: what is left is for a call that is out and for a replacement's handshake
+# Of the time allowed: the rest is for a call in flight and for a replacement's handshake.
+REPLACEMENT_FRACTION = 0.8
 
 
-def plan(count: int, now: int, within: int, rng: Random) -> list[int]:
-    """Times at which so many connections are to go, in Unix nanoseconds, each in a slice of its own."""
-    span = int(within * READY)
-    return [now + int(span * (i + rng.random()) / count) for i in range(count)]
+def plan_retirement(count: int, now: int, duration: int, rng: Random) -> list[int]:
+    """Unix times at which `count` connections are to be closed, each at random within its own slice.
+
+    All times are in nanoseconds.
+    """
+    usable = int(duration * REPLACEMENT_FRACTION)
+    return [now + int(usable * (index + rng.random()) / count) for index in range(count)]
--- a/honeyhitch/tls/sessions.py
+++ b/honeyhitch/tls/sessions.py
@@ -1,9 +1,9 @@
-"""Sessions to resume, bounded in number; each is kept no longer than what was verified with it still holds.
+"""A bounded cache of TLS sessions to resume; each is kept only as long as its verification is valid.
 
-OpenSSL verifies neither chain nor name nor time again when a session is resumed (RFC 8446, 4.6.1 leaves
-that to the client), so the cache does what verification would: the key holds whatever was verified against,
-and the end is the earliest of the ticket's own, the partner certificate's notAfter and the list of
-revocations' next update. It takes its clock as an argument (Unix time in nanoseconds).
+OpenSSL verifies neither chain nor name nor validity again when a session is resumed (RFC 8446, 4.6.1 leaves
+that to the client), so the cache has to: the key contains everything that was verified against, and a
+session ends with the ticket, the partner certificate's notAfter or the revocation list's next update,
+whichever is first. Times are Unix times in nanoseconds, and the clock is an argument.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from honeyhitch.time_units import SECOND
+from honeyhitch.time_units import DAY, SECOND
 
-DAY = 24 * 3600 * SECOND
-MOST_LIFE = 7 * DAY  # RFC 8446, 4.6.1: no ticket lives longer
+MAX_LIFETIME = 7 * DAY  # ns; no ticket lives longer (RFC 8446, 4.6.1)
+DEFAULT_MAX_SESSIONS = 4096
 
 
 @dataclass(frozen=True, slots=True)
-class Key:
-    """Whose session it is, and under which trust, own certificate and pins it was made (`generation`)."""
+class SessionKey:
+    """The peer of a session, and the generation of trust, own certificate and pins it was made under."""
 
     partner: str
     server_name: str
@@ -29,62 +29,74 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _CachedSession:
     session: ssl.SSLSession
-    made: int
-    until: int
-    given: int = 0  # times it was offered
+    created_at: int
+    valid_until: int
+    use_count: int = 0  # how often it was offered
+
+    @property
+    def half_life(self) -> int:
+        """When half of its life is over."""
+        return (self.created_at + self.valid_until) // 2
 
 
 class SessionCache:
-    """At most `most` sessions, one a key; the one unused for longest makes room."""
-
-    def __init__(self, most: int = 4096) -> None:
-        self.most = most
-        self.kept: OrderedDict[Key, _Kept] = OrderedDict()
-        self.once: OrderedDict[Key, None] = OrderedDict()  # whose servers take a ticket once only
-
-    def put(self, key: Key, session: ssl.SSLSession, now: int, until: int) -> None:
-        """Keep a session, at most until then."""
-        life = session.ticket_lifetime_hint if session.has_ticket else session.timeout
-        until = min(until, now + MOST_LIFE, now + (life or session.timeout) * SECOND)
-        if until > now:
-            self.kept[key] = _Kept(session, now, until)
-            self.kept.move_to_end(key)
-        while len(self.kept) > self.most:
-            self.kept.popitem(last=False)
-
-    def wants(self, key: Key, now: int) -> bool:
-        """Whether a newer session is worth copying out of a connection, which takes OpenSSL as long as a
-        third of a handshake: there is none, half of its life is over, or the server takes each ticket once.
-        """
-        one = self.kept.get(key)
-        return one is None or now >= (one.made + one.until) // 2 or (one.given > 0 and key in self.once)
+    """At most `max_sessions` sessions, one for each key; the least recently used one is dropped first."""
 
-    def get(self, key: Key, now: int) -> ssl.SSLSession | None:
-        """The session to resume, if one still holds."""
-        one = self.kept.get(key)
-        if one is None:
+    def __init__(self, max_sessions: int = DEFAULT_MAX_SESSIONS) -> None:
+        self.max_sessions = max_sessions
+        self.sessions: OrderedDict[SessionKey, _CachedSession] = OrderedDict()
+        self.single_use: OrderedDict[SessionKey, None] = OrderedDict()  # servers that accept a ticket once
+
+    def __len__(self) -> int:
+        """The number of sessions."""
+        return len(self.sessions)
+
+    def put(self, key: SessionKey, session: ssl.SSLSession, now: int, valid_until: int) -> None:
+        """Keep a session, at most until `valid_until`."""
+        hint = session.ticket_lifetime_hint if session.has_ticket else session.timeout
+        lifetime = (hint or session.timeout) * SECOND
+        valid_until = min(valid_until, now + MAX_LIFETIME, now + lifetime)
+        if valid_until > now:
+            self.sessions[key] = _CachedSession(session, now, valid_until)
+            self.sessions.move_to_end(key)
+        while len(self.sessions) > self.max_sessions:
+            self.sessions.popitem(last=False)
+
+    def needs_newer(self, key: SessionKey, now: int) -> bool:
+        """Whether a new session is worth copying from a connection.
+
+        The copy costs OpenSSL a third of a handshake. It is worth it if there is no session, if half of its
+        life is over, or if it was used and the server accepts each ticket once.
+        """
+        cached = self.sessions.get(key)
+        if cached is None or now >= cached.half_life:
+            return True
+        return cached.use_count > 0 and key in self.single_use
+
+    def get(self, key: SessionKey, now: int) -> ssl.SSLSession | None:
+        """The session to resume, if there is a valid one."""
+        cached = self.sessions.get(key)
+        if cached is None:
             return None
-        if one.until <= now:
-            del self.kept[key]
+        if cached.valid_until <= now:
+            del self.sessions[key]
             return None
-        self.kept.move_to_end(key)
-        one.given += 1
-        return one.session
-
-    def forget(self, key: Key) -> None:
-        """The server did not resume it, or it is no longer wanted."""
-        one = self.kept.pop(key, None)
-        if one is not None and one.given > 1:  # it took it before: once may be all that it does
-            self.once[key] = None
-            if len(self.once) > self.most:
-                self.once.popitem(last=False)
+        self.sessions.move_to_end(key)
+        cached.use_count += 1
+        return cached.session
+
+    def forget(self, key: SessionKey) -> None:
+        """The server did not resume the session, or it is no longer needed."""
+        cached = self.sessions.pop(key, None)
+        if cached is not None and cached.use_count > 1:  # accepted before: the server may accept it only once
+            self.single_use[key] = None
+            if len(self.single_use) > self.max_sessions:
+                self.single_use.popitem(last=False)
 
     def drop_before(self, partner: str, generation: int) -> None:
-        """Forget what was verified under an earlier generation of the partner's terms."""
-        for key in [key for key in self.kept if key.partner == partner and key.generation < generation]:
-            del self.kept[key]
-
-    def __len__(self) -> int:
-        return len(self.kept)
+        """Drop what was verified under an earlier generation of the partner's terms."""
+        outdated = [key for key in self.sessions if key.partner == partner and key.generation < generation]
+        for key in outdated:
+            del self.sessions[key]
--- a/honeyhitch/transports/__init__.py
+++ b/honeyhitch/transports/__init__.py
@@ -1,1 +1,1 @@
-"""Thin drivers: they read and write sockets for the machines beside them."""
+"""Sockets: they connect, accept, read and write for the state machines in `honeyhitch.protocols`."""
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -176,7 +176,7 @@
         certificate (see `tls.failures`).
         """
         connection = progress.connection
-        rejected = isinstance(error, TlsError) and error.failure is Failure.OUR_CERTIFICATE_REFUSED
+        rejected = isinstance(error, TlsError) and error.failure is Failure.OUR_CERTIFICATE_REJECTED
         if not progress.written or rejected:
             outcome = Outcome.CONNECT_FAILED
             result = CallResult.uniform(outcome, len(call.messages))
--- a/honeyhitch/transports/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -7,20 +7,20 @@
 from honeyhitch import logs
 from honeyhitch.time_units import SECOND
 from honeyhitch.tls.failures import TlsError
-from honeyhitch.tls.handshake_budget import Start
-from honeyhitch.tls.partners import Known, Partners
+from honeyhitch.tls.handshake_budget import HandshakeStart
+from honeyhitch.tls.partners import Partners, PartnerState
 from honeyhitch.transports.channel import Channel
 from honeyhitch.transports.tls_channel import TlsChannel
 from honeyhitch.transports.tls_open import open_verified
 
 log = logs.get()
-LOOK = 0.25  # seconds between looks for new trust or a new certificate
+CHANGE_POLL_SECONDS = 0.25  # seconds between looks for new trust or a new certificate
 
 
 class TlsConnector:
     """Makes connections to the broker as `[mqtt.tls]` says."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, partners: Partners, known: Known) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, partners: Partners, known: PartnerState) -> None:
         self.loop, self.partners, self.known, self.failures = loop, partners, known, 0
         self.made: dict[Channel, tuple[int, int]] = {}  # under which generation, and until when it holds
 
@@ -36,17 +36,17 @@
             await self._failed(error, start)
             raise
         except BaseException:
-            known.budget.failed(start, self.partners.now(), outage=False)
+            known.budget.failed(start, outage=False)
             raise
         self.failures = 0
-        known.budget.ended(start, self.partners.now(), opened.channel.machine.resumed)
-        self.made[opened.channel] = opened.key.generation, known.material.until(opened.peer)
+        known.budget.succeeded(start, self.partners.now(), opened.channel.machine.resumed)
+        self.made[opened.channel] = opened.key.generation, known.material.valid_until(opened.peer)
         return opened.channel
 
-    async def _failed(self, error: TlsError, start: Start) -> None:
+    async def _failed(self, error: TlsError, start: HandshakeStart) -> None:
         """Tell of it, and after a lasting failure wait, unless files change that may mend it."""
         known, lasting, now = self.known, error.failure.lasting, self.partners.now()
-        known.budget.failed(start, now, outage=not lasting)
+        known.budget.failed(start, outage=not lasting)
         log.warning(
             "tls.handshake-failed",
             partner=known.name,
@@ -55,17 +55,17 @@
             key=f"{known.name} {error.failure.label}",
         )
         if lasting:
-            generation, until = known.generation, now + self.partners.pause(self.failures)
+            generation, until = known.generation, now + self.partners.block_duration(self.failures)
             self.failures += 1
             while generation == known.generation and self.partners.now() < until:
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(CHANGE_POLL_SECONDS)
 
     async def wait_until_outdated(self, channel: Channel) -> None:
         """Returns once files have changed, or what was verified has come to its end."""
         assert isinstance(channel, TlsChannel)
         generation, until = self.made.pop(channel)
         while generation == self.known.generation and self.partners.now() < until:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CHANGE_POLL_SECONDS)
         if generation != self.known.generation:  # each link goes at a moment of its own
             within = self.known.partner.terms.retire_within / SECOND / 2
             await asyncio.sleep(self.partners.rng.uniform(0, within))
--- a/honeyhitch/transports/tls_channel.py
+++ b/honeyhitch/transports/tls_channel.py
@@ -11,7 +11,7 @@
 from honeyhitch.tls.machine import Phase, TlsMachine
 from honeyhitch.transports import sockets
 
-IDLE_READ = 4096  # bytes taken from an idle connection at once; tickets are shorter
+IDLE_READ_BYTES = 4096  # bytes taken from an idle connection at once; tickets are shorter
 
 
 class TlsChannel:
@@ -19,7 +19,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, machine: TlsMachine) -> None:
         self.loop, self.sock, self.machine = loop, sock, machine
-        self.raw = Buffer()
+        self.ciphertext = Buffer()
         self.sending = False  # records leave in the order in which they were made, by one task at a time
 
     async def handshake(self) -> None:
@@ -30,13 +30,13 @@
                 await self._flush()
                 if machine.phase is not Phase.HANDSHAKE:
                     break
-                count = await sockets.read(self.loop, self.sock, self.raw)
+                count = await sockets.read(self.loop, self.sock, self.ciphertext)
             except OSError as error:
                 raise machine.failure or TlsError(Failure.HANDSHAKE_CUT, str(error)) from error
             if count:
-                machine.feed(self.raw.consume_all())
+                machine.feed(self.ciphertext.consume_all())
             else:
-                machine.eof()
+                machine.connection_closed()
         if machine.failure is not None:
             raise machine.failure
 
@@ -60,47 +60,47 @@
     async def receive(self, buffer: Buffer) -> bytes:
         """The bytes of one read; none at the peer's close_notify, TlsError at any other end."""
         machine = self.machine
-        while not machine.plain:
+        while not machine.plaintext:
             if machine.failure is not None:
                 raise machine.failure
             if machine.phase is Phase.ENDED:
                 return b""
-            count = await sockets.read(self.loop, self.sock, self.raw)
+            count = await sockets.read(self.loop, self.sock, self.ciphertext)
             if count:
-                machine.feed(self.raw.consume_all())
+                machine.feed(self.ciphertext.consume_all())
                 if machine.outgoing.pending:  # what a KeyUpdate asks for
                     await self._flush()
             else:
-                machine.eof()
-        return machine.take_plain()
+                machine.connection_closed()
+        return machine.take_plaintext()
 
     def read_available(self, buffer: Buffer) -> bytes:
         """What has come and was not read, without waiting for more."""
         self._drain()
-        return self.machine.take_plain()
+        return self.machine.take_plaintext()
 
     def is_reusable(self) -> bool:
         """Alive and at rest, once what has come has been read: tickets and KeyUpdates are no answer."""
-        return self.alive() and self.machine.at_rest
+        return self.alive() and self.machine.quiescent
 
     def alive(self) -> bool:
         """Open, with no plain bytes come that nobody asked for; a ticket may have come in part."""
         machine = self.machine
         while True:
             try:
-                data = self.sock.recv(IDLE_READ)
+                data = self.sock.recv(IDLE_READ_BYTES)
             except BlockingIOError:
                 break
             except OSError:
                 return False
             if not data:
-                machine.eof()
+                machine.connection_closed()
                 return False
             machine.feed(data)
-            if machine.phase is not Phase.OPEN or machine.plain:
+            if machine.phase is not Phase.OPEN or machine.plaintext:
                 return False
         if machine.outgoing.pending and not self.sending:
-            out = machine.take_out()
+            out = machine.take_output()
             try:
                 if self.sock.send(out) < len(out):
                     return False  # the peer does not read: not worth keeping
@@ -112,13 +112,13 @@
         """Say close_notify as far as the socket takes it, and close."""
         self.machine.close()
         with contextlib.suppress(OSError):
-            if out := self.machine.take_out():
+            if out := self.machine.take_output():
                 self.sock.send(out)
         self.sock.close()
 
     def _drain(self) -> None:
         with contextlib.suppress(OSError):
-            while data := self.sock.recv(IDLE_READ):
+            while data := self.sock.recv(IDLE_READ_BYTES):
                 self.machine.feed(data)
 
     async def _flush(self) -> None:
@@ -126,7 +126,7 @@
             return  # whoever sends takes this along
         self.sending = True
         try:
-            while data := self.machine.take_out():
+            while data := self.machine.take_output():
                 await self.loop.sock_sendall(self.sock, data)
         finally:
             self.sending = False
--- a/honeyhitch/transports/tls_open.py
+++ b/honeyhitch/transports/tls_open.py
@@ -8,37 +8,37 @@
 from dataclasses import dataclass
 
 from honeyhitch.time_units import SECOND
-from honeyhitch.tls.certificates import Facts
+from honeyhitch.tls.certificates import CertificateInfo
 from honeyhitch.tls.failures import Failure, TlsError
-from honeyhitch.tls.partners import Known, Partners
-from honeyhitch.tls.sessions import Key
+from honeyhitch.tls.partners import Partners, PartnerState
+from honeyhitch.tls.sessions import SessionKey
 from honeyhitch.transports.tls_channel import TlsChannel, open_tls
 
 
 @dataclass(slots=True)
-class Opened:
+class VerifiedConnection:
     """An open connection and what it was verified with."""
 
     channel: TlsChannel
-    key: Key
-    peer: Facts
+    key: SessionKey
+    peer: CertificateInfo
 
 
 async def open_verified(
-    loop: asyncio.AbstractEventLoop, partners: Partners, known: Known, address: str
-) -> Opened:
+    loop: asyncio.AbstractEventLoop, partners: Partners, known: PartnerState, address: str
+) -> VerifiedConnection:
     """Connect, shake hands within the partner's time, and verify. TlsError names what failed, STALLED if the
     time was up; nothing is left open then.
     """
-    key = partners.key(known, address)
+    key = partners.session_key(known, address)
     try:
         async with asyncio.timeout(known.partner.terms.handshake_timeout / SECOND):
-            machine = partners.machine(known, key)
+            machine = partners.create_machine(known, key)
             channel = await open_tls(loop, address, machine)
     except TimeoutError:
         raise TlsError(Failure.STALLED) from None
     try:
-        return Opened(channel, key, partners.verified(known, machine))
+        return VerifiedConnection(channel, key, partners.verify(known, machine))
     except TlsError:
         channel.close()
         raise
--- a/honeyhitch/transports/tls_probe.py
+++ b/honeyhitch/transports/tls_probe.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass, field
 
 from honeyhitch.protocols.buffer import Buffer
-from honeyhitch.tls.certificates import Facts, of_der
+from honeyhitch.tls.certificates import CertificateInfo, describe_der
 from honeyhitch.tls.failures import TlsError
-from honeyhitch.tls.partners import Known, Partners
+from honeyhitch.tls.partners import Partners, PartnerState
 from honeyhitch.transports.tls_open import open_verified
 
-TICKETS = 0.5  # seconds that a server has to send a ticket, or to refuse our certificate
+TICKET_TIMEOUT_SECONDS = 0.5  # seconds that a server has to send a ticket, or to refuse our certificate
 
 
 @dataclass(slots=True)
-class Seen:
+class ProbeResult:
     """What one address showed. `failure` is the name of what is wrong, empty if nothing is."""
 
     partner: str
@@ -27,12 +27,12 @@
     version: str = ""
     cipher: str = ""
     resumes: bool = False
-    chain: list[Facts] = field(default_factory=list)
+    chain: list[CertificateInfo] = field(default_factory=list)
 
 
-async def look(partners: Partners, known: Known, address: str) -> Seen:
+async def probe(partners: Partners, known: PartnerState, address: str) -> ProbeResult:
     """Two handshakes: the first in full, the second with the session that the first left."""
-    seen = Seen(known.name, address)
+    seen = ProbeResult(known.name, address)
     try:
         for again in (False, True):
             await _once(partners, known, address, seen, again)
@@ -41,7 +41,9 @@
     return seen
 
 
-async def _once(partners: Partners, known: Known, address: str, seen: Seen, again: bool) -> None:
+async def _once(
+    partners: Partners, known: PartnerState, address: str, seen: ProbeResult, again: bool
+) -> None:
     opened = await open_verified(asyncio.get_running_loop(), partners, known, address)
     channel, machine = opened.channel, opened.channel.machine
     try:
@@ -49,9 +51,9 @@
             seen.resumes = machine.resumed
             return
         seen.version, seen.cipher = machine.version, machine.cipher
-        seen.chain = [of_der(der) for der in machine.chain()]
+        seen.chain = [describe_der(der) for der in machine.chain()]
         try:  # in TLS 1.3 tickets come now, or the refusal of our certificate
-            async with asyncio.timeout(TICKETS):
+            async with asyncio.timeout(TICKET_TIMEOUT_SECONDS):
                 await channel.read(Buffer())
         except TimeoutError:
             pass
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -18,13 +18,13 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.time_units import SECOND
 from honeyhitch.tls import retirement
-from honeyhitch.tls.certificates import Facts
+from honeyhitch.tls.certificates import CertificateInfo
 from honeyhitch.tls.connection_gate import EndpointConnections
 from honeyhitch.tls.failures import Failure, TlsError
-from honeyhitch.tls.handshake_budget import RETRY, Start
+from honeyhitch.tls.handshake_budget import RETRY_DELAY, HandshakeStart
 from honeyhitch.tls.machine import Phase
-from honeyhitch.tls.partners import Known, Partners
-from honeyhitch.tls.sessions import Key
+from honeyhitch.tls.partners import Partners, PartnerState
+from honeyhitch.tls.sessions import SessionKey
 from honeyhitch.transports.http_transport import (
     MAX_RESPONSE_BYTES,
     CallProgress,
@@ -37,13 +37,13 @@
 from honeyhitch.transports.tls_open import open_verified
 
 log = logs.get()
-LOOK = 0.25  # seconds between looks at connections that are to go
-FILES = 2.0  # seconds between looks at the files
-ENDS = 3600.0  # seconds between looks at our own certificates' ends
-NOT_THE_SESSIONS = (Failure.UNREACHABLE, Failure.STALLED, Failure.HANDSHAKE_CUT, Failure.OVERLOADED)
-SOON = 0.01  # seconds for which an idle connection is not yet watched
-HALT = 2 * SECOND  # ns that an idle connection has for the rest of a record
-REPLACE = 10 * SECOND  # ns; one used within this is replaced before it goes
+SWEEP_INTERVAL_SECONDS = 0.25  # seconds between looks at connections that are to go
+FILE_POLL_SECONDS = 2.0  # seconds between looks at the files
+EXPIRY_CHECK_SECONDS = 3600.0  # seconds between looks at our own certificates' ends
+SESSION_KEEPING_FAILURES = (Failure.UNREACHABLE, Failure.STALLED, Failure.HANDSHAKE_CUT, Failure.OVERLOADED)
+WATCH_DELAY_SECONDS = 0.01  # seconds for which an idle connection is not yet watched
+PARTIAL_RECORD_TIMEOUT = 2 * SECOND  # ns that an idle connection has for the rest of a record
+REPLACE_IF_USED_WITHIN = 10 * SECOND  # ns; one used within this is replaced before it goes
 
 
 @dataclass(slots=True, eq=False)
@@ -51,12 +51,12 @@
     """One connection, with what it was verified by."""
 
     tls: TlsChannel = field(kw_only=True)  # the channel, by its own type
-    known: Known = field(kw_only=True)
-    key: Key = field(kw_only=True)
-    peer: Facts = field(kw_only=True)
+    partner: PartnerState = field(kw_only=True)
+    key: SessionKey = field(kw_only=True)
+    peer: CertificateInfo = field(kw_only=True)
     retire_at: int = field(kw_only=True)  # ns; the end of what was verified, or sooner
     watched: bool = False  # the loop tells when something comes on it
-    due: int = 0  # ns; from when it is to go once it is replaced, 0 if not
+    replace_at: int = 0  # ns; from when it is to go once it is replaced, 0 if not
 
 
 class TlsTransport(HttpTransport):
@@ -72,43 +72,45 @@
     ) -> None:
         super().__init__(dispatcher, scheduler, tasks, max_idle)  # connections idle or in a handshake
         self.partners = partners
-        self.doors: dict[str, tuple[EndpointConnections, Known]] = {}
-        self.conns: dict[TlsConnection, str] = {}  # all that are up, and whose
+        self.gates: dict[str, tuple[EndpointConnections, PartnerState]] = {}
+        self.connections: dict[TlsConnection, str] = {}  # all that are up, and whose
         self.unwatched: dict[TlsConnection, str] = {}  # idle for so short that nobody watches them yet
-        self.looking = False  # for those, soon
-        partners.changed.append(self._renewed)
+        self.watch_scheduled = False  # for those, soon
+        partners.on_change.append(self._on_partner_changed)
 
     # Opening.
 
     def open(self, member: PoolEndpoint, calls: int) -> None:
         """Connections for so many more calls are wanted."""
-        door, known = self._door(member)
+        door, known = self._gate(member)
         for _ in range(calls - door.opening):
             now = self.scheduler.now()
-            if not self._room_for_one():
-                self._tell(door, RETRY)
+            if not self._free_descriptor():
+                self._report_capacity(door, RETRY_DELAY)
                 return
             start = door.start(now)
             if start is None:
                 if not door.opening:
-                    self._tell(door)
+                    self._report_capacity(door)
                 return
             self.tasks.start(self._open(member, door, known, start))
 
-    def _door(self, member: PoolEndpoint) -> tuple[EndpointConnections, Known]:
-        known = self.partners.of(member.id, member.destination, self.settings.kind(member.kind).name)
+    def _gate(self, member: PoolEndpoint) -> tuple[EndpointConnections, PartnerState]:
+        known = self.partners.find(member.id, member.destination, self.settings.kind(member.kind).name)
         assert known is not None  # `Pool.carrier_of` sends others to the plain carrier
-        told = self.doors.get(member.id)
+        told = self.gates.get(member.id)
         if told is None:
-            door = EndpointConnections(member.id, member.destination, known.budget, self.partners.pause)
-            told = self.doors[member.id] = door, known
+            door = EndpointConnections(
+                member.id, member.destination, known.budget, self.partners.block_duration
+            )
+            told = self.gates[member.id] = door, known
         told[0].destination = member.destination
         return told
 
-    def _room_for_one(self) -> bool:
+    def _free_descriptor(self) -> bool:
         """Whether a descriptor is left for a connection; the longest idle of all makes room."""
         idle = sum(len(ones) for ones in self.idle.values())
-        opening = sum(door.opening for door, _ in self.doors.values())
+        opening = sum(door.opening for door, _ in self.gates.values())
         if idle + opening < self.max_idle:
             return True
         if not idle:
@@ -118,24 +120,24 @@
 
     def _drop_oldest(self) -> None:
         oldest = min((ones[0].idle_since, name) for name, ones in self.idle.items() if ones)[1]
-        self._drop(oldest, self._resting(oldest)[0])
+        self._drop(oldest, self._idle_connections(oldest)[0])
 
-    def _resting(self, name: str) -> list[TlsConnection]:
+    def _idle_connections(self, name: str) -> list[TlsConnection]:
         """A copy of the member's idle connections, the latest used last."""
         return [one for one in self.idle.get(name, []) if isinstance(one, TlsConnection)]
 
     async def _open(
-        self, member: PoolEndpoint, door: EndpointConnections, known: Known, start: Start
+        self, member: PoolEndpoint, door: EndpointConnections, known: PartnerState, start: HandshakeStart
     ) -> None:
-        key = self.partners.key(known, member.address)
+        key = self.partners.session_key(known, member.address)
         try:
             opened = await open_verified(self.loop, self.partners, known, member.address)
         except TlsError as error:
-            if error.failure not in NOT_THE_SESSIONS:
+            if error.failure not in SESSION_KEEPING_FAILURES:
                 self.partners.sessions.forget(key)
-            self._failed(member, door, known, start, error)
+            self._handshake_failed(member, door, known, start, error)
         except BaseException:
-            door.given_up(start, self.scheduler.now())
+            door.abandoned(start, self.scheduler.now())
             raise
         else:
             now, resumed = self.scheduler.now(), opened.channel.machine.resumed
@@ -145,52 +147,57 @@
                 Buffer(),
                 http1.ResponseParser(max_bytes=MAX_RESPONSE_BYTES),
                 tls=opened.channel,
-                known=known,
+                partner=known,
                 key=key,
                 peer=opened.peer,
-                retire_at=known.material.until(opened.peer),
+                retire_at=known.material.valid_until(opened.peer),
                 idle_since=now,
                 used=True,  # by its handshake: a full table would have shown there
             )
             if not resumed:  # the session offered, if any, is worth nothing there
                 self.partners.sessions.forget(key)
             if key.generation != known.generation:  # the files changed under the handshake
-                self._outdated([connection], known)
-            self.conns[connection] = member.id
+                self._retire([connection], known)
+            self.connections[connection] = member.id
             door.opened(start, now, resumed)
-            self._rest(member.id, connection)
-            self._tell(door)
+            self._add_idle(member.id, connection)
+            self._report_capacity(door)
 
-    def _failed(
-        self, member: PoolEndpoint, door: EndpointConnections, known: Known, start: Start, error: TlsError
+    def _handshake_failed(
+        self,
+        member: PoolEndpoint,
+        door: EndpointConnections,
+        known: PartnerState,
+        start: HandshakeStart,
+        error: TlsError,
     ) -> None:
         self._log("tls.handshake-failed", member.id, known, error, f"{member.id} {error.failure.label}")
         self.dispatcher.apply_connection_capacity(door.failed(start, self.scheduler.now(), error))
 
-    def _tell(self, door: EndpointConnections, shut: int = 0) -> None:
-        room = door.room(self.scheduler.now())
+    def _report_capacity(self, door: EndpointConnections, shut: int = 0) -> None:
+        room = door.capacity(self.scheduler.now())
         if shut > room.connect_blocked_for:
             room = replace(room, connect_blocked_for=shut)
         self.dispatcher.apply_connection_capacity(room)
 
     # Idle connections. Each is watched, so that an end is known before a call is.
 
-    def _rest(self, name: str, connection: TlsConnection) -> None:
+    def _add_idle(self, name: str, connection: TlsConnection) -> None:
         self.idle.setdefault(name, []).append(connection)
-        if not self.looking:
-            self.looking = True
-            self.loop.call_later(SOON, self._watch)
+        if not self.watch_scheduled:
+            self.watch_scheduled = True
+            self.loop.call_later(WATCH_DELAY_SECONDS, self._watch_idle)
         self.unwatched[connection] = name
-        self._stirred(name, connection)  # what came with the handshake or behind the answer
+        self._on_idle_data(name, connection)  # what came with the handshake or behind the answer
         self._enforce_idle_limit()
 
-    def _watch(self) -> None:
+    def _watch_idle(self) -> None:
         """Those that the next call has not taken at once, as it does under load, are watched from now on."""
-        fresh, self.unwatched, self.looking = self.unwatched, {}, False
+        fresh, self.unwatched, self.watch_scheduled = self.unwatched, {}, False
         for connection, name in fresh.items():
             connection.watched = True
-            self.loop.add_reader(connection.channel.sock, self._stirred, name, connection)
-            self._stirred(name, connection)
+            self.loop.add_reader(connection.channel.sock, self._on_idle_data, name, connection)
+            self._on_idle_data(name, connection)
 
     def _unwatch(self, connection: TlsConnection) -> None:
         if connection.watched:
@@ -198,40 +205,40 @@
             self.loop.remove_reader(connection.channel.sock)
         self.unwatched.pop(connection, None)
 
-    def _stirred(self, name: str, connection: TlsConnection) -> None:
+    def _on_idle_data(self, name: str, connection: TlsConnection) -> None:
         tls = connection.tls
         if tls.alive():
-            if tls.machine.news:
-                self.partners.keep_session(connection.known, connection.key, tls.machine, connection.peer)
+            if tls.machine.may_have_ticket:
+                self.partners.keep_session(connection.partner, connection.key, tls.machine, connection.peer)
         else:
-            self._ended(name, connection)
+            self._idle_ended(name, connection)
 
-    def _ended(self, name: str, connection: TlsConnection) -> None:
+    def _idle_ended(self, name: str, connection: TlsConnection) -> None:
         """The partner ended one that was idle, or said what nobody asked for."""
         failure = connection.tls.machine.failure
-        if failure is not None and failure.failure is Failure.OUR_CERTIFICATE_REFUSED:
-            self._log("tls.connection-rejected", name, connection.known, failure, name)
-        self._blame(name, failure)
+        if failure is not None and failure.failure is Failure.OUR_CERTIFICATE_REJECTED:
+            self._log("tls.connection-rejected", name, connection.partner, failure, name)
+        self._record_loss(name, failure)
         self._drop(name, connection)
 
-    def _blame(self, name: str, failure: TlsError | None) -> None:
+    def _record_loss(self, name: str, failure: TlsError | None) -> None:
         """An open connection ended: the member refuses us, or has perhaps restarted."""
-        if failure is None or failure.failure is not Failure.OUR_CERTIFICATE_REFUSED:
-            self._lost(name)
-        elif name in self.doors:
-            self.doors[name][0].bar(self.scheduler.now())
+        if failure is None or failure.failure is not Failure.OUR_CERTIFICATE_REJECTED:
+            self._connection_lost(name)
+        elif name in self.gates:
+            self.gates[name][0].block(self.scheduler.now())
 
     @staticmethod
-    def _log(event: str, name: str, known: Known, error: TlsError, key: str) -> None:
+    def _log(event: str, name: str, known: PartnerState, error: TlsError, key: str) -> None:
         failure = error.failure.label
         log.warning(event, partner=known.name, member=name, failure=failure, reason=error.reason, key=key)
 
-    def _lost(self, name: str) -> None:
+    def _connection_lost(self, name: str) -> None:
         """The partner ended a connection: with most of them, it may have restarted."""
-        if name in self.doors:
-            known = self.doors[name][1]
-            left = sum(1 for one in self.conns if one.known is known) - 1
-            known.budget.broke(self.scheduler.now(), left)
+        if name in self.gates:
+            known = self.gates[name][1]
+            left = sum(1 for one in self.connections if one.partner is known) - 1
+            known.budget.connection_lost(self.scheduler.now(), left)
 
     def _drop(self, name: str, connection: TlsConnection) -> None:
         """Close one that is idle."""
@@ -241,21 +248,21 @@
             if not self.idle[name]:
                 del self.idle[name]
         connection.channel.close()
-        self._gone(name, connection, busy=False)
+        self._remove(name, connection, busy=False)
 
-    def _gone(self, name: str, connection: TlsConnection, busy: bool) -> None:
-        if self.conns.pop(connection, None) is None or name not in self.doors:
+    def _remove(self, name: str, connection: TlsConnection, busy: bool) -> None:
+        if self.connections.pop(connection, None) is None or name not in self.gates:
             return
-        door = self.doors[name][0]
+        door = self.gates[name][0]
         if busy:
             door.busy -= 1
         else:
-            door.ready -= 1
-        self._tell(door)
+            door.idle -= 1
+        self._report_capacity(door)
 
     def close_idle(self, member: PoolEndpoint) -> None:
         """Close the idle connections to a member."""
-        for connection in self._resting(member.id):
+        for connection in self._idle_connections(member.id):
             self._drop(member.id, connection)
 
     # Calls.
@@ -267,12 +274,12 @@
             if connection.retire_at <= now or not self._may_reuse(connection, member):
                 self._drop(member.id, connection)
             elif not connection.tls.alive():
-                self._ended(member.id, connection)
-            elif connection.tls.machine.at_rest:
+                self._idle_ended(member.id, connection)
+            elif connection.tls.machine.quiescent:
                 self._unwatch(connection)
                 idle.remove(connection)
-                door = self.doors[member.id][0]
-                door.ready, door.busy = door.ready - 1, door.busy + 1
+                door = self.gates[member.id][0]
+                door.idle, door.busy = door.idle - 1, door.busy + 1
                 return connection
         raise NoConnectionError(f"{member.id}: its last connection has gone")
 
@@ -281,62 +288,66 @@
         now = self.scheduler.now()
         connection.idle_since = now
         machine = connection.tls.machine
-        if connection.retire_at <= now or machine.phase is not Phase.OPEN or machine.plain:
+        if connection.retire_at <= now or machine.phase is not Phase.OPEN or machine.plaintext:
             connection.channel.close()
-            self._gone(member.id, connection, busy=True)
+            self._remove(member.id, connection, busy=True)
             return
-        if member.id not in self.doors or member.id not in self.dispatcher.pool.endpoints:
-            self.conns.pop(connection, None)
+        if member.id not in self.gates or member.id not in self.dispatcher.pool.endpoints:
+            self.connections.pop(connection, None)
             connection.channel.close()
             return
-        door = self.doors[member.id][0]
-        door.ready, door.busy = door.ready + 1, door.busy - 1
-        self._rest(member.id, connection)
+        door = self.gates[member.id][0]
+        door.idle, door.busy = door.idle + 1, door.busy - 1
+        self._add_idle(member.id, connection)
 
     def _close(self, member: PoolEndpoint, progress: CallProgress) -> None:
         connection, name = progress.connection, member.id
         if isinstance(connection, TlsConnection):
             if (failure := connection.tls.machine.failure) is not None:
                 self._log(
-                    "tls.call-broken", name, connection.known, failure, f"{name} {failure.failure.label}"
+                    "tls.call-broken", name, connection.partner, failure, f"{name} {failure.failure.label}"
                 )
-                self._blame(name, failure)
+                self._record_loss(name, failure)
             connection.channel.close()
-            self._gone(name, connection, busy=True)
+            self._remove(name, connection, busy=True)
 
     # What holds no more.
 
-    def _renewed(self, known: Known) -> None:
+    def _on_partner_changed(self, known: PartnerState) -> None:
         """New trust, lists or an own certificate: what was made with the old goes gradually."""
-        self._outdated([one for one in self.conns if one.known is known], known)
-        for door, whose in self.doors.values():
+        self._retire([one for one in self.connections if one.partner is known], known)
+        for door, whose in self.gates.values():
             if whose is known:
-                door.unbar()
-                self._tell(door)
+                door.unblock()
+                self._report_capacity(door)
 
-    def _outdated(self, connections: list[TlsConnection], known: Known) -> None:
+    def _retire(self, connections: list[TlsConnection], known: PartnerState) -> None:
         now, within = self.scheduler.now(), known.partner.terms.retire_within
-        times = retirement.plan(len(connections), now, within, self.partners.rng) if connections else []
+        times = (
+            retirement.plan_retirement(len(connections), now, within, self.partners.rng)
+            if connections
+            else []
+        )
         for one, at in zip(connections, times, strict=True):
-            if known.material.objection(one.peer, now) is not None:
+            if known.material.find_objection(one.peer, now) is not None:
                 one.retire_at = now  # no further call, but the one that is out goes on
             else:
-                one.due = min(one.due or at, at)
+                one.replace_at = min(one.replace_at or at, at)
                 one.retire_at = min(one.retire_at, now + within)
 
     async def sweep(self) -> None:
         """Close what has been idle for long, is no longer in the pool, or holds no more."""
         while True:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self.scheduler.now()
             for name in list(self.idle):
-                for connection in self._resting(name):
-                    self._look_at(name, connection, now)
-            for name, (door, _) in list(self.doors.items()):
+                for connection in self._idle_connections(name):
+                    self._check_idle(name, connection, now)
+            for name, (door, _) in list(self.gates.items()):
                 if name not in self.dispatcher.pool.endpoints and not door.open and not door.opening:
-                    del self.doors[name]
+                    del self.gates[name]
 
-    def _look_at(self, name: str, connection: TlsConnection, now: int) -> None:
+    def _check_idle(self, name: str, connection: TlsConnection, now: int) -> None:
         member = self.dispatcher.pool.endpoints.get(name)
         if (
             member is None
@@ -345,36 +356,36 @@
             or connection.retire_at <= now
         ):
             self._drop(name, connection)
-        elif connection.due and connection.due <= now:
-            fresh = any(not one.due for one, whose in self.conns.items() if whose == name)
-            if fresh or now - connection.idle_since > REPLACE:
+        elif connection.replace_at and connection.replace_at <= now:
+            fresh = any(not one.replace_at for one, whose in self.connections.items() if whose == name)
+            if fresh or now - connection.idle_since > REPLACE_IF_USED_WITHIN:
                 self._drop(name, connection)
-            elif not self.doors[name][0].opening:
+            elif not self.gates[name][0].opening:
                 self.open(member, 1)  # its replacement first; it goes in any case at `retire_at`
-        elif not self._may_reuse(connection, member) or self._halting(connection, now):
+        elif not self._may_reuse(connection, member) or self._has_stalled_record(connection, now):
             self._drop(name, connection)
         elif not connection.tls.alive():
-            self._ended(name, connection)
+            self._idle_ended(name, connection)
 
     @staticmethod
-    def _halting(connection: TlsConnection, now: int) -> bool:
+    def _has_stalled_record(connection: TlsConnection, now: int) -> bool:
         """A record that was begun does not go on."""
-        return not connection.tls.machine.at_rest and now - connection.idle_since > HALT
+        return not connection.tls.machine.quiescent and now - connection.idle_since > PARTIAL_RECORD_TIMEOUT
 
     async def watch_files(self) -> None:
         """Read files again when they change; reading is done beside the loop."""
         while True:
-            await asyncio.sleep(FILES)
+            await asyncio.sleep(FILE_POLL_SECONDS)
             await self.reload_certificates()
 
     async def reload_certificates(self, everything: bool = False) -> None:
         """Once."""
-        for known, stamps in await asyncio.to_thread(self.partners.look, everything):
-            read = await asyncio.to_thread(self.partners.read, known)
-            self.partners.take(known, stamps, read)
+        for known, stamps in await asyncio.to_thread(self.partners.changed_files, everything):
+            read = await asyncio.to_thread(self.partners.read_files, known)
+            self.partners.apply_files(known, stamps, read)
 
     async def watch_ends(self) -> None:
         """Tell of our own certificates that near their end."""
         while True:
-            self.partners.near_ends()
-            await asyncio.sleep(ENDS)
+            self.partners.warn_of_expiry()
+            await asyncio.sleep(EXPIRY_CHECK_SECONDS)
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -15,7 +15,7 @@
 from honeyhitch import config
 from honeyhitch.tls.material import MaterialError, load
 from honeyhitch.tls.partners import Partners
-from honeyhitch.tls.sessions import Key, SessionCache
+from honeyhitch.tls.sessions import SessionCache, SessionKey
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
 from .authority import Authority
@@ -129,10 +129,10 @@
         for i, (scope, value) in enumerate(((Scope.KIND, "k"), (Scope.DEST, "7"), (Scope.MEMBER, "m")), 1)
     )
     setup = TlsSettings((wide, middle, narrow))
-    assert setup.partner_of("m", 7, "k") is narrow
-    assert setup.partner_of("n", 7, "k") is middle
-    assert setup.partner_of("n", 8, "k") is wide
-    assert setup.partner_of("n", 8, "j") is None
+    assert setup.find_partner("m", 7, "k") is narrow
+    assert setup.find_partner("n", 7, "k") is middle
+    assert setup.find_partner("n", 8, "k") is wide
+    assert setup.find_partner("n", 8, "j") is None
 
 
 def test_defaults_hold_for_each_partner_that_does_not_say_otherwise(pki: Authority, tmp_path: Path) -> None:
@@ -160,33 +160,33 @@
     key.touch(0o600)
     key.write_bytes(first.key_file.read_bytes())
     told = known_partners(Terms(ca=pki.file, certificate=cert, key=key), Clock())
-    known = told.of("m", 1, "")
+    known = told.find("m", 1, "")
     assert known is not None
-    assert told.look() == []
+    assert told.changed_files() == []
     taken: list[int] = []
-    told.changed.append(lambda one: taken.append(one.generation))
+    told.on_change.append(lambda one: taken.append(one.generation))
 
     def look() -> list[bool]:
-        return [told.take(one, stamps, told.read(one)) for one, stamps in told.look()]
+        return [told.apply_files(one, stamps, told.read_files(one)) for one, stamps in told.changed_files()]
 
     whole = second.cert_file.read_bytes()
     for half in (b"", whole[: len(whole) // 2], whole):  # half written, and then without its key
         cert.write_bytes(half)
         assert look() == [False]
         assert known.generation == 0
-        assert known.refused
+        assert known.last_rejection
         assert look() == [], "what has not changed is not read again"
     key.write_bytes(second.key_file.read_bytes())
     assert look() == [True]
     assert taken == [1]
-    assert not known.refused
+    assert not known.last_rejection
     cert.write_bytes(whole)  # the same once more
     assert look() == [False]
     assert known.generation == 1
     key.unlink()
     assert look() == [False]
     assert known.generation == 1
-    assert "cannot read" in known.refused
+    assert "cannot read" in known.last_rejection
 
 
 def test_the_end_of_a_certificate_is_told_once_a_day(pki: Authority, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -201,7 +201,7 @@
     monkeypatch.setattr(module, "log", fake)
     for hours in (0, 1, 2, 25):
         clock.now += hours * 3600 * SECOND
-        partners.near_ends()
+        partners.warn_of_expiry()
     assert len(told) == 2
     assert told[0]["whose"] == "own"
     assert 4 < told[0]["days_left"] <= 5
@@ -213,7 +213,7 @@
             ssl.SSLSession, SimpleNamespace(has_ticket=ticket, ticket_lifetime_hint=hint, timeout=7200)
         )
 
-    cache, key = SessionCache(most=3), Key("dest:1", "localhost", "127.0.0.1:1", 0)
+    cache, key = SessionCache(max_sessions=3), SessionKey("dest:1", "localhost", "127.0.0.1:1", 0)
     now = 100 * SECOND
     cache.put(key, session(300), now, now + 50 * SECOND)  # the certificate ends before the ticket
     assert cache.get(key, now + 49 * SECOND) is not None
@@ -238,15 +238,15 @@
 
 def test_a_session_is_copied_anew_only_when_it_is_worth_it() -> None:
     session = cast(ssl.SSLSession, SimpleNamespace(has_ticket=True, ticket_lifetime_hint=100, timeout=7200))
-    cache, key, now = SessionCache(), Key("dest:1", "localhost", "127.0.0.1:1", 0), 100 * SECOND
-    assert cache.wants(key, now)
+    cache, key, now = SessionCache(), SessionKey("dest:1", "localhost", "127.0.0.1:1", 0), 100 * SECOND
+    assert cache.needs_newer(key, now)
     cache.put(key, session, now, 1 << 62)
-    assert not cache.wants(key, now)
-    assert cache.wants(key, now + 50 * SECOND)
+    assert not cache.needs_newer(key, now)
+    assert cache.needs_newer(key, now + 50 * SECOND)
     for _ in range(2):  # a server that takes a ticket once refuses the second use
         cache.get(key, now)
     cache.forget(key)
     cache.put(key, session, now, 1 << 62)
-    assert not cache.wants(key, now)
+    assert not cache.needs_newer(key, now)
     cache.get(key, now)
-    assert cache.wants(key, now)
+    assert cache.needs_newer(key, now)
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -17,7 +17,7 @@
 from honeyhitch.tls import retirement
 from honeyhitch.tls.connection_gate import EndpointConnections
 from honeyhitch.tls.failures import Failure, TlsError
-from honeyhitch.tls.handshake_budget import RESUMED, HandshakeBudget
+from honeyhitch.tls.handshake_budget import RESUMED_WEIGHT, HandshakeBudget
 
 from .rig import ENDPOINT_LIST, START, DispatcherRig, VirtualTime, endpoint_row
 from .world import MS, SECOND
@@ -59,11 +59,11 @@
                 self.now_running -= 1
                 resumed = up and self.rng.random() < self.resumes
                 if up:
-                    budget.ended(start, now, resumed)
-                    self.starts[at] = self.starts[at][0], RESUMED if resumed else 1.0
+                    budget.succeeded(start, now, resumed)
+                    self.starts[at] = self.starts[at][0], RESUMED_WEIGHT if resumed else 1.0
                     done += 1
                 else:
-                    budget.failed(start, now, outage=True)
+                    budget.failed(start, outage=True)
             while budget.ready_at(now) <= now:
                 start = budget.start(now)
                 self.now_running += 1
@@ -78,7 +78,7 @@
         for _, _, i, ending in heap:
             if ending is not None:
                 self.now_running -= 1
-                self.budgets[i].failed(ending[0], end, outage=False)  # type: ignore[index]
+                self.budgets[i].failed(ending[0], outage=False)  # type: ignore[index]
         return done
 
 
@@ -102,7 +102,7 @@
 def test_the_rate_is_used_once_the_partner_is_warm_and_resumed_ones_cost_less() -> None:
     full, resumed = (Shared(1, 1, 64, 8.0, share) for share in (0.0, 1.0))
     for shared in (full, resumed):
-        shared.budgets[0].back_at = -COLD
+        shared.budgets[0].recovered_at = -COLD
     whole, cheap = full.run(0, 20), resumed.run(0, 20)
     assert 0.7 * 8 * 20 / 1.25 <= whole <= 8 * 20
     assert cheap > 2 * whole
@@ -119,12 +119,12 @@
 def test_most_connections_lost_at_once_are_a_restart() -> None:
     budget = HandshakeBudget(4, 8.0, 1, COLD_SHARE, COLD)
     now = 100 * SECOND
-    budget.broke(now, left=9)
-    assert budget.share(now) == 1.0, "one of ten is no restart"
+    budget.connection_lost(now, remaining=9)
+    assert budget.slow_start_share(now) == 1.0, "one of ten is no restart"
     for i in range(5):
-        budget.broke(now + i, left=4 - i)
-    assert budget.share(now + 10) == pytest.approx(COLD_SHARE, abs=0.01)
-    assert budget.share(now + 10 + COLD) == 1.0
+        budget.connection_lost(now + i, remaining=4 - i)
+    assert budget.slow_start_share(now + 10) == pytest.approx(COLD_SHARE, abs=0.01)
+    assert budget.slow_start_share(now + 10 + COLD) == 1.0
 
 
 @given(
@@ -136,7 +136,7 @@
     budget, starts, running = HandshakeBudget(handshakes, rate), list[int](), list[object]()
     for now in sorted(times):
         if len(running) > 1:
-            budget.ended(running.pop(0), now, False)  # type: ignore[arg-type]
+            budget.succeeded(running.pop(0), now, False)  # type: ignore[arg-type]
         at = budget.ready_at(now)
         if at <= now:
             running.append(budget.start(now))
@@ -146,7 +146,7 @@
 
 
 def test_retirement_is_spread_over_the_time_and_ends_before_it() -> None:
-    times = retirement.plan(50, START, 30 * SECOND, Random(3))
+    times = retirement.plan_retirement(50, START, 30 * SECOND, Random(3))
     assert times == sorted(times)
     assert times[0] >= START
     assert times[-1] < START + 30 * SECOND
@@ -172,8 +172,8 @@
     assert down.failure_reason == "stalled" and down.connect_failed and down.elapsed == 5 * MS, (
         "an outage, as the module knows it"
     )
-    door.bar(now)
-    door.unbar()
+    door.block(now)
+    door.unblock()
     start = door.start(now + 3 * SECOND)
     assert start is not None
     up = door.opened(start, now + 4 * SECOND, False)
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -17,7 +17,7 @@
 
 from honeyhitch.policy.events import EndpointListing
 from honeyhitch.tls.failures import Failure, TlsError
-from honeyhitch.tls.machine import Phase, Records, TlsMachine
+from honeyhitch.tls.machine import Phase, RecordTracker, TlsMachine
 from honeyhitch.tls.material import load
 from honeyhitch.tls.partners import Partners
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
@@ -57,7 +57,7 @@
 def connect(machine: TlsMachine, server: Server, split: Callable[[bytes], list[bytes]] | None = None) -> None:
     """Carry bytes between them till neither has more to say."""
     while True:
-        sent = machine.take_out()
+        sent = machine.take_output()
         said = server.take(sent)
         for piece in split(said) if split is not None else [said] if said else []:
             machine.feed(piece)
@@ -94,13 +94,13 @@
     assert server.got == HELLO
     server.tls.write(ANSWER)
     machine.feed(server.outgoing.read())
-    assert machine.take_plain() == ANSWER
-    assert machine.at_rest
+    assert machine.take_plaintext() == ANSWER
+    assert machine.quiescent
     server.tls.write(b"x")
     with pytest.raises(ssl.SSLWantReadError):
         server.tls.unwrap()
     machine.feed(server.outgoing.read())
-    assert machine.take_plain() == b"x"
+    assert machine.take_plaintext() == b"x"
     assert machine.phase is Phase.ENDED
     assert machine.failure is None
     with pytest.raises(TlsError):
@@ -144,12 +144,12 @@
     yield Failure.NO_COMMON_VERSION, old, server_context(pki.issue(), "1.2", "1.2")
     picky = server_context(pki.issue(), "1.2", "1.2")
     picky.set_ciphers("AES128-SHA")
-    yield Failure.HANDSHAKE_REFUSED, terms, picky
+    yield Failure.HANDSHAKE_REJECTED, terms, picky
     strict = asking(server_context(pki.issue(), "1.2", "1.2"), pki.file)
-    yield Failure.HANDSHAKE_REFUSED, terms, strict
+    yield Failure.HANDSHAKE_REJECTED, terms, strict
     ours = other.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
     with_ours = Terms(ca=pki.file, certificate=ours.cert_file, key=ours.key_file)
-    yield Failure.OUR_CERTIFICATE_REFUSED, with_ours, strict
+    yield Failure.OUR_CERTIFICATE_REJECTED, with_ours, strict
 
 
 def test_each_failure_has_its_name_and_nothing_falls_back(pki: Authority, tmp_path: Path) -> None:
@@ -171,8 +171,8 @@
         (b"220 smtp ready\r\n", Failure.NOT_TLS),
         (b"\x16\x03\x03\xff\xff" + bytes(70000), Failure.NOT_TLS),
         (b"\x15\x03\x03\x00\x02\x02\x50", Failure.OVERLOADED),
-        (b"\x15\x03\x03\x00\x02\x02\x70", Failure.NAME_UNKNOWN_THERE),
-        (b"\x17\x03\x03\x00\x02\x02\x50", Failure.SPOILT),
+        (b"\x15\x03\x03\x00\x02\x02\x70", Failure.NAME_UNKNOWN_TO_SERVER),
+        (b"\x17\x03\x03\x00\x02\x02\x50", Failure.MALFORMED_RECORD),
     ],
 )
 def test_garbage_instead_of_a_handshake(pki: Authority, garbage: bytes, failure: Failure) -> None:
@@ -180,7 +180,7 @@
     machine.feed(garbage)
     assert machine.failure is not None and machine.failure.failure is failure, machine.failure
     machine.feed(garbage)  # nothing counts behind an end
-    assert not machine.plain
+    assert not machine.plaintext
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
@@ -191,25 +191,25 @@
         return machine, server
 
     machine, server = opened()
-    machine.eof()
+    machine.connection_closed()
     assert machine.failure is not None
     assert machine.failure.failure is Failure.TRUNCATED
     machine, server = opened()
     server.tls.write(b"part of an answer")
     machine.feed(server.outgoing.read() + b"\x17\x03\x03\x00\x10" + bytes(16))
-    assert machine.take_plain() == b"part of an answer", "what came before the spoilt record is given"
+    assert machine.take_plaintext() == b"part of an answer", "what came before the spoilt record is given"
     assert machine.failure is not None
-    assert machine.failure.failure is Failure.SPOILT
+    assert machine.failure.failure is Failure.MALFORMED_RECORD
     machine, server = opened()
     server.tls.write(b"x" * 20000)
     data = server.outgoing.read()
     machine.feed(data[:-1])
-    assert not machine.at_rest
-    assert not machine.records.whole
-    machine.take_plain()
+    assert not machine.quiescent
+    assert not machine.record_tracker.at_boundary
+    machine.take_plaintext()
     machine.feed(data[-1:])
-    machine.take_plain()
-    assert machine.at_rest
+    machine.take_plaintext()
+    assert machine.quiescent
 
 
 @pytest.mark.parametrize("own", [True, False])
@@ -221,13 +221,13 @@
     terms = Terms(ca=pki.file, certificate=ours.cert_file, key=ours.key_file) if own else Terms(ca=pki.file)
     server = Server(asking(server_context(pki.issue(), "1.3", "1.3"), pki.file))
     machine = client(terms)
-    server_said = server.take(machine.take_out())
+    server_said = server.take(machine.take_output())
     machine.feed(server_said)
     assert machine.phase is Phase.OPEN, "our handshake is over before the server has looked"
     machine.send(HELLO)
-    machine.feed(server.take(machine.take_out()))
+    machine.feed(server.take(machine.take_output()))
     assert machine.failure is not None
-    assert machine.failure.failure is Failure.OUR_CERTIFICATE_REFUSED
+    assert machine.failure.failure is Failure.OUR_CERTIFICATE_REJECTED
     assert server.got == b""
 
 
@@ -237,12 +237,12 @@
     error = ssl.SSLError(1, "")
     error.reason = "TLSV1_ALERT_UNKNOWN_CA"
     for answered, version, own, failure in (
-        (False, "TLSv1.3", True, Failure.OUR_CERTIFICATE_REFUSED),
+        (False, "TLSv1.3", True, Failure.OUR_CERTIFICATE_REJECTED),
         (False, "TLSv1.3", False, Failure.ALERT),
         (True, "TLSv1.3", True, Failure.ALERT),
         (False, "TLSv1.2", True, Failure.ALERT),
     ):
-        assert failures.of_connection(error, answered, version, own).failure is failure
+        assert failures.classify_connection_error(error, answered, version, own).failure is failure
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
@@ -253,13 +253,13 @@
     material = load(Terms(ca=pki.file), {}, time.time_ns())
     first = TlsMachine(material.context, "localhost")
     connect(first, Server(context))
-    assert not first.resumed and first.at_rest, "tickets that came are no answer"
+    assert not first.resumed and first.quiescent, "tickets that came are no answer"
     session = first.session()
     assert session is not None
     second = TlsMachine(material.context, "localhost", session)
     connect(second, Server(context))
     assert second.resumed
-    assert second.peer == first.peer
+    assert second.peer_certificate == first.peer_certificate
     third = TlsMachine(material.context, "localhost", session)
     connect(third, Server(server_context(server_cert, version, version)))  # as after a restart
     assert third.phase is Phase.OPEN
@@ -303,7 +303,7 @@
     server, machine = Server(server_context(cert, version, version)), client(Terms(ca=pki.file))
     connect(machine, server, split)
     assert machine.phase is Phase.OPEN
-    assert machine.at_rest
+    assert machine.quiescent
     machine.send(HELLO)
     connect(machine, server, split)
     server.tls.write(ANSWER * 30)
@@ -317,11 +317,11 @@
     for piece in split(data):
         machine.feed(piece)
     if end == "cut":
-        machine.eof()
-    assert machine.take_plain() == ANSWER * 30
+        machine.connection_closed()
+    assert machine.take_plaintext() == ANSWER * 30
     assert server.got == HELLO
     told = machine.failure.failure if machine.failure is not None else None
-    assert told is {"clean": None, "cut": Failure.TRUNCATED, "spoilt": Failure.SPOILT}[end]
+    assert told is {"clean": None, "cut": Failure.TRUNCATED, "spoilt": Failure.MALFORMED_RECORD}[end]
 
 
 @given(data=st.binary(max_size=3000), at=st.integers(0, 2000), opened=st.booleans())
@@ -333,11 +333,11 @@
     if opened:
         connect(machine, server)
     else:
-        machine.feed(server.take(machine.take_out())[:at])
+        machine.feed(server.take(machine.take_output())[:at])
     machine.feed(data)
-    machine.eof()
+    machine.connection_closed()
     assert machine.phase in (Phase.FAILED, Phase.ENDED) or not data
-    assert not machine.answered, "nothing that was not encrypted for us is ever taken for an answer"
+    assert not machine.has_received, "nothing that was not encrypted for us is ever taken for an answer"
 
 
 @given(lengths=st.lists(st.integers(0, 300), max_size=8), cut=st.integers(0, 2600), step=st.integers(1, 50))
@@ -347,10 +347,10 @@
     for length in lengths:
         at += 5 + length
         ends.add(at)
-    records = Records()
+    records = RecordTracker()
     for i in range(0, len(data), step):
         records.feed(data[i : i + step])
-    assert records.whole == (len(data) in ends)
+    assert records.at_boundary == (len(data) in ends)
 
 
 def test_pins_and_revocations_are_looked_at_in_resumed_sessions_too(pki: Authority) -> None:
@@ -366,13 +366,13 @@
         return Partners(setup, settings(), {}, lambda: now[0], Random(1))
 
     def attempt(told: Partners, context: ssl.SSLContext) -> TlsMachine:
-        known = told.of("m", 1, "")
+        known = told.find("m", 1, "")
         assert known is not None
-        key = told.key(known, "127.0.0.1:1")
-        machine = told.machine(known, key)
+        key = told.session_key(known, "127.0.0.1:1")
+        machine = told.create_machine(known, key)
         connect(machine, Server(context))
         assert machine.failure is None, machine.failure
-        peer = told.verified(known, machine)
+        peer = told.verify(known, machine)
         told.keep_session(known, key, machine, peer)
         return machine
 
@@ -383,16 +383,16 @@
     told = partners(digests[0], digests[2])  # the first pin is stale, its backup is good
     assert not attempt(told, context).resumed
     assert attempt(told, context).resumed
-    known = told.of("m", 1, "")
+    known = told.find("m", 1, "")
     assert known is not None
-    assert told.of("m", 2, "") is None
+    assert told.find("m", 2, "") is None
     pki.crl(first, file="in-service.pem")
-    ((changed, stamps),) = told.look()
-    assert told.take(changed, stamps, told.read(changed))
+    ((changed, stamps),) = told.changed_files()
+    assert told.apply_files(changed, stamps, told.read_files(changed))
     assert known.generation == 1
     assert len(told.sessions) == 0, "what was verified under the old list is not resumed"
-    key = told.key(known, "127.0.0.1:1")
-    machine = told.machine(known, key)
+    key = told.session_key(known, "127.0.0.1:1")
+    machine = told.create_machine(known, key)
     connect(machine, Server(context))
     assert machine.failure is not None
     assert machine.failure.failure is Failure.REVOKED
@@ -433,25 +433,25 @@
     ours.settimeout(10)
     shaken, answered = False, 0  # bytes that the peer's updates made us send
     while machine.phase is Phase.HANDSHAKE or machine.session() is None or not answered:
-        out = machine.take_out()
+        out = machine.take_output()
         answered += len(out) if machine.phase is Phase.OPEN and shaken else 0
         shaken = machine.phase is Phase.OPEN
         ours.sendall(out)
         if not answered:
             machine.feed(ours.recv(1))
         assert machine.phase in (Phase.HANDSHAKE, Phase.OPEN)
-        assert not machine.plain
-    while not machine.records.whole:
+        assert not machine.plaintext
+    while not machine.record_tracker.at_boundary:
         machine.feed(ours.recv(1))
-    assert machine.at_rest
+    assert machine.quiescent
     assert machine.session() is not None
     machine.send(HELLO)
-    ours.sendall(machine.take_out())
+    ours.sendall(machine.take_output())
     while machine.phase is Phase.OPEN:
         machine.feed(ours.recv(4096))
     thread.join(30)
     assert got == [HELLO]
-    assert machine.take_plain() == ANSWER
+    assert machine.take_plaintext() == ANSWER
     assert machine.phase is Phase.ENDED
     ours.close()
     theirs.close()
