--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -22,7 +22,7 @@
 from honeyhitch.tls.settings import Partner, Scope, TlsSettings
 
 if TYPE_CHECKING:
-    from honeyhitch.tls.certificates import Facts
+    from honeyhitch.tls.certificates import CertificateInfo
     from honeyhitch.tls.partners import Partners
     from honeyhitch.transports.tls_probe import Seen
 
