--- a/benchmarks/dead_letters.py
+++ b/benchmarks/dead_letters.py
@@ -44,7 +44,7 @@
 from tests.agent import Agent
 from tests.partner import Partner
 from tests.program import SETTINGS, free_port, write
-from tests.resend_world import day
+from tests.resend_world import run_day
 from tests.rig import endpoint_row
 
 ROOT = Path(__file__).parent.parent
@@ -81,10 +81,10 @@
     rng = random.Random(seed * 7919)
     with tempfile.TemporaryDirectory(dir=MEMORY if MEMORY.is_dir() else None) as folder:
         kills = tuple(rng.randrange(1, 800) for _ in range(rng.randrange(5)))
-        told = day(Path(folder) / "day", seed, kills)
-        resent = sum(one.record.resend_count for one in told.stand.store.page(RecordFilter(), limit=1000))
-        found = len(told.clients), told.kills, resent, len(told.doubled()), len(told.unsettled())
-        told.stand.gone()
+        told = run_day(Path(folder) / "day", seed, kills)
+        resent = sum(one.record.resend_count for one in told.rig.store.page(RecordFilter(), limit=1000))
+        found = len(told.clients), told.kills, resent, len(told.applied_twice()), len(told.unresolved())
+        told.rig.close_as_killed()
         return found
 
 
--- a/tests/dead_letters_rig.py
+++ b/tests/dead_letters_rig.py
@@ -1,9 +1,10 @@
-"""A dispatcher in virtual time with a real store beside it, which can be killed at any step it writes."""
+"""A dispatcher in virtual time with a real store of dead letters, which can be killed at any write."""
 
 from __future__ import annotations
 
 import contextlib
 import os
+import sqlite3
 from collections.abc import Callable, Iterator
 from pathlib import Path
 from typing import Any
@@ -19,127 +20,149 @@
 from .rig import DispatcherRig, VirtualTime
 from .world import SECOND
 
+NEVER_KILLED = -1
+
 
 class Killed(BaseException):
-    """The process is gone, in the middle of what it did."""
+    """The process was killed in the middle of what it did."""
 
 
-class Points:
-    """Counts the steps at which a kill may strike, and strikes at one of them."""
+class KillPoints:
+    """Counts the points at which a kill may strike, and kills at one of them."""
 
-    def __init__(self, at: int = -1) -> None:
-        self.at, self.seen = at, 0
+    def __init__(self, kill_at: int = NEVER_KILLED) -> None:
+        self.kill_at = kill_at
+        self.count = 0
 
-    def __call__(self) -> bool:
-        """Whether it strikes now."""
-        self.seen += 1
-        return self.seen == self.at
+    def reaches_kill(self) -> bool:
+        """Count one more point; whether the kill strikes there."""
+        self.count += 1
+        return self.count == self.kill_at
 
-    def strike(self) -> None:
-        if self():
+    def pass_point(self) -> None:
+        """Count one more point. Raises Killed if the kill strikes there."""
+        if self.reaches_kill():
             raise Killed
 
 
 class KilledJournal(Journal):
     """A journal whose process may be killed before, in the middle of and after each write."""
 
-    points = Points()
+    kill_points = KillPoints()
 
     def append(self, record: Record, disk_fraction: float = 0.95) -> None:
-        self.points.strike()
-        if self.points():
+        self.kill_points.pass_point()
+        if self.kill_points.reaches_kill():
             data = encode_record(record)
             os.write(self.fd, data[: len(data) // 2])
             raise Killed
         super().append(record, disk_fraction)
-        self.points.strike()
+        self.kill_points.pass_point()
 
 
 class KilledStore(Store):
     """A store whose process may be killed before, inside and after each transaction."""
 
-    points = Points()
+    kill_points = KillPoints()
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
         if self.database.in_transaction:
             yield
             return
-        self.points.strike()
+        self.kill_points.pass_point()
         with super().transaction():
             yield
-            self.points.strike()
-        self.points.strike()
+            self.kill_points.pass_point()
+        self.kill_points.pass_point()
 
 
-class Inline:
-    """In the place of the worker's thread: a job is done on the loop's next turn."""
+class InlineWorker:
+    """Stands for the worker's thread: a job is done on the loop's next turn, and fails with `failure`."""
 
-    def __init__(self, store: Callable[[], Store], time: VirtualTime) -> None:
-        self.open_store, self.time = store, time
+    def __init__(self, open_store: Callable[[], Store], time: VirtualTime) -> None:
+        self._open_store = open_store
+        self.time = time
         self.store: Store | None = None
-        self.broken: Exception | None = None
+        self.failure: Exception | None = None
 
     def submit(self, job: Job, done: JobCallback) -> bool:
-        self.time.call_at(self.time.time, lambda: self._do(job, done))
+        """Queue a job, as StoreWorker does; the queue is never full."""
+        self.time.call_at(self.time.time, lambda: self._run(job, done))
         return True
 
-    def _do(self, job: Job, done: JobCallback) -> None:
+    def _run(self, job: Job, done: JobCallback) -> None:
         try:
-            if self.broken is not None:
-                raise self.broken
-            self.store = self.store or self.open_store()
-            with self.store.transaction():
-                result = job(self.store)
-        except Exception as error:
+            if self.failure is not None:
+                raise self.failure
+            store = self.open()
+            with store.transaction():
+                result = job(store)
+        except (sqlite3.Error, OSError) as error:
             result = error
         done(result)
 
+    def open(self) -> Store:
+        """The store, opened if it is not."""
+        if self.store is None:
+            self.store = self._open_store()
+        return self.store
+
     def close(self) -> None:
+        """Close the store if it is open."""
         if self.store is not None:
             self.store.close()
             self.store = None
 
 
-class KeepingStand(DispatcherRig):
-    """A stand with a store. `points` decides where it is killed."""
+class DeadLetterRig(DispatcherRig):
+    """A dispatcher with a store. `kill_points` decides where it is killed."""
 
-    terms = ResendSettings()
+    resend_settings = ResendSettings()
 
     def __init__(
-        self, folder: Path, time: VirtualTime | None = None, points: Points | None = None, **more: Any
+        self,
+        folder: Path,
+        time: VirtualTime | None = None,
+        kill_points: KillPoints | None = None,
+        limits: StoreLimits | None = None,
+        **more: Any,
     ) -> None:
-        self.folder, self.points = folder, points or Points()
-        self.limits: StoreLimits = more.pop("limits", StoreLimits())
+        self.folder = folder
+        self.kill_points = kill_points or KillPoints()
+        self.limits = limits or StoreLimits()
         super().__init__(folder, time, **more)
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
         journal = KilledJournal.__new__(KilledJournal)
-        journal.points = self.points
-        journal.__init__(folder, disk, self.time.now, lambda ended: 20 * SECOND, detailed=True)  # type: ignore[misc]
+        journal.kill_points = self.kill_points  # before __init__, which writes already
+        journal.__init__(folder, disk, self.time.now, lambda _ended: 20 * SECOND, detailed=True)  # type: ignore[misc]
         return journal
 
-    def _store(self) -> Store:
-        folder = self.folder / "undelivered"
-        store = KilledStore(folder, self.limits, clock=self.time.now, resend_settings=self.terms)
-        store.points = self.points
+    def _open_store(self) -> Store:
+        store = KilledStore(
+            self.folder / "undelivered",
+            self.limits,
+            clock=self.time.now,
+            resend_settings=self.resend_settings,
+        )
+        store.kill_points = self.kill_points
         return store
 
     def prepare(self) -> None:
-        self.worker = Inline(self._store, self.time)
-        self.moving = JournalTransfer(
+        self.worker = InlineWorker(self._open_store, self.time)
+        self.journal_transfer = JournalTransfer(
             self.settings, self.journal, self.time, self.worker.submit, self.dispatcher.dead_letter_stored
         )
-        self.dispatcher.dead_letter_sink = self.moving
+        self.dispatcher.dead_letter_sink = self.journal_transfer
 
     @property
     def store(self) -> Store:
-        """The store, for a look."""
-        self.worker.store = self.worker.store or self._store()
-        return self.worker.store
+        """The store, opened if it is not."""
+        return self.worker.open()
 
-    def gone(self) -> None:
-        """What the system does for a process that is gone."""
+    def close_as_killed(self) -> None:
+        """Close the files as the system does for a process that was killed, and drop its timers."""
         self.worker.close()
         self.journal.close()
         self.time.heap.clear()
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -1,7 +1,7 @@
-"""Partners that fail in mixed ways, each with a ledger of what it applied, and clients that bring copies.
+"""A receiver that fails in mixed ways, with a ledger of what it applied, and clients that send duplicates.
 
-One run is a day in virtual time with a real dispatcher, journal and store, killed at random steps; afterwards
-the ledgers say whether anything was applied twice, and the store whether anything that may be resent was not.
+One run is a day in virtual time with a real dispatcher, journal and store, killed at random steps. Afterwards
+the ledgers tell whether anything was applied twice, and the store whether anything was not resent.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from pathlib import Path
 from typing import Any
 
-from honeyhitch.dead_letters import rules
 from honeyhitch.dead_letters.filters import RecordFilter
-from honeyhitch.dead_letters.records import Record
+from honeyhitch.dead_letters.records import Record, RecordStatus
 from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
+from honeyhitch.dead_letters.rules import Plan, Step, plan_record
 from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, ResendSettings, Rule
-from honeyhitch.dispatcher.delivery import Call
+from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.settings import Idempotency
 
-from .dead_letters_rig import KeepingStand, Killed, Points
+from .dead_letters_rig import NEVER_KILLED, DeadLetterRig, Killed, KillPoints
 from .rig import STANDARD_CLASS, VirtualTime
 from .world import SECOND
 
@@ -53,35 +53,54 @@
     retry_pause=2 * SECOND,
     rate_per_second=20.0,
 )
-TERMS = ResendSettings(client_retry_grace=8 * SECOND, duplicates_elsewhere=False)
-MODES = (
+RESEND_SETTINGS = ResendSettings(client_retry_grace=8 * SECOND, duplicates_elsewhere=False)
+FAILURE_MODES = (
     "deliver", "refuse", "reset-before", "reset-after", "late", "late-lost", "500-after", "500-before",
     "spoilt", "part",
 )  # fmt: skip
+APPLYING_MODES = ("deliver", "reset-after", "500-after", "spoilt")  # the receiver applies all messages
+OUTCOME_OF_MODE = {
+    "deliver": Outcome.DELIVERED,
+    "refuse": Outcome.REJECTED,
+    "late": Outcome.TIMEOUT,
+    "late-lost": Outcome.TIMEOUT,
+    "reset-before": Outcome.RESET,
+    "reset-after": Outcome.RESET,
+}  # all others are errors
+MAX_SUBMISSIONS = 4  # of a client's message, its duplicates included
+DEADLINE = 6 * SECOND
+STEP_SECONDS = 0.2
 
 
 @dataclass
 class Partner:
-    """What was applied, by key, and when: a keyed repeat inside the window is dropped, others are counted."""
+    """The receiver's ledger: when it applied each key.
+
+    A keyed repeat inside the deduplication window is dropped; any other is noted again.
+    """
 
     ledger: dict[str, list[int]] = field(default_factory=dict)
-    due: list[tuple[int, int, str, int]] = field(default_factory=list)
-    seq: int = 0
+    due: list[tuple[int, int, str, int]] = field(default_factory=list)  # when, order, key, window
+    sequence: int = 0
 
-    def apply_at(self, when: int, part: Transaction) -> None:
-        self.seq += 1
-        heapq.heappush(self.due, (when, self.seq, part.key, CLASSES[part.class_index].deduplication_window))
+    def schedule_apply(self, when: int, message: Transaction) -> None:
+        """Apply the message at this time."""
+        self.sequence += 1
+        window = CLASSES[message.class_index].deduplication_window
+        heapq.heappush(self.due, (when, self.sequence, message.key, window))
 
-    def run(self, now: int) -> None:
+    def apply_due(self, now: int) -> None:
+        """Apply what is due."""
         while self.due and self.due[0][0] <= now:
             when, _, key, window = heapq.heappop(self.due)
-            seen = self.ledger.setdefault(key, [])
-            if not (seen and window and when < seen[0] + window):
-                seen.append(when)
+            applied = self.ledger.setdefault(key, [])
+            is_dropped = applied and window and when < applied[0] + window
+            if not is_dropped:
+                applied.append(when)
 
 
-class ResendStand(KeepingStand):
-    """A dispatcher with rules, between such partners."""
+class ResendRig(DeadLetterRig):
+    """A dispatcher with resend rules, and the receiver of its calls."""
 
     def __init__(
         self,
@@ -89,196 +108,213 @@
         time: VirtualTime,
         partner: Partner,
         rng: random.Random,
-        points: Points | None = None,
-        rule: tuple[Rule, ...] = (RULE,),
-        terms: ResendSettings = TERMS,
+        kill_points: KillPoints | None = None,
+        rules: tuple[Rule, ...] = (RULE,),
+        resend_settings: ResendSettings = RESEND_SETTINGS,
         **more: Any,
     ) -> None:
-        self.partner, self.rng, self.rule, self.terms = partner, rng, rule, terms
-        self.modes: tuple[str, ...] = MODES
+        self.partner = partner
+        self.rng = rng
+        self.rules = rules
+        self.resend_settings = resend_settings
+        self.modes: tuple[str, ...] = FAILURE_MODES
         self.sent: list[Transaction] = []
-        self.dead = False
         more.setdefault("classes", CLASSES)
         more.setdefault("max_messages", 50)
-        super().__init__(folder, time, points, **more)
+        super().__init__(folder, time, kill_points, **more)
 
     def prepare(self) -> None:
         super().prepare()
-        setup = DeadLetterSettings(rules=self.rule, resend_settings=self.terms)
-        self.resending = ResendScheduler(setup, self.dispatcher, self.time, self.worker.submit)
-        self.moving.stored_listeners.append(self.resending.records_stored)
+        settings = DeadLetterSettings(rules=self.rules, resend_settings=self.resend_settings)
+        self.resend_scheduler = ResendScheduler(settings, self.dispatcher, self.time, self.worker.submit)
+        self.journal_transfer.stored_listeners.append(self.resend_scheduler.records_stored)
         self.dispatcher.accepting = False
 
     def resume(self) -> None:
-        def ready() -> None:
+        def on_ready() -> None:
             self.dispatcher.accepting = True
             self.dispatcher.recover()
 
-        self.resending.load(ready)
+        self.resend_scheduler.load(on_ready)
 
     def start(self, call: Call) -> None:
+        """Answer the call in one of the modes, drawn at random."""
         super().start(call)
         self.sent += call.messages
-        rng, now = self.rng, self.time.time
-        mode = rng.choice(self.modes)
-        took = int(rng.uniform(0.01, 0.4) * SECOND)
-        applied = mode in ("deliver", "reset-after", "500-after", "spoilt")
-        outcome = {
-            "deliver": Outcome.DELIVERED, "refuse": Outcome.REJECTED, "late": Outcome.TIMEOUT,
-            "late-lost": Outcome.TIMEOUT, "reset-before": Outcome.RESET,
-            "reset-after": Outcome.RESET,
-        }.get(mode, Outcome.ERROR)  # fmt: skip
+        mode = self.rng.choice(self.modes)
+        elapsed = int(self.rng.uniform(0.01, 0.4) * SECOND)
+        outcome = OUTCOME_OF_MODE.get(mode, Outcome.ERROR)
+        now = self.time.time
         if mode == "late":
-            for part in call.messages:
-                self.partner.apply_at(now + int(rng.uniform(0, 9) * SECOND), part)
+            for message in call.messages:
+                self.partner.schedule_apply(now + int(self.rng.uniform(0, 9) * SECOND), message)
         if outcome is Outcome.TIMEOUT:
-            took = call.timeout
+            elapsed = call.timeout
         results = [outcome] * len(call.messages)
-        for i, part in enumerate(call.messages):
-            if applied or (mode == "part" and i % 2 == 0):
-                self.partner.apply_at(now + took // 2, part)
-            if mode == "part" and i % 2 == 0:
-                results[i] = Outcome.DELIVERED
-        self.time.call_at(now + took, lambda: self.over(call, results))
+        for index, message in enumerate(call.messages):
+            is_delivered_alone = mode == "part" and index % 2 == 0
+            if mode in APPLYING_MODES or is_delivered_alone:
+                self.partner.schedule_apply(now + elapsed // 2, message)
+            if is_delivered_alone:
+                results[index] = Outcome.DELIVERED
+        self.time.call_at(now + elapsed, lambda: self.end_call(call, results))
 
-    def over(self, call: Call, results: list[Outcome]) -> None:
-        from honeyhitch.dispatcher.delivery import CallResult
-
-        told = [(one, one is Outcome.DELIVERED) for one in results]
-        self.dispatcher.call_ended(call, CallResult(told))
+    def end_call(self, call: Call, outcomes: list[Outcome]) -> None:
+        """End the call with an outcome for each of its messages."""
+        results = [(outcome, outcome is Outcome.DELIVERED) for outcome in outcomes]
+        self.dispatcher.call_ended(call, CallResult(results))
 
 
 @dataclass
 class Client:
-    """What one client knows of its message, and the copies that it has brought."""
+    """What one client knows of its message, and when it submits a duplicate."""
 
     key: str
-    cls: int
-    dest: int
-    ids: list[str]
+    class_index: int
+    destination: int
+    ids: list[str]  # of the message and its duplicates
     answered: dict[str, Ending | None] = field(default_factory=dict)
+    duplicate_at: int | None = None
 
-    def hear(self, answer: Transaction) -> bool:
-        """Take a final answer; whether it is news. After a kill it may come again, and is the same then."""
+    def receive(self, answer: Transaction) -> bool:
+        """Take a final answer; whether it is the first. After a kill it may come again, and is the same."""
         assert self.answered.get(answer.id, answer.ending) is answer.ending, f"{answer.id}: two answers"
-        fresh = answer.id not in self.answered
+        is_first = answer.id not in self.answered
         self.answered[answer.id] = answer.ending
-        return fresh
-
-    copy_at: int | None = None
+        return is_first
 
 
-def plans(stand: ResendStand, found: list[Record]) -> dict[str, rules.Plan]:
+def plans_of(rig: ResendRig, records: list[Record]) -> dict[str, Plan]:
     """What the rules say of each record now."""
-    now, longest = stand.time.now(), {cls.name: cls.latency_objective for cls in CLASSES}
+    now = rig.time.now()
+    durations = {message_class.name: message_class.latency_objective for message_class in CLASSES}
     return {
-        one.id: rules.plan_record(one, stand.rule, stand.terms, now, longest[one.class_name]) for one in found
+        record.id: plan_record(record, rig.rules, rig.resend_settings, now, durations[record.class_name])
+        for record in records
     }
 
 
-def records(stand: ResendStand) -> list[Record]:
-    found = stand.store.page(RecordFilter(), limit=1000)
-    assert not [one.fault for one in found if one.fault]
-    return [one.record for one in found]
+def stored_records(rig: ResendRig) -> list[Record]:
+    """All records of the store, none of which may be altered."""
+    found = rig.store.page(RecordFilter(), limit=1000)
+    assert not [stored.fault for stored in found if stored.fault]
+    return [stored.record for stored in found]
 
 
-def step(stand: ResendStand, clients: list[Client], rng: random.Random, fresh: bool) -> None:
-    """A fifth of a second of the clients' day: new messages, and copies of what they were told to bring."""
-    now = stand.time.now()
-    if fresh and rng.random() < 0.25 and stand.dispatcher.accepting:
+def run_step(rig: ResendRig, clients: list[Client], rng: random.Random, new_messages: bool) -> None:
+    """A fifth of a second of the clients' day: new messages, and duplicates of rejected ones."""
+    now = rig.time.now()
+    if new_messages and rng.random() < 0.25 and rig.dispatcher.accepting:
         name = f"m{len(clients)}"
         client = Client(f"key-{name}", rng.randrange(3), rng.choice((1, 2)), [name])
         clients.append(client)
-        hand_in(stand, client, name)
+        submit(rig, client, name)
     for client in clients:
-        if client.copy_at is not None and client.copy_at <= now and stand.dispatcher.accepting:
-            client.copy_at = None
+        if client.duplicate_at is not None and client.duplicate_at <= now and rig.dispatcher.accepting:
+            client.duplicate_at = None
             name = f"{client.ids[0]}-{len(client.ids)}"
             client.ids.append(name)
-            hand_in(stand, client, name)
-    told = len(stand.answers)
+            submit(rig, client, name)
+    answers_before = len(rig.answers)
     try:
-        stand.run(0.2)
-    finally:  # what was sent before a kill was heard
-        for answer in stand.answers[told:]:
-            hear(next(one for one in clients if answer.id in one.ids), answer, stand.time.now(), rng)
-    stand.partner.run(stand.time.now())
+        rig.run(STEP_SECONDS)
+    finally:  # clients receive what was sent before a kill
+        for answer in rig.answers[answers_before:]:
+            client = next(client for client in clients if answer.id in client.ids)
+            receive_answer(client, answer, rig.time.now(), rng)
+    rig.partner.apply_due(rig.time.now())
 
 
-def hear(client: Client, answer: Transaction, now: int, rng: random.Random) -> None:
-    """A client that is told to bring its message again does so, mostly: late, early, or not at all."""
-    told_again = client.hear(answer) and answer.ending is Ending.REJECTED and len(client.ids) < 4
-    if told_again and rng.random() < 0.6:
-        client.copy_at = now + answer.retry_after + int(rng.uniform(0, 12) * SECOND)
+def receive_answer(client: Client, answer: Transaction, now: int, rng: random.Random) -> None:
+    """A client whose message was rejected mostly submits it again: late, early, or not at all."""
+    is_first = client.receive(answer)
+    may_repeat = is_first and answer.ending is Ending.REJECTED and len(client.ids) < MAX_SUBMISSIONS
+    if may_repeat and rng.random() < 0.6:
+        client.duplicate_at = now + answer.retry_after + int(rng.uniform(0, 12) * SECOND)
 
 
-def died(clients: list[Client], now: int, rng: random.Random) -> None:
-    """The dispatcher is gone: who has no answer may bring a copy, if a repeat does no harm."""
+def reconsider_after_kill(clients: list[Client], now: int, rng: random.Random) -> None:
+    """After a kill, a client without an answer may submit a duplicate if a repeat does no harm."""
     for client in clients:
-        waits = client.ids[-1] not in client.answered and len(client.ids) < 4
-        if waits and client.cls != UNSAFE and client.copy_at is None and rng.random() < 0.3:
-            client.copy_at = now + int(rng.uniform(1, 8) * SECOND)
-
-
-def hand_in(stand: ResendStand, client: Client, name: str) -> None:
-    one = Transaction(
-        name, client.cls, client.dest, stand.time.time + 6 * SECOND, b"body", key=client.key, frontend="mqtt"
+        waits = client.ids[-1] not in client.answered and len(client.ids) < MAX_SUBMISSIONS
+        may_repeat = client.class_index != UNSAFE and client.duplicate_at is None
+        if waits and may_repeat and rng.random() < 0.3:
+            client.duplicate_at = now + int(rng.uniform(1, 8) * SECOND)
+
+
+def submit(rig: ResendRig, client: Client, name: str) -> None:
+    """Submit the client's message under this id; if it is not accepted, again a second later."""
+    message = Transaction(
+        name,
+        client.class_index,
+        client.destination,
+        rig.time.time + DEADLINE,
+        b"body",
+        key=client.key,
+        frontend="mqtt",
     )
-    if not stand.dispatcher.submit(one).accepted:
+    if not rig.dispatcher.submit(message).accepted:
         client.ids.remove(name)
-        client.copy_at = stand.time.time + SECOND
+        client.duplicate_at = rig.time.time + SECOND
 
 
 @dataclass
-class Day:
+class DayResult:
     """What one run showed."""
 
     clients: list[Client]
-    stand: ResendStand
+    rig: ResendRig
     partner: Partner
     kills: int
-    steps: int
+    steps: int  # points at which a kill could strike
 
-    def doubled(self) -> list[str]:
-        """What was applied twice."""
-        classes = {client.key: client.cls for client in self.clients}
+    def applied_twice(self) -> list[str]:
+        """The keys that were applied twice although a repeat does harm."""
+        classes = {client.key: client.class_index for client in self.clients}
         return [key for key, times in self.partner.ledger.items() if len(times) > 1 and classes[key] != SAFE]
 
-    def unsettled(self) -> list[str]:
-        """What the rules would still have resent, or what is on its way and does not end."""
-        found = records(self.stand)
-        told = plans(self.stand, found)
-        moving = (rules.Step.RESEND, rules.Step.POSTPONE)
+    def unresolved(self) -> list[str]:
+        """What the rules would still have resent, or whose resend does not end."""
+        records = stored_records(self.rig)
+        plans = plans_of(self.rig, records)
         return [
-            f"{one.id} {one.status.value} {told[one.id].reason}"
-            for one in found
-            if one.status.value == "sending" or told[one.id].step in moving
+            f"{record.id} {record.status.value} {plans[record.id].reason}"
+            for record in records
+            if record.status is RecordStatus.RESENDING
+            or plans[record.id].step in (Step.RESEND, Step.POSTPONE)
         ]
 
 
-def day(folder: Path, seed: int, kill_at: tuple[int, ...] = (), length: int = 200, quiet: int = 700) -> Day:
-    """`length` steps in which all fail in mixed ways, and `quiet` in which the partners are well; killed at
-    these steps of writing, each counted from the start before it.
+def run_day(
+    folder: Path, seed: int, kill_at: tuple[int, ...] = (), failing_steps: int = 200, healthy_steps: int = 700
+) -> DayResult:
+    """Steps in which the receiver fails in mixed ways, and then steps in which it is healthy.
+
+    The process is killed at the points `kill_at`, each counted from the start before it.
     """
-    rng, clock, partner = random.Random(seed), VirtualTime(), Partner()
+    rng = random.Random(seed)
+    clock = VirtualTime()
+    partner = Partner()
     clients: list[Client] = []
     folder.mkdir(parents=True, exist_ok=True)
-    kills, steps, at = list(kill_at), 0, 0
+    kills = list(kill_at)
+    points_passed = 0
+    step = 0
     while True:
-        points = Points(kills.pop(0) if kills else -1)
-        stand: ResendStand | None = None
+        kill_points = KillPoints(kills.pop(0) if kills else NEVER_KILLED)
+        rig: ResendRig | None = None
         try:
-            stand = ResendStand(folder, clock, partner, rng, points)
-            while at < length + quiet:
-                if at >= length:
-                    stand.modes = ("deliver",)
-                at += 1
-                step(stand, clients, rng, fresh=at < length)
-            steps += points.seen
-            return Day(clients, stand, partner, len(kill_at) - len(kills), steps)
+            rig = ResendRig(folder, clock, partner, rng, kill_points)
+            while step < failing_steps + healthy_steps:
+                if step >= failing_steps:
+                    rig.modes = ("deliver",)
+                step += 1
+                run_step(rig, clients, rng, new_messages=step < failing_steps)
+            points_passed += kill_points.count
+            return DayResult(clients, rig, partner, len(kill_at) - len(kills), points_passed)
         except Killed:
-            steps += points.seen
-            assert stand is not None
-            stand.gone()
-            died(clients, clock.time, rng)
+            points_passed += kill_points.count
+            assert rig is not None
+            rig.close_as_killed()
+            reconsider_after_kill(clients, clock.time, rng)
             clock.time += SECOND
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -1,4 +1,4 @@
-"""What may be sent again: each class, each past, each side of each edge, against a partner's own memory."""
+"""What may be resent: each class and history, both sides of each limit, against the receiver's own memory."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 from .world import SECOND
 
-NOW, GRACE, LONGEST, WINDOW = 1000 * SECOND, 2 * SECOND, SECOND, 5 * SECOND
-SAFE, KEYED, UNSAFE = (
-    Idempotency.IDEMPOTENT,
-    Idempotency.IDEMPOTENCY_KEY,
-    Idempotency.NON_IDEMPOTENT,
-)
+NOW = 1000 * SECOND
+GRACE = 2 * SECOND
+RESEND_DURATION = SECOND
+WINDOW = 5 * SECOND
+SAFE = Idempotency.IDEMPOTENT
+KEYED = Idempotency.IDEMPOTENCY_KEY
+UNSAFE = Idempotency.NON_IDEMPOTENT
 
 
 @pytest.mark.parametrize(
-    ("past", "verdict", "reason"),
+    ("history", "verdict", "reason"),
     [
         (ExecutionHistory(SAFE), Verdict.RESEND, "never-ran"),
         (ExecutionHistory(UNSAFE), Verdict.RESEND, "never-ran"),
@@ -53,24 +54,27 @@
         ),
     ],
 )
-def test_each_case(past: ExecutionHistory, verdict: Verdict, reason: str) -> None:
-    told = decide_resend(past, NOW, GRACE, LONGEST)
-    assert (told.verdict, told.reason) == (verdict, reason)
+def test_each_case(history: ExecutionHistory, verdict: Verdict, reason: str) -> None:
+    decision = decide_resend(history, NOW, GRACE, RESEND_DURATION)
+    assert (decision.verdict, decision.reason) == (verdict, reason)
 
 
 @given(
-    effect=st.sampled_from(list(Idempotency)),
-    ran_ago=st.none() | st.integers(0, 20 * SECOND),
-    takes=st.integers(0, LONGEST),
+    idempotency=st.sampled_from(list(Idempotency)),
+    executed_ago=st.none() | st.integers(0, 20 * SECOND),
+    duration=st.integers(0, RESEND_DURATION),
 )
 def test_no_resend_that_is_allowed_is_applied_twice(
-    effect: Idempotency, ran_ago: int | None, takes: int
+    idempotency: Idempotency, executed_ago: int | None, duration: int
 ) -> None:
-    """The partner applied the first attempt, if it ran, and drops a repeat inside the window only."""
-    first = None if ran_ago is None else NOW - ran_ago
-    told = decide_resend(
-        ExecutionHistory(effect, WINDOW if effect is KEYED else 0, first), NOW, GRACE, LONGEST
+    """The receiver applied the first attempt, if any, and drops a repeat inside the window only."""
+    first = None if executed_ago is None else NOW - executed_ago
+    decision = decide_resend(
+        ExecutionHistory(idempotency, WINDOW if idempotency is KEYED else 0, first),
+        NOW,
+        GRACE,
+        RESEND_DURATION,
     )
-    if told.verdict is Verdict.RESEND and first is not None and effect is not SAFE:
-        assert effect is KEYED
-        assert NOW + takes <= first + WINDOW
+    if decision.verdict is Verdict.RESEND and first is not None and idempotency is not SAFE:
+        assert idempotency is KEYED
+        assert NOW + duration <= first + WINDOW
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -1,4 +1,4 @@
-"""The program with a store: a message fails, is kept, and is looked at through the control socket."""
+"""The program with a store of dead letters, its control socket, and the commands on undelivered messages."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 import os
 import signal
 import socket
+import sqlite3
 import stat
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -19,8 +21,9 @@
 
 from honeyhitch import config
 from honeyhitch.cli.main import main
+from honeyhitch.dead_letters.files import StoreError
 from honeyhitch.dead_letters.filters import RecordFilter
-from honeyhitch.dead_letters.records import RecordStatus
+from honeyhitch.dead_letters.records import Record, RecordStatus
 from honeyhitch.dead_letters.report import Disposition, Report
 from honeyhitch.dead_letters.resend_scheduler import ResendScheduler
 from honeyhitch.dead_letters.settings import ResendSettings
@@ -31,6 +34,7 @@
 from .agent import Agent
 from .broker import Broker
 from .partner import Partner
+from .polling import poll_until
 from .program import free_port, play, started, write
 from .rig import START, endpoint_row
 from .test_dead_letters_store import record
@@ -40,11 +44,11 @@
 SETTLED = "the partner's books"
 
 
-def cli(folder: Path, *words: str, code: int = 0) -> str:
-    """A command's output, without a dispatcher being asked where none runs."""
-    told: Result = CliRunner().invoke(main, ["undelivered", *words], catch_exceptions=False)
-    assert told.exit_code == code, told.output
-    return told.stdout
+def cli(*words: str, code: int = 0) -> str:
+    """The output of a command, which must end with this exit code."""
+    result: Result = CliRunner().invoke(main, ["undelivered", *words], catch_exceptions=False)
+    assert result.exit_code == code, result.output
+    return result.stdout
 
 
 async def hand_in(
@@ -58,12 +62,13 @@
     writer.close()
 
 
-async def until(what: Any) -> Any:
-    while True:
-        found = await asyncio.to_thread(what)
-        if found:
-            return found
-        await asyncio.sleep(0.02)
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition, checked in a thread, holds."""
+
+    async def holds() -> bool:
+        return bool(await asyncio.to_thread(condition))
+
+    await poll_until(holds)
 
 
 def test_a_message_that_fails_is_kept_and_shown_by_the_running_program(tmp_path: Path) -> None:
@@ -78,27 +83,26 @@
             where = ["--config", str(tmp_path / "config.json"), "--operator", str(tmp_path / "operator.toml")]
 
             def listed() -> Any:
-                return json.loads(cli(tmp_path, *where, "list", "--json"))["records"]
-
-            (one,) = await until(listed)
-            assert (one["id"], one["reason"], one["may_have_run"], one["intact"]) == (
-                "m1",
-                "error",
-                True,
-                True,
-            )
-            assert len(one["attempts"]) == partner.calls
-            assert one["attempts"][0]["member"] == "s-1"
-            await until(lambda: "m1" in agent.notices)
-            text = await asyncio.to_thread(cli, tmp_path, *where, "show", "m1")
+                return json.loads(cli(*where, "list", "--json"))["records"]
+
+            await wait_until(listed)
+            (exported,) = await asyncio.to_thread(listed)
+            assert exported["id"] == "m1"
+            assert exported["reason"] == "error"
+            assert exported["may_have_run"] is True
+            assert exported["intact"] is True
+            assert len(exported["attempts"]) == partner.calls
+            assert exported["attempts"][0]["member"] == "s-1"
+            await wait_until(lambda: "m1" in agent.notices)
+            text = await asyncio.to_thread(cli, *where, "show", "m1")
             assert "=1+1 é" in text
             assert "s-1" in text
             assert "error" in text
-            told = await asyncio.to_thread(cli, tmp_path, *where, "settle", "m1", "--why", SETTLED)
-            assert "settle 1 m1" in told
-            told = await asyncio.to_thread(cli, tmp_path, *where, "verify", "--json")
-            assert json.loads(told) == {"records": 1, "faults": []}
-            state = json.loads(await asyncio.to_thread(cli, tmp_path, *where, "state"))
+            text = await asyncio.to_thread(cli, *where, "settle", "m1", "--why", SETTLED)
+            assert "settle 1 m1" in text
+            text = await asyncio.to_thread(cli, *where, "verify", "--json")
+            assert json.loads(text) == {"records": 1, "faults": []}
+            state = json.loads(await asyncio.to_thread(cli, *where, "state"))
             assert state["undelivered"]["moved"] == 1
             assert state["undelivered"]["loaded"]
             client = ControlClient(control)
@@ -110,18 +114,15 @@
                 ("GET", "/undelivered/list", None, "/undelivered/list: expected POST"),
                 ("POST", "/undelivered/list", {"most": -1}, "most: expected a whole number"),
             ):
-                try:
+                with pytest.raises(ControlCommandError) as rejected:
                     await asyncio.to_thread(client.request, method, path, body)
-                except ControlCommandError as refused:
-                    assert str(refused).startswith(error)
-                else:
-                    raise AssertionError(f"{path} was not refused")
+                assert str(rejected.value).startswith(error)
             client.close()
         assert not control.exists()
         # The daemon is down: the same commands read the files.
-        (one,) = json.loads(await asyncio.to_thread(cli, tmp_path, *where, "list", "--json"))["records"]
-        assert one["standing"] == "settled"
-        assert one["settled_by"].startswith("person:")
+        (exported,) = await asyncio.to_thread(listed)
+        assert exported["standing"] == "settled"
+        assert exported["settled_by"].startswith("person:")
 
     play(work())
 
@@ -154,23 +155,26 @@
         operator = f'[undelivered]\nfolder = "{tmp_path}/file"\n'
         async with started(tmp_path, agent.port, members, operator) as port:
             await hand_in(port, "m1")
-            await until(lambda: "m1" in agent.notices)
+            await wait_until(lambda: "m1" in agent.notices)
             partner.status = 200
             calls = partner.calls
             await hand_in(port, "m2", left=15_000)
-            await until(lambda: partner.calls > calls)
+            await wait_until(lambda: partner.calls > calls)
         os.unlink(tmp_path / "file")
         async with started(tmp_path, agent.port, members, operator):
-            await until(lambda: (tmp_path / "file" / "undelivered.db").exists() and kept(tmp_path / "file"))
-        assert [one.id for one in kept(tmp_path / "file")] == ["m1"]
+            await wait_until(
+                lambda: (tmp_path / "file" / "undelivered.db").exists() and kept(tmp_path / "file")
+            )
+        assert [record.id for record in kept(tmp_path / "file")] == ["m1"]
 
     play(work())
 
 
-def kept(folder: Path) -> list[Any]:
+def kept(folder: Path) -> list[Record]:
+    """The records of a store, none while it cannot be opened."""
     try:
         store = Store(folder, writes=False)
-    except Exception:
+    except (StoreError, sqlite3.Error):  # it is not there yet
         return []
     try:
         return [one.record for one in store.page(RecordFilter())]
@@ -179,6 +183,7 @@
 
 
 def filled(folder: Path, count: int = 120) -> list[str]:
+    """Fill a store; the options of a command that name it."""
     store = Store(folder, clock=lambda: START)
     store.add(
         [record(ran=i % 2 == 0, tenant=f"t{i % 3}", destination=i % 4, body=b"=cmd()") for i in range(count)]
@@ -189,51 +194,50 @@
 
 def test_pages_tables_and_exports(tmp_path: Path) -> None:
     where = filled(tmp_path / "s")
-    text = cli(tmp_path, *where, "list", "--limit", "10", "--dest", "2")
+    text = cli(*where, "list", "--limit", "10", "--dest", "2")
     assert len(text.splitlines()) == 13
     assert "there may be more: --after 39" in text
-    assert cli(tmp_path, *where, "list", "--tenant", "nobody") == "none\n"
-    page = json.loads(cli(tmp_path, *where, "list", "--json", "--limit", "1000", "--never-ran"))
+    assert cli(*where, "list", "--tenant", "nobody") == "none\n"
+    page = json.loads(cli(*where, "list", "--json", "--limit", "1000", "--never-ran"))
     assert len(page["records"]) == 60
     assert not page["more"]
-    text = cli(tmp_path, *where, "stats", "--by", "tenant", "--by", "may_have_run", "--by", "day")
+    text = cli(*where, "stats", "--by", "tenant", "--by", "may_have_run", "--by", "day")
     assert "120 of 100000 records" in text
     assert text.count("2023-11-14") == 6
-    rows = list(csv.DictReader(io.StringIO(cli(tmp_path, *where, "export", "--tenant", "t1"))))
-    assert len(rows) == 40 and {one["body"] for one in rows} == {"'=cmd()"}, (
-        "no formula reaches a spreadsheet"
-    )
-    lines = cli(tmp_path, *where, "export", "--format", "jsonl").splitlines()
+    rows = list(csv.DictReader(io.StringIO(cli(*where, "export", "--tenant", "t1"))))
+    assert len(rows) == 40
+    assert {row["body"] for row in rows} == {"'=cmd()"}, "no formula reaches a spreadsheet"
+    lines = cli(*where, "export", "--format", "jsonl").splitlines()
     assert len(lines) == 120
     assert json.loads(lines[0])["body"] == "=cmd()"
     out = tmp_path / "out.csv"
-    cli(tmp_path, *where, "export", "--output", str(out))
+    cli(*where, "export", "--output", str(out))
     assert len(out.read_text().splitlines()) == 121
-    cli(tmp_path, *where, "export", "--output", str(out), code=1)
-    assert cli(tmp_path, *where, "list", "--since", "1h") == "none\n"
-    assert len(cli(tmp_path, *where, "list", "--until", "2023-11-15").splitlines()) > 40
-    cli(tmp_path, *where, "list", "--since", "soon", code=2)
+    cli(*where, "export", "--output", str(out), code=1)
+    assert cli(*where, "list", "--since", "1h") == "none\n"
+    assert len(cli(*where, "list", "--until", "2023-11-15").splitlines()) > 40
+    cli(*where, "list", "--since", "soon", code=2)
 
 
 def test_changes_want_names_and_a_reason(tmp_path: Path) -> None:
     where = filled(tmp_path / "s", 450)
-    cli(tmp_path, *where, "discard", "--why", "x", code=2)  # nothing chosen is not everything
-    cli(tmp_path, *where, "discard", "3", "--tenant", "t1", "--why", "x", code=2)
-    cli(tmp_path, *where, "discard", "3", code=2)
-    cli(tmp_path, *where, "show", "nobody", code=1)
-    assert "would discard 3" in cli(tmp_path, *where, "discard", "3", "--why", "x", "--dry-run")
-    assert "1 done, 0 left" in cli(tmp_path, *where, "discard", "3", "--why", "x")
-    assert "0 done, 1 left" in cli(tmp_path, *where, "discard", "3", "--why", "x", code=1)
-    told = cli(tmp_path, *where, "release", "--all", "--evidence", "letter of today")
-    assert "224 done, 226 left" in told
-    assert "150 were deleted" not in cli(tmp_path, *where, "purge", "--all", "--why", "old")
-    assert "449 done" in cli(tmp_path, *where, "discard", "--all", "--why", "the year is closed")
-    assert "449 would be deleted" in cli(tmp_path, *where, "purge", "--all", "--why", "old", "--dry-run")
-    assert "449 were deleted" in cli(tmp_path, *where, "purge", "--all", "--why", "old")
-    assert cli(tmp_path, *where, "list") == "none\n"
-    assert len(cli(tmp_path, *where, "audit").splitlines()) == 1 + 224 + 1 + 449 + 449
-    assert "sealed with key 2" in cli(tmp_path, *where, "rekey")
-    assert "0 records, 0 faults" in cli(tmp_path, *where, "verify")
+    cli(*where, "discard", "--why", "x", code=2)  # nothing chosen is not everything
+    cli(*where, "discard", "3", "--tenant", "t1", "--why", "x", code=2)
+    cli(*where, "discard", "3", code=2)
+    cli(*where, "show", "nobody", code=1)
+    assert "would discard 3" in cli(*where, "discard", "3", "--why", "x", "--dry-run")
+    assert "1 done, 0 left" in cli(*where, "discard", "3", "--why", "x")
+    assert "0 done, 1 left" in cli(*where, "discard", "3", "--why", "x", code=1)
+    text = cli(*where, "release", "--all", "--evidence", "letter of today")
+    assert "224 done, 226 left" in text
+    assert "150 were deleted" not in cli(*where, "purge", "--all", "--why", "old")
+    assert "449 done" in cli(*where, "discard", "--all", "--why", "the year is closed")
+    assert "449 would be deleted" in cli(*where, "purge", "--all", "--why", "old", "--dry-run")
+    assert "449 were deleted" in cli(*where, "purge", "--all", "--why", "old")
+    assert cli(*where, "list") == "none\n"
+    assert len(cli(*where, "audit").splitlines()) == 1 + 224 + 1 + 449 + 449
+    assert "sealed with key 2" in cli(*where, "rekey")
+    assert "0 records, 0 faults" in cli(*where, "verify")
 
 
 def test_verify_names_what_was_altered(tmp_path: Path) -> None:
@@ -241,20 +245,20 @@
     store = Store(tmp_path / "s")
     store.database.execute("UPDATE detail SET body = 'other' WHERE seq = 2")
     store.close()
-    assert "record 2 (" in cli(tmp_path, *where, "verify", code=1)
-    assert "ALTERED" in cli(tmp_path, *where, "list")
-    assert "ALTERED ON DISK" in cli(tmp_path, *where, "show", "2")
-    assert "1 were deleted" in cli(tmp_path, *where, "purge", "2", "--altered", "--why", "seen")
+    assert "record 2 (" in cli(*where, "verify", code=1)
+    assert "ALTERED" in cli(*where, "list")
+    assert "ALTERED ON DISK" in cli(*where, "show", "2")
+    assert "1 were deleted" in cli(*where, "purge", "2", "--altered", "--why", "seen")
 
 
 def test_a_store_in_use_is_told(tmp_path: Path) -> None:
     where = filled(tmp_path / "s", 3)
     store = Store(tmp_path / "s")
-    told = CliRunner().invoke(main, ["undelivered", *where, "discard", "1", "--why", "x"])
-    assert told.exit_code == 1
-    assert "writes this store already" in told.output
+    result = CliRunner().invoke(main, ["undelivered", *where, "discard", "1", "--why", "x"])
+    assert result.exit_code == 1
+    assert "writes this store already" in result.output
     store.close()
-    assert len(cli(tmp_path, *where, "list").splitlines()) == 5
+    assert len(cli(*where, "list").splitlines()) == 5
 
 
 def test_a_socket_that_nobody_answers_is_taken_over_and_one_that_is_answered_is_not(tmp_path: Path) -> None:
@@ -291,10 +295,13 @@
         ]
     )
     store.database.execute("UPDATE record SET tenant = 'other' WHERE seq = 7")
-    told = Report(ResendSettings(), START, "invoice.total")
-    told.add(store.iterate(RecordFilter()))
+    report = Report(ResendSettings(), START, "invoice.total")
+    report.add(store.iterate(RecordFilter()))
     store.close()
-    sums = {fate: (cell.count, str(cell.amount), cell.without_amount) for fate, cell in told.total.items()}
+    sums = {
+        disposition: (cell.count, str(cell.amount), cell.without_amount)
+        for disposition, cell in report.total.items()
+    }
     assert sums == {
         Disposition.SAFE: (1, "10.25", 0),
         Disposition.NOT_SAFE: (1, "10.25", 0),
@@ -303,8 +310,8 @@
         Disposition.DISCARDED: (1, "0", 1),
         Disposition.ALTERED: (1, "0", 1),
     }
-    assert told.replaced == 1
-    assert set(told.groups["destination"]) == {"1", "2", "10"}
+    assert report.replaced == 1
+    assert set(report.groups["destination"]) == {"1", "2", "10"}
     out = tmp_path / "report.html"
     words = [
         "--store",
@@ -315,13 +322,13 @@
         "--amount-field",
         "invoice.total",
     ]
-    assert "6 messages in" in cli(tmp_path, *words)
+    assert "6 messages in" in cli(*words)
     page = out.read_text()
     assert "&lt;b&gt;one&lt;/b&gt;" in page
     assert "<b>one" not in page
     assert page.index("<td>2</td>") < page.index("<td>10</td>")
     assert "2023-11-14" in page
-    cli(tmp_path, *words, code=1)  # a page is not written over
+    cli(*words, code=1)  # a page is not written over
 
 
 RULES = """
@@ -366,8 +373,7 @@
         store.close()
         async with started(tmp_path, agent.port, members, rules.format(broker=broker.port)) as port:
             client.connect(broker.port)
-            while not broker.subscribed("n0-intake", "client"):
-                await asyncio.sleep(0.01)
+            await wait_until(lambda: broker.subscribed("n0-intake", "client"))
 
             async def copy() -> None:
                 if front == "resp":
@@ -377,21 +383,21 @@
 
             if first == "copy":
                 await copy()
-                await until(lambda: partner.calls == 1)
+                await wait_until(lambda: partner.calls == 1)
                 (tmp_path / "operator.toml").write_text(RULES.format(broker=broker.port))
                 os.kill(os.getpid(), signal.SIGHUP)
             else:
-                await until(lambda: partner.calls == 1)
+                await wait_until(lambda: partner.calls == 1)
                 await copy()
             # What may go out has its chance: the other one's message goes to the partner meanwhile.
             await hand_in(port, "other", left=15_000)
-            await until(lambda: partner.calls == 2)
+            await wait_until(lambda: partner.calls == 2)
             partner.go.set()
             if front == "mqtt":
                 await client.until(1)
                 assert client.answers["copy"][0]["status"] == "delivered"
             folder = tmp_path / "state" / "undelivered"
-            await until(lambda: [one.status for one in kept(folder)] == [RecordStatus.SETTLED])
+            await wait_until(lambda: [record.status for record in kept(folder)] == [RecordStatus.SETTLED])
         client.paho.disconnect()
         client.paho.loop_stop()
         (one,) = kept(tmp_path / "state" / "undelivered")
@@ -405,7 +411,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     held: list[Any] = []
-    monkeypatch.setattr(ResendScheduler, "load", lambda _self, on_ready: held.append(on_ready))
+    monkeypatch.setattr(ResendScheduler, "load", lambda _, on_ready: held.append(on_ready))
     management = free_port()
 
     async def asked(port: int, line: bytes) -> bytes:
@@ -423,7 +429,7 @@
             while not held:
                 assert not task.done(), task.exception()
                 await asyncio.sleep(0)
-            await until(lambda: waits_at(port))
+            await wait_until(lambda: waits_at(port))
             assert await asked(port, b"PING\r\n") == b"-LOADING not ready\r\n"
             assert await asked(management, b"status\n") == b"-ERR status: starting\r\n"
             held[0]()
