--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from honeyhitch.tls.certificates import CertificateInfo
     from honeyhitch.tls.partners import Partners
-    from honeyhitch.transports.tls_probe import Seen
+    from honeyhitch.transports.tls_probe import ProbeResult
 
 # Stands for an instance's settings where only files are checked: nothing of it matters to trust or names.
 PLACEHOLDER_SETTINGS = Settings(
@@ -102,7 +102,7 @@
     tls_settings = TlsSettings(tuple(configured))
     for endpoint in pool.endpoints.values():
         kind = config.settings.kind(endpoint.kind).name
-        partner = tls_settings.partner_of(endpoint.id, endpoint.destination, kind)
+        partner = tls_settings.find_partner(endpoint.id, endpoint.destination, kind)
         if partner is not None:
             targets.append((partner, endpoint.address))
     if config.operator.mqtt is not None:
@@ -111,7 +111,7 @@
     return targets
 
 
-def _expiry_warnings(certificates: list[Facts], warn_days: int) -> list[str]:
+def _expiry_warnings(certificates: list[CertificateInfo], warn_days: int) -> list[str]:
     now = time.time_ns()
     warnings = list[str]()
     for certificate in certificates:
@@ -121,7 +121,7 @@
     return warnings
 
 
-def _report_certificate(certificate: Facts) -> dict[str, Any]:
+def _report_certificate(certificate: CertificateInfo) -> dict[str, Any]:
     return {
         "subject": certificate.subject,
         "issuer": certificate.issuer,
@@ -136,7 +136,7 @@
 
 
 def _report_files(partners: Partners, partner: Partner, warn_days: int | None) -> Report:
-    material = partners.known[partner].material
+    material = partners.states[partner].material
     own, terms = material.own, partner.terms
     report: Report = {
         "partner": partner.name,
@@ -166,27 +166,27 @@
 async def _report_connections(
     partners: Partners, targets: list[Target], warn_days: int | None
 ) -> list[Report]:
-    from honeyhitch.transports.tls_probe import look
+    from honeyhitch.transports.tls_probe import probe
 
     reports = list[Report]()
     for partner, address in targets:
-        seen = await look(partners, partners.known[partner], address)
+        result = await probe(partners, partners.states[partner], address)
         partner_warn_days = partner.terms.warn_days if warn_days is None else warn_days
-        reports.append(_report_connection(partner, address, seen, partner_warn_days))
+        reports.append(_report_connection(partner, address, result, partner_warn_days))
     return reports
 
 
-def _report_connection(partner: Partner, address: str, seen: Seen, warn_days: int) -> Report:
+def _report_connection(partner: Partner, address: str, result: ProbeResult, warn_days: int) -> Report:
     return {
         "partner": partner.name,
         "address": address,
-        "failure": seen.failure,
-        "reason": seen.reason,
-        "version": seen.version,
-        "cipher": seen.cipher,
-        "resumes": seen.resumes,
-        "chain": [_report_certificate(certificate) for certificate in seen.chain],
-        "warnings": _expiry_warnings(seen.chain, warn_days),
+        "failure": result.failure,
+        "reason": result.reason,
+        "version": result.version,
+        "cipher": result.cipher,
+        "resumes": result.resumes,
+        "chain": [_report_certificate(certificate) for certificate in result.chain],
+        "warnings": _expiry_warnings(result.chain, warn_days),
     }
 
 
