--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -43,7 +43,7 @@
             writer.close()
 
 
-def test_discovery_endpoints_and_notices_get_theirs_while_idle_clients_fill_the_descriptors(
+def test_discovery_calls_and_notices_get_descriptors_while_idle_clients_use_up_the_rest(
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
@@ -84,7 +84,7 @@
     play(work())
 
 
-def test_nine_in_ten_of_those_restarted_at_once_are_ready_in_time(tmp_path: Path) -> None:
+def test_nine_in_ten_processes_restarted_together_are_ready_in_time(tmp_path: Path) -> None:
     async def work() -> None:
         events = Changes()
         partner = await CountingEndpoint(events.notify, replies=False).start()
@@ -112,7 +112,9 @@
                 await until_ready(process, port)
                 start_times.append(time.monotonic() - started_at)
 
-            await asyncio.gather(*(timed(*one) for one in zip(processes, paths, strict=True)))
+            await asyncio.gather(
+                *(timed(process, port) for process, port in zip(processes, paths, strict=True))
+            )
             in_time = sum(seconds <= READY_WITHIN for seconds in start_times)
             assert in_time >= 0.9 * RESTARTED, sorted(start_times)
             for port, path in paths.items():
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""Lists from discovery that are late, repeated or broken: each has one stated outcome."""
+"""Lists from discovery that are late, repeated or malformed: each has one stated outcome."""
 
 from __future__ import annotations
 
@@ -19,37 +19,41 @@
 from .world import settings
 
 
-def pool() -> EndpointPool:
-    made = EndpointPool(settings())
-    made.update({"revision": 5, "complete": True, "members": [endpoint_row("a", 1), endpoint_row("b", 1)]})
-    return made
+@pytest.fixture
+def endpoint_pool() -> EndpointPool:
+    """Knows endpoints a and b, by a complete list of revision 5."""
+    endpoint_pool = EndpointPool(settings())
+    endpoint_pool.update(
+        {"revision": 5, "complete": True, "members": [endpoint_row("a", 1), endpoint_row("b", 1)]}
+    )
+    return endpoint_pool
 
 
 def change(revision: object, *members: object) -> dict[str, Any]:
     return {"revision": revision, "complete": False, "members": list(members)}
 
 
-def test_a_late_change_does_not_bring_back_what_went_since() -> None:
-    one = pool()
-    one.update(change(6, endpoint_row("a", 1, phase="Terminating")))
-    one.update(change(7, endpoint_row("b", 1, phase="Gone")))
-    with pytest.raises(PoolError, match="revision"):  # the watch breaks, and the whole list is asked for
-        one.update(change(4, endpoint_row("a", 1), endpoint_row("b", 1)))
-    assert one.revision == 7
-    assert one.endpoints["a"].status is EndpointStatus.DRAINING
-    assert "b" not in one.endpoints
+def test_a_late_change_does_not_restore_endpoints_removed_since(endpoint_pool: EndpointPool) -> None:
+    endpoint_pool.update(change(6, endpoint_row("a", 1, phase="Terminating")))
+    endpoint_pool.update(change(7, endpoint_row("b", 1, phase="Gone")))
+    with pytest.raises(PoolError, match="revision"):  # the watch breaks, and the complete list is requested
+        endpoint_pool.update(change(4, endpoint_row("a", 1), endpoint_row("b", 1)))
+    assert endpoint_pool.revision == 7
+    assert endpoint_pool.endpoints["a"].status is EndpointStatus.DRAINING
+    assert "b" not in endpoint_pool.endpoints
 
 
-def test_a_repeated_change_is_harmless_and_a_whole_list_of_any_revision_holds() -> None:
-    one = pool()
+def test_a_repeated_change_is_harmless_and_a_complete_list_of_any_revision_counts(
+    endpoint_pool: EndpointPool,
+) -> None:
     for _ in range(2):
-        one.update(change(6, endpoint_row("c", 2)))
-    assert sorted(one.endpoints) == ["a", "b", "c"]
-    one.update(
+        endpoint_pool.update(change(6, endpoint_row("c", 2)))
+    assert sorted(endpoint_pool.endpoints) == ["a", "b", "c"]
+    endpoint_pool.update(
         {"revision": 2, "complete": True, "members": [endpoint_row("a", 1)]}
-    )  # an agent that counts anew
-    assert sorted(one.endpoints) == ["a"]
-    assert one.revision == 2
+    )  # an agent whose revisions restarted
+    assert sorted(endpoint_pool.endpoints) == ["a"]
+    assert endpoint_pool.revision == 2
 
 
 @pytest.mark.parametrize(
@@ -66,39 +70,40 @@
         ({"size": None}, "members"),
     ],
 )
-def test_a_row_that_cannot_be_read_is_named_and_changes_nothing(bad: dict[str, Any], named: str) -> None:
-    one = pool()
+def test_an_unreadable_row_is_named_and_changes_nothing(
+    endpoint_pool: EndpointPool, bad: dict[str, Any], named: str
+) -> None:
     with pytest.raises(PoolError, match=named):
-        one.update(change(6, endpoint_row("c", 1), {**endpoint_row("d", 1), **bad}))
-    assert sorted(one.endpoints) == ["a", "b"]
-    assert one.revision == 5
+        endpoint_pool.update(change(6, endpoint_row("c", 1), {**endpoint_row("d", 1), **bad}))
+    assert sorted(endpoint_pool.endpoints) == ["a", "b"]
+    assert endpoint_pool.revision == 5
 
 
 @pytest.mark.parametrize("revision", [None, "x", float("inf"), float("nan"), [1]])
-def test_a_revision_that_is_no_number_is_no_crash(revision: object) -> None:
+def test_a_revision_that_is_no_number_is_a_pool_error(endpoint_pool: EndpointPool, revision: object) -> None:
     with pytest.raises(PoolError):
-        pool().update(change(revision, endpoint_row("c", 1)))
+        endpoint_pool.update(change(revision, endpoint_row("c", 1)))
 
 
 @pytest.mark.parametrize("value", [0, -3])
-def test_a_count_below_one_is_named_by_the_platforms_key(tmp_path: Path, value: int) -> None:
-    told = copy.deepcopy(SETTINGS) | {"replicas-of-me": value}
+def test_a_count_below_one_is_reported_under_its_key(tmp_path: Path, value: int) -> None:
+    file_settings = copy.deepcopy(SETTINGS) | {"replicas-of-me": value}
     with pytest.raises(config.ConfigError, match=r"settings\.replicas-of-me: must be at least 1"):
-        config.read({}, *write(tmp_path, 1, 1, [], settings=told))
-    del told["replicas-of-me"]
-    assert config.read({}, *write(tmp_path, 1, 1, [], settings=told)).settings.instance_count == 1
+        config.read({}, *write(tmp_path, 1, 1, [], settings=file_settings))
+    del file_settings["replicas-of-me"]
+    assert config.read({}, *write(tmp_path, 1, 1, [], settings=file_settings)).settings.instance_count == 1
 
 
 @pytest.mark.parametrize("row", [7, "s-1", None, [], {}])
 @pytest.mark.parametrize(
-    "keeps",
+    "accepts",
     [None, lambda _: True, lambda _: False],
-    ids=["all are kept", "each is asked for and kept", "each is asked for and left out"],
+    ids=["no filter", "a filter that accepts all", "a filter that accepts none"],
 )
-def test_a_row_that_is_no_member_is_a_pool_error_whatever_is_kept(
-    row: object, keeps: Callable[[int], bool] | None
+def test_a_row_that_is_no_object_is_a_pool_error_whatever_the_pool_accepts(
+    row: object, accepts: Callable[[int], bool] | None
 ) -> None:
-    one = EndpointPool(settings())
-    one.accepts_destination = keeps
+    endpoint_pool = EndpointPool(settings())
+    endpoint_pool.accepts_destination = accepts
     with pytest.raises(PoolError, match="members"):
-        one.update({"revision": 1, "complete": True, "members": [row]})
+        endpoint_pool.update({"revision": 1, "complete": True, "members": [row]})
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -32,8 +32,8 @@
 def state(journal: Journal) -> dict[str, object]:
     rows = {name: dataclasses.asdict(known) for name, known in journal.messages.by_id.items()}
     return {
-        "held": rows,
-        "ended": dict(journal.messages.concluded),
+        "messages": rows,
+        "concluded": dict(journal.messages.concluded),
         "keys": dict(journal.messages.delivered_keys),
     }
 
@@ -59,37 +59,37 @@
     return found
 
 
-def test_cut_at_every_offset_the_last_whole_record_counts(tmp_path: Path) -> None:
+def test_after_a_cut_at_any_offset_the_last_complete_record_counts(tmp_path: Path) -> None:
     (tmp_path / "full").mkdir()
     journal = opened(tmp_path / "full")
-    told = story(journal)
+    states = story(journal)
     data = journal.path.read_bytes()
-    assert len(data) == journal.size == told[-1][0]
+    assert len(data) == journal.size == states[-1][0]
     cut = tmp_path / "cut"
     cut.mkdir()
     for length in range(len(data) + 1):
         (cut / "journal").write_bytes(data[:length])
-        (cut / "journal.new").write_bytes(data[: length // 2])  # a compaction that was cut short
-        again = opened(cut)
-        assert state(again) == [then for size, then in told if size <= length][-1]
-        again.record_accepted(transaction("z"))  # and it goes on behind the cut
-        again.close()
-        last = opened(cut)
-        assert "z" in last.messages.by_id
-        assert not last.new_path.exists()
-        last.close()
+        (cut / "journal.new").write_bytes(data[: length // 2])  # a compaction that was interrupted
+        replayed = opened(cut)
+        assert state(replayed) == [then for size, then in states if size <= length][-1]
+        replayed.record_accepted(transaction("z"))  # and records follow the cut
+        replayed.close()
+        reopened = opened(cut)
+        assert "z" in reopened.messages.by_id
+        assert not reopened.new_path.exists()
+        reopened.close()
 
 
 def test_a_flipped_byte_ends_the_replay_there(tmp_path: Path) -> None:
     journal = opened(tmp_path)
-    told = story(journal)
+    states = story(journal)
     data = bytearray(journal.path.read_bytes())
-    data[told[3][0] + 20] ^= 1
+    data[states[3][0] + 20] ^= 1
     journal.path.write_bytes(data)
-    assert state(opened(tmp_path)) == told[3][1]
+    assert state(opened(tmp_path)) == states[3][1]
 
 
-def test_compaction_keeps_what_is_owed_and_remembered(tmp_path: Path) -> None:
+def test_compaction_preserves_pending_and_remembered_messages(tmp_path: Path) -> None:
     journal = opened(tmp_path)
     story(journal)
     before = state(journal)
@@ -99,7 +99,7 @@
     assert state(opened(tmp_path)) == before
 
 
-def test_it_stays_under_its_disk_with_old_and_new_file(tmp_path: Path) -> None:
+def test_both_files_of_a_compaction_fit_the_disk(tmp_path: Path) -> None:
     disk, journal = 40_000, opened(tmp_path, 40_000)
     full = 0
     for i in range(2_000):
@@ -117,18 +117,18 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00" * 64, b"\xff" * 64, b"\x04\x00\x00\x00" + b"\x00" * 60])
-def test_what_is_no_record_is_not_read(data: bytes) -> None:
+def test_bytes_that_are_no_record_are_not_read(data: bytes) -> None:
     assert not list(decode_frames(data))
 
 
-def test_a_full_journal_is_not_written_anew_for_each_message_that_it_refuses(
+def test_a_full_journal_is_not_compacted_for_each_message_that_it_rejects(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal, times = opened(tmp_path, 100_000), list[int]()
-    whole = Journal.snapshot
-    monkeypatch.setattr(Journal, "snapshot", lambda self: times.append(self.size) or whole(self))
+    take_snapshot = Journal.snapshot
+    monkeypatch.setattr(Journal, "snapshot", lambda self: times.append(self.size) or take_snapshot(self))
 
-    def refused(count: int, after: str) -> int:
+    def rejected(count: int, after: str) -> int:
         found = 0
         for number in range(count):
             try:
@@ -137,12 +137,12 @@
                 found += 1
         return found
 
-    assert refused(500, "a") > 300
+    assert rejected(500, "a") > 300
     assert len(times) <= 3
     held = list(journal.messages.by_id.values())
     journal.record_end(held.pop(), Ending.REJECTED)
-    refused(500, "b")
-    assert len(times) <= 4, "nor for the little that one end gives back"
-    for one in held[: len(held) // 2]:
-        journal.record_end(one, Ending.REJECTED)
-    assert refused(len(held) // 4, "c") == 0, "what has ended makes room again"
+    rejected(500, "b")
+    assert len(times) <= 4, "nor for the few bytes that one ending frees"
+    for message in held[: len(held) // 2]:
+        journal.record_end(message, Ending.REJECTED)
+    assert rejected(len(held) // 4, "c") == 0, "endings make room"
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -1,4 +1,4 @@
-"""An agent whose connections die without a word: notices and the watch go on by another one."""
+"""An agent whose connections fall silent: notices and the watch move to another connection."""
 
 from __future__ import annotations
 
@@ -9,8 +9,7 @@
 
 import pytest
 
-from honeyhitch.protocols import discovery_backoff as asking
-from honeyhitch.protocols import notices
+from honeyhitch.protocols import discovery_backoff, notices
 
 from .program import Peer, enqueue, play, started
 from .rig import endpoint_row
@@ -29,7 +28,7 @@
 
 
 @pytest.mark.parametrize("dead", [1, 2])
-def test_a_notice_on_a_connection_that_fell_silent_goes_again_on_another(
+def test_a_notice_on_a_silent_connection_is_repeated_on_another(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, dead: int
 ) -> None:
     monkeypatch.setattr(notices, "MAX_RESPONSE_SECONDS", NEVER)
@@ -41,9 +40,11 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(enqueue("id", left=500))
             assert await reader.readline() == b"+OK\r\n"
-            silent = [await agent.came.get() for _ in range(dead)]  # kept open: a closed one tells at once
-            for one in silent:
-                assert await notice(one) == "id"
+            silent = [
+                await agent.came.get() for _ in range(dead)
+            ]  # still open: a closed one would be noticed immediately
+            for connection in silent:
+                assert await notice(connection) == "id"
             last = await agent.came.get()
             assert await notice(last) == "id"
             last[1].write(b"HTTP/1.1 204 No Content\r\n\r\n")
@@ -53,31 +54,33 @@
     play(work())
 
 
-def test_a_watch_that_never_answers_is_given_up_before_a_silent_one_would_be(
+def test_a_watch_without_a_response_is_abandoned_before_a_silent_one_would_be(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(asking, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
-    monkeypatch.setattr(asking, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
+    monkeypatch.setattr(discovery_backoff, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
+    monkeypatch.setattr(discovery_backoff, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
 
     async def work() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]):
             dead = await agent.came.get()
-            again = await agent.came.get()
+            second = await agent.came.get()
             assert await dead[0].read() != b"", "its request, and then its end"
-            agent.now = again
+            agent.now = second
             await watched(agent, agent.port)
 
     play(work())
 
 
-def test_a_list_that_never_comes_is_asked_for_anew(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(asking, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
-    monkeypatch.setattr(asking, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
+def test_a_list_that_never_arrives_is_requested_on_another_connection(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(discovery_backoff, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
+    monkeypatch.setattr(discovery_backoff, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
 
     async def work() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, []):  # nothing is known: the whole list is wanted
+        async with started(tmp_path, agent.port, []):  # no list is known: the complete one is requested
             dead = await agent.came.get()
             agent.now = await agent.came.get()
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
