--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -302,6 +302,9 @@
             await rig.wait_for_quota("x", number, 0.75)
             assert await rig.submit("x", "one", number) == b"+OK\r\n"
             assert await rig.submit("y", "two", number) == b"+OK\r\n"
+            # A call whose end is not recorded as its process is killed is sent again, as the class allows.
+            await rig.wait_until_delivered("one", "two")
+            await rig.wait_until_idle("x")
             rig.processes["x"].kill()
             await rig.processes["x"].wait()
             await rig.spawn("x")
