--- a/honeyhitch/tls/connection_gate.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -73,7 +73,7 @@
         elapsed = now - start.at
         return replace(self.capacity(now), connect_failed=True, elapsed=elapsed, failure_reason=reason)
 
-    def abandoned(self, start: HandshakeStart, now: int) -> None:
+    def abandoned(self, start: HandshakeStart) -> None:
         """We stopped the handshake, which says nothing of the partner."""
         self.opening -= 1
         self.budget.failed(start, outage=False)
--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -197,7 +197,8 @@
 ) -> CertificateInfo:
     certificate_path = terms.certificate
     key_path = terms.key
-    assert certificate_path is not None and key_path is not None  # checked with the settings
+    assert certificate_path is not None  # checked with the settings
+    assert key_path is not None
     contents = {file.path: file.content for file in files}
     _check_key_permissions(key_path)
     password = _key_password(terms, environ)
--- a/honeyhitch/transports/tls_open.py
+++ b/honeyhitch/transports/tls_open.py
@@ -1,6 +1,4 @@
-"""Opening a connection to a TLS partner as its terms have it: the one way in for calls, the broker and
-checks.
-"""
+"""Opens and verifies a connection to a TLS partner under its terms, for calls, the broker and checks."""
 
 from __future__ import annotations
 
@@ -17,28 +15,29 @@
 
 @dataclass(slots=True)
 class VerifiedConnection:
-    """An open connection and what it was verified with."""
+    """An open connection, and what it was verified by."""
 
     channel: TlsChannel
     key: SessionKey
-    peer: CertificateInfo
+    certificate: CertificateInfo
 
 
 async def open_verified(
-    loop: asyncio.AbstractEventLoop, partners: Partners, known: PartnerState, address: str
+    loop: asyncio.AbstractEventLoop, partners: Partners, partner: PartnerState, address: str
 ) -> VerifiedConnection:
-    """Connect, shake hands within the partner's time, and verify. TlsError names what failed, STALLED if the
-    time was up; nothing is left open then.
+    """Connect to HOST:PORT, complete the handshake within the partner's timeout, and verify.
+
+    Raises TlsError, STALLED at the timeout; nothing is left open then.
     """
-    key = partners.session_key(known, address)
+    key = partners.session_key(partner, address)
     try:
-        async with asyncio.timeout(known.partner.terms.handshake_timeout / SECOND):
-            machine = partners.create_machine(known, key)
+        async with asyncio.timeout(partner.partner.terms.handshake_timeout / SECOND):
+            machine = partners.create_machine(partner, key)
             channel = await open_tls(loop, address, machine)
     except TimeoutError:
         raise TlsError(Failure.STALLED) from None
     try:
-        return VerifiedConnection(channel, key, partners.verify(known, machine))
+        return VerifiedConnection(channel, key, partners.verify(partner, machine))
     except TlsError:
         channel.close()
         raise
--- a/honeyhitch/transports/tls_probe.py
+++ b/honeyhitch/transports/tls_probe.py
@@ -1,24 +1,23 @@
-"""Looks at a partner over TLS as the dispatcher would, without sending it a message: for `honeyhitch tls
-check`.
-"""
+"""Connects to a partner over TLS as the service would, without a message: for `honeyhitch tls check`."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from dataclasses import dataclass, field
 
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.tls.certificates import CertificateInfo, describe_der
 from honeyhitch.tls.failures import TlsError
 from honeyhitch.tls.partners import Partners, PartnerState
-from honeyhitch.transports.tls_open import open_verified
+from honeyhitch.transports.tls_open import VerifiedConnection, open_verified
 
-TICKET_TIMEOUT_SECONDS = 0.5  # seconds that a server has to send a ticket, or to refuse our certificate
+TICKET_TIMEOUT_SECONDS = 0.5  # for a server to send a ticket, or to reject our certificate
 
 
 @dataclass(slots=True)
 class ProbeResult:
-    """What one address showed. `failure` is the name of what is wrong, empty if nothing is."""
+    """What one address showed. `failure` is the name of the problem, empty if there is none."""
 
     partner: str
     address: str
@@ -30,33 +29,34 @@
     chain: list[CertificateInfo] = field(default_factory=list)
 
 
-async def probe(partners: Partners, known: PartnerState, address: str) -> ProbeResult:
-    """Two handshakes: the first in full, the second with the session that the first left."""
-    seen = ProbeResult(known.name, address)
+async def probe(partners: Partners, partner: PartnerState, address: str) -> ProbeResult:
+    """Two handshakes with HOST:PORT: a full one, and one with the session that the first left."""
+    result = ProbeResult(partner.name, address)
+    loop = asyncio.get_running_loop()
     try:
-        for again in (False, True):
-            await _once(partners, known, address, seen, again)
+        opened = await open_verified(loop, partners, partner, address)
+        try:
+            await _inspect(partners, partner, opened, result)
+        finally:
+            opened.channel.close()
+        opened = await open_verified(loop, partners, partner, address)
+        result.resumes = opened.channel.machine.resumed
+        opened.channel.close()
     except TlsError as error:
-        seen.failure, seen.reason = error.failure.label, error.reason
-    return seen
+        result.failure = error.failure.label
+        result.reason = error.reason
+    return result
 
 
-async def _once(
-    partners: Partners, known: PartnerState, address: str, seen: ProbeResult, again: bool
+async def _inspect(
+    partners: Partners, partner: PartnerState, opened: VerifiedConnection, result: ProbeResult
 ) -> None:
-    opened = await open_verified(asyncio.get_running_loop(), partners, known, address)
-    channel, machine = opened.channel, opened.channel.machine
-    try:
-        if again:
-            seen.resumes = machine.resumed
-            return
-        seen.version, seen.cipher = machine.version, machine.cipher
-        seen.chain = [describe_der(der) for der in machine.chain()]
-        try:  # in TLS 1.3 tickets come now, or the refusal of our certificate
-            async with asyncio.timeout(TICKET_TIMEOUT_SECONDS):
-                await channel.read(Buffer())
-        except TimeoutError:
-            pass
-        partners.keep_session(known, opened.key, machine, opened.peer)
-    finally:
-        channel.close()
+    machine = opened.channel.machine
+    result.version = machine.version
+    result.cipher = machine.cipher
+    result.chain = [describe_der(der) for der in machine.chain()]
+    # In TLS 1.3 tickets, or the rejection of our certificate, come after the handshake.
+    with contextlib.suppress(TimeoutError):
+        async with asyncio.timeout(TICKET_TIMEOUT_SECONDS):
+            await opened.channel.read(Buffer())
+    partners.keep_session(partner, opened.key, machine, opened.certificate)
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -1,9 +1,10 @@
-"""Calls to pool members over TLS. Connections are opened ahead of calls, which never wait for a handshake.
+"""Calls to endpoints over TLS. Connections are opened ahead of calls, which never wait for a handshake.
 
-The module is told how many calls a member's open connections take (`interface.Room`) and asks for more when
-messages wait (`interface.Open`); `tls.door` and `tls.budget-limited` decide whether a handshake may start. A
-handshake is no attempt and holds no slot. A connection goes when it is idle for long, when its partner ends
-it, and when what it was verified with holds no more: then gradually, and never under a call.
+The policy is told how many calls an endpoint's open connections take (`ConnectionCapacity`), and asks for
+more when messages wait (`OpenConnections`); `tls.connection_gate` and `tls.handshake_budget` decide whether a
+handshake may start. A handshake is no attempt and occupies no slot. A connection is closed when it is idle
+for long, when the partner ends it, and when what it was verified with is outdated: then gradually, and never
+during a call.
 """
 
 from __future__ import annotations
@@ -34,33 +35,51 @@
 )
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 from honeyhitch.transports.tls_channel import TlsChannel
-from honeyhitch.transports.tls_open import open_verified
+from honeyhitch.transports.tls_open import VerifiedConnection, open_verified
 
 log = logs.get()
-SWEEP_INTERVAL_SECONDS = 0.25  # seconds between looks at connections that are to go
-FILE_POLL_SECONDS = 2.0  # seconds between looks at the files
-EXPIRY_CHECK_SECONDS = 3600.0  # seconds between looks at our own certificates' ends
-SESSION_KEEPING_FAILURES = (Failure.UNREACHABLE, Failure.STALLED, Failure.HANDSHAKE_CUT, Failure.OVERLOADED)
-WATCH_DELAY_SECONDS = 0.01  # seconds for which an idle connection is not yet watched
-PARTIAL_RECORD_TIMEOUT = 2 * SECOND  # ns that an idle connection has for the rest of a record
-REPLACE_IF_USED_WITHIN = 10 * SECOND  # ns; one used within this is replaced before it goes
+SWEEP_INTERVAL_SECONDS = 0.25  # between checks for connections to be closed
+FILE_POLL_SECONDS = 2.0  # between checks of the partners' files
+EXPIRY_CHECK_SECONDS = 3600.0  # between checks of our own certificates' expiry
+WATCH_DELAY_SECONDS = 0.01  # an idle connection is watched only after this: under load it is reused sooner
+PARTIAL_RECORD_TIMEOUT = 2 * SECOND  # ns for the rest of a record on an idle connection
+REPLACE_IF_USED_WITHIN = 10 * SECOND  # ns; an outdated connection used within this is replaced first
+# Failures that say nothing about the session that was offered.
+SESSION_KEEPING_FAILURES = (
+    Failure.UNREACHABLE,
+    Failure.STALLED,
+    Failure.HANDSHAKE_CUT,
+    Failure.OVERLOADED,
+)
 
 
 @dataclass(slots=True, eq=False)
 class TlsConnection(Connection):
-    """One connection, with what it was verified by."""
+    """One connection, with what it was verified by. Times are Unix times in nanoseconds."""
 
+    endpoint_id: str = field(kw_only=True)
     tls: TlsChannel = field(kw_only=True)  # the channel, by its own type
     partner: PartnerState = field(kw_only=True)
     key: SessionKey = field(kw_only=True)
-    peer: CertificateInfo = field(kw_only=True)
-    retire_at: int = field(kw_only=True)  # ns; the end of what was verified, or sooner
-    watched: bool = False  # the loop tells when something comes on it
-    replace_at: int = 0  # ns; from when it is to go once it is replaced, 0 if not
+    certificate: CertificateInfo = field(kw_only=True)
+    retire_at: int = field(kw_only=True)  # when the verification ends, or sooner
+    watched: bool = False  # the loop reports when something comes on it
+    replace_at: int = 0  # from when it is closed once there is a replacement, 0 if it is not outdated
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointGate:
+    """The connections of one endpoint, and the partner whose terms apply."""
+
+    connections: EndpointConnections
+    partner: PartnerState
 
 
 class TlsTransport(HttpTransport):
-    """The carrier for members that a partner's table in the operator's file matches."""
+    """The transport for endpoints that a partner's table in the operator's file matches.
+
+    `max_idle` limits the connections that are idle or in a handshake, over all endpoints.
+    """
 
     def __init__(
         self,
@@ -70,47 +89,50 @@
         max_idle: int,
         partners: Partners,
     ) -> None:
-        super().__init__(dispatcher, scheduler, tasks, max_idle)  # connections idle or in a handshake
+        super().__init__(dispatcher, scheduler, tasks, max_idle)
         self.partners = partners
-        self.gates: dict[str, tuple[EndpointConnections, PartnerState]] = {}
-        self.connections: dict[TlsConnection, str] = {}  # all that are up, and whose
-        self.unwatched: dict[TlsConnection, str] = {}  # idle for so short that nobody watches them yet
-        self.watch_scheduled = False  # for those, soon
+        self.gates: dict[str, EndpointGate] = {}  # by endpoint
+        self.connections: dict[TlsConnection, None] = {}  # all that are open, oldest first
+        self.unwatched: dict[TlsConnection, None] = {}  # idle for too short a time to be watched
+        self.watch_scheduled = False
         partners.on_change.append(self._on_partner_changed)
 
     # Opening.
 
     def open(self, member: PoolEndpoint, calls: int) -> None:
-        """Connections for so many more calls are wanted."""
-        door, known = self._gate(member)
-        for _ in range(calls - door.opening):
+        """Open connections for so many more calls, as far as the budget and the descriptors allow."""
+        gate = self._gate(member)
+        connections = gate.connections
+        for _ in range(calls - connections.opening):
             now = self.scheduler.now()
             if not self._free_descriptor():
-                self._report_capacity(door, RETRY_DELAY)
+                self._report_capacity(connections, RETRY_DELAY)
                 return
-            start = door.start(now)
+            start = connections.start(now)
             if start is None:
-                if not door.opening:
-                    self._report_capacity(door)
+                if not connections.opening:
+                    self._report_capacity(connections)
                 return
-            self.tasks.start(self._open(member, door, known, start))
-
-    def _gate(self, member: PoolEndpoint) -> tuple[EndpointConnections, PartnerState]:
-        known = self.partners.find(member.id, member.destination, self.settings.kind(member.kind).name)
-        assert known is not None  # `Pool.carrier_of` sends others to the plain carrier
-        told = self.gates.get(member.id)
-        if told is None:
-            door = EndpointConnections(
-                member.id, member.destination, known.budget, self.partners.block_duration
+            self.tasks.start(self._open(member, gate, start))
+
+    def _gate(self, endpoint: PoolEndpoint) -> EndpointGate:
+        gate = self.gates.get(endpoint.id)
+        if gate is None:
+            kind = self.settings.kind(endpoint.kind).name
+            partner = self.partners.find(endpoint.id, endpoint.destination, kind)
+            assert partner is not None  # the pool assigns other endpoints to the plain transport
+            connections = EndpointConnections(
+                endpoint.id, endpoint.destination, partner.budget, self.partners.block_duration
             )
-            told = self.gates[member.id] = door, known
-        told[0].destination = member.destination
-        return told
+            gate = EndpointGate(connections, partner)
+            self.gates[endpoint.id] = gate
+        gate.connections.destination = endpoint.destination
+        return gate
 
     def _free_descriptor(self) -> bool:
-        """Whether a descriptor is left for a connection; the longest idle of all makes room."""
-        idle = sum(len(ones) for ones in self.idle.values())
-        opening = sum(door.opening for door, _ in self.gates.values())
+        """Whether another connection may be opened; closes the longest idle one if necessary."""
+        idle = sum(len(connections) for connections in self.idle.values())
+        opening = sum(gate.connections.opening for gate in self.gates.values())
         if idle + opening < self.max_idle:
             return True
         if not idle:
@@ -119,85 +141,95 @@
         return True
 
     def _drop_oldest(self) -> None:
-        oldest = min((ones[0].idle_since, name) for name, ones in self.idle.items() if ones)[1]
-        self._drop(oldest, self._idle_connections(oldest)[0])
-
-    def _idle_connections(self, name: str) -> list[TlsConnection]:
-        """A copy of the member's idle connections, the latest used last."""
-        return [one for one in self.idle.get(name, []) if isinstance(one, TlsConnection)]
-
-    async def _open(
-        self, member: PoolEndpoint, door: EndpointConnections, known: PartnerState, start: HandshakeStart
-    ) -> None:
-        key = self.partners.session_key(known, member.address)
+        oldest = [(connections[0].idle_since, name) for name, connections in self.idle.items() if connections]
+        _, endpoint_id = min(oldest)
+        self._drop(self._idle_connections(endpoint_id)[0])
+
+    def _idle_connections(self, endpoint_id: str) -> list[TlsConnection]:
+        """A copy of the endpoint's idle connections, the last used one last."""
+        idle = self.idle.get(endpoint_id, [])
+        return [connection for connection in idle if isinstance(connection, TlsConnection)]
+
+    async def _open(self, endpoint: PoolEndpoint, gate: EndpointGate, start: HandshakeStart) -> None:
+        partner = gate.partner
+        key = self.partners.session_key(partner, endpoint.address)
         try:
-            opened = await open_verified(self.loop, self.partners, known, member.address)
+            opened = await open_verified(self.loop, self.partners, partner, endpoint.address)
         except TlsError as error:
             if error.failure not in SESSION_KEEPING_FAILURES:
                 self.partners.sessions.forget(key)
-            self._handshake_failed(member, door, known, start, error)
+            self._log(
+                "tls.handshake-failed", endpoint.id, partner, error, f"{endpoint.id} {error.failure.label}"
+            )
+            capacity = gate.connections.failed(start, self.scheduler.now(), error)
+            self.dispatcher.apply_connection_capacity(capacity)
         except BaseException:
-            door.abandoned(start, self.scheduler.now())
+            gate.connections.abandoned(start)
             raise
         else:
-            now, resumed = self.scheduler.now(), opened.channel.machine.resumed
-            connection = TlsConnection(
-                opened.channel,
-                member.address,
-                Buffer(),
-                http1.ResponseParser(max_bytes=MAX_RESPONSE_BYTES),
-                tls=opened.channel,
-                partner=known,
-                key=key,
-                peer=opened.peer,
-                retire_at=known.material.valid_until(opened.peer),
-                idle_since=now,
-                used=True,  # by its handshake: a full table would have shown there
-            )
-            if not resumed:  # the session offered, if any, is worth nothing there
-                self.partners.sessions.forget(key)
-            if key.generation != known.generation:  # the files changed under the handshake
-                self._retire([connection], known)
-            self.connections[connection] = member.id
-            door.opened(start, now, resumed)
-            self._add_idle(member.id, connection)
-            self._report_capacity(door)
-
-    def _handshake_failed(
+            self._add_opened(endpoint, gate, start, key, opened)
+
+    def _add_opened(
         self,
-        member: PoolEndpoint,
-        door: EndpointConnections,
-        known: PartnerState,
+        endpoint: PoolEndpoint,
+        gate: EndpointGate,
         start: HandshakeStart,
-        error: TlsError,
+        key: SessionKey,
+        opened: VerifiedConnection,
     ) -> None:
-        self._log("tls.handshake-failed", member.id, known, error, f"{member.id} {error.failure.label}")
-        self.dispatcher.apply_connection_capacity(door.failed(start, self.scheduler.now(), error))
-
-    def _report_capacity(self, door: EndpointConnections, shut: int = 0) -> None:
-        room = door.capacity(self.scheduler.now())
-        if shut > room.connect_blocked_for:
-            room = replace(room, connect_blocked_for=shut)
-        self.dispatcher.apply_connection_capacity(room)
-
-    # Idle connections. Each is watched, so that an end is known before a call is.
-
-    def _add_idle(self, name: str, connection: TlsConnection) -> None:
-        self.idle.setdefault(name, []).append(connection)
+        now = self.scheduler.now()
+        partner = gate.partner
+        resumed = opened.channel.machine.resumed
+        connection = TlsConnection(
+            opened.channel,
+            endpoint.address,
+            Buffer(),
+            http1.ResponseParser(max_bytes=MAX_RESPONSE_BYTES),
+            endpoint_id=endpoint.id,
+            tls=opened.channel,
+            partner=partner,
+            key=key,
+            certificate=opened.certificate,
+            retire_at=partner.material.valid_until(opened.certificate),
+            idle_since=now,
+            used=True,  # by its handshake, where a reached connection limit would have shown
+        )
+        if not resumed:  # the session that was offered, if any, is useless
+            self.partners.sessions.forget(key)
+        if key.generation != partner.generation:  # the files changed during the handshake
+            self._retire([connection], partner)
+        self.connections[connection] = None
+        gate.connections.opened(start, now, resumed)
+        self._add_idle(connection)
+        self._report_capacity(gate.connections)
+
+    def _report_capacity(self, connections: EndpointConnections, blocked_for: int = 0) -> None:
+        """Tell the policy; connecting is blocked for at least `blocked_for` nanoseconds."""
+        capacity = connections.capacity(self.scheduler.now())
+        if blocked_for > capacity.connect_blocked_for:
+            capacity = replace(capacity, connect_blocked_for=blocked_for)
+        self.dispatcher.apply_connection_capacity(capacity)
+
+    # Idle connections. Each is watched, so that its end is known before a call is assigned to it.
+
+    def _add_idle(self, connection: TlsConnection) -> None:
+        self.idle.setdefault(connection.endpoint_id, []).append(connection)
         if not self.watch_scheduled:
             self.watch_scheduled = True
             self.loop.call_later(WATCH_DELAY_SECONDS, self._watch_idle)
-        self.unwatched[connection] = name
-        self._on_idle_data(name, connection)  # what came with the handshake or behind the answer
+        self.unwatched[connection] = None
+        self._on_idle_data(connection)  # what came with the handshake or after the response
         self._enforce_idle_limit()
 
     def _watch_idle(self) -> None:
-        """Those that the next call has not taken at once, as it does under load, are watched from now on."""
-        fresh, self.unwatched, self.watch_scheduled = self.unwatched, {}, False
-        for connection, name in fresh.items():
+        """Watch the connections that were not reused at once."""
+        unwatched = self.unwatched
+        self.unwatched = {}
+        self.watch_scheduled = False
+        for connection in unwatched:
             connection.watched = True
-            self.loop.add_reader(connection.channel.sock, self._on_idle_data, name, connection)
-            self._on_idle_data(name, connection)
+            self.loop.add_reader(connection.channel.sock, self._on_idle_data, connection)
+            self._on_idle_data(connection)
 
     def _unwatch(self, connection: TlsConnection) -> None:
         if connection.watched:
@@ -205,187 +237,214 @@
             self.loop.remove_reader(connection.channel.sock)
         self.unwatched.pop(connection, None)
 
-    def _on_idle_data(self, name: str, connection: TlsConnection) -> None:
-        tls = connection.tls
-        if tls.alive():
-            if tls.machine.may_have_ticket:
-                self.partners.keep_session(connection.partner, connection.key, tls.machine, connection.peer)
-        else:
-            self._idle_ended(name, connection)
+    def _on_idle_data(self, connection: TlsConnection) -> None:
+        if not connection.tls.alive():
+            self._idle_ended(connection)
+        elif connection.tls.machine.may_have_ticket:
+            self.partners.keep_session(
+                connection.partner, connection.key, connection.tls.machine, connection.certificate
+            )
 
-    def _idle_ended(self, name: str, connection: TlsConnection) -> None:
-        """The partner ended one that was idle, or said what nobody asked for."""
+    def _idle_ended(self, connection: TlsConnection) -> None:
+        """The partner ended an idle connection, or sent something unexpected on it."""
+        endpoint_id = connection.endpoint_id
         failure = connection.tls.machine.failure
         if failure is not None and failure.failure is Failure.OUR_CERTIFICATE_REJECTED:
-            self._log("tls.connection-rejected", name, connection.partner, failure, name)
-        self._record_loss(name, failure)
-        self._drop(name, connection)
-
-    def _record_loss(self, name: str, failure: TlsError | None) -> None:
-        """An open connection ended: the member refuses us, or has perhaps restarted."""
-        if failure is None or failure.failure is not Failure.OUR_CERTIFICATE_REJECTED:
-            self._connection_lost(name)
-        elif name in self.gates:
-            self.gates[name][0].block(self.scheduler.now())
+            self._log("tls.connection-rejected", endpoint_id, connection.partner, failure, endpoint_id)
+        self._record_loss(endpoint_id, failure)
+        self._drop(connection)
+
+    def _record_loss(self, endpoint_id: str, failure: TlsError | None) -> None:
+        """An open connection ended: the endpoint rejects our certificate, or has perhaps restarted."""
+        gate = self.gates.get(endpoint_id)
+        if gate is None:
+            return
+        if failure is not None and failure.failure is Failure.OUR_CERTIFICATE_REJECTED:
+            gate.connections.block(self.scheduler.now())
+            return
+        open_to_partner = sum(1 for connection in self.connections if connection.partner is gate.partner)
+        gate.partner.budget.connection_lost(self.scheduler.now(), open_to_partner - 1)
 
     @staticmethod
-    def _log(event: str, name: str, known: PartnerState, error: TlsError, key: str) -> None:
-        failure = error.failure.label
-        log.warning(event, partner=known.name, member=name, failure=failure, reason=error.reason, key=key)
-
-    def _connection_lost(self, name: str) -> None:
-        """The partner ended a connection: with most of them, it may have restarted."""
-        if name in self.gates:
-            known = self.gates[name][1]
-            left = sum(1 for one in self.connections if one.partner is known) - 1
-            known.budget.connection_lost(self.scheduler.now(), left)
-
-    def _drop(self, name: str, connection: TlsConnection) -> None:
-        """Close one that is idle."""
+    def _log(event: str, endpoint_id: str, partner: PartnerState, error: TlsError, key: str) -> None:
+        log.warning(
+            event,
+            partner=partner.name,
+            member=endpoint_id,
+            failure=error.failure.label,
+            reason=error.reason,
+            key=key,
+        )
+
+    def _drop(self, connection: TlsConnection) -> None:
+        """Close an idle connection."""
         self._unwatch(connection)
-        if connection in self.idle.get(name, []):
-            self.idle[name].remove(connection)
-            if not self.idle[name]:
-                del self.idle[name]
+        idle = self.idle.get(connection.endpoint_id, [])
+        if connection in idle:
+            idle.remove(connection)
+            if not idle:
+                del self.idle[connection.endpoint_id]
         connection.channel.close()
-        self._remove(name, connection, busy=False)
+        self._remove(connection, busy=False)
 
-    def _remove(self, name: str, connection: TlsConnection, busy: bool) -> None:
-        if self.connections.pop(connection, None) is None or name not in self.gates:
+    def _remove(self, connection: TlsConnection, busy: bool) -> None:
+        """A connection was closed; `busy` if it carried a call."""
+        if connection not in self.connections:
+            return
+        del self.connections[connection]
+        gate = self.gates.get(connection.endpoint_id)
+        if gate is None:
             return
-        door = self.gates[name][0]
         if busy:
-            door.busy -= 1
+            gate.connections.busy -= 1
         else:
-            door.idle -= 1
-        self._report_capacity(door)
+            gate.connections.idle -= 1
+        self._report_capacity(gate.connections)
 
     def close_idle(self, member: PoolEndpoint) -> None:
-        """Close the idle connections to a member."""
+        """Close the idle connections to an endpoint."""
         for connection in self._idle_connections(member.id):
-            self._drop(member.id, connection)
+            self._drop(connection)
 
     # Calls.
 
     async def _connection(self, member: PoolEndpoint) -> Connection:
-        now, idle = self.scheduler.now(), self.idle.get(member.id, [])
+        """The idle connection that was used last. Raises NoConnectionError if none is alive."""
+        now = self.scheduler.now()
+        idle = self.idle.get(member.id, [])
         for connection in reversed(idle[:]):
             assert isinstance(connection, TlsConnection)
             if connection.retire_at <= now or not self._may_reuse(connection, member):
-                self._drop(member.id, connection)
+                self._drop(connection)
             elif not connection.tls.alive():
-                self._idle_ended(member.id, connection)
+                self._idle_ended(connection)
             elif connection.tls.machine.quiescent:
                 self._unwatch(connection)
                 idle.remove(connection)
-                door = self.gates[member.id][0]
-                door.idle, door.busy = door.idle - 1, door.busy + 1
+                connections = self.gates[member.id].connections
+                connections.idle -= 1
+                connections.busy += 1
                 return connection
         raise NoConnectionError(f"{member.id}: its last connection has gone")
 
     def _release(self, member: PoolEndpoint, connection: Connection) -> None:
+        """Return a connection to the pool after a call, unless it is outdated or not clean."""
         assert isinstance(connection, TlsConnection)
         now = self.scheduler.now()
         connection.idle_since = now
         machine = connection.tls.machine
         if connection.retire_at <= now or machine.phase is not Phase.OPEN or machine.plaintext:
             connection.channel.close()
-            self._remove(member.id, connection, busy=True)
+            self._remove(connection, busy=True)
             return
         if member.id not in self.gates or member.id not in self.dispatcher.pool.endpoints:
             self.connections.pop(connection, None)
             connection.channel.close()
             return
-        door = self.gates[member.id][0]
-        door.idle, door.busy = door.idle + 1, door.busy - 1
-        self._add_idle(member.id, connection)
-
-    def _close(self, member: PoolEndpoint, progress: CallProgress) -> None:
-        connection, name = progress.connection, member.id
-        if isinstance(connection, TlsConnection):
-            if (failure := connection.tls.machine.failure) is not None:
-                self._log(
-                    "tls.call-broken", name, connection.partner, failure, f"{name} {failure.failure.label}"
-                )
-                self._record_loss(name, failure)
-            connection.channel.close()
-            self._remove(name, connection, busy=True)
-
-    # What holds no more.
-
-    def _on_partner_changed(self, known: PartnerState) -> None:
-        """New trust, lists or an own certificate: what was made with the old goes gradually."""
-        self._retire([one for one in self.connections if one.partner is known], known)
-        for door, whose in self.gates.values():
-            if whose is known:
-                door.unblock()
-                self._report_capacity(door)
-
-    def _retire(self, connections: list[TlsConnection], known: PartnerState) -> None:
-        now, within = self.scheduler.now(), known.partner.terms.retire_within
-        times = (
-            retirement.plan_retirement(len(connections), now, within, self.partners.rng)
-            if connections
-            else []
+        connections = self.gates[member.id].connections
+        connections.idle += 1
+        connections.busy -= 1
+        self._add_idle(connection)
+
+    def _close(self, endpoint: PoolEndpoint, progress: CallProgress) -> None:
+        connection = progress.connection
+        if not isinstance(connection, TlsConnection):
+            return
+        failure = connection.tls.machine.failure
+        if failure is not None:
+            key = f"{endpoint.id} {failure.failure.label}"
+            self._log("tls.call-broken", endpoint.id, connection.partner, failure, key)
+            self._record_loss(endpoint.id, failure)
+        connection.channel.close()
+        self._remove(connection, busy=True)
+
+    # Outdated connections.
+
+    def _on_partner_changed(self, partner: PartnerState) -> None:
+        """Trust, lists or our certificate are new: connections made before are replaced gradually."""
+        self._retire(
+            [connection for connection in self.connections if connection.partner is partner], partner
         )
-        for one, at in zip(connections, times, strict=True):
-            if known.material.find_objection(one.peer, now) is not None:
-                one.retire_at = now  # no further call, but the one that is out goes on
+        for gate in self.gates.values():
+            if gate.partner is partner:
+                gate.connections.unblock()
+                self._report_capacity(gate.connections)
+
+    def _retire(self, connections: list[TlsConnection], partner: PartnerState) -> None:
+        if not connections:
+            return
+        now = self.scheduler.now()
+        duration = partner.partner.terms.retire_within
+        times = retirement.plan_retirement(len(connections), now, duration, self.partners.rng)
+        for connection, replace_at in zip(connections, times, strict=True):
+            if partner.material.find_objection(connection.certificate, now) is not None:
+                connection.retire_at = now  # no further call, but the one in flight is completed
             else:
-                one.replace_at = min(one.replace_at or at, at)
-                one.retire_at = min(one.retire_at, now + within)
+                connection.replace_at = min(connection.replace_at or replace_at, replace_at)
+                connection.retire_at = min(connection.retire_at, now + duration)
 
     async def sweep(self) -> None:
-        """Close what has been idle for long, is no longer in the pool, or holds no more."""
+        """Close connections that are too old, outdated, or whose endpoint is not listed. Never returns."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self.scheduler.now()
-            for name in list(self.idle):
-                for connection in self._idle_connections(name):
-                    self._check_idle(name, connection, now)
-            for name, (door, _) in list(self.gates.items()):
-                if name not in self.dispatcher.pool.endpoints and not door.open and not door.opening:
-                    del self.gates[name]
-
-    def _check_idle(self, name: str, connection: TlsConnection, now: int) -> None:
-        member = self.dispatcher.pool.endpoints.get(name)
+            for endpoint_id in list(self.idle):
+                for connection in self._idle_connections(endpoint_id):
+                    self._check_idle(connection, now)
+            for endpoint_id, gate in list(self.gates.items()):
+                in_use = gate.connections.open or gate.connections.opening
+                if endpoint_id not in self.dispatcher.pool.endpoints and not in_use:
+                    del self.gates[endpoint_id]
+
+    def _check_idle(self, connection: TlsConnection, now: int) -> None:
+        endpoint = self.dispatcher.pool.endpoints.get(connection.endpoint_id)
         if (
-            member is None
-            or member.transport != TLS_TRANSPORT
-            or member.address != connection.address
+            endpoint is None
+            or endpoint.transport != TLS_TRANSPORT
+            or endpoint.address != connection.address
             or connection.retire_at <= now
         ):
-            self._drop(name, connection)
+            self._drop(connection)
         elif connection.replace_at and connection.replace_at <= now:
-            fresh = any(not one.replace_at for one, whose in self.connections.items() if whose == name)
-            if fresh or now - connection.idle_since > REPLACE_IF_USED_WITHIN:
-                self._drop(name, connection)
-            elif not self.gates[name][0].opening:
-                self.open(member, 1)  # its replacement first; it goes in any case at `retire_at`
-        elif not self._may_reuse(connection, member) or self._has_stalled_record(connection, now):
-            self._drop(name, connection)
+            self._replace(endpoint, connection, now)
+        elif not self._may_reuse(connection, endpoint) or self._has_stalled_record(connection, now):
+            self._drop(connection)
         elif not connection.tls.alive():
-            self._idle_ended(name, connection)
+            self._idle_ended(connection)
+
+    def _replace(self, endpoint: PoolEndpoint, connection: TlsConnection, now: int) -> None:
+        """Close an outdated connection once there is a new one, or if it is rarely used.
+
+        It is closed in any case at its `retire_at`.
+        """
+        has_replacement = any(
+            not other.replace_at for other in self.connections if other.endpoint_id == endpoint.id
+        )
+        if has_replacement or now - connection.idle_since > REPLACE_IF_USED_WITHIN:
+            self._drop(connection)
+        elif not self.gates[endpoint.id].connections.opening:
+            self.open(endpoint, 1)
 
     @staticmethod
     def _has_stalled_record(connection: TlsConnection, now: int) -> bool:
-        """A record that was begun does not go on."""
-        return not connection.tls.machine.quiescent and now - connection.idle_since > PARTIAL_RECORD_TIMEOUT
+        """A record was begun and is not completed in time."""
+        idle_time = now - connection.idle_since
+        return not connection.tls.machine.quiescent and idle_time > PARTIAL_RECORD_TIMEOUT
 
     async def watch_files(self) -> None:
-        """Read files again when they change; reading is done beside the loop."""
+        """Read the partners' files again when they change. Never returns."""
         while True:
             await asyncio.sleep(FILE_POLL_SECONDS)
             await self.reload_certificates()
 
     async def reload_certificates(self, everything: bool = False) -> None:
-        """Once."""
-        for known, stamps in await asyncio.to_thread(self.partners.changed_files, everything):
-            read = await asyncio.to_thread(self.partners.read_files, known)
-            self.partners.apply_files(known, stamps, read)
+        """Read changed files once, in a thread; with `everything`, all files."""
+        for partner, stamps in await asyncio.to_thread(self.partners.changed_files, everything):
+            loaded = await asyncio.to_thread(self.partners.read_files, partner)
+            self.partners.apply_files(partner, stamps, loaded)
 
     async def watch_ends(self) -> None:
-        """Tell of our own certificates that near their end."""
+        """Report our own certificates that expire soon. Never returns."""
         while True:
             self.partners.warn_of_expiry()
             await asyncio.sleep(EXPIRY_CHECK_SECONDS)
