--- /dev/null
+++ b/tests/dead_letter_records.py
@@ -0,0 +1,49 @@
+"""Dead letters for tests, and a store with a clock that stands still."""
+
+from __future__ import annotations
+
+import itertools
+from pathlib import Path
+from typing import Any
+
+from honeyhitch.dead_letters.records import Record
+from honeyhitch.dead_letters.store import Store
+from honeyhitch.journal.transactions import Attempt
+
+from .rig import START
+from .world import SECOND
+
+_numbers = itertools.count()
+
+
+def make_record(ran: bool = False, **fields: Any) -> Record:
+    """The record of another message each time; with `ran`, it may have been executed."""
+    name = f"m{next(_numbers)}"
+    defaults: dict[str, Any] = {
+        "id": name,
+        "ended_at": START,
+        "accepted_at": START - SECOND,
+        "deadline": START + SECOND,
+        "destination": 1,
+        "class_name": "standard",
+        "idempotency": "keyed",
+        "deduplication_window": 5 * SECOND,
+        "zone_scoped": False,
+        "tenant": "studio",
+        "key": f"k-{name}",
+        "frontend": "resp",
+        "recovered_from_journal": False,
+        "ending": "failed",
+        "reason": "timeout",
+        "retry_after": 0,
+        "first_possible_execution": START if ran else None,
+        "first_execution_zone": 0,
+        "attempts": (Attempt(0, "s-1", START, "timeout", SECOND, 0, ""),),
+        "body": b"body",
+    }
+    return Record(**{**defaults, **fields})
+
+
+def open_store(folder: Path, **more: Any) -> Store:
+    """A store whose clock always shows START."""
+    return Store(folder, clock=lambda: START, **more)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,7 +1,8 @@
-"""Configuration: one builder for both forms, defaults, and messages that name the faulty key."""
+"""Configuration: one reader for both forms, defaults, and errors that name the faulty key."""
 
 from __future__ import annotations
 
+import dataclasses
 import json
 from pathlib import Path
 from typing import Any
@@ -11,6 +12,7 @@
 
 from honeyhitch import config
 from honeyhitch.cli.main import main
+from honeyhitch.policy.settings import Settings
 
 from .program import SETTINGS, write
 
@@ -18,20 +20,20 @@
 
 
 def faulty(path: str, value: object) -> dict[str, Any]:
-    """The settings with one value changed, or taken away where it is None."""
-    told: Any = json.loads(json.dumps(SETTINGS))
-    *inner, last = path.split(".")
-    at = told
-    for name in inner:
-        at = at[int(name) if name.isdigit() else name]
-    at[last] = value
+    """The settings with one value changed, or removed where it is None."""
+    settings: Any = json.loads(json.dumps(SETTINGS))
+    *parents, key = path.split(".")
+    parent = settings
+    for name in parents:
+        parent = parent[int(name) if name.isdigit() else name]
+    parent[key] = value
     if value is None:
-        del at[last]
-    return dict(told)
+        del parent[key]
+    return dict(settings)
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "says"),
+    ("path", "value", "message"),
     [
         ("family-info.call-slots", None, "settings.family-info.call-slots: this setting is missing"),
         ("family-info.call-slots", "many", "settings.family-info.call-slots: expected a whole number"),
@@ -41,16 +43,16 @@
         ("caps.max-open", 0, "settings.caps.max-open: must be at least 1"),
     ],
 )
-def test_a_faulty_setting_is_named(tmp_path: Path, path: str, value: object, says: str) -> None:
+def test_a_faulty_setting_is_named(tmp_path: Path, path: str, value: object, message: str) -> None:
     file = Path(write(tmp_path, 6379, 8500, [])[0])
     file.write_text(json.dumps({**json.loads(file.read_text()), "settings": faulty(path, value)}))
     with pytest.raises(config.ConfigError) as error:
         config.read({}, str(file))
-    assert str(error.value).startswith(says)
+    assert str(error.value).startswith(message)
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         ({"listen": "nowhere"}, "listen: expected HOST:PORT"),
         ({"listen": "127.0.0.1:99999"}, "listen: expected HOST:PORT"),
@@ -61,16 +63,16 @@
         ({"known": 3}, "known: expected an object"),
     ],
 )
-def test_a_faulty_key_is_named(tmp_path: Path, change: dict[str, Any], says: str) -> None:
+def test_a_faulty_key_is_named(tmp_path: Path, change: dict[str, Any], message: str) -> None:
     file = Path(write(tmp_path, 6379, 8500, [])[0])
     file.write_text(json.dumps({**json.loads(file.read_text()), **change}))
     with pytest.raises(config.ConfigError) as error:
         config.read({}, str(file))
-    assert str(error.value).startswith(says)
+    assert str(error.value).startswith(message)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("[mqtt]", "mqtt.broker: missing"),
         ("[mqtt]\nbroker = 3", "mqtt.broker: expected str"),
@@ -91,17 +93,17 @@
         ("[log]\ncolour = true", "log.colour: no such key"),
     ],
 )
-def test_a_faulty_operators_file_is_named(tmp_path: Path, text: str, says: str) -> None:
+def test_a_faulty_operators_file_is_named(tmp_path: Path, text: str, message: str) -> None:
     with pytest.raises(config.ConfigError) as error:
         config.read({}, *write(tmp_path, 6379, 8500, [], text))
-    assert str(error.value).startswith(says)
+    assert str(error.value).startswith(message)
 
 
 def test_both_forms_give_the_same_settings() -> None:
     nested = config.SettingsReader.from_nested(SETTINGS)
-    words = [f"{path}={value}" for path, value in nested.values.items()]
+    pairs = [f"{path}={value}" for path, value in nested.values.items()]
     settings = nested.settings()
-    assert config.SettingsReader.from_pairs(words).settings() == settings
+    assert config.SettingsReader.from_pairs(pairs).settings() == settings
     assert (settings.max_messages, settings.kinds[0].max_messages_per_call, settings.kinds[1].name) == (
         50,
         20,
@@ -115,19 +117,22 @@
     example = str(ROOT / "example" / "config.json")
     read = config.read({"ROUTER_LISTEN": "127.0.0.2:7", "ROUTER_STATE": "elsewhere"}, example)
     assert (str(read.listen), str(read.state)) == ("127.0.0.2:7", "elsewhere")
-    assert read.operator.mqtt is None and read.operator.health is None, "nothing is on by itself"
+    assert read.operator.mqtt is None, "nothing is on by itself"
+    assert read.operator.health is None, "nothing is on by itself"
     operator = (ROOT / "deploy" / "mqtt.toml").read_text()
-    told = config.read_operator(str(ROOT / "deploy" / "mqtt.toml"), "n", _named(read, "small-partner"), {})
-    assert told.mqtt is not None
+    operator_settings = config.read_operator(
+        str(ROOT / "deploy" / "mqtt.toml"), "n", _named(read, "small-partner"), {}
+    )
+    assert operator_settings.mqtt is not None
     assert "print-shop" in operator
-    assert told.mqtt.endpoints[0].destination == 7
+    assert operator_settings.mqtt.endpoints[0].destination == 7
 
 
-def test_the_shipped_tls_file_is_sound(tmp_path: Path) -> None:
+def test_the_shipped_tls_file_is_sound() -> None:
     read = config.read({}, str(ROOT / "example" / "config.json"))
-    told = config.read_operator(str(ROOT / "deploy" / "tls.toml"), "n", _named(read, "partner"), {}).tls
-    assert told is not None
-    assert told.partners[0].terms.handshakes == 6
+    tls = config.read_operator(str(ROOT / "deploy" / "tls.toml"), "n", _named(read, "partner"), {}).tls
+    assert tls is not None
+    assert tls.partners[0].terms.handshakes == 6
 
 
 def test_a_file_read_again_wins_over_a_variable_from_the_start_where_it_changed(tmp_path: Path) -> None:
@@ -142,9 +147,8 @@
     assert config.read(environ, *path, second) == second, "and goes on saying it"
 
 
-def _named(read: config.Config, kind: str) -> Any:
-    import dataclasses
-
+def _named(read: config.Config, kind: str) -> Settings:
+    """The settings with a kind of destination of this name."""
     kinds = (dataclasses.replace(read.settings.kinds[0], name=kind),)
     return dataclasses.replace(read.settings, kinds=kinds)
 
@@ -168,13 +172,13 @@
 
 def fleet_file(regions: str = 'east = ["a", "b"]', **changes: Any) -> str:
     """An operator's file with `[fleet]`; a key that is None is left out."""
-    told = {**FLEET, **changes}
-    lines = [f"{key} = {json.dumps(value)}" for key, value in told.items() if value is not None]
+    values = {**FLEET, **changes}
+    lines = [f"{key} = {json.dumps(value)}" for key, value in values.items() if value is not None]
     return "\n".join(["[fleet]", *lines, "[fleet.regions]", regions])
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         (fleet_file(view=None), "fleet.view: missing"),
         (fleet_file(view="nowhere"), "fleet.view: expected HOST:PORT"),
@@ -192,10 +196,13 @@
         (fleet_file() + "\n[undelivered]\n", "undelivered: cannot be had beside [fleet] yet"),
     ],
 )
-def test_a_fleet_that_cannot_be_set_up_is_refused_with_its_key(tmp_path: Path, text: str, says: str) -> None:
+def test_a_fleet_that_cannot_be_set_up_is_refused_with_its_key(
+    tmp_path: Path, text: str, message: str
+) -> None:
     path, operator = write(tmp_path, 6379, 8500, [], text)
-    told = CliRunner().invoke(main, ["check", "--config", path, "--operator", str(operator)])
-    assert told.exit_code == 2 and says in told.output, told.output
+    result = CliRunner().invoke(main, ["check", "--config", path, "--operator", str(operator)])
+    assert result.exit_code == 2, result.output
+    assert message in result.output
 
 
 def test_with_a_fleet_a_limit_is_split_over_its_zones(tmp_path: Path) -> None:
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -33,11 +33,11 @@
 
 from .agent import Agent
 from .broker import Broker
+from .dead_letter_records import make_record
 from .partner import Partner
 from .polling import poll_until
 from .program import free_port, play, started, write
 from .rig import START, endpoint_row
-from .test_dead_letters_store import record
 from .test_program import Client
 
 OPERATOR = "[undelivered]\nmax-count = 1000\n"
@@ -186,7 +186,10 @@
     """Fill a store; the options of a command that name it."""
     store = Store(folder, clock=lambda: START)
     store.add(
-        [record(ran=i % 2 == 0, tenant=f"t{i % 3}", destination=i % 4, body=b"=cmd()") for i in range(count)]
+        [
+            make_record(ran=i % 2 == 0, tenant=f"t{i % 3}", destination=i % 4, body=b"=cmd()")
+            for i in range(count)
+        ]
     )
     store.close()
     return ["--store", str(folder)]
@@ -285,13 +288,17 @@
     body = b'{"invoice": {"total": 10.25}}'
     store.add(
         [
-            record(body=body, tenant="<b>one</b>"),
-            record(body=body, ran=True, idempotency="unsafe", destination=2),
-            record(body=b'{"invoice": {"total": "4.5"}}', status=RecordStatus.SETTLED, settled_by="resend:x"),
-            record(body=b'{"invoice": {"total": 1e99}}', status=RecordStatus.SETTLED, settled_by="person:me"),
-            record(body=b"no JSON", status=RecordStatus.DISCARDED),
-            record(body=body, status=RecordStatus.REPLACED),
-            record(body=body, destination=10),
+            make_record(body=body, tenant="<b>one</b>"),
+            make_record(body=body, ran=True, idempotency="unsafe", destination=2),
+            make_record(
+                body=b'{"invoice": {"total": "4.5"}}', status=RecordStatus.SETTLED, settled_by="resend:x"
+            ),
+            make_record(
+                body=b'{"invoice": {"total": 1e99}}', status=RecordStatus.SETTLED, settled_by="person:me"
+            ),
+            make_record(body=b"no JSON", status=RecordStatus.DISCARDED),
+            make_record(body=body, status=RecordStatus.REPLACED),
+            make_record(body=body, destination=10),
         ]
     )
     store.database.execute("UPDATE record SET tenant = 'other' WHERE seq = 7")
@@ -367,7 +374,7 @@
             "ending": "rejected",
             "body": b"body of copy",
         }
-        store.add([record(id="m1", key="k-copy", **fields)])
+        store.add([make_record(id="m1", key="k-copy", **fields)])
         held = RULES.replace("resend", "hold").replace("healthy = 0\n", "")
         rules = held if first == "copy" else RULES  # the rule comes later where the client is first
         store.close()
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -1,4 +1,4 @@
-"""Rules: what they match, in which order, when; how they are read; and how fast resends may go."""
+"""Rules: what they match, in which order and when; how they are read; and the pace of resends."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from honeyhitch.dead_letters.settings import Action, DeadLetterSettings, ResendSettings, Rule
 from honeyhitch.policy.health import DestinationHealth
 
+from .dead_letter_records import make_record
 from .program import write
 from .rig import START
-from .test_dead_letters_store import record
 from .world import SECOND
 
 NOW = START + 100 * SECOND
@@ -26,9 +26,12 @@
 RESEND = Rule("r", Action.RESEND, retry_pause=10 * SECOND)
 
 
-def told(one: Record, *rules: Rule, terms: ResendSettings = HERE, now: int = NOW) -> tuple[str, str]:
-    found = plan_record(one, rules, terms, now, SECOND)
-    return found.step.value, found.reason
+def plan_of(
+    record: Record, *rules: Rule, resend_settings: ResendSettings = HERE, now: int = NOW
+) -> tuple[str, str]:
+    """The step and the reason of a record's plan; a resend takes a second."""
+    plan = plan_record(record, rules, resend_settings, now, SECOND)
+    return plan.step.value, plan.reason
 
 
 @pytest.mark.parametrize(
@@ -76,7 +79,7 @@
     ],
 )
 def test_each_step(changes: dict[str, Any], rule: Rule, expected: tuple[str, str]) -> None:
-    assert told(record(**changes), rule) == expected
+    assert plan_of(make_record(**changes), rule) == expected
 
 
 @pytest.mark.parametrize(
@@ -92,21 +95,21 @@
     ],
 )
 def test_where_copies_may_go_elsewhere(changes: dict[str, Any], expected: tuple[str, str]) -> None:
-    assert told(record(**changes), RESEND, terms=AWAY) == expected
+    assert plan_of(make_record(**changes), RESEND, resend_settings=AWAY) == expected
     if "client_retry_at" in changes:  # a copy that has no key is never seen
-        assert told(record(**changes, key=""), RESEND) == expected
+        assert plan_of(make_record(**changes, key=""), RESEND) == expected
 
 
 def test_the_first_rule_that_matches_counts_and_an_older_one_ripens() -> None:
     old = Rule("old", Action.DISCARD, min_age=200 * SECOND)
-    assert told(record(), old, RESEND) == ("resend", "never-ran")
-    assert told(record(), old, RESEND, now=START + 200 * SECOND) == ("discard", "discarded-by-rule")
-    held = plan_record(record(), (old, Rule("h", Action.HOLD)), HERE, NOW, SECOND)
+    assert plan_of(make_record(), old, RESEND) == ("resend", "never-ran")
+    assert plan_of(make_record(), old, RESEND, now=START + 200 * SECOND) == ("discard", "discarded-by-rule")
+    held = plan_record(make_record(), (old, Rule("h", Action.HOLD)), HERE, NOW, SECOND)
     assert held.step is Step.POSTPONE
     assert held.retry_at == START + 200 * SECOND
 
 
-# How they are read.
+# How rules are read.
 
 GOOD = """
 [undelivered]
@@ -130,24 +133,23 @@
 
 
 def read(folder: Path, text: str, **more: Any) -> DeadLetterSettings:
-    found = config.read({}, *write(folder, 6379, 8500, [], text, **more)).operator.dead_letters
-    assert found is not None
-    return found
+    """The settings of `[undelivered]` in an operator's file with this text."""
+    settings = config.read({}, *write(folder, 6379, 8500, [], text, **more)).operator.dead_letters
+    assert settings is not None
+    return settings
 
 
 def test_a_good_file(tmp_path: Path) -> None:
-    setup = read(tmp_path, GOOD)
-    first, second = setup.rules
+    settings = read(tmp_path, GOOD)
+    first, second = settings.rules
     assert (first.name, first.destinations, first.classes) == ("one", frozenset({1}), frozenset({"standard"}))
-    assert (first.may_have_executed, first.rate_per_second, first.min_healthy_duration) == (
-        False,
-        2.0,
-        SECOND // 2,
-    )
+    assert first.may_have_executed is False
+    assert first.rate_per_second == 2.0
+    assert first.min_healthy_duration == SECOND // 2
     assert (second.name, second.action, second.min_age) == ("rule 1", Action.DISCARD, 3600 * SECOND)
-    assert setup.resend_settings.capacity_fraction == 0.2
-    assert not setup.resend_settings.duplicates_elsewhere
-    assert setup.directory_in(tmp_path) == tmp_path / "undelivered"
+    assert settings.resend_settings.capacity_fraction == 0.2
+    assert not settings.resend_settings.duplicates_elsewhere
+    assert settings.directory_in(tmp_path) == tmp_path / "undelivered"
 
 
 RULE = '[undelivered]\n[[undelivered.rule]]\naction = "resend"\n'
@@ -198,34 +200,35 @@
     assert ResendSettings().duplicates_elsewhere
 
 
-# How fast they may go.
+# The pace of resends.
 
-WELL = DestinationHealth(True, False, False, 0, False, 10.0, 0, 0)
+HEALTHY = DestinationHealth(True, False, False, 0, False, 10.0, 0, 0)
 
 
 def changed(**more: Any) -> DestinationHealth:
-    return dataclasses.replace(WELL, **more)
+    """A healthy destination with these changes."""
+    return dataclasses.replace(HEALTHY, **more)
 
 
 def test_the_share_of_slots_and_pace() -> None:
     pacing = ResendPacing(0.1, 40)
     assert pacing.max_concurrent_resends == 4
-    assert pacing.available_resends(1, WELL, NOW) == 1, "one at a time until one has passed"
+    assert pacing.available_resends(1, HEALTHY, NOW) == 1, "one at a time until one has passed"
     pacing.resend_started(1, NOW)
-    assert pacing.available_resends(1, WELL, NOW + SECOND) == 0
+    assert pacing.available_resends(1, HEALTHY, NOW + SECOND) == 0
     pacing.call_delivered(1)
-    assert pacing.available_resends(1, WELL, NOW + SECOND) == 1, "a tenth of ten a second"
+    assert pacing.available_resends(1, HEALTHY, NOW + SECOND) == 1, "a tenth of ten a second"
     pacing.resend_ended(1)
     for i in range(20):
         now = NOW + 10 * SECOND + i * SECOND // 10
-        if pacing.available_resends(1, WELL, now):
+        if pacing.available_resends(1, HEALTHY, now):
             pacing.resend_started(1, now)
             pacing.resend_ended(1)
     assert pacing.destinations[1].tokens < 1, "no more than two that were saved up, and one a second"
     fast = changed(quota=10_000.0)
     for destination in range(2, 10):
-        room = pacing.available_resends(destination, fast, NOW + 60 * SECOND)
-        for _ in range(room):
+        available = pacing.available_resends(destination, fast, NOW + 60 * SECOND)
+        for _ in range(available):
             pacing.resend_started(destination, NOW + 60 * SECOND)
     assert pacing.resends_in_flight == 4
 
@@ -245,26 +248,28 @@
     assert ResendPacing(0.1, 40).available_resends(1, condition, NOW) == 0
 
 
-def test_a_sick_partner_without_traffic_is_tried_at_growing_gaps() -> None:
-    pacing, now, tries = ResendPacing(0.1, 40), NOW, []
-    sick = changed(unhealthy=True, quota=0.0, last_sent_at=NOW)
+def test_a_sick_partner_without_traffic_is_tried_at_growing_intervals() -> None:
+    pacing = ResendPacing(0.1, 40)
+    now = NOW
+    probes: list[int] = []
+    unhealthy = changed(unhealthy=True, quota=0.0, last_sent_at=NOW)
     while now < NOW + 3600 * SECOND:
-        if pacing.available_resends(1, sick, now):
-            tries.append(now)
+        if pacing.available_resends(1, unhealthy, now):
+            probes.append(now)
             pacing.resend_started(1, now)
             pacing.resend_ended(1)
         now += SECOND
-    gaps = [after - before for before, after in zip([NOW, *tries], tries, strict=False)]
-    assert gaps[0] == MIN_PROBE_INTERVAL
-    assert gaps == sorted(gaps)
-    assert gaps[-1] == MAX_PROBE_INTERVAL
+    intervals = [after - before for before, after in zip([NOW, *probes], probes, strict=False)]
+    assert intervals[0] == MIN_PROBE_INTERVAL
+    assert intervals == sorted(intervals)
+    assert intervals[-1] == MAX_PROBE_INTERVAL
     assert pacing.healthy_duration(1, now) == 0
-    pacing.observe(1, WELL, now)
+    pacing.observe(1, HEALTHY, now)
     assert pacing.healthy_duration(1, now + 5 * SECOND) == 5 * SECOND
 
 
 def test_a_rule_keeps_its_rate() -> None:
     rates = RuleRates()
-    taken = sum(rates.acquire("r", 2.0, NOW + i * SECOND // 100) for i in range(1000))
-    assert 19 <= taken <= 22
+    acquired = sum(rates.acquire("r", 2.0, NOW + i * SECOND // 100) for i in range(1000))
+    assert 19 <= acquired <= 22
     assert sum(rates.acquire("slow", 0.01, NOW + i * SECOND) for i in range(250)) == 3
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -48,11 +48,9 @@
         "studio",
     )
     assert (record.destination, record.frontend, record.body) == (1, "resp", b"body")
-    assert (record.ending, record.reason, record.idempotency) == (
-        rig.answers[0].ending.value,
-        "timeout",
-        "keyed",
-    )  # type: ignore[union-attr]
+    ending = rig.answers[0].ending
+    assert ending is not None
+    assert (record.ending, record.reason, record.idempotency) == (ending.value, "timeout", "keyed")
     assert record.accepted_at == began
     assert record.first_possible_execution is not None
     assert record.first_possible_execution >= began
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -52,7 +52,8 @@
         f'certificate = "{own.cert_file}"\nkey = "{own.key_file}"\n'
     )
     good = check("--operator", str(file))
-    assert good.exit_code == 0 and "kind:any files: good" in good.output, good.output
+    assert good.exit_code == 0, good.output
+    assert "kind:any files: good" in good.output
     assert "us.example" in good.output
     assert "warning" not in good.output
     warned = check("--operator", str(file), "--warn-days", "30")
