--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -8,7 +8,7 @@
 from honeyhitch.dispatcher.context import DispatcherContext
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.outcomes import CallOutcomes
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.journal import JournalFullError
 from honeyhitch.policy.actions import Send
 from honeyhitch.policy.events import Outcome, RetryAfterReceived
@@ -60,7 +60,8 @@
 
         What starts is written to the journal, and what must not start any more leaves the call, with no
         attempt used up. A connection takes time to come up, and meanwhile a Retry-After may have been
-        received, the endpoint may drain or be at another address, or the process may have been told to stop.
+        received, the endpoint may drain or be at another address, or the process may have started to shut
+        down.
         """
         now = self.context.scheduler.now()
         reachable = self._is_reachable(call.endpoint) and self._has_quota(call.endpoint, now)
--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Outcome
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether the dispatcher accepted a message, and owes its final answer from now on."""
+    """Whether the dispatcher accepted a message: then a final answer follows."""
 
     accepted: bool
     retry_after: int = 0  # nanoseconds; of a rejection
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -8,7 +8,7 @@
 from honeyhitch import logs
 from honeyhitch.dispatcher.delivery import Call, CallResult
 from honeyhitch.dispatcher.dispatcher import Dispatcher
-from honeyhitch.endpoints.pool import PoolEndpoint
+from honeyhitch.endpoints.endpoint import PoolEndpoint
 from honeyhitch.policy.events import Outcome
 from honeyhitch.protocols import calls, http1
 from honeyhitch.protocols.buffer import Buffer
@@ -176,7 +176,7 @@
         certificate (see `tls.failures`).
         """
         connection = progress.connection
-        rejected = isinstance(error, TlsError) and error.failure is Failure.OUR_CERTIFICATE_REFUSED
+        rejected = isinstance(error, TlsError) and error.failure is Failure.OUR_CERTIFICATE_REJECTED
         if not progress.written or rejected:
             outcome = Outcome.CONNECT_FAILED
             result = CallResult.uniform(outcome, len(call.messages))
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -10,7 +10,8 @@
 import pytest
 
 from honeyhitch import config
-from honeyhitch.endpoints.pool import EndpointPool, PoolError
+from honeyhitch.endpoints.list_rows import PoolError
+from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.policy.events import EndpointStatus
 
 from .program import SETTINGS, write
@@ -89,11 +90,15 @@
 
 
 @pytest.mark.parametrize("row", [7, "s-1", None, [], {}])
-@pytest.mark.parametrize("keeps", [None, lambda destination: True, lambda destination: False])
+@pytest.mark.parametrize(
+    "keeps",
+    [None, lambda _: True, lambda _: False],
+    ids=["all are kept", "each is asked for and kept", "each is asked for and left out"],
+)
 def test_a_row_that_is_no_member_is_a_pool_error_whatever_is_kept(
     row: object, keeps: Callable[[int], bool] | None
 ) -> None:
     one = EndpointPool(settings())
-    one.keeps_destination = keeps
+    one.accepts_destination = keeps
     with pytest.raises(PoolError, match="members"):
         one.update({"revision": 1, "complete": True, "members": [row]})
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -17,7 +17,8 @@
 
 from honeyhitch import config
 from honeyhitch.dispatcher.delivery import Call
-from honeyhitch.endpoints.pool import PoolEndpoint, PoolError
+from honeyhitch.endpoints.endpoint import PoolEndpoint
+from honeyhitch.endpoints.list_rows import PoolError
 from honeyhitch.journal.transactions import Ending, Transaction
 from honeyhitch.policy.events import Outcome
 from honeyhitch.service.run import run
@@ -241,6 +242,6 @@
         play(run(told, lambda before: before))
 
 
-def test_ending_names_stay(tmp_path: Path) -> None:
+def test_ending_names_stay() -> None:
     """They stand in journals: a name that changes makes an older journal unreadable."""
     assert {one.value for one in Ending} == {"delivered", "rejected", "failed", "over"}
