--- a/benchmarks/dead_letters.py
+++ b/benchmarks/dead_letters.py
@@ -148,7 +148,7 @@
         super().__init__(status)
         self.came: dict[bytes, float] = {}
 
-    def took(self, body: bytes) -> None:
+    def on_call(self, body: bytes) -> None:
         self.came[body[:16].strip()] = time.perf_counter()
 
 
--- a/tests/partner.py
+++ b/tests/partner.py
@@ -1,4 +1,4 @@
-"""A stand-in for a pool member over plain HTTP: it reads requests whole and answers as it is set up."""
+"""A stand-in for an endpoint over plain HTTP: it reads complete requests and answers as it is set up."""
 
 from __future__ import annotations
 
@@ -7,22 +7,25 @@
 
 
 class Partner:
-    """A member that answers every call with `status`, once `go` is set, as it is from the start."""
+    """An endpoint that answers every call with `status`, once `released` is set; without `holds` it is."""
 
     def __init__(self, status: int, holds: bool = False) -> None:
-        self.status, self.calls, self.port, self.seen = status, 0, 0, list[bytes]()
-        self.go = asyncio.Event()
+        self.status = status
+        self.calls = 0
+        self.port = 0
+        self.bodies: list[bytes] = []
+        self.released = asyncio.Event()
         if not holds:
-            self.go.set()
+            self.released.set()
 
     async def start(self) -> Self:
         server = await asyncio.start_server(self._client, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         return self
 
-    def took(self, body: bytes) -> None:
-        """A whole call has come."""
-        self.seen.append(body)
+    def on_call(self, body: bytes) -> None:
+        """A complete call was received."""
+        self.bodies.append(body)
 
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -31,8 +34,8 @@
                 length = int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0])
                 body = await reader.readexactly(length)
                 self.calls += 1
-                self.took(body)
-                await self.go.wait()
+                self.on_call(body)
+                await self.released.wait()
                 writer.write(b"HTTP/1.1 %d Whatever\r\nContent-Length: 0\r\n\r\n" % self.status)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""Runs the real program in this process, on loopback sockets, for tests of the drivers."""
+"""Runs the real program in this process, on loopback sockets, for tests of the transports."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import contextlib
 import json
 import os
+import socket
 from collections.abc import AsyncIterator, Coroutine
 from pathlib import Path
 from typing import Any
@@ -15,6 +16,8 @@
 from honeyhitch import config
 from honeyhitch.service.run import run
 
+from .polling import poll_until
+
 SETTINGS: dict[str, Any] = {
     "classes": [
         {
@@ -54,41 +57,56 @@
 
 
 def enqueue(name: str, left: int = 8000) -> bytes:
-    """One message for destination 1 as a client hands it in; `left` in milliseconds."""
-    parts = [b"ENQUEUE", b"0", name.encode(), b"c=standard,t=studio,d=%d,k=k,dest=1" % left, b"body"]
-    return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
+    """One message for destination 1 as a client submits it; `left` in milliseconds."""
+    arguments = [b"ENQUEUE", b"0", name.encode(), b"c=standard,t=studio,d=%d,k=k,dest=1" % left, b"body"]
+    return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(value), value) for value in arguments)
 
 
 class Peer:
-    """A scripted party: it listens, and hands out its connections in the order in which they came."""
+    """A scripted party: it listens, and returns its connections in the order of their arrival."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
+        self.connections: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
         self.port = 0
-        self.now: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
+        self.connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def start(self) -> Peer:
-        server = await asyncio.start_server(lambda r, w: self.came.put((r, w)), "127.0.0.1", 0)
+        server = await asyncio.start_server(lambda r, w: self.connections.put((r, w)), "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         return self
 
     async def accepted(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        if self.now is None:
-            self.now = await self.came.get()
-        return self.now
+        if self.connection is None:
+            self.connection = await self.connections.get()
+        return self.connection
 
     async def dial(self, port: int) -> None:
-        self.now = await asyncio.open_connection("127.0.0.1", port)
+        self.connection = await asyncio.open_connection("127.0.0.1", port)
 
 
 def free_port() -> int:
-    import socket
-
+    """A port that was free a moment ago."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
+async def is_ready(port: int, task: asyncio.Future[None]) -> bool:
+    """Whether the program on this port accepts messages; its task must not have ended before."""
+    try:
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    except OSError:
+        assert not task.done(), task.exception()
+        return False
+    writer.write(b"PING\r\n")
+    reply = await reader.readline()
+    writer.close()
+    if reply == b"+PONG\r\n":
+        return True
+    assert reply.startswith(b"-LOADING"), reply
+    return False
+
+
 @contextlib.asynccontextmanager
 async def started(
     folder: Path,
@@ -97,28 +115,16 @@
     operator: str | None = None,
     port: int = 0,
     stopped: bool = False,
-    **told: Any,
+    **file_fields: Any,
 ) -> AsyncIterator[int]:
     """The program, ready to serve, on this port; it is cancelled at the end, as abruptly as a kill."""
     port = port or free_port()
-    path = write(folder, port, discovery, members, operator, **told)
+    path = write(folder, port, discovery, members, operator, **file_fields)
     task = asyncio.ensure_future(run(config.read({}, *path), lambda now: config.read({}, *path, now)))
     try:
-        while True:
-            try:
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            except OSError:
-                assert not task.done(), task.exception()
-            else:
-                writer.write(b"PING\r\n")
-                answer = await reader.readline()
-                writer.close()
-                if answer == b"+PONG\r\n":
-                    break
-                assert answer.startswith(b"-LOADING"), answer
-            await asyncio.sleep(0.01)
+        await poll_until(lambda: is_ready(port, task), interval=0.01)
         yield port
-        if stopped:  # it was told to stop, and must do so by itself
+        if stopped:  # it was signalled to stop, and must end by itself
             await task
     finally:
         task.cancel()
@@ -133,8 +139,8 @@
     operator: str | None = None,
     **more: Any,
 ) -> tuple[str, str | None]:
-    """The configuration's files; their paths."""
-    told = {
+    """Write the configuration's files; their paths."""
+    fields = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "discovery": f"127.0.0.1:{discovery}",
@@ -144,7 +150,7 @@
         "settings": SETTINGS,
         **more,
     }
-    (folder / "config.json").write_text(json.dumps(told))
+    (folder / "config.json").write_text(json.dumps(fields))
     if operator is not None:
         (folder / "operator.toml").write_text(operator)
     return str(folder / "config.json"), str(folder / "operator.toml") if operator is not None else None
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -52,7 +52,7 @@
         agent = await Agent(
             [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}, endpoint_row("s-2", 2)]
         ).start()
-        agent.told = agent.watched = events.notify
+        agent.on_notice = agent.on_watch = events.notify
         path, _ = write(tmp_path, port, agent.port, agent.members, limits={"sockets": SOCKETS})
         process = await spawn(path, SOCKETS)
         async with killed_at_end([process]):
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -392,7 +392,7 @@
             # What may go out has its chance: the other one's message goes to the partner meanwhile.
             await hand_in(port, "other", left=15_000)
             await wait_until(lambda: partner.calls == 2)
-            partner.go.set()
+            partner.released.set()
             if front == "mqtt":
                 await client.until(1)
                 assert client.answers["copy"][0]["status"] == "delivered"
@@ -402,7 +402,7 @@
         client.paho.loop_stop()
         (one,) = kept(tmp_path / "state" / "undelivered")
         assert one.settled_by == ("copy:copy" if first == "copy" else f"resend:{one.resend_id}")
-        assert partner.calls == 2, partner.seen
+        assert partner.calls == 2, partner.bodies
 
     play(work())
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -109,16 +109,16 @@
         async with started(tmp_path, agent.port, members) as port:
             stream.truncate(0)
             await client.dial(port)
-            assert client.now is not None
-            client.now[1].write(raw(ENQUEUE))
+            assert client.connection is not None
+            client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
             reader, writer = await member.accepted()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            client.now[1].write(b"PING\r\n")
+            client.connection[1].write(b"PING\r\n")
             await receive(client, b"+PONG\r\n")
             while b'"end"' not in (tmp_path / "state" / "journal").read_bytes():
-                client.now[1].write(b"PING\r\n")
+                client.connection[1].write(b"PING\r\n")
                 await receive(client, b"+PONG\r\n")
             # The scripted agent says nothing, which is the only thing worth an event here.
             assert [one for one in events(stream) if one.get("work") != "Discovery.watch"] == []
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -45,8 +45,8 @@
         self.progress = Changes()
         self.endpoint = CountingEndpoint(self.progress.notify)
         self.control = Agent([])
-        self.control.stamp = lambda: {"issued_ms": time.time_ns() // 10**6, "lease_ms": LEASE_MS}
-        self.control.beat = 0.3
+        self.control.extra_fields = lambda: {"issued_ms": time.time_ns() // 10**6, "lease_ms": LEASE_MS}
+        self.control.heartbeat_seconds = 0.3
         self.ports = {name: listening_port() for name in INSTANCES}
         self.management = {name: listening_port() for name in INSTANCES}
         self.processes: dict[str, Process] = {}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -69,9 +69,9 @@
         stopped = "stop" in lines
         async with started(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
             # The first connection to the agent is the watch; notices come on another.
-            self.peers["watch"].now = await agent.came.get()
+            self.peers["watch"].connection = await agent.connections.get()
             await watched(self.peers["watch"], agent.port)
-            agent.now = None
+            agent.connection = None
             await self.peers["client"].dial(self.port)
             for line in lines:
                 name, _, what = line.partition(" ")
@@ -80,7 +80,7 @@
                 else:
                     await self._play(name, what)
         for name in ("agent", "one", "two"):
-            self.peers[name].now = None
+            self.peers[name].connection = None
 
     async def _act(self, name: str, what: str) -> None:
         if name == "stop":
@@ -101,7 +101,7 @@
         write(self.directory, self.port, other_agent.port, [])
         os.kill(os.getpid(), signal.SIGHUP)
         await listed(other_agent, other_agent.port, self.members)
-        other_agent.now = None  # notices come on another connection
+        other_agent.connection = None  # notices come on another connection
 
     async def _play(self, name: str, what: str) -> None:
         if what == "ended":
@@ -110,7 +110,7 @@
         elif what == "close":
             _, writer = self._connection(name)
             writer.close()
-            self.peers[name].now = None
+            self.peers[name].connection = None
         elif name[-1] == ">":
             (await self.peers[name[:-1]].accepted())[1].write(raw(what))
         else:
@@ -118,7 +118,7 @@
             await receive(peer, raw(what.replace("PORT", str(peer.port))))
 
     def _connection(self, name: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        connection = self.peers[name].now
+        connection = self.peers[name].connection
         assert connection is not None
         return connection
 
@@ -173,12 +173,12 @@
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
         async with started(tmp_path, agent.port, members) as port:
             await client.dial(port)
-            assert client.now is not None
-            client.now[1].write(raw(ENQUEUE))
+            assert client.connection is not None
+            client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
             await poll_condition(lambda: not faults)
             await member.accepted()  # the connection of the faulty call, which carries nothing
-            member.now = None
+            member.connection = None
             reader, _ = await member.accepted()
             assert await reader.readuntil(b"body")
 
@@ -410,8 +410,8 @@
         async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
             await poll_condition(lambda: "n0-calls" in broker.kept)
             await client.dial(port)
-            assert client.now is not None
-            client.now[1].write(raw(ENQUEUE))
+            assert client.connection is not None
+            client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
             reader, writer = await member.accepted()
             await reader.readuntil(b"body")
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -41,11 +41,11 @@
             writer.write(enqueue("id", left=500))
             assert await reader.readline() == b"+OK\r\n"
             silent = [
-                await agent.came.get() for _ in range(dead)
+                await agent.connections.get() for _ in range(dead)
             ]  # still open: a closed one would be noticed immediately
             for connection in silent:
                 assert await notice(connection) == "id"
-            last = await agent.came.get()
+            last = await agent.connections.get()
             assert await notice(last) == "id"
             last[1].write(b"HTTP/1.1 204 No Content\r\n\r\n")
             writer.write(b"PING\r\n")
@@ -63,10 +63,10 @@
     async def work() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]):
-            dead = await agent.came.get()
-            second = await agent.came.get()
+            dead = await agent.connections.get()
+            second = await agent.connections.get()
             assert await dead[0].read() != b"", "its request, and then its end"
-            agent.now = second
+            agent.connection = second
             await watched(agent, agent.port)
 
     play(work())
@@ -81,8 +81,8 @@
     async def work() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, []):  # no list is known: the complete one is requested
-            dead = await agent.came.get()
-            agent.now = await agent.came.get()
+            dead = await agent.connections.get()
+            agent.connection = await agent.connections.get()
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
             await listed(agent, agent.port, [endpoint_row("s-1", 1)])
 
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -89,10 +89,10 @@
 
 
 async def hand_in(client: Peer, name: str, left: int = 15000) -> None:
-    assert client.now is not None
+    assert client.connection is not None
     fields = f"c=standard,t=studio,d={left},k=k-{name},dest=1"
     parts = [b"ENQUEUE", b"0", name.encode(), fields.encode(), b"body"]
-    client.now[1].write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
+    client.connection[1].write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
     await receive(client, b"+OK\r\n")
 
 
@@ -413,13 +413,15 @@
         ]
         async with started(tmp_path, agent.port, members, operator, limits=few) as port:
             await client.dial(port)
-            assert client.now is not None
+            assert client.connection is not None
             for i in range(40):
                 fields = f"c=standard,t=studio,d=9000,k=k{i},dest={i % 12}"
                 parts = [b"ENQUEUE", b"0", b"m%d" % i, fields.encode(), b"body"]
-                client.now[1].write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in parts))
+                client.connection[1].write(
+                    b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in parts)
+                )
                 await receive(client, b"+OK\r\n")
-            client.now[1].write(b"PING\r\n")
+            client.connection[1].write(b"PING\r\n")
             await receive(client, b"+PONG\r\n")
             await until(lambda: any(one.sessions for one in partners))
             open_now = sum(len(one.sessions) for one in partners)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -173,7 +173,7 @@
         {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{rig.ledger.port}", "size": 400.0}
     ]
     await rig.agent.start()
-    rig.agent.told = rig.progress.notify
+    rig.agent.on_notice = rig.progress.notify
     await rig.start()
     tasks = [asyncio.ensure_future(rig.clients.run()) for _ in range(CLIENTS)]
     try:
@@ -185,7 +185,7 @@
         for process in list(rig.running):
             assert await rig.stop(process, signal.SIGTERM) == 0
         assert not rig.ledger.concurrent_attempts, "two attempts of one message out at once"
-        assert killed or not rig.agent.doubled, "two notices for one message"
+        assert killed or not rig.agent.duplicate_notices, "two notices for one message"
         both = rig.ledger.delivered.keys() & rig.agent.notices.keys()
         assert killed or not both, "delivered, and ended otherwise"
     finally:
