--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -1,5 +1,7 @@
-"""The last look: between a call's decision and its first byte a connection has to come up, and what is told
-meanwhile counts. The connections here wait till a test lets them come up, so that each crossing is forced.
+"""The last check before a call's first byte: what was received since the policy decided it counts.
+
+Meanwhile a connection has to be opened. The connections here wait until a test releases them, so that each
+race is forced.
 """
 
 from __future__ import annotations
@@ -37,33 +39,34 @@
 LIMIT_SECONDS = 30
 
 
-class Line:
-    """Connections of the carrier: each waits at its door until the test opens it."""
+class HeldConnections:
+    """Connections of the transport: while `held` is set, each waits for its release event."""
 
     def __init__(self) -> None:
-        self.doors: list[asyncio.Event] = []
+        self.releases: list[asyncio.Event] = []
         self.held = False
 
     async def connect(self, loop: asyncio.AbstractEventLoop, address: str) -> socket.socket:
         if self.held:
-            door = asyncio.Event()
-            self.doors.append(door)
-            await door.wait()
+            release = asyncio.Event()
+            self.releases.append(release)
+            await release.wait()
         return await connect(loop, address)
 
 
 connect = sockets.connect
 
 
-class Member:
-    """It reads calls whole and answers each with what the test gives it."""
+class Endpoint:
+    """It reads complete calls and answers each with what the test gives it."""
 
     def __init__(self) -> None:
         self.calls: list[bytes] = []
         self.answers: asyncio.Queue[bytes] = asyncio.Queue()
-        self.accepted = self.port = 0
+        self.accepted = 0
+        self.port = 0
 
-    async def start(self) -> Member:
+    async def start(self) -> Endpoint:
         server = await asyncio.start_server(self._client, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         return self
@@ -82,51 +85,61 @@
 
 
 class Rig:
-    """A dispatcher with the real carrier, on the loop's clock."""
+    """A dispatcher with the real transport, on the loop's clock."""
 
-    def __init__(self, folder: Path, members: list[Member], kind: str = "small", **more: Any) -> None:
+    def __init__(self, directory: Path, endpoints: list[Endpoint], kind: str = "small", **more: Any) -> None:
         self.loop = asyncio.get_running_loop()
         self.tasks, scheduler = Tasks(self.loop), LoopScheduler(self.loop)
-        self.s = settings(**{**SETTINGS, "max_concurrent_calls": 12, "connect_timeout": 20 * SECOND, **more})
-        folder.mkdir(exist_ok=True)
-        self.journal = Journal(folder, 3_000_000, scheduler.now, retention)
-        self.core = Dispatcher(self.s, 7, EndpointPool(self.s), self.journal, scheduler)
-        self.carrier = HttpTransport(self.core, scheduler, self.tasks, 8)
-        self.core.transports["http"], self.core.frontends["resp"] = self.carrier, self
+        self.settings = settings(
+            **{**SETTINGS, "max_concurrent_calls": 12, "connect_timeout": 20 * SECOND, **more}
+        )
+        directory.mkdir(exist_ok=True)
+        self.journal = Journal(directory, 3_000_000, scheduler.now, retention)
+        self.dispatcher = Dispatcher(self.settings, 7, EndpointPool(self.settings), self.journal, scheduler)
+        self.transport = HttpTransport(self.dispatcher, scheduler, self.tasks, 8)
+        self.dispatcher.transports["http"], self.dispatcher.frontends["resp"] = self.transport, self
         self.answers: dict[str, Ending | None] = {}
-        at = [f"127.0.0.1:{one.port}" for one in members]
-        self.rows = [{**endpoint_row(f"s-{i}", 1, kind), "host_port": where} for i, where in enumerate(at)]
-        told = {"revision": 1, "complete": True, "members": self.rows}
-        self.core.apply_list_update(self.core.pool.update(told, cached=True))
-        self.core.recover()
+        addresses = [f"127.0.0.1:{endpoint.port}" for endpoint in endpoints]
+        self.rows = [
+            {**endpoint_row(f"s-{i}", 1, kind), "host_port": address} for i, address in enumerate(addresses)
+        ]
+        listed = {"revision": 1, "complete": True, "members": self.rows}
+        self.dispatcher.apply_list_update(self.dispatcher.pool.update(listed, cached=True))
+        self.dispatcher.recover()
 
     def answer(self, transaction: Transaction) -> None:
         self.answers[transaction.id] = transaction.ending
-        self.core.answer_sent(transaction)
+        self.dispatcher.answer_sent(transaction)
 
-    def hand_in(self, name: str, left: int = 20 * SECOND) -> Transaction:
-        now = self.core.scheduler.now()
+    def submit(self, name: str, left: int = 20 * SECOND) -> Transaction:
+        now = self.dispatcher.scheduler.now()
         transaction = Transaction(name, 0, 1, now + left, b"body", key=f"k-{name}")
-        assert self.core.submit(transaction).accepted
+        assert self.dispatcher.submit(transaction).accepted
         return transaction
 
-    def list(self, told: dict[str, str]) -> None:
-        """Discovery tells this of a member, of the first unless another is named."""
-        change = {"revision": self.core.pool.revision + 1, "members": [{**self.rows[0], **told}]}
-        self.core.apply_list_update(self.core.pool.update(change))
-
-    def waits(self) -> int:
-        """When the told wait of the one destination ends."""
-        return max(one.state.retry_after_until for one in self.core.policy.destinations[1].endpoints.values())
+    def change_listing(self, changed_fields: dict[str, Any]) -> None:
+        """Discovery changes these fields of an endpoint, of the first unless another id is given."""
+        change = {
+            "revision": self.dispatcher.pool.revision + 1,
+            "members": [{**self.rows[0], **changed_fields}],
+        }
+        self.dispatcher.apply_list_update(self.dispatcher.pool.update(change))
+
+    def retry_after_until(self) -> int:
+        """When the Retry-After of the one destination ends."""
+        return max(
+            known.state.retry_after_until
+            for known in self.dispatcher.policy.destinations[1].endpoints.values()
+        )
 
     async def close(self) -> None:
-        self.core.accepting = self.core.sending = False
+        self.dispatcher.accepting = self.dispatcher.sending = False
         await self.tasks.stop()
         self.journal.close()
 
     def records(self, kind: str) -> list[dict[str, object]]:
-        told = [fields for fields, _, _ in decode_frames(self.journal.path.read_bytes())]
-        return [fields for fields in told if fields["t"] == kind]
+        records = [fields for fields, _, _ in decode_frames(self.journal.path.read_bytes())]
+        return [fields for fields in records if fields["t"] == kind]
 
 
 LATER = b"HTTP/1.1 429 Later\r\nRetry-After: 0.3\r\nContent-Length: 0\r\n\r\n"
@@ -153,226 +166,239 @@
 
 
 @pytest.fixture
-def line(monkeypatch: pytest.MonkeyPatch) -> Line:
-    made = Line()
-    monkeypatch.setattr(sockets, "connect", made.connect)
-    return made
+def held_connections(monkeypatch: pytest.MonkeyPatch) -> HeldConnections:
+    connections = HeldConnections()
+    monkeypatch.setattr(sockets, "connect", connections.connect)
+    return connections
 
 
-def test_a_wait_told_while_a_connection_comes_up_holds_the_call_back(tmp_path: Path, line: Line) -> None:
+def test_a_retry_after_received_while_a_connection_opens_delays_the_call(
+    tmp_path: Path, held_connections: HeldConnections
+) -> None:
     async def work() -> None:
-        one = await Member().start()
-        rig = Rig(tmp_path, [one])
-        rig.hand_in("a")
-        await until(lambda: one.calls)
-        line.held = True
-        rig.hand_in("b")  # its connection is on its way
-        await until(lambda: line.doors)
-        one.answers.put_nowait(LATER)
-        await until(lambda: rig.waits() > 0)
-        ends = rig.waits()
-        line.held = False
-        line.doors[0].set()
+        endpoint = await Endpoint().start()
+        rig = Rig(tmp_path, [endpoint])
+        rig.submit("a")
+        await until(lambda: endpoint.calls)
+        held_connections.held = True
+        rig.submit("b")  # its connection is being opened
+        await until(lambda: held_connections.releases)
+        endpoint.answers.put_nowait(LATER)
+        await until(lambda: rig.retry_after_until() > 0)
+        ends = rig.retry_after_until()
+        held_connections.held = False
+        held_connections.releases[0].set()
         for _ in range(2):
-            one.answers.put_nowait(OK)
-        await until(lambda: len(one.calls) == 2)
-        assert rig.core.scheduler.now() >= ends, "begun inside the told wait"
-        await until(lambda: len(rig.core.messages) == 0)
+            endpoint.answers.put_nowait(OK)
+        await until(lambda: len(endpoint.calls) == 2)
+        assert rig.dispatcher.scheduler.now() >= ends, "started before the Retry-After was over"
+        await until(lambda: len(rig.dispatcher.messages) == 0)
         assert {fields["n"] for fields in rig.records("attempt") if fields["id"] == "b"} == {0}
-        assert one.accepted == 2, "the connection that came up is kept and used"
+        assert endpoint.accepted == 2, "the connection that was opened is pooled and used"
         await rig.close()
 
     play(work())
 
 
-def test_what_ends_while_a_connection_comes_up_does_not_ride_along(tmp_path: Path, line: Line) -> None:
+def test_a_message_that_ends_while_a_connection_opens_leaves_its_call(
+    tmp_path: Path, held_connections: HeldConnections
+) -> None:
     async def work() -> None:
-        one = await Member().start()
-        rig, line.held = Rig(tmp_path, [one], "large"), True
-        rig.hand_in("brief", left=SECOND // 4)
-        rig.hand_in("long")
-        await until(lambda: line.doors)
-        assert len(rig.core.calls_in_flight) == 2
-        assert len({id(call) for call in rig.core.calls_in_flight.values()}) == 1
+        endpoint = await Endpoint().start()
+        rig, held_connections.held = Rig(tmp_path, [endpoint], "large"), True
+        rig.submit("brief", left=SECOND // 4)
+        rig.submit("long")
+        await until(lambda: held_connections.releases)
+        assert len(rig.dispatcher.calls_in_flight) == 2
+        assert len({id(call) for call in rig.dispatcher.calls_in_flight.values()}) == 1
         await until(lambda: "brief" in rig.answers)
-        assert rig.answers["brief"] is Ending.REJECTED, "it never ran"
-        line.doors[0].set()
-        one.answers.put_nowait(OK)
-        await until(lambda: len(rig.core.messages) == 0)
-        assert len(one.calls) == 1
-        assert b"X-Txn: long" in one.calls[0]
+        assert rig.answers["brief"] is Ending.REJECTED, "it was never executed"
+        held_connections.releases[0].set()
+        endpoint.answers.put_nowait(OK)
+        await until(lambda: len(rig.dispatcher.messages) == 0)
+        assert len(endpoint.calls) == 1
+        assert b"X-Txn: long" in endpoint.calls[0]
         assert [fields["id"] for fields in rig.records("attempt")] == ["long"]
         await rig.close()
 
     play(work())
 
 
-@pytest.mark.parametrize("told", ["Terminating", "Gone", "moved", "another's"])
-def test_a_member_that_drains_or_moves_while_a_connection_comes_up_gets_nothing(
-    tmp_path: Path, line: Line, told: str
+@pytest.mark.parametrize("change", ["Terminating", "Gone", "other address", "other destination"])
+def test_an_endpoint_that_drains_or_moves_while_a_connection_opens_gets_nothing(
+    tmp_path: Path, held_connections: HeldConnections, change: str
 ) -> None:
     async def work() -> None:
-        one, two = await Member().start(), await Member().start()
-        rig, line.held = Rig(tmp_path, [one]), True
-        rig.hand_in("a")
-        await until(lambda: line.doors)
-        line.held = False
-        rig.list({"host_port": f"127.0.0.1:{two.port}", "id": "s-0" if told == "moved" else "s-1"})
-        if told != "moved":
-            rig.list({"cell": 2} if told == "another's" else {"phase": told})
-        await until(lambda: not rig.core.event_queue.events)
-        line.doors[0].set()
-        two.answers.put_nowait(OK)
-        await until(lambda: len(rig.core.messages) == 0)
-        assert (len(one.calls), len(two.calls)) == (0, 1)
+        endpoint, second = await Endpoint().start(), await Endpoint().start()
+        rig, held_connections.held = Rig(tmp_path, [endpoint]), True
+        rig.submit("a")
+        await until(lambda: held_connections.releases)
+        held_connections.held = False
+        rig.change_listing(
+            {"host_port": f"127.0.0.1:{second.port}", "id": "s-0" if change == "other address" else "s-1"}
+        )
+        if change != "other address":
+            rig.change_listing({"cell": 2} if change == "other destination" else {"phase": change})
+        await until(lambda: not rig.dispatcher.event_queue.events)
+        held_connections.releases[0].set()
+        second.answers.put_nowait(OK)
+        await until(lambda: len(rig.dispatcher.messages) == 0)
+        assert (len(endpoint.calls), len(second.calls)) == (0, 1)
         assert [fields["n"] for fields in rig.records("attempt")] == [0], "no attempt was used up"
         await rig.close()
 
     play(work())
 
 
-@pytest.mark.parametrize("how", ["leave", "hand over"])
-def test_a_process_told_to_stop_leaves_untried_what_had_no_connection_yet(
-    tmp_path: Path, line: Line, how: str
+@pytest.mark.parametrize("how", ["shutdown", "hand-over"])
+def test_a_process_that_stops_does_not_attempt_messages_without_a_connection(
+    tmp_path: Path, held_connections: HeldConnections, how: str
 ) -> None:
     async def work() -> None:
-        one = await Member().start()
-        rig, line.held = Rig(tmp_path, [one]), True
-        rig.hand_in("a")
-        await until(lambda: line.doors)
-        rig.core.stop_deciding(SECOND) if how == "leave" else rig.core.hand_over()
-        line.doors[0].set()
-        await until(lambda: not rig.core.calls_in_flight and not rig.tasks.running)
-        rig.core.hand_over()
-        assert list(rig.core.messages.by_id) == ["a"]
-        assert not one.calls
+        endpoint = await Endpoint().start()
+        rig, held_connections.held = Rig(tmp_path, [endpoint]), True
+        rig.submit("a")
+        await until(lambda: held_connections.releases)
+        rig.dispatcher.stop_deciding(SECOND) if how == "shutdown" else rig.dispatcher.hand_over()
+        held_connections.releases[0].set()
+        await until(lambda: not rig.dispatcher.calls_in_flight and not rig.tasks.running)
+        rig.dispatcher.hand_over()
+        assert list(rig.dispatcher.messages.by_id) == ["a"]
+        assert not endpoint.calls
         assert not rig.records("attempt")
         assert not rig.records("never")
-        assert bool(rig.records("passed")), "with its call gone it can be passed on"
+        assert bool(rig.records("passed")), "without its call it can be handed over"
         await rig.close()
 
     play(work())
 
 
-@pytest.mark.usefixtures("line")
-def test_what_could_not_connect_counts_as_an_attempt_over_a_restart(tmp_path: Path) -> None:
+@pytest.mark.usefixtures("held_connections")
+def test_a_failed_connection_counts_as_an_attempt_after_a_restart(tmp_path: Path) -> None:
     async def work() -> None:
-        one = Member()
-        one.port = 9  # nobody listens there
-        rig = Rig(tmp_path, [one])
-        rig.hand_in("a")
-        await until(lambda: rig.core.messages.by_id["a"].attempt_count == 1 and not rig.core.calls_in_flight)
+        endpoint = Endpoint()
+        endpoint.port = 9  # nobody listens there
+        rig = Rig(tmp_path, [endpoint])
+        rig.submit("a")
+        await until(
+            lambda: (
+                rig.dispatcher.messages.by_id["a"].attempt_count == 1 and not rig.dispatcher.calls_in_flight
+            )
+        )
         await rig.close()
-        again = Rig(tmp_path, [one])
-        known = again.core.messages.by_id["a"]
+        restarted = Rig(tmp_path, [endpoint])
+        known = restarted.dispatcher.messages.by_id["a"]
         assert (known.attempt_count, known.possible_executions) == (1, [])
-        await again.close()
+        await restarted.close()
 
     play(work())
 
 
-def test_what_a_late_answer_says_of_a_call_is_not_taken_for_a_delivery(tmp_path: Path) -> None:
+def test_a_late_reply_to_a_call_is_not_counted_as_a_delivery(tmp_path: Path) -> None:
     async def work() -> None:
-        one = await Member().start()
-        rig = Rig(tmp_path, [one], "large")
-        rig.hand_in("brief", left=SECOND // 4)
-        rig.hand_in("long")
-        await until(lambda: "brief" in rig.answers)  # while the call with both is out
+        endpoint = await Endpoint().start()
+        rig = Rig(tmp_path, [endpoint], "large")
+        rig.submit("brief", left=SECOND // 4)
+        rig.submit("long")
+        await until(lambda: "brief" in rig.answers)  # while the call with both is in flight
         body = b"brief accepted\r\nlong accepted\r\n"
-        one.answers.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-        one.answers.put_nowait(OK)
-        await until(lambda: len(rig.core.messages) == 0)
-        assert [b"messages:batch" in call for call in one.calls] == [True, False]
-        assert b"X-Txn: long" in one.calls[1]
-        ran = [(fields["id"], fields["n"]) for fields in rig.records("attempt")]
-        assert ran == [("brief", 0), ("long", 0), ("long", 1)]
+        endpoint.answers.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        endpoint.answers.put_nowait(OK)
+        await until(lambda: len(rig.dispatcher.messages) == 0)
+        assert [b"messages:batch" in call for call in endpoint.calls] == [True, False]
+        assert b"X-Txn: long" in endpoint.calls[1]
+        attempts = [(fields["id"], fields["n"]) for fields in rig.records("attempt")]
+        assert attempts == [("brief", 0), ("long", 0), ("long", 1)]
         await rig.close()
 
     play(work())
 
 
-@pytest.mark.parametrize("end", ["time-out", "given up"])
-@pytest.mark.parametrize("turn", ["unread", "read"])
-def test_a_wait_that_comes_as_its_call_ends_is_heeded(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str, turn: str
+@pytest.mark.parametrize("end", ["timeout", "cancelled"])
+@pytest.mark.parametrize("reply", ["in the socket", "just read"])
+def test_a_retry_after_that_arrives_as_its_call_ends_is_heeded(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str, reply: str
 ) -> None:
-    """The answer lies in the socket, or has just been read for a task whose turn is the next, as the call's
-    time-out rings or it is called off: what was told binds."""
+    """The reply is in the socket, or was just read for a task that runs next, as the call times out or is
+    cancelled: its Retry-After binds.
+    """
 
     async def work() -> None:
-        one = await Member().start()
-        rig = Rig(tmp_path, [one])
+        endpoint = await Endpoint().start()
+        rig = Rig(tmp_path, [endpoint])
         here, there = socket.socketpair()
         here.setblocking(False)
 
         def ends() -> None:
             rig.loop.remove_reader(here)
-            (call,) = set(rig.core.calls_in_flight.values())
-            if end == "given up":
-                rig.carrier.cancel(call)
-            while rig.core.scheduler.now() < call.sent_at + call.timeout:
-                pass  # the loop is held up till the time-out is due; both are found in its next turn
+            (call,) = set(rig.dispatcher.calls_in_flight.values())
+            if end == "cancelled":
+                rig.transport.cancel(call)
+            while rig.dispatcher.scheduler.now() < call.sent_at + call.timeout:
+                pass  # block the loop until the timeout is due: its next turn finds both
 
         rig.loop.add_reader(here, ends)
 
-        def at_once(self: asyncio.StreamWriter, data: bytes) -> None:  # in this turn, not at its end
+        def write_immediately(
+            self: asyncio.StreamWriter, data: bytes
+        ) -> None:  # in this turn of the loop, not at its end
             sides = [lambda: os.write(self.get_extra_info("socket").fileno(), data), lambda: there.send(b"x")]
-            for side in sides if turn == "read" else reversed(sides):
+            for side in sides if reply == "just read" else reversed(sides):
                 side()  # what is written first is read first
 
-        monkeypatch.setattr(asyncio.StreamWriter, "write", at_once)
-        rig.hand_in("a", left=SECOND)
-        await until(lambda: one.calls)
-        one.answers.put_nowait(LATER)
-        await until(lambda: len(rig.core.calls_in_flight) == 0)
-        assert rig.core.journal.retry_after_until, "the wait was told"
+        monkeypatch.setattr(asyncio.StreamWriter, "write", write_immediately)
+        rig.submit("a", left=SECOND)
+        await until(lambda: endpoint.calls)
+        endpoint.answers.put_nowait(LATER)
+        await until(lambda: len(rig.dispatcher.calls_in_flight) == 0)
+        assert rig.dispatcher.journal.retry_after_until, "the Retry-After was received"
         await rig.close()
 
     play(work())
 
 
-@pytest.mark.parametrize("rest", [b"abc", b"garbage without end" * 9000])
+@pytest.mark.parametrize("remainder", [b"abc", b"garbage without end" * 9000], ids=["short", "long"])
 @pytest.mark.parametrize("status", [b"429 Later", b"500 Oops"])
-def test_a_wait_in_an_answer_that_is_spoilt_behind_it_is_heeded(
-    tmp_path: Path, rest: bytes, status: bytes
+def test_a_retry_after_in_a_reply_malformed_after_it_is_heeded(
+    tmp_path: Path, remainder: bytes, status: bytes
 ) -> None:
-    """It may have run, as no whole answer came; yet the member asked to be left alone."""
+    """It may have been executed, as no complete reply came; yet the endpoint sent Retry-After."""
 
     async def work() -> None:
-        one = await Member().start()
-        rig = Rig(tmp_path, [one])
-        rig.hand_in("a")
-        length = len(rest) + (len(rest) < 100)  # the short one ends too soon
+        endpoint = await Endpoint().start()
+        rig = Rig(tmp_path, [endpoint])
+        rig.submit("a")
+        length = len(remainder) + (len(remainder) < 100)  # the short one ends too soon
         head = b"HTTP/1.1 %s\r\nRetry-After: 0.6\r\nContent-Length: %d\r\n\r\n" % (status, length)
-        one.answers.put_nowait(head + rest)
-        await until(lambda: one.calls)
-        await until(lambda: not rig.core.calls_in_flight)
-        ends = rig.core.scheduler.now() + int(0.55 * SECOND)  # longer than the first step of the ladder
-        one.answers.put_nowait(OK)
-        await until(lambda: len(one.calls) == 2)
-        assert rig.core.scheduler.now() >= ends, "begun inside the told wait"
-        await until(lambda: len(rig.core.messages) == 0)
-        assert [one["n"] for one in rig.records("attempt")] == [0, 1]
+        endpoint.answers.put_nowait(head + remainder)
+        await until(lambda: endpoint.calls)
+        await until(lambda: not rig.dispatcher.calls_in_flight)
+        ends = rig.dispatcher.scheduler.now() + int(0.55 * SECOND)  # longer than the first backoff step
+        endpoint.answers.put_nowait(OK)
+        await until(lambda: len(endpoint.calls) == 2)
+        assert rig.dispatcher.scheduler.now() >= ends, "started before the Retry-After was over"
+        await until(lambda: len(rig.dispatcher.messages) == 0)
+        assert [fields["n"] for fields in rig.records("attempt")] == [0, 1]
         assert not rig.records("never")
         await rig.close()
 
     play(work())
 
 
-def test_a_publish_that_waits_for_the_receive_maximum_heeds_a_wait_told_meanwhile(tmp_path: Path) -> None:
-    """The broker takes one at a time: the second publish is asked for once the first is acknowledged."""
+def test_a_publish_that_waits_for_the_receive_maximum_heeds_a_retry_after(tmp_path: Path) -> None:
+    """The broker accepts one at a time: the second publish is due once the first is acknowledged."""
 
     async def work() -> None:
         setup = MqttSettings("127.0.0.1:1", "in", "n0")
         rig = Rig(tmp_path, [])
-        context = MqttContext(setup, rig.core, rig.core.scheduler, rig.tasks)  # type: ignore[arg-type]
-        carrier = MqttTransport(context)
-        rig.core.transports["mqtt"] = carrier
-        one = PoolEndpoint("m", "partner/1", 1, kind=1, listed_rate=100.0, transport="mqtt")
-        rig.core.pool.pin(one)
-        told = {"revision": 2, "complete": True, "members": []}
-        rig.core.apply_list_update(rig.core.pool.update(told))
-        session, buffer = carrier.session, Buffer()
+        context = MqttContext(setup, rig.dispatcher, rig.dispatcher.scheduler, rig.tasks)  # type: ignore[arg-type]
+        transport = MqttTransport(context)
+        rig.dispatcher.transports["mqtt"] = transport
+        endpoint = PoolEndpoint("m", "partner/1", 1, kind=1, listed_rate=100.0, transport="mqtt")
+        rig.dispatcher.pool.pin(endpoint)
+        listed = {"revision": 2, "complete": True, "members": []}
+        rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(listed))
+        session, buffer = transport.session, Buffer()
 
         def receive(packet: Packet) -> None:
             buffer.feed(encode(packet))
@@ -387,21 +413,21 @@
         session.open()
         session.take_output()
         receive(Packet(Kind.CONNACK, properties={"receive_maximum": 1}))
-        rig.hand_in("a")
-        rig.hand_in("b")
-        await until(lambda: len(rig.core.calls_in_flight) == 2)
-        (first,) = published()
-        rig.core.retry_after_received(one, SECOND // 2)
-        ends = rig.core.scheduler.now() + SECOND // 2
-        await until(lambda: rig.waits() >= ends - SECOND // 10)
-        receive(Packet(Kind.PUBACK, id=first.id))
+        rig.submit("a")
+        rig.submit("b")
+        await until(lambda: len(rig.dispatcher.calls_in_flight) == 2)
+        (first_publish,) = published()
+        rig.dispatcher.retry_after_received(endpoint, SECOND // 2)
+        ends = rig.dispatcher.scheduler.now() + SECOND // 2
+        await until(lambda: rig.retry_after_until() >= ends - SECOND // 10)
+        receive(Packet(Kind.PUBACK, id=first_publish.id))
         assert not published()
-        assert not rig.core.calls_in_flight
+        assert not rig.dispatcher.calls_in_flight
         later: list[Packet] = []
         await until(lambda: later.extend(published()) or later)  # type: ignore[func-returns-value]
-        assert rig.core.scheduler.now() >= ends - 10**7, "begun inside the told wait"
+        assert rig.dispatcher.scheduler.now() >= ends - 10**7, "started before the Retry-After was over"
         receive(Packet(Kind.PUBACK, id=later[0].id))
-        await until(lambda: len(rig.core.messages) == 0)
+        await until(lambda: len(rig.dispatcher.messages) == 0)
         assert [fields["n"] for fields in rig.records("attempt")] == [0, 0], "no attempt was used up"
         await rig.close()
 
