--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,7 +1,7 @@
-"""Hundreds of messages taken on and untried, and restarts in the middle of them: what a start finds is tried.
+"""Hundreds of messages accepted and not attempted, and restarts meanwhile: a start attempts what it finds.
 
-Virtual time. The partners' state, the list and the moment of each end are drawn from the seed; the books here
-are the world's own, kept beside the journal.
+Virtual time. The health of the endpoints, the list and the time of each restart are drawn from the seed; the
+world tracks each message independently of the journal.
 """
 
 from __future__ import annotations
@@ -39,145 +39,149 @@
         deadline=20 * SECOND,
     ),
 )
-TOOK = 40 * MS  # a call to a partner that is well
-LATE = 300 * MS  # an end may be late by
-READY = int(1.5 * SECOND)  # and by so long after a start, where its time ended meanwhile
-MEMBERS = [
-    {**one, "size": 200.0} for one in ENDPOINT_LIST["members"]
-]  # calls a second: enough for all, cold too
-WHOLE = {"revision": 1, "complete": True, "members": MEMBERS}
-EMPTY = {"revision": 0, "complete": True, "members": []}
-STATES = ("well", "waits", "out", "shut", "slow")
+CALL_DURATION = 40 * MS  # to a healthy endpoint
+MAX_DELAY = 300 * MS  # of an ending after the deadline
+MAX_START_DELAY = int(1.5 * SECOND)  # of an ending after a start, if the deadline passed before it
+RATE = 200.0  # calls a second: enough for all, also in slow start
+MEMBERS = [{**row, "size": RATE} for row in ENDPOINT_LIST["members"]]
+COMPLETE_LIST = {"revision": 1, "complete": True, "members": MEMBERS}
+EMPTY_LIST = {"revision": 0, "complete": True, "members": []}
+STATES = ("healthy", "retry after", "unreachable", "rejecting", "slow")
 
 
 @dataclasses.dataclass
-class Known:
-    """One message as the world knows it."""
+class TrackedMessage:
+    """One message as the world knows it. Times in nanoseconds."""
 
-    cls: MessageClass
-    taken: int
+    message_class: MessageClass
+    accepted_at: int
     deadline: int
     calls: int = 0
-    out: int = 0
-    ran: int = 0  # attempts that took effect, or may have, without being dropped as repeats
-    first_ran: int | None = None
-    ended: int | None = None
+    in_flight: int = 0
+    executions: int = 0  # attempts that may have been executed and were not dropped as repeats
+    first_execution: int | None = None
+    ended_at: int | None = None
     delivered: bool = False
 
 
 class World:
-    """Partners, the list and the books; one process after the other stands in it."""
+    """Endpoints, the list and the messages; one process after the other runs in it."""
 
-    def __init__(self, folder: Path, seed: int, state: str, listed: str) -> None:
-        self.folder, self.rng, self.state, self.listed = folder, Random(seed), state, listed
-        self.time, self.known = VirtualTime(), dict[str, Known]()
-        self.sick_until = self.started = self.time.time
-        self.found: dict[str, int] = {}  # untried at a start with half of their time left: time of that start
-        self.node = Node(self, known=WHOLE)
+    def __init__(self, directory: Path, seed: int, state: str, listed: str) -> None:
+        self.directory, self.rng, self.state, self.listed = directory, Random(seed), state, listed
+        self.time, self.known = VirtualTime(), dict[str, TrackedMessage]()
+        self.unhealthy_until = self.started = self.time.time
+        self.found: dict[str, int] = {}  # not attempted at a start with half of their time left: that start
+        self.node = Node(self, known=COMPLETE_LIST)
 
-    def sick(self) -> bool:
-        return self.time.time < self.sick_until
+    def unhealthy(self) -> bool:
+        return self.time.time < self.unhealthy_until
 
-    def hand_in(self, number: int) -> None:
-        cls = self.rng.randrange(len(CLASSES))
+    def submit(self, number: int) -> None:
+        message_class = self.rng.randrange(len(CLASSES))
         name, time = f"m{number}", self.time.time
-        left = int(CLASSES[cls].deadline * self.rng.uniform(0.85, 1.0))
-        one = Transaction(name, cls, self.rng.choice((1, 2)), time + left, b"body", key=f"k-{name}")
-        if self.node.dispatcher.submit(one).accepted:
-            self.known[name] = Known(CLASSES[cls], time, one.deadline)
+        time_left = int(CLASSES[message_class].deadline * self.rng.uniform(0.85, 1.0))
+        tracked = Transaction(
+            name, message_class, self.rng.choice((1, 2)), time + time_left, b"body", key=f"k-{name}"
+        )
+        if self.node.dispatcher.submit(tracked).accepted:
+            self.known[name] = TrackedMessage(CLASSES[message_class], time, tracked.deadline)
 
     def restart(self, how: str) -> None:
-        """The process ends by SIGTERM or without one, and the next one starts on what it left."""
-        if how == "term":  # as lifecycle.serve: decisions end, calls out have a moment
+        """The process ends by SIGTERM or is killed, and the next one starts with its journal."""
+        if how == "SIGTERM":  # as the service does: decisions end, calls in flight have a moment
             self.node.dispatcher.draining, self.node.dispatcher.accepting = True, False
             self.node.dispatcher.stop_deciding(int(1.5 * SECOND))
             self.time.run(0.5)
         self.node.kill()
         self.time.run(0.6)
         self.started = self.time.time
-        self.sick_until = self.started + int(self.rng.uniform(0.5, 2.5) * SECOND)
-        for name, one in self.known.items():
-            half = one.deadline - self.started >= (one.deadline - one.taken) / 2
-            if one.ended is None and not one.calls and half:
+        self.unhealthy_until = self.started + int(self.rng.uniform(0.5, 2.5) * SECOND)
+        for name, tracked in self.known.items():
+            half_left = tracked.deadline - self.started >= (tracked.deadline - tracked.accepted_at) / 2
+            if tracked.ended_at is None and not tracked.calls and half_left:
                 self.found.setdefault(name, self.started)
-        self.node = Node(self, known=WHOLE if self.listed == "known" else EMPTY)
+        self.node = Node(self, known=COMPLETE_LIST if self.listed == "known" else EMPTY_LIST)
         if self.listed != "known":
-            late = self.rng.uniform(0.2, 2.0) if self.listed == "late" else 6.0
-            node, when = self.node, self.started + int(late * SECOND)
+            delay = self.rng.uniform(0.2, 2.0) if self.listed == "late" else 6.0
+            node, when = self.node, self.started + int(delay * SECOND)
             self.time.call_at(
                 when,
-                lambda: node.dead or node.dispatcher.apply_list_update(node.dispatcher.pool.update(WHOLE)),
+                lambda: (
+                    node.dead or node.dispatcher.apply_list_update(node.dispatcher.pool.update(COMPLETE_LIST))
+                ),
             )
 
     def ends(self, name: str, delivered: bool) -> None:
-        one = self.known[name]
-        if one.ended is None:
-            one.ended, one.delivered = self.time.time, delivered
+        tracked = self.known[name]
+        if tracked.ended_at is None:
+            tracked.ended_at, tracked.delivered = self.time.time, delivered
 
 
 class Node(DispatcherRig):
-    """One process: its carrier asks the world what becomes of a call."""
+    """One process: its transport asks the world what becomes of a call."""
 
     def __init__(self, world: World, known: dict[str, Any]) -> None:
         self.world, self.dead = world, False
         settings: dict[str, Any] = {"classes": CLASSES, "max_messages": 600, "max_concurrent_calls": 12}
-        super().__init__(world.folder, world.time, known=known, **settings)
+        super().__init__(world.directory, world.time, known=known, **settings)
 
     def start(self, call: Call) -> None:
         if self.dead:
             return
-        sick, state = self.world.sick(), self.world.state
-        if sick and state == "out":
+        unhealthy, state = self.world.unhealthy(), self.world.state
+        if unhealthy and state == "unreachable":
             self.time.call_at(self.time.time + MS, lambda: self.over(call, Outcome.CONNECT_FAILED))
             return
         super().start(call)
         now = self.time.time
-        for part in call.messages:
-            one = self.world.known[part.id]
-            one.calls, one.out = one.calls + 1, one.out + 1
-            assert one.out == 1, "two attempts of one message out"
-            assert one.ended is None, "sent after its end"
-            one.first_ran = one.first_ran if one.first_ran is not None else now
-        took = TOOK
+        for message in call.messages:
+            tracked = self.world.known[message.id]
+            tracked.calls, tracked.in_flight = tracked.calls + 1, tracked.in_flight + 1
+            assert tracked.in_flight == 1, "two attempts of one message in flight"
+            assert tracked.ended_at is None, "sent after it ended"
+            tracked.first_execution = tracked.first_execution if tracked.first_execution is not None else now
+        duration = CALL_DURATION
         outcome, wait = Outcome.DELIVERED, 0
-        if sick and state == "waits":
+        if unhealthy and state == "retry after":
             outcome, wait = Outcome.REJECTED, int(self.world.rng.uniform(0.3, 2.0) * SECOND)
-        elif sick and state == "shut":
+        elif unhealthy and state == "rejecting":
             outcome = Outcome.REJECTED
-        elif sick and state == "slow":
-            took = 700 * MS
+        elif unhealthy and state == "slow":
+            duration = 700 * MS
         elif self.world.rng.random() < 0.05:
             outcome = Outcome.RESET
-        if took >= call.timeout:
-            took, outcome = call.timeout, Outcome.TIMEOUT
-        self.time.call_at(now + took, lambda: self.over(call, outcome, retry_after=wait))
+        if duration >= call.timeout:
+            duration, outcome = call.timeout, Outcome.TIMEOUT
+        self.time.call_at(now + duration, lambda: self.over(call, outcome, retry_after=wait))
 
-    def over(self, call: Call, outcome: Outcome, **told: Any) -> None:
+    def over(self, call: Call, outcome: Outcome, **result: Any) -> None:
         if self.dead or not any(call.pending):
             return
-        self.books(
-            call, Outcome.RESET if call.message_expired else outcome
-        )  # late for one: nobody can tell for others
-        self.end(call, outcome, **told)
-
-    def books(self, call: Call, outcome: Outcome) -> None:
-        for part, is_open in zip(call.messages, call.pending, strict=True):
-            one = self.world.known[part.id]
-            one.out -= call.started and is_open
+        # Too late for one message: it is unknown for the others.
+        self.track(call, Outcome.RESET if call.message_expired else outcome)
+        self.end(call, outcome, **result)
+
+    def track(self, call: Call, outcome: Outcome) -> None:
+        for message, is_open in zip(call.messages, call.pending, strict=True):
+            tracked = self.world.known[message.id]
+            tracked.in_flight -= call.started and is_open
             if not call.started:
                 continue
             if outcome.proves_not_executed:
-                one.first_ran = one.first_ran if one.ran else None
+                tracked.first_execution = tracked.first_execution if tracked.executions else None
                 continue
-            assert one.first_ran is not None
+            assert tracked.first_execution is not None
             dropped = (
-                one.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-                and self.time.time - one.first_ran <= one.cls.deduplication_window
+                tracked.message_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+                and self.time.time - tracked.first_execution <= tracked.message_class.deduplication_window
+            )
+            tracked.executions += tracked.message_class.idempotency is not Idempotency.IDEMPOTENT and not (
+                tracked.executions and dropped
             )
-            one.ran += one.cls.idempotency is not Idempotency.IDEMPOTENT and not (one.ran and dropped)
-            assert one.ran <= 1, f"{part.id}: took effect twice"
+            assert tracked.executions <= 1, f"{message.id}: executed twice"
             if outcome is Outcome.DELIVERED:
-                self.world.ends(part.id, True)
+                self.world.ends(message.id, True)
 
     def cancel(self, call: Call) -> None:
         self.over(call, Outcome.CANCELLED) if call.started else self.dispatcher.call_ended(
@@ -189,21 +193,21 @@
         super().answer(transaction)
 
     def kill(self) -> None:
-        """What is out may have run, and nobody hears of it."""
-        for call in {id(one): one for one in self.dispatcher.calls_in_flight.values()}.values():
-            self.books(call, Outcome.RESET)
+        """Calls in flight may have been executed, and their outcome is lost."""
+        for call in {id(tracked): tracked for tracked in self.dispatcher.calls_in_flight.values()}.values():
+            self.track(call, Outcome.RESET)
         self.dead = True
         self.dispatcher.accepting = self.dispatcher.sending = False
         self.journal.close()
 
 
-def a_day(folder: Path, seed: int, state: str, listed: str, how: str) -> World:
-    """400 messages in 2 s, most of them held back; then two restarts, and all that is owed ends."""
-    world = World(folder, seed, state, listed)
-    world.sick_until = world.time.time + 10 * SECOND if state != "well" else 0
-    world.node.dispatcher.policy.limit_concurrent_calls(1)  # most wait for a slot
+def run_two_restarts(directory: Path, seed: int, state: str, listed: str, how: str) -> World:
+    """400 messages in 2 s, most of them waiting; then two restarts, and each accepted message ends."""
+    world = World(directory, seed, state, listed)
+    world.unhealthy_until = world.time.time + 10 * SECOND if state != "healthy" else 0
+    world.node.dispatcher.policy.limit_concurrent_calls(1)  # most wait for it
     for number in range(400):
-        world.hand_in(number)
+        world.submit(number)
         world.time.run(0.005)
     world.restart(how)
     world.time.run(world.rng.uniform(0.1, 1.5))
@@ -212,30 +216,36 @@
     return world
 
 
-@pytest.mark.parametrize("how", ["kill", "term"])
+@pytest.mark.parametrize("how", ["kill", "SIGTERM"])
 @pytest.mark.parametrize("listed", ["known", "late", "missing"])
 @pytest.mark.parametrize("state", STATES)
-def test_what_restarts_find_untried_is_tried(tmp_path: Path, state: str, listed: str, how: str) -> None:
+def test_messages_not_attempted_before_restarts_are_attempted_after_them(
+    tmp_path: Path, state: str, listed: str, how: str
+) -> None:
     found, uncalled, early = 0, 0, Counter[str]()
     for seed in range(3):
-        (folder := tmp_path / str(seed)).mkdir()
-        world = a_day(folder, seed, state, listed, how)
+        (directory := tmp_path / str(seed)).mkdir()
+        world = run_two_restarts(directory, seed, state, listed, how)
         assert len(world.known) > 300
-        lost = [name for name, one in world.known.items() if one.ended is None]
-        assert not lost, f"without an end: {lost[:5]} of {len(lost)}"
-        for name, one in world.known.items():
-            assert one.ended is not None
-            bound = max(one.deadline + LATE, world.started + READY)
-            assert one.ended <= bound, f"{name}: {(one.ended - one.deadline) / SECOND:.2f} s late"
+        unfinished = [name for name, tracked in world.known.items() if tracked.ended_at is None]
+        assert not unfinished, f"without an end: {unfinished[:5]} of {len(unfinished)}"
+        for name, tracked in world.known.items():
+            assert tracked.ended_at is not None
+            bound = max(tracked.deadline + MAX_DELAY, world.started + MAX_START_DELAY)
+            assert tracked.ended_at <= bound, (
+                f"{name}: {(tracked.ended_at - tracked.deadline) / SECOND:.2f} s late"
+            )
         found += len(world.found)
         for name in world.found:
-            one = world.known[name]
-            assert one.ended is not None
-            uncalled += not one.calls
-            if not one.calls and one.ended < one.taken + 0.7 * (one.deadline - one.taken):
-                early[one.cls.name] += 1
-    assert found > 100, "there was something to find"
-    assert not early, f"given up early with no call: {dict(early)} of {found}"
-    # At their own end only: partners that are sick after each restart, and no list for most of their time.
+            tracked = world.known[name]
+            assert tracked.ended_at is not None
+            uncalled += not tracked.calls
+            if not tracked.calls and tracked.ended_at < tracked.accepted_at + 0.7 * (
+                tracked.deadline - tracked.accepted_at
+            ):
+                early[tracked.message_class.name] += 1
+    assert found > 100, "there were messages to attempt"
+    assert not early, f"ended early with no call: {dict(early)} of {found}"
+    # By their deadline only: endpoints are unhealthy after each restart, and mostly there is no list.
     bound = {"known": 0.25, "late": 0.25, "missing": 0.5}[listed]
     assert uncalled <= bound * found, f"{uncalled} of {found} ended with no call"
