--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,7 +24,7 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.service_process import ServiceProcess, enqueue, members, running  # noqa: E402
+from benchmarks.service_process import ServiceProcess, endpoint_rows, enqueue, running_service  # noqa: E402
 from benchmarks.slopes import Slope, fit, table  # noqa: E402
 from benchmarks.standins import Agent, Endpoint, LoopThread  # noqa: E402
 from honeyhitch.endpoints.pool import EndpointPool  # noqa: E402
@@ -77,9 +77,9 @@
             print(f"destinations listed: {count} done", file=sys.stderr, flush=True)
 
     def _one_process(self, folder: Path, count: int) -> None:
-        listed = members(count)
+        listed = endpoint_rows(count)
         agent = Agent(self.thread, listed)
-        with running(folder, agent.port, listed) as service:
+        with running_service(folder, agent.port, listed) as service:
             per = "destination listed"
             self.note("start: exec to PONG", "s", per, count, service.seconds_to_ready)
             self.note("start: CPU", "s", per, count, service.cpu())
@@ -98,8 +98,8 @@
         for number in range(CHANGES):
             new = count + 1 + number
             began = time.monotonic()
-            sent += agent.change(*members(1, first=new))
-            while service.ask(enqueue(f"c{count}-{number}", new, left=100)) != b"+OK\r\n":
+            sent += agent.change(*endpoint_rows(1, first=new))
+            while service.request_line(enqueue(f"c{count}-{number}", new, time_left_ms=100)) != b"+OK\r\n":
                 time.sleep(0.001)
             waited += time.monotonic() - began
         per = "destination listed"
@@ -109,7 +109,7 @@
 
     def _reload(self, service: ServiceProcess, count: int) -> None:
         """SIGHUP names another agent; it is in force once that one is watched."""
-        other = Agent(self.thread, members(count), revision=1 << 20)
+        other = Agent(self.thread, endpoint_rows(count), revision=1 << 20)
         told = json.loads(service.config.read_text())
         service.config.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{other.port}"}))
         before, began = service.cpu(), time.monotonic()
@@ -129,7 +129,7 @@
     def lists(self) -> None:
         """Bytes and CPU of a whole list as it is read, in this process."""
         for count in self.destinations:
-            told = {"revision": 2, "complete": True, "members": members(count)}
+            told = {"revision": 2, "complete": True, "members": endpoint_rows(count)}
             body = json.dumps(told, separators=(",", ":")).encode()
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
             for _ in range(self.plays):
@@ -147,13 +147,15 @@
     def events(self) -> None:
         """CPU and journal bytes of events that are delivered, by their number."""
         endpoint = Endpoint(self.thread)
-        listed = members(8, endpoint.port)
+        listed = endpoint_rows(8, endpoint.port)
         agent = Agent(self.thread, listed)
         for count in EVENTS:
             for _ in range(self.plays):
                 with (
                     tempfile.TemporaryDirectory(dir=BENCH_NAMESPACE) as folder,
-                    running(Path(folder), agent.port, listed, settings=_roomy(64), limits=ROOMY) as service,
+                    running_service(
+                        Path(folder), agent.port, listed, settings=_roomy(64), limits=ROOMY
+                    ) as service,
                 ):
                     empty, before = service.journal_bytes(), service.cpu()
                     done = endpoint.messages + count
@@ -167,13 +169,15 @@
     def waiting(self) -> None:
         """Memory and journal bytes of events that wait for an endpoint that does not answer."""
         endpoint = Endpoint(self.thread, answer=b"")
-        listed = members(8, endpoint.port)
+        listed = endpoint_rows(8, endpoint.port)
         agent = Agent(self.thread, listed)
         for count in WAITING:
             for _ in range(self.plays):
                 with (
                     tempfile.TemporaryDirectory(dir=BENCH_NAMESPACE) as folder,
-                    running(Path(folder), agent.port, listed, settings=_roomy(4), limits=ROOMY) as service,
+                    running_service(
+                        Path(folder), agent.port, listed, settings=_roomy(4), limits=ROOMY
+                    ) as service,
                 ):
                     memory, journal = service.resident(), service.journal_bytes()
                     self._hand_in(service, count, 8)
--- a/benchmarks/fleet_control.py
+++ b/benchmarks/fleet_control.py
@@ -1,6 +1,6 @@
-"""A stand-in for the control machines over loopback: it lists a fleet and stamps heartbeats on its watches.
+"""A stand-in for the control machines over loopback: it lists a fleet and sends heartbeats on its watches.
 
-It runs in a process of its own, so that its CPU time can be told from all else.
+It runs in a separate process, so that its CPU time is measured apart.
 """
 
 from __future__ import annotations
@@ -17,38 +17,39 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.start import cpu  # noqa: E402
+from benchmarks.start import cpu_seconds  # noqa: E402
 from honeyhitch.partitioning.settings import Region  # noqa: E402
+from honeyhitch.time_units import MILLISECOND  # noqa: E402
 
-ZONES_A_REGION = 5
+ZONES_PER_REGION = 5
 LEASE_MS = 3000
-BEAT_SECONDS = 1.0
-LOOK_SECONDS = 0.005  # between looks for orders
+HEARTBEAT_SECONDS = 1.0
+POLL_SECONDS = 0.005  # between checks for commands
 
 
 def fleet_regions() -> tuple[Region, ...]:
     """Two regions of five zones."""
     return tuple(
-        Region(name, tuple(f"{name}-{number}" for number in range(ZONES_A_REGION)))
+        Region(name, tuple(f"{name}-{number}" for number in range(ZONES_PER_REGION)))
         for name in ("east", "west")
     )
 
 
-def entry(name: str, zone: str, address: str = "127.0.0.1:9", since: int = 0) -> dict[str, Any]:
+def view_entry(name: str, zone: str, address: str = "127.0.0.1:9", since: int = 0) -> dict[str, Any]:
     """One instance, as the view lists it."""
     region = next(region.name for region in fleet_regions() if zone in region.zones)
-    told = {"id": name, "host_port": address, "locality": zone, "flavor": region, "phase": "Ready"}
-    return {**told, "up_since_ms": since, "joined_ms": 0}
+    entry = {"id": name, "host_port": address, "locality": zone, "flavor": region, "phase": "Ready"}
+    return {**entry, "up_since_ms": since, "joined_ms": 0}
 
 
-def entries(count: int) -> list[dict[str, Any]]:
-    """So many instances, spread over all zones; nobody listens at their addresses."""
+def view_entries(count: int) -> list[dict[str, Any]]:
+    """So many instances, spread over all zones; none listens at its address."""
     zones = [zone for region in fleet_regions() for zone in region.zones]
-    return [entry(f"d{number}", zones[number % len(zones)]) for number in range(count)]
+    return [view_entry(f"d{number}", zones[number % len(zones)]) for number in range(count)]
 
 
 class FleetControl:
-    """The process, as those see it who give it orders."""
+    """The process, as a benchmark starts and commands it."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         context = get_context("spawn")
@@ -60,54 +61,56 @@
 
     @property
     def bytes_sent(self) -> float:
-        """To all watches together."""
+        """Bytes sent on all watches together."""
         return self._bytes.value
 
-    def cpu(self) -> float:
+    def cpu_seconds(self) -> float:
         """CPU seconds used so far."""
         assert self._process.pid is not None
-        return cpu(self._process.pid)
+        return cpu_seconds(self._process.pid)
 
     def set_phase(self, name: str, phase: str) -> None:
         """Publish that an instance has this phase now."""
         self._orders.send((name, phase))
 
     def close(self) -> None:
-        """End it."""
+        """End the process."""
         self._process.terminate()
         self._process.join(10)
 
 
 class _Server:
     def __init__(self, members: list[dict[str, Any]], orders: Connection, sent: Synchronized[float]) -> None:
-        self.members = {one["id"]: one for one in members}
-        self.orders, self.sent, self.revision = orders, sent, 1
+        self.members = {member["id"]: member for member in members}
+        self.orders = orders
+        self.sent = sent
+        self.revision = 1
         self.watches = set[asyncio.StreamWriter]()
 
     async def run(self) -> None:
         server = await asyncio.start_server(self._client, "127.0.0.1", 0, backlog=2048)
         self.orders.send(server.sockets[0].getsockname()[1])
-        beat_at = time.monotonic()
+        heartbeat_at = time.monotonic()
         while True:
             while self.orders.poll():
-                self._change(*self.orders.recv())
-            if time.monotonic() >= beat_at:
-                beat_at += BEAT_SECONDS
-                self._all(self._line(False, []))
-            await asyncio.sleep(LOOK_SECONDS)
-
-    def _line(self, complete: bool, members: list[dict[str, Any]]) -> bytes:
-        told = {"revision": self.revision, "complete": complete, "members": members, "lease_ms": LEASE_MS}
-        told["issued_ms"] = time.time_ns() // 1_000_000
-        return json.dumps(told, separators=(",", ":")).encode() + b"\n"
-
-    def _change(self, name: str, phase: str) -> None:
+                self._set_phase(*self.orders.recv())
+            if time.monotonic() >= heartbeat_at:
+                heartbeat_at += HEARTBEAT_SECONDS
+                self._send_to_all(self._encode_line(False, []))
+            await asyncio.sleep(POLL_SECONDS)
+
+    def _encode_line(self, complete: bool, members: list[dict[str, Any]]) -> bytes:
+        update = {"revision": self.revision, "complete": complete, "members": members, "lease_ms": LEASE_MS}
+        update["issued_ms"] = time.time_ns() // MILLISECOND
+        return json.dumps(update, separators=(",", ":")).encode() + b"\n"
+
+    def _set_phase(self, name: str, phase: str) -> None:
         self.revision += 1
-        since = time.time_ns() // 1_000_000
-        self.members[name] = {**self.members[name], "phase": phase, "up_since_ms": since}
-        self._all(self._line(False, [self.members[name]]))
+        phase_since_ms = time.time_ns() // MILLISECOND
+        self.members[name] = {**self.members[name], "phase": phase, "up_since_ms": phase_since_ms}
+        self._send_to_all(self._encode_line(False, [self.members[name]]))
 
-    def _all(self, line: bytes) -> None:
+    def _send_to_all(self, line: bytes) -> None:
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
         for writer in self.watches:
             writer.write(chunk)
@@ -117,7 +120,7 @@
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                line = self._line(True, list(self.members.values()))
+                line = self._encode_line(True, list(self.members.values()))
                 if b"stream=1" in head:
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                     if b"index=%d " % self.revision not in head:
--- a/benchmarks/real_fleet.py
+++ b/benchmarks/real_fleet.py
@@ -15,35 +15,35 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.fleet_control import FleetControl, entries, fleet_regions  # noqa: E402
-from benchmarks.service_process import ServiceProcess, enqueue, members, running  # noqa: E402
+from benchmarks.fleet_control import FleetControl, fleet_regions, view_entries  # noqa: E402
+from benchmarks.service_process import ServiceProcess, endpoint_rows, enqueue, running_service  # noqa: E402
 from benchmarks.standins import Agent  # noqa: E402
 from honeyhitch.partitioning.fleet import Fleet  # noqa: E402
 from honeyhitch.partitioning.settings import FleetSettings  # noqa: E402
 from tests.program import SETTINGS, free_port  # noqa: E402
 
-ROOMY = {"sockets": 1024, "disk_mb": 50}
-LIST_WITHIN = 120.0  # seconds
-SETTLED_SECONDS = 1.0
+LIMITS = {"sockets": 1024, "disk_mb": 50}
+LIST_TIMEOUT_SECONDS = 120.0  # seconds
+DELIVERY_SETTLE_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class Traffic:
-    """What became of some events, and what they cost."""
+    """The replies to some messages, and what these cost."""
 
     accepted: int = 0
-    refused: int = 0
-    cpu: float = 0.0  # seconds, of all processes
-    waits: list[float] = field(default_factory=list)  # seconds until each reply
+    rejected: int = 0
+    cpu_seconds: float = 0.0  # seconds, of all processes
+    reply_seconds: list[float] = field(default_factory=list)  # seconds until each reply
 
 
 class RealFleet:
-    """All are in one zone, so that a message for what one of them owns may reach it by way of another."""
+    """Instances of one zone, so that a message for what one of them owns may be forwarded by another."""
 
     def __init__(self, folder: Path, real: int, count: int, agent: Agent, settle: float) -> None:
         """`count` instances are in the view; of these the first `real` ones of one zone run."""
         self.folder, self.agent, self.settle = folder, agent, settle
-        self.view = entries(count)
+        self.view = view_entries(count)
         self.zone = self.view[0]["locality"]
         self.rows = [row for row in self.view if row["locality"] == self.zone][:real]
         for row in self.rows:
@@ -52,19 +52,19 @@
         self.stack = contextlib.ExitStack()
 
     def __enter__(self) -> RealFleet:
-        """Start the control machines' stand-in, and then all processes; each has its whole list."""
+        """Start the control machines' stand-in, and then all processes; each has its complete list."""
         self.control = FleetControl(self.view)
         self.stack.callback(self.control.close)
         for row in self.rows:
             self.processes.append(self.stack.enter_context(self._start(row)))
         fleet = self._fleet(self.rows[0]["id"])
-        self.owned = list[tuple[int, int]]()  # destinations of the real ones, and which of them
+        self.owned = list[tuple[int, int]]()  # destinations, and the index of the process that owns each
         names = [row["id"] for row in self.rows]
         for number in range(1, len(self.agent.members) + 1):
             first = fleet.candidates(self.zone, fleet.partition(number))[0].name
             if first in names:
                 self.owned.append((number, names.index(first)))
-        self._until_listed()
+        self._wait_for_lists()
         return self
 
     def __exit__(
@@ -86,61 +86,66 @@
         folder = self.folder / row["id"]
         folder.mkdir()
         operator = f'[fleet]\nview = "127.0.0.1:{self.control.port}"\nzone = "{self.zone}"\n[fleet.regions]\n'
-        operator += "".join(f"{one.name} = {json.dumps(list(one.zones))}\n" for one in fleet_regions())
+        operator += "".join(
+            f"{region.name} = {json.dumps(list(region.zones))}\n" for region in fleet_regions()
+        )
         caps = {**SETTINGS["caps"], "max-open": 10_000}
         family = {**SETTINGS["family-info"], "call-slots": 64, "per-call": [1, 1]}
-        told = {"settings": {**SETTINGS, "caps": caps, "family-info": family}, "limits": ROOMY}
+        config = {"settings": {**SETTINGS, "caps": caps, "family-info": family}, "limits": LIMITS}
         port = int(row["host_port"].rpartition(":")[2])
-        with running(folder, self.agent.port, [], operator, port=port, name=row["id"], **told) as service:
+        with running_service(
+            folder, self.agent.port, [], operator, port=port, name=row["id"], **config
+        ) as service:
             yield service
 
-    def _until_listed(self) -> None:
+    def _wait_for_lists(self) -> None:
         """Until each of them accepts a message for something of its own: it has read its list."""
-        end = time.monotonic() + LIST_WITHIN
+        end = time.monotonic() + LIST_TIMEOUT_SECONDS
         for index, service in enumerate(self.processes):
             number = next(number for number, owner in self.owned if owner == index)
-            while service.ask(enqueue(f"l{time.monotonic_ns()}", number)) != b"+OK\r\n":
+            while service.request_line(enqueue(f"l{time.monotonic_ns()}", number)) != b"+OK\r\n":
                 if time.monotonic() > end:
                     raise RuntimeError(f"{self.rows[index]['id']} did not take its list")
                 time.sleep(0.05)
         time.sleep(self.settle)
 
-    def time_a_change(self, agent: Agent, destinations: int) -> float:
+    def measure_list_change(self, agent: Agent, destinations: int) -> float:
         """Seconds until a new endpoint is in force at the real one that owns its destination."""
         fleet, names = self._fleet(self.rows[0]["id"]), [row["id"] for row in self.rows]
         for number in range(destinations + 1, destinations + 100_000):
             first = fleet.candidates(self.zone, fleet.partition(number))[0].name
             if first in names:
                 began = time.monotonic()
-                agent.change(*members(1, first=number))
+                agent.change(*endpoint_rows(1, first=number))
                 service = self.processes[names.index(first)]
-                while service.ask(enqueue(f"n{time.monotonic_ns()}", number)) != b"+OK\r\n":
+                while service.request_line(enqueue(f"n{time.monotonic_ns()}", number)) != b"+OK\r\n":
                     time.sleep(0.001)
                 return time.monotonic() - began
-        raise RuntimeError("the real ones own too little")
+        raise RuntimeError("the processes own too few destinations")
 
-    def traffic(self, events: int, by_way: bool) -> Traffic:
-        """Hand events in one after the other, at their owner or at another one that passes them on."""
-        found, before = Traffic(), self.cpu()
+    def send_messages(self, events: int, forwarded: bool) -> Traffic:
+        """Submit messages one after the other, to their owner or to another instance that forwards them."""
+        traffic = Traffic()
+        cpu_before = self.cpu()
         with contextlib.ExitStack() as stack:
             sockets = [
-                stack.enter_context(socket.create_connection(("127.0.0.1", one.port), timeout=60))
-                for one in self.processes
+                stack.enter_context(socket.create_connection(("127.0.0.1", service.port), timeout=60))
+                for service in self.processes
             ]
             replies = [stack.enter_context(sock.makefile("rb")) for sock in sockets]
             for event in range(events):
                 number, owner = self.owned[event * 7919 % len(self.owned)]
-                at = (owner + by_way) % len(sockets)
+                at = (owner + forwarded) % len(sockets)
                 began = time.monotonic()
-                sockets[at].sendall(enqueue(f"t{by_way:d}-{event}", number))
+                sockets[at].sendall(enqueue(f"t{forwarded:d}-{event}", number))
                 accepted = replies[at].readline() == b"+OK\r\n"
-                found.waits.append(time.monotonic() - began)
-                found.accepted += accepted
-                found.refused += not accepted
-        time.sleep(SETTLED_SECONDS)  # until the last is delivered
-        found.cpu = self.cpu() - before
-        return found
+                traffic.reply_seconds.append(time.monotonic() - began)
+                traffic.accepted += accepted
+                traffic.rejected += not accepted
+        time.sleep(DELIVERY_SETTLE_SECONDS)  # until the last is delivered
+        traffic.cpu_seconds = self.cpu() - cpu_before
+        return traffic
 
     def cpu(self) -> float:
         """CPU seconds of all processes together."""
-        return sum(one.cpu() for one in self.processes)
+        return sum(service.cpu() for service in self.processes)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -27,11 +27,11 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.fleet_control import FleetControl, entries  # noqa: E402
+from benchmarks.fleet_control import FleetControl, view_entries  # noqa: E402
 from benchmarks.fleet_watchers import watch_in_process  # noqa: E402
 from benchmarks.hollow_fleet import Fault, FaultKind, HollowPlay, Totals  # noqa: E402
-from benchmarks.real_fleet import SETTLED_SECONDS, RealFleet  # noqa: E402
-from benchmarks.service_process import members, running  # noqa: E402
+from benchmarks.real_fleet import DELIVERY_SETTLE_SECONDS, RealFleet  # noqa: E402
+from benchmarks.service_process import endpoint_rows, running_service  # noqa: E402
 from benchmarks.standins import Agent, Endpoint, LoopThread  # noqa: E402
 
 MEMORY_BUDGET, CPU_BUDGET, BYTES_BUDGET, FORCE_BUDGET = 64e6, 0.014, 11_000, 4.0  # of a dispatcher
@@ -49,7 +49,7 @@
 
 def control(count: int, seconds: float) -> dict[str, Any]:
     """Heartbeats and changes of the view, from one stand-in to so many hollow dispatchers."""
-    names = entries(count)
+    names = view_entries(count)
     server = FleetControl(names)
     context = get_context("spawn")
     links, workers = list[Connection](), []
@@ -108,7 +108,7 @@
     """Real processes with the whole list, in a view of so many dispatchers, under traffic."""
     thread = LoopThread()
     endpoint = Endpoint(thread)
-    listed = members(destinations, endpoint.port)
+    listed = endpoint_rows(destinations, endpoint.port)
     agent = Agent(thread, listed)
     say(f"service: a list of {destinations} destinations, {len(agent.whole_list()) / 1e6:.1f} MB")
     with contextlib.ExitStack() as stack:
@@ -126,11 +126,11 @@
             (one.cpu() - before) / SETTLE_SECONDS
             for one, before in zip(fleet.processes, started_cpu, strict=True)
         ]
-        change = fleet.time_a_change(agent, destinations)
+        change = fleet.measure_list_change(agent, destinations)
         say("service: traffic")
         time.sleep(1)  # what was handed in to look is delivered
-        delivered_before, idle_cpu = endpoint.messages, sum(idle) * SETTLED_SECONDS
-        direct, by_way = fleet.traffic(events, False), fleet.traffic(events, True)
+        delivered_before, idle_cpu = endpoint.messages, sum(idle) * DELIVERY_SETTLE_SECONDS
+        direct, by_way = fleet.send_messages(events, False), fleet.send_messages(events, True)
         return {
             "real": real,
             "destinations": destinations,
@@ -146,12 +146,12 @@
             "handed_in": 2 * events,
             "accepted_direct": direct.accepted,
             "accepted_forwarded": by_way.accepted,
-            "refused": direct.refused + by_way.refused,
-            "cpu_direct_event_s": (direct.cpu - idle_cpu) / events,
-            "cpu_forwarded_event_s": (by_way.cpu - idle_cpu) / events,
-            "reply_direct_median_s": statistics.median(direct.waits),
-            "reply_forwarded_median_s": statistics.median(by_way.waits),
-            "reply_forwarded_p99_s": sorted(by_way.waits)[int(0.99 * events)],
+            "refused": direct.rejected + by_way.rejected,
+            "cpu_direct_event_s": (direct.cpu_seconds - idle_cpu) / events,
+            "cpu_forwarded_event_s": (by_way.cpu_seconds - idle_cpu) / events,
+            "reply_direct_median_s": statistics.median(direct.reply_seconds),
+            "reply_forwarded_median_s": statistics.median(by_way.reply_seconds),
+            "reply_forwarded_p99_s": sorted(by_way.reply_seconds)[int(0.99 * events)],
             "delivered": endpoint.messages - delivered_before,
         }
 
@@ -159,7 +159,7 @@
 def without_fleet(folder: Path, agent: Agent, listed: list[dict[str, Any]]) -> dict[str, float]:
     """One real process as it is without `[fleet]`: it knows the whole list."""
     folder.mkdir()
-    with running(folder, agent.port, listed) as one:
+    with running_service(folder, agent.port, listed) as one:
         found = {"ready_s": one.seconds_to_ready, "resident": one.resident(), "start_cpu_s": one.cpu()}
         before = one.cpu()
         time.sleep(SETTLE_SECONDS)
--- a/benchmarks/service_process.py
+++ b/benchmarks/service_process.py
@@ -19,14 +19,14 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.start import cpu  # noqa: E402
+from benchmarks.start import cpu_seconds  # noqa: E402
 from tests.program import free_port, write  # noqa: E402
 
-START_WITHIN = 120.0  # seconds
+START_TIMEOUT_SECONDS = 120.0  # seconds
 READ_SIZE = 1 << 16
 
 
-def members(count: int, port: int = 9, first: int = 1) -> list[dict[str, Any]]:
+def endpoint_rows(count: int, port: int = 9, first: int = 1) -> list[dict[str, Any]]:
     """So many destinations with one endpoint each, in discovery's form."""
     return [
         {
@@ -52,9 +52,9 @@
     config: Path
     seconds_to_ready: float
 
-    def cpu(self) -> float:
+    def cpu_seconds(self) -> float:
         """CPU seconds used so far."""
-        return cpu(self.process.pid)
+        return cpu_seconds(self.process.pid)
 
     def resident(self) -> int:
         """Resident memory in bytes."""
@@ -64,43 +64,43 @@
         raise RuntimeError("the process has gone")
 
     def journal_bytes(self) -> int:
-        """Size of the files in the state folder."""
+        """Size of the files in the state directory."""
         state = Path(json.loads(self.config.read_text())["state"])
         return sum(file.stat().st_size for file in state.iterdir() if file.is_file())
 
-    def ask(self, request: bytes) -> bytes:
-        """The first line of an answer, on a connection of its own."""
-        with socket.create_connection(("127.0.0.1", self.port), timeout=START_WITHIN) as sock:
+    def request_line(self, request: bytes) -> bytes:
+        """The first line of the reply to a request, on a new connection."""
+        with socket.create_connection(("127.0.0.1", self.port), timeout=START_TIMEOUT_SECONDS) as sock:
             sock.sendall(request)
             return sock.makefile("rb").readline()
 
 
-def enqueue(name: str, destination: int, left: int = 20_000, body: bytes = b"x" * 200) -> bytes:
-    """A message as a client hands it in; `left` in milliseconds."""
-    fields = f"c=standard,t=studio,d={left},k={name},dest={destination}".encode()
-    parts = [b"ENQUEUE", b"0" * 16, name.encode(), fields, body]
-    return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
+def enqueue(message_id: str, destination: int, time_left_ms: int = 20_000, body: bytes = b"x" * 200) -> bytes:
+    """A message as a client submits it."""
+    fields = f"c=standard,t=studio,d={time_left_ms},k={message_id},dest={destination}".encode()
+    arguments = [b"ENQUEUE", b"0" * 16, message_id.encode(), fields, body]
+    return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments)
 
 
 @contextlib.contextmanager
-def running(
+def running_service(
     folder: Path,
     discovery: int,
     known: list[dict[str, Any]],
     operator: str | None = None,
     port: int = 0,
-    **told: Any,
+    **config: Any,
 ) -> Iterator[ServiceProcess]:
     """A real process, from exec to `+PONG`, at this port or a free one; it is killed at the end."""
     port = port or free_port()
-    path, operator_path = write(folder, port, discovery, known, operator, **told)
+    path, operator_path = write(folder, port, discovery, known, operator, **config)
     program = [sys.executable, "-m", "honeyhitch", "serve", "--config", path]
     program += ["--operator", operator_path] if operator_path is not None else []
     began = time.monotonic()
     process = subprocess.Popen(program, cwd=ROOT, env=dict(os.environ), stderr=subprocess.DEVNULL)
     service = ServiceProcess(process, port, Path(path), 0.0)
     try:
-        _await_pong(service, began)
+        _wait_until_ready(service, began)
         service.seconds_to_ready = time.monotonic() - began
         yield service
     finally:
@@ -108,10 +108,10 @@
         process.wait()
 
 
-def _await_pong(service: ServiceProcess, began: float) -> None:
-    while service.process.poll() is None and time.monotonic() - began < START_WITHIN:
+def _wait_until_ready(service: ServiceProcess, began: float) -> None:
+    while service.process.poll() is None and time.monotonic() - began < START_TIMEOUT_SECONDS:
         with contextlib.suppress(OSError):
-            if service.ask(b"PING\r\n") == b"+PONG\r\n":
+            if service.request_line(b"PING\r\n") == b"+PONG\r\n":
                 return
         time.sleep(0.01)
     raise RuntimeError("the process did not become ready")
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -3,8 +3,8 @@
     python benchmarks/start.py [--rounds 20] [--together 32] [--uncompiled]
 
 `--uncompiled` starts from a copy of the sources without compiled files, which may not be written either, as
-where the folder is read-only and `build` left none. All of it stays on loopback; each process is ended by its
-id.
+where the directory is read-only and `build` left none. Everything stays on loopback; each process is
+killed by its id.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 sys.path.insert(0, str(ROOT))
 from tests.program import write  # noqa: E402
 
-TICK = os.sysconf("SC_CLK_TCK")
-MOST = 60.0  # seconds for a start
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+START_TIMEOUT_SECONDS = 60.0
 PORT = 7379  # at an address of its own for each, below the range of ports that connections take
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """CPU seconds of a process so far, user and system."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def start(
     root: Path, folder: Path, number: int, discovery: int, compiled: bool
 ) -> tuple[subprocess.Popen[bytes], str]:
-    """One process on its way, and its own loopback address: a common port may be taken meanwhile."""
+    """Start one process, at a loopback address of its own: a port of a common one may be taken meanwhile."""
     folder.mkdir()
     host = f"127.0.1.{number + 1}"
     path, _ = write(folder, PORT, discovery, [], listen=f"{host}:{PORT}")
@@ -48,15 +48,15 @@
     return subprocess.Popen(program, cwd=root, env=environ, stderr=subprocess.DEVNULL), host
 
 
-def ready(program: subprocess.Popen[bytes], host: str) -> float:
+def wait_until_ready(program: subprocess.Popen[bytes], host: str) -> float:
     """Wait for +PONG; the CPU seconds used until then."""
-    until = time.monotonic() + MOST
-    while time.monotonic() < until and program.poll() is None:
+    deadline = time.monotonic() + START_TIMEOUT_SECONDS
+    while time.monotonic() < deadline and program.poll() is None:
         try:
             with socket.create_connection((host, PORT), timeout=5) as client:
                 client.sendall(b"PING\r\n")
                 if client.recv(16) == b"+PONG\r\n":
-                    return cpu(program.pid)
+                    return cpu_seconds(program.pid)
         except OSError:
             time.sleep(0.005)
     raise SystemExit("a process did not start")
@@ -68,7 +68,7 @@
         began, port = time.monotonic(), discovery.getsockname()[1]
         started = [start(root, Path(folder, f"n{i}"), i, port, compiled) for i in range(count)]
         try:
-            used = [ready(*one) for one in started]
+            used = [wait_until_ready(*process) for process in started]
             return used, time.monotonic() - began
         finally:
             for program, _ in started:
@@ -82,24 +82,26 @@
     parser.add_argument("--rounds", type=int, default=20)
     parser.add_argument("--together", type=int, default=32)
     parser.add_argument("--uncompiled", action="store_true")
-    asked = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory() as copy:
         root = ROOT
-        if asked.uncompiled:
+        if options.uncompiled:
             root = Path(copy)
-            left_out = shutil.ignore_patterns("__pycache__")
-            shutil.copytree(ROOT / "honeyhitch", root / "honeyhitch", ignore=left_out)
+            ignored = shutil.ignore_patterns("__pycache__")
+            shutil.copytree(ROOT / "honeyhitch", root / "honeyhitch", ignore=ignored)
         else:
             measure(root, 1, True)  # compiles what is not compiled yet
-        single = [one for _ in range(asked.rounds) for one in measure(root, 1, not asked.uncompiled)[0]]
-        many, last = measure(root, asked.together, not asked.uncompiled)
+        single = [
+            seconds for _ in range(options.rounds) for seconds in measure(root, 1, not options.uncompiled)[0]
+        ]
+        many, last = measure(root, options.together, not options.uncompiled)
     print(
         json.dumps(
             {
-                "compiled": not asked.uncompiled,
+                "compiled": not options.uncompiled,
                 "cpu_s_alone_median": round(statistics.median(single), 3),
                 "cpu_s_alone_most": round(max(single), 3),
-                "together": asked.together,
+                "together": options.together,
                 "cpu_s_together_median": round(statistics.median(many), 3),
                 "last_ready_s": round(last, 2),
             }
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -2,10 +2,10 @@
 
     python benchmarks/upgrades.py [--upgrades 100] [--seconds 10]
 
-First so many upgrades in a row: who was turned back unheard, how long a yes took. Then one process under full
-load, floods of PING besides, called at its management address all the while beside 16 callers that hold
-connections without a whole call: how long replies took, and how far each figure was from a ledger of what
-clients and a partner saw. Last, what counting costs. The stand-ins are the tests'; all stays on loopback, and
+First so many upgrades in a row: which clients got no reply, and how long each start took. Then one process
+under full load and floods of PING, called at its management address while 16 other callers hold connections
+without a complete call: how long replies took, and how far each metric was from what clients and the endpoint
+counted. Last, what counting costs. The stand-ins are those of the tests; everything stays on loopback, and
 processes are ended by their ids.
 """
 
@@ -26,46 +26,54 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.start import cpu  # noqa: E402
+from benchmarks.start import cpu_seconds  # noqa: E402
 from honeyhitch.dispatcher.metrics import Metrics  # noqa: E402
 from honeyhitch.journal.transactions import Ending, Transaction  # noqa: E402
 from tests.test_upgrade import UpgradeRig, upgrade_under_load  # noqa: E402
 
-STALLED = 16  # callers that never end their line
-EVERY = 0.01  # seconds between calls
-FLOODS, PINGS = 4, 2000  # connections that only keep the process busy, and what they write at once
+STALLED_CONNECTIONS = 16  # whose line never ends
+CALL_INTERVAL_SECONDS = 0.01
+ALLOWED_DIFFERENCE = 3  # messages in flight between a reply and the counts around it
+FLOOD_CONNECTIONS = 4  # that only keep the process busy
+PINGS_PER_WRITE = 2000
 
 
-async def upgrades(count: int) -> None:
-    """So many in a row."""
-    yes, gone = list[float](), list[float]()
+async def measure_upgrades(count: int) -> None:
+    """So many upgrades in a row."""
+    start_seconds = list[float]()
+    stop_seconds = list[float]()
     with tempfile.TemporaryDirectory(dir="/dev/shm") as folder:
         async with upgrade_under_load(Path(folder), 1) as rig:
             for _ in range(count):
-                (old,), began = rig.running, time.monotonic()
+                (old,) = rig.running
+                began = time.monotonic()
                 await rig.start()
-                yes.append(time.monotonic() - began)
+                start_seconds.append(time.monotonic() - began)
                 began = time.monotonic()
                 assert await rig.stop(old, signal.SIGTERM) == 0
-                gone.append(time.monotonic() - began)
-        told = rig.clients.replies
-    unheard = sum(not answer for answer in told.values())
+                stop_seconds.append(time.monotonic() - began)
+        replies = rig.clients.replies
+    unanswered = sum(not answer for answer in replies.values())
     twice = sum(calls > 1 for calls in rig.ledger.delivered.values())
-    print(f"upgrades            {count}, {len(told)} messages handed in, {len(rig.clients.accepted())} taken")
-    print(f"turned back unheard {unheard}, delivered twice {twice}, lost 0 (the ledger is closed)")
-    print(f"start to yes        p50 {statistics.median(yes):.2f} s, most {max(yes):.2f} s")
-    print(f"SIGTERM to end      p50 {statistics.median(gone):.2f} s, most {max(gone):.2f} s")
-
-
-def ledger(rig: UpgradeRig) -> dict[str, int]:
-    """What the clients and the partner saw."""
-    deferred = sum(one["status"] == "deferred" for one in rig.agent.notices.values())
+    print(
+        f"upgrades            {count}, {len(replies)} messages handed in, {len(rig.clients.accepted())} taken"
+    )
+    print(f"turned back unheard {unanswered}, delivered twice {twice}, lost 0 (the ledger is closed)")
+    print(
+        f"start to yes        p50 {statistics.median(start_seconds):.2f} s, most {max(start_seconds):.2f} s"
+    )
+    print(f"SIGTERM to end      p50 {statistics.median(stop_seconds):.2f} s, most {max(stop_seconds):.2f} s")
+
+
+def observed_counts(rig: UpgradeRig) -> dict[str, int]:
+    """What the clients, the agent and the endpoint counted."""
+    deferred = sum(notice["status"] == "deferred" for notice in rig.agent.notices.values())
     busy = sum(answer.startswith(b"-BUSY") for answer in rig.clients.replies.values())
     return {"ok": rig.ledger.delivered.total(), "shed": busy + deferred, "tries": rig.ledger.calls}
 
 
-async def called(port: int, line: bytes) -> tuple[float, bytes]:
-    """One call and how long its reply took."""
+async def timed_call(port: int, line: bytes) -> tuple[float, bytes]:
+    """Seconds that the reply to one management call took, and the reply."""
     began = time.monotonic()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(line)
@@ -78,50 +86,58 @@
     """Keep the process busy at little cost here."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     while True:
-        writer.write(b"PING\r\n" * PINGS)
-        await reader.readexactly(len(b"+PONG\r\n") * PINGS)
+        writer.write(b"PING\r\n" * PINGS_PER_WRITE)
+        await reader.readexactly(len(b"+PONG\r\n") * PINGS_PER_WRITE)
 
 
-async def figures(seconds: float) -> None:
+async def measure_metrics(seconds: float) -> None:
     """One process under full load."""
-    took, off = list[float](), {"ok": list[float](), "shed": list[float](), "tries": list[float]()}
+    reply_seconds = list[float]()
+    errors = {"ok": list[float](), "shed": list[float](), "tries": list[float]()}
     with tempfile.TemporaryDirectory(dir="/dev/shm") as folder:
         async with upgrade_under_load(Path(folder), 2) as rig:
             (process,) = rig.running
-            rig.clients.waits_for_room = False  # whoever is turned away comes again at once
+            rig.clients.waits_for_room = False  # who is rejected submits again at once
             at = json.loads((Path(folder) / "1" / "config.json").read_text())["management"]
             port = int(at.rpartition(":")[2])
-            stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in range(STALLED)]
+            stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in range(STALLED_CONNECTIONS)]
             for _, writer in stalled:
                 writer.write(b"sta")
-            floods = [asyncio.ensure_future(flood(rig.port)) for _ in range(FLOODS)]
-            used, began = cpu(process.pid), time.monotonic()
+            floods = [asyncio.ensure_future(flood(rig.port)) for _ in range(FLOOD_CONNECTIONS)]
+            used, began = cpu_seconds(process.pid), time.monotonic()
             while time.monotonic() - began < seconds:
-                before = ledger(rig)
-                one, answer = await called(port, b"stats\n")
-                after = ledger(rig)
-                took.append(one)
-                told = json.loads(answer.split(b"\r\n")[0])["responses"]["standard"]
-                for name, seen in off.items():
-                    far = max(before[name] - told[name], told[name] - after[name], 0)
-                    seen.append(far / max(1, after[name]) if far > 3 else 0.0)
-                await asyncio.sleep(EVERY)
-            used, handed_in = cpu(process.pid) - used, len(rig.clients.replies)
+                before = observed_counts(rig)
+                seconds_taken, answer = await timed_call(port, b"stats\n")
+                after = observed_counts(rig)
+                reply_seconds.append(seconds_taken)
+                reported = json.loads(answer.split(b"\r\n")[0])["responses"]["standard"]
+                for name, relative in errors.items():
+                    difference = max(before[name] - reported[name], reported[name] - after[name], 0)
+                    relative.append(
+                        difference / max(1, after[name]) if difference > ALLOWED_DIFFERENCE else 0.0
+                    )
+                await asyncio.sleep(CALL_INTERVAL_SECONDS)
+            used, handed_in = cpu_seconds(process.pid) - used, len(rig.clients.replies)
             for _, writer in stalled:
                 writer.close()
-            for work in floods:
-                work.cancel()
+            for task in floods:
+                task.cancel()
             rig.clients.running = False
             rig.room_made.notify()
             await rig.progress.wait_until(rig.settled)
-            _, answer = await called(port, b"stats\n")
-            last, seen_last = json.loads(answer.split(b"\r\n")[0])["responses"]["standard"], ledger(rig)
-    took.sort()
-    print(f"replies             {len(took)}: p50 {1000 * statistics.median(took):.1f} ms, ", end="")
-    print(f"p99 {1000 * took[int(0.99 * len(took))]:.1f} ms, most {1000 * took[-1]:.1f} ms")
-    for name, far in off.items():
+            _, answer = await timed_call(port, b"stats\n")
+            last, seen_last = (
+                json.loads(answer.split(b"\r\n")[0])["responses"]["standard"],
+                observed_counts(rig),
+            )
+    reply_seconds.sort()
+    milliseconds = [1000 * seconds for seconds in reply_seconds]
+    p50, p99 = statistics.median(milliseconds), milliseconds[int(0.99 * len(milliseconds))]
+    print(f"replies             {len(milliseconds)}: p50 {p50:.1f} ms, p99 {p99:.1f} ms, ", end="")
+    print(f"most {milliseconds[-1]:.1f} ms")
+    for name, relative in errors.items():
         end = f"{last[name]} told, {seen_last[name]} seen at the end"
-        print(f"{name:19} most {100 * max(far):.2f}% off under load; {end}")
+        print(f"{name:19} most {100 * max(relative):.2f}% off under load; {end}")
     print(f"under load          {handed_in} messages handed in, {100 * used / seconds:.0f}% of a core")
     transaction, counters = Transaction("id", 0, 1, 0, b""), Metrics(("standard",))
 
@@ -138,10 +154,10 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--upgrades", type=int, default=100)
     parser.add_argument("--seconds", type=float, default=10.0)
-    told = parser.parse_args()
-    for work in (upgrades(told.upgrades), figures(told.seconds)):
+    options = parser.parse_args()
+    for measurement in (measure_upgrades(options.upgrades), measure_metrics(options.seconds)):
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(work)
+            runner.run(measurement)
 
 
 if __name__ == "__main__":
--- a/example/parts.py
+++ b/example/parts.py
@@ -8,7 +8,7 @@
 import time
 from typing import IO
 
-PATIENCE = 30.0  # seconds for each step
+STEP_TIMEOUT_SECONDS = 30.0  # seconds for each step
 
 
 def free_ports(count: int) -> list[int]:
@@ -20,9 +20,9 @@
     return ports
 
 
-def serves(port: int, program: subprocess.Popen[str]) -> bool:
+def wait_until_serving(port: int, program: subprocess.Popen[str]) -> bool:
     """Wait till the dispatcher answers a PING with +PONG: it takes messages from then on."""
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + STEP_TIMEOUT_SECONDS
     while time.monotonic() < until and program.poll() is None:
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=1) as client:
@@ -35,10 +35,10 @@
     return False
 
 
-def shown(lines: IO[str], wanted: str) -> bool:
+def print_until(lines: IO[str], pattern: str) -> bool:
     """Print what the toy prints until a line tells of this message."""
     for line in lines:
         print(f"toy         {line}", end="", flush=True)
-        if re.search(wanted, line):
+        if re.search(pattern, line):
             return True
     return False
--- a/example/try.py
+++ b/example/try.py
@@ -19,7 +19,7 @@
 
 HERE = Path(__file__).parent
 sys.path.insert(0, str(HERE.parent))
-from example.parts import PATIENCE, free_ports, serves, shown  # noqa: E402
+from example.parts import STEP_TIMEOUT_SECONDS, free_ports, print_until, wait_until_serving  # noqa: E402
 
 HELLO = "hello from make try"
 
@@ -69,10 +69,12 @@
 
 def listed(command: list[str], standing: str) -> bool:
     """Wait till a message stands so in the store, and show it."""
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + STEP_TIMEOUT_SECONDS
     while time.monotonic() < until:
         asked = [*command, "list", "--standing", standing]
-        told = subprocess.run(asked, cwd=HERE.parent, capture_output=True, text=True, timeout=PATIENCE)
+        told = subprocess.run(
+            asked, cwd=HERE.parent, capture_output=True, text=True, timeout=STEP_TIMEOUT_SECONDS
+        )
         if standing in told.stdout:
             print("\n".join(f"store       {line}" for line in told.stdout.splitlines()), flush=True)
             return True
@@ -109,7 +111,7 @@
         )
         try:
             assert toy.stdout is not None
-            if not serves(listen, dispatcher):
+            if not wait_until_serving(listen, dispatcher):
                 print("the dispatcher does not answer")
                 return 1
             print(f"dispatcher  serves clients on 127.0.0.1:{listen}", flush=True)
@@ -119,21 +121,23 @@
                 cwd=HERE.parent,
                 capture_output=True,
                 text=True,
-                timeout=PATIENCE,
+                timeout=STEP_TIMEOUT_SECONDS,
             )
             print(f"hand-in     {handed_in.stdout.strip() or handed_in.stderr.strip()}", flush=True)
             if handed_in.returncode:
                 return 1
             store = [*command, "undelivered", "--config", str(path), *words]
             if fails:
-                if not shown(toy.stdout, "notice") or not listed(store, "kept"):
+                if not print_until(toy.stdout, "notice") or not listed(store, "kept"):
                     return 1
                 toy.send_signal(signal.SIGUSR1)
                 print("toy         is mended; the rule resends what is safe", flush=True)
-            if not shown(toy.stdout, HELLO) or (fails and not listed(store, "settled")):
+            if not print_until(toy.stdout, HELLO) or (fails and not listed(store, "settled")):
                 return 1
             stats = [*command, "stats", "--config", str(path)]
-            figures = subprocess.run(stats, cwd=HERE.parent, capture_output=True, text=True, timeout=PATIENCE)
+            figures = subprocess.run(
+                stats, cwd=HERE.parent, capture_output=True, text=True, timeout=STEP_TIMEOUT_SECONDS
+            )
             print(figures.stdout.strip() or figures.stderr.strip(), flush=True)
             if figures.returncode:
                 return 1
@@ -142,7 +146,7 @@
         finally:
             for program in (dispatcher, toy):
                 program.send_signal(signal.SIGTERM)
-                program.wait(PATIENCE)
+                program.wait(STEP_TIMEOUT_SECONDS)
 
 
 if __name__ == "__main__":
--- a/example/try_fleet.py
+++ b/example/try_fleet.py
@@ -17,7 +17,7 @@
 
 HERE = Path(__file__).parent
 sys.path.insert(0, str(HERE.parent))
-from example.parts import PATIENCE, free_ports, serves, shown  # noqa: E402
+from example.parts import STEP_TIMEOUT_SECONDS, free_ports, print_until, wait_until_serving  # noqa: E402
 
 NAMES = ("one", "two")
 BEAT = 0.5  # seconds between heartbeats
@@ -88,12 +88,14 @@
 def told(*words: str) -> subprocess.CompletedProcess[str]:
     """What a command prints."""
     command = [sys.executable, "-m", "honeyhitch", *words]
-    return subprocess.run(command, cwd=HERE.parent, capture_output=True, text=True, timeout=PATIENCE)
+    return subprocess.run(
+        command, cwd=HERE.parent, capture_output=True, text=True, timeout=STEP_TIMEOUT_SECONDS
+    )
 
 
 def handed_in(listen: int, body: str) -> bool:
     """Hand a message in until it is accepted: the list of destinations may still be on its way."""
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + STEP_TIMEOUT_SECONDS
     while time.monotonic() < until:
         answer = told("send", f"127.0.0.1:{listen}", body, "--dest", "1", "--tenant", "studio")
         if answer.returncode == 0:
@@ -122,14 +124,16 @@
                 words = configuration(Path(folder), name, listens[name], management[name], discovery, view)
                 command = [sys.executable, "-m", "honeyhitch", "serve", *words]
                 programs.append(subprocess.Popen(command, cwd=HERE.parent, text=True))
-            if not all(serves(listens[name], one) for name, one in zip(NAMES, programs, strict=True)):
+            if not all(
+                wait_until_serving(listens[name], one) for name, one in zip(NAMES, programs, strict=True)
+            ):
                 print("a dispatcher does not answer")
                 return 1
             assert toy.stdout is not None
             for name in NAMES:
                 if not handed_in(listens[name], f"hello by way of {name}"):
                     return 1
-                if not shown(toy.stdout, f"hello by way of {name}"):
+                if not print_until(toy.stdout, f"hello by way of {name}"):
                     return 1
             owners = told("fleet", "owner", "1", "--at", f"127.0.0.1:{management['one']}")
             print(owners.stdout.strip() or owners.stderr.strip(), flush=True)
@@ -140,7 +144,7 @@
         finally:
             for program in (*programs, toy):
                 program.terminate()
-                program.wait(PATIENCE)
+                program.wait(STEP_TIMEOUT_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -102,7 +102,7 @@
             process.stream.append(self.stamp({"complete": True, "members": members}))
 
     def apply_line(self, process: InstanceProcess, line: dict[str, Any]) -> None:
-        """A process reads one line. It refuses one of an old revision, which changes nothing, and no other."""
+        """A process reads one line. It refuses one of an old revision, which changes nothing; no others."""
         try:
             process.fleet.apply_update(line, self.now + process.clock_offset)
         except FleetViewError as error:
