--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -82,19 +82,19 @@
         with running_service(folder, agent.port, listed) as service:
             per = "destination listed"
             self.note("start: exec to PONG", "s", per, count, service.seconds_to_ready)
-            self.note("start: CPU", "s", per, count, service.cpu())
+            self.note("start: CPU", "s", per, count, service.cpu_seconds())
             self.note("memory after the start", "bytes", per, count, service.resident())
             assert agent.watched.wait(60)
-            before = service.cpu()
+            before = service.cpu_seconds()
             time.sleep(IDLE_SECONDS)
-            idle = (service.cpu() - before) / IDLE_SECONDS
+            idle = (service.cpu_seconds() - before) / IDLE_SECONDS
             self.note("idle: CPU of a second", "s", per, count, idle)
             self._changes(service, agent, count)
             self._reload(service, count)
 
     def _changes(self, service: ServiceProcess, agent: Agent, count: int) -> None:
         """A new destination is told; it is in force once a message for it is taken on."""
-        before, waited, sent = service.cpu(), 0.0, 0
+        before, waited, sent = service.cpu_seconds(), 0.0, 0
         for number in range(CHANGES):
             new = count + 1 + number
             began = time.monotonic()
@@ -103,7 +103,7 @@
                 time.sleep(0.001)
             waited += time.monotonic() - began
         per = "destination listed"
-        self.note("change of one endpoint: CPU", "s", per, count, (service.cpu() - before) / CHANGES)
+        self.note("change of one endpoint: CPU", "s", per, count, (service.cpu_seconds() - before) / CHANGES)
         self.note("change of one endpoint: until in force", "s", per, count, waited / CHANGES)
         self.note("change of one endpoint: bytes", "bytes", per, count, sent / CHANGES)
 
@@ -112,7 +112,7 @@
         other = Agent(self.thread, endpoint_rows(count), revision=1 << 20)
         told = json.loads(service.config.read_text())
         service.config.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{other.port}"}))
-        before, began = service.cpu(), time.monotonic()
+        before, began = service.cpu_seconds(), time.monotonic()
         service.process.send_signal(signal.SIGHUP)
         in_force = other.watched.wait(120)
         assert in_force or count * 130 > discovery.MAX_LIST_BYTES, "only a list over the limit is never taken"
@@ -120,7 +120,7 @@
         per = "destination listed"
         if in_force:
             self.note("SIGHUP: until the new agent is watched", "s", per, count, took)
-            self.note("SIGHUP: CPU", "s", per, count, service.cpu() - before)
+            self.note("SIGHUP: CPU", "s", per, count, service.cpu_seconds() - before)
         else:
             print(
                 f"SIGHUP at {count}: the whole list is over {discovery.MAX_LIST_BYTES} bytes", file=sys.stderr
@@ -157,12 +157,12 @@
                         Path(folder), agent.port, listed, settings=_roomy(64), limits=ROOMY
                     ) as service,
                 ):
-                    empty, before = service.journal_bytes(), service.cpu()
+                    empty, before = service.journal_bytes(), service.cpu_seconds()
                     done = endpoint.messages + count
                     self._hand_in(service, count, 8)
                     _until(lambda done=done: endpoint.messages >= done)  # type: ignore[misc]
                     per = "event"
-                    self.note("events delivered: CPU", "s", per, count, service.cpu() - before)
+                    self.note("events delivered: CPU", "s", per, count, service.cpu_seconds() - before)
                     written = service.journal_bytes() - empty
                     self.note("events delivered: journal", "bytes", per, count, written)
 
--- a/benchmarks/real_fleet.py
+++ b/benchmarks/real_fleet.py
@@ -126,7 +126,7 @@
     def send_messages(self, events: int, forwarded: bool) -> Traffic:
         """Submit messages one after the other, to their owner or to another instance that forwards them."""
         traffic = Traffic()
-        cpu_before = self.cpu()
+        cpu_before = self.cpu_seconds()
         with contextlib.ExitStack() as stack:
             sockets = [
                 stack.enter_context(socket.create_connection(("127.0.0.1", service.port), timeout=60))
@@ -143,9 +143,9 @@
                 traffic.accepted += accepted
                 traffic.rejected += not accepted
         time.sleep(DELIVERY_SETTLE_SECONDS)  # until the last is delivered
-        traffic.cpu_seconds = self.cpu() - cpu_before
+        traffic.cpu_seconds = self.cpu_seconds() - cpu_before
         return traffic
 
-    def cpu(self) -> float:
+    def cpu_seconds(self) -> float:
         """CPU seconds of all processes together."""
-        return sum(service.cpu() for service in self.processes)
+        return sum(service.cpu_seconds() for service in self.processes)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -65,16 +65,16 @@
     for link in links:
         link.recv()  # all have the first view
     say(f"control: {count} hollow dispatchers watch")
-    before_cpu, before_bytes = server.cpu(), server.bytes_sent
+    before_cpu, before_bytes = server.cpu_seconds(), server.bytes_sent
     time.sleep(seconds)
-    idle_cpu = (server.cpu() - before_cpu) / seconds
+    idle_cpu = (server.cpu_seconds() - before_cpu) / seconds
     idle_bytes = (server.bytes_sent - before_bytes) / seconds / count
-    before_cpu = server.cpu()
+    before_cpu = server.cpu_seconds()
     for number in range(PHASE_CHANGES):
         server.set_phase(names[number]["id"], "Terminating" if number % 2 == 0 else "Ready")
         time.sleep(0.5)
     time.sleep(2)
-    changing_cpu = (server.cpu() - before_cpu) / (PHASE_CHANGES * 0.5 + 2)
+    changing_cpu = (server.cpu_seconds() - before_cpu) / (PHASE_CHANGES * 0.5 + 2)
     reports = []
     for link in links:
         link.send("stop")
@@ -120,10 +120,10 @@
         say(f"service: {real} real processes are ready")
         resident = [one.resident() for one in fleet.processes]
         ready = [one.seconds_to_ready for one in fleet.processes]
-        started_cpu = [one.cpu() for one in fleet.processes]
+        started_cpu = [one.cpu_seconds() for one in fleet.processes]
         time.sleep(SETTLE_SECONDS)
         idle = [
-            (one.cpu() - before) / SETTLE_SECONDS
+            (one.cpu_seconds() - before) / SETTLE_SECONDS
             for one, before in zip(fleet.processes, started_cpu, strict=True)
         ]
         change = fleet.measure_list_change(agent, destinations)
@@ -160,10 +160,14 @@
     """One real process as it is without `[fleet]`: it knows the whole list."""
     folder.mkdir()
     with running_service(folder, agent.port, listed) as one:
-        found = {"ready_s": one.seconds_to_ready, "resident": one.resident(), "start_cpu_s": one.cpu()}
-        before = one.cpu()
+        found = {
+            "ready_s": one.seconds_to_ready,
+            "resident": one.resident(),
+            "start_cpu_s": one.cpu_seconds(),
+        }
+        before = one.cpu_seconds()
         time.sleep(SETTLE_SECONDS)
-        return found | {"idle_cpu": (one.cpu() - before) / SETTLE_SECONDS}
+        return found | {"idle_cpu": (one.cpu_seconds() - before) / SETTLE_SECONDS}
 
 
 def ordinary_day(count: int) -> tuple[Fault, ...]:
