--- a/benchmarks/dead_letters.py
+++ b/benchmarks/dead_letters.py
@@ -1,9 +1,8 @@
-"""Measures undelivered messages on loopback and prints tables; `--write` puts them into
-docs/undelivered-measured.md.
+"""Measures dead letters on loopback and prints tables; `--write` puts them into docs/undelivered-measured.md.
 
-    python benchmarks/undelivered.py [--quick] [--write]
+    python benchmarks/dead_letters.py [--quick] [--write]
 
-Needs requirements-dev.txt. Partners and clients are the tests' stand-ins. It takes some five minutes on 8
+Needs requirements-dev.txt. Receivers and clients are the tests' stand-ins. It takes some five minutes on 8
 cores.
 """
 
@@ -17,13 +16,15 @@
 import platform
 import random
 import signal
+import sqlite3
 import statistics
 import subprocess
 import sys
 import tempfile
 import time
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass, fields
 from pathlib import Path
 from typing import Any
 
@@ -34,6 +35,7 @@
 from honeyhitch import config as configuration
 from honeyhitch import logs
 from honeyhitch.dead_letters import operations
+from honeyhitch.dead_letters.files import StoreError
 from honeyhitch.dead_letters.filters import RecordFilter
 from honeyhitch.dead_letters.records import Record, RecordStatus
 from honeyhitch.dead_letters.rules import Step, plan_record
@@ -41,27 +43,35 @@
 from honeyhitch.dead_letters.store import Store
 from honeyhitch.journal.transactions import Attempt
 from honeyhitch.service.run import run
+from honeyhitch.time_units import SECOND
 from tests.agent import Agent
+from tests.dead_letter_records import make_record
 from tests.partner import Partner
 from tests.program import SETTINGS, free_port, write
 from tests.resend_world import run_day
 from tests.rig import endpoint_row
 
 ROOT = Path(__file__).parent.parent
-SECOND = 10**9  # ns
-MEMORY = Path("/dev/shm")  # virtual days need no disk
-UNSAFE = {
+SHARED_MEMORY = Path("/dev/shm")  # virtual days need no disk
+FIRST_DAY_SEED = 100_000
+FAILING_RATE = 50  # messages a second
+MILLISECONDS = 1e3  # in a second
+MICROSECONDS = 1e6
+PROBE_INTERVAL_SECONDS = 0.001
+MAX_REPORTED_DELAYS = 200
+STORED_FOR_SIZES = 2000  # records
+ORDER_CLASS = {
     "name": "order", "semantics": "side_effect", "aim": 2 * SECOND, "deadline": 6 * SECOND, "window": 0,
     "group": "all",
 }  # fmt: skip
-BIG = {
+LARGE_SETTINGS = {
     **SETTINGS,
     "weights": "rough",
-    "classes": [*SETTINGS["classes"], UNSAFE],
+    "classes": [*SETTINGS["classes"], ORDER_CLASS],
     "family-info": {**SETTINGS["family-info"], "call-slots": 64, "per-call": [1, 1]},
     "caps": {**SETTINGS["caps"], "max-open": 3000},
 }
-RULE = """
+RESEND_RULE = """
 [undelivered]
 copies = "here"
 
@@ -70,106 +80,175 @@
 healthy = 1
 rate = 20
 """
+KILL_RULE = """
+[undelivered]
+share = 0.5
+copy-grace = 1
+
+[[undelivered.rule]]
+action = "resend"
+healthy = 0
+pause = 1
+rate = 100
+most-times = 100
+"""
+
+
+@dataclass(frozen=True, slots=True)
+class KillCounts:
+    """What a run with kills showed."""
+
+    messages: int
+    kills: int
+    resends: int
+    applied_twice: int
+    unsettled: int  # records that the rules would still have resent
+
+
+def kill_table(results: Iterable[KillCounts], kills_label: str) -> list[str]:
+    """The rows with the sums over all runs."""
+    labels = ("messages", kills_label, "resends", "applied twice", "resendable and not settled")
+    runs = list(results)
+    return [
+        f"| {label} | {sum(getattr(result, field.name) for result in runs)} |"
+        for label, field in zip(labels, fields(KillCounts), strict=True)
+    ]
 
 
 # Seeded days with kills, in virtual time.
 
 
-def one_day(seed: int) -> tuple[int, int, int, int, int]:
-    """Messages, kills, records resent, applied twice, and not settled though a rule allows."""
+def measure_day(seed: int) -> KillCounts:
+    """One day, killed at some points that the seed draws."""
     logs.setup("json", "error")
     rng = random.Random(seed * 7919)
-    with tempfile.TemporaryDirectory(dir=MEMORY if MEMORY.is_dir() else None) as folder:
+    with tempfile.TemporaryDirectory(dir=SHARED_MEMORY if SHARED_MEMORY.is_dir() else None) as folder:
         kills = tuple(rng.randrange(1, 800) for _ in range(rng.randrange(5)))
-        told = run_day(Path(folder) / "day", seed, kills)
-        resent = sum(one.record.resend_count for one in told.rig.store.page(RecordFilter(), limit=1000))
-        found = len(told.clients), told.kills, resent, len(told.applied_twice()), len(told.unresolved())
-        told.rig.close_as_killed()
-        return found
+        result = run_day(Path(folder) / "day", seed, kills)
+        stored = result.rig.store.page(RecordFilter(), limit=1000)
+        counts = KillCounts(
+            messages=len(result.clients),
+            kills=result.kills,
+            resends=sum(found.record.resend_count for found in stored),
+            applied_twice=len(result.applied_twice()),
+            unsettled=len(result.unresolved()),
+        )
+        result.rig.close_as_killed()
+        return counts
 
 
-def days(count: int) -> list[str]:
+async def report_days(_folder: Path, quick: bool) -> list[str]:
+    """Days of mixed failures, by the seed."""
+    count = 200 if quick else 2000
+    seeds = range(FIRST_DAY_SEED, FIRST_DAY_SEED + count)
     with ProcessPoolExecutor() as workers:
-        told = list(workers.map(one_day, range(100_000, 100_000 + count), chunksize=8))
-    sums = [sum(one[i] for one in told) for i in range(5)]
-    names = ("messages", "kills", "resends", "applied twice", "resendable and not settled")
-    return [f"| {name} | {value} |" for name, value in zip(names, sums, strict=True)]
+        results = list(workers.map(measure_day, seeds, chunksize=8))
+    head = [f"## {count} seeded days of mixed failures, with kills", "", "| | |", "| --- | --- |"]
+    return [*head, *kill_table(results, "kills")]
 
 
 # The program as a process of its own, with a probe of its loop.
 
 
-async def probe(found: list[float]) -> None:
-    """How late the loop comes to a timer of 1 ms, seconds."""
+async def probe_loop(delays: list[float]) -> None:
+    """Note how late the loop comes to a timer of 1 ms, in seconds."""
     while True:
-        due = time.perf_counter() + 0.001
-        await asyncio.sleep(0.001)
-        found.append(time.perf_counter() - due)
+        due = time.perf_counter() + PROBE_INTERVAL_SECONDS
+        await asyncio.sleep(PROBE_INTERVAL_SECONDS)
+        delays.append(time.perf_counter() - due)
 
 
 def serve(path: str, operator: str | None) -> None:
-    """Run the program till SIGTERM, then tell the loop's delays and the CPU used."""
-    logs.setup("json", "error")
-    found: list[float] = []
+    """Run the program until SIGTERM.
 
-    async def work() -> None:
-        watch = asyncio.ensure_future(probe(found))
+    SIGUSR1 begins a measurement; SIGUSR2 prints the CPU seconds, the longest delays of the loop and the
+    number of probes since then.
+    """
+    logs.setup("json", "error")
+    delays: list[float] = []
+    cpu_at_start = time.process_time()
 
-        def fresh() -> None:  # from here on it counts
-            found.clear()
-            began.append(time.process_time())
+    def begin_measurement() -> None:
+        nonlocal cpu_at_start
+        delays.clear()
+        cpu_at_start = time.process_time()
 
-        def tell() -> None:
-            told = time.process_time() - began[-1], sorted(found)[-200:], len(found)
-            print(json.dumps(told), flush=True)
+    def print_measurement() -> None:
+        cpu_seconds = time.process_time() - cpu_at_start
+        longest = sorted(delays)[-MAX_REPORTED_DELAYS:]
+        print(json.dumps([cpu_seconds, longest, len(delays)]), flush=True)
 
-        asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, fresh)
-        began.append(time.process_time())
+    async def work() -> None:
+        probe = asyncio.ensure_future(probe_loop(delays))
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(
-            signal.SIGUSR2,
-            lambda: print(
-                json.dumps([time.process_time() - began[-1], sorted(found)[-200:], len(found)]), flush=True
-            ),
-        )
+        loop.add_signal_handler(signal.SIGUSR1, begin_measurement)
+        loop.add_signal_handler(signal.SIGUSR2, print_measurement)
         config = configuration.read({}, path, operator)
-        await run(config, lambda before: config)
-        watch.cancel()
+        await run(config, lambda _previous: config)
+        probe.cancel()
 
-    began: list[float] = []
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(work())
 
 
-class Clocked(Partner):
-    """Remembers when each body came."""
+class ClockedPartner(Partner):
+    """A receiver that notes when each body came."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
-        self.came: dict[bytes, float] = {}
+        self.received_at: dict[bytes, float] = {}
 
     def took(self, body: bytes) -> None:
-        self.came[body[:16].strip()] = time.perf_counter()
+        """Note the time of a body by its first bytes."""
+        self.received_at[body_key(body)] = time.perf_counter()
+
+
+def body_key(body: bytes) -> bytes:
+    """By what a body is recognised."""
+    return body[:16].strip()
+
+
+def encode_command(arguments: list[bytes]) -> bytes:
+    """A command of the RESP2 protocol."""
+    head = b"*%d\r\n" % len(arguments)
+    return head + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments)
+
+
+def encode_enqueue(name: str, fields_text: str, body: bytes) -> bytes:
+    """The command that submits a message."""
+    return encode_command([b"ENQUEUE", b"0" * 16, name.encode(), fields_text.encode(), body])
+
+
+def serve_command(path: str, operator: str | None) -> list[str]:
+    """The command line of the program as a process of its own."""
+    return [sys.executable, __file__, "--serve", path, *([operator] if operator else [])]
+
+
+async def wait_until_ready(process: asyncio.subprocess.Process, port: int) -> None:
+    """Return once the program answers a PING."""
+    while process.returncode is None:
+        with contextlib.suppress(OSError):
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(b"PING\r\n")
+            if await reader.readline():
+                writer.close()
+                return
+        await asyncio.sleep(0.05)
+    raise RuntimeError("the program did not start")
 
 
 @contextlib.asynccontextmanager
-async def program(folder: Path, operator: str | None, partner: Partner) -> AsyncIterator[tuple[int, Any]]:
-    """The port, and the process."""
-    member = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
-    agent, port = await Agent([member]).start(), free_port()
-    path, told = write(folder, port, agent.port, [member], operator, settings=BIG)
-    words = [sys.executable, __file__, "--serve", path, *([told] if told else [])]
-    process = await asyncio.create_subprocess_exec(*words, stdout=subprocess.PIPE)
+async def program(
+    folder: Path, operator: str | None, partner: Partner
+) -> AsyncIterator[tuple[int, asyncio.subprocess.Process]]:
+    """Run the program with one endpoint; its port, and the process."""
+    endpoint = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
+    agent = await Agent([endpoint]).start()
+    port = free_port()
+    paths = write(folder, port, agent.port, [endpoint], operator, settings=LARGE_SETTINGS)
+    process = await asyncio.create_subprocess_exec(*serve_command(*paths), stdout=subprocess.PIPE)
     try:
-        while process.returncode is None:
-            with contextlib.suppress(OSError):
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(b"PING\r\n")
-                if await reader.readline():
-                    writer.close()
-                    break
-            await asyncio.sleep(0.05)
-        assert process.returncode is None, "the program did not start"
+        await wait_until_ready(process, port)
         yield port, process
     finally:
         with contextlib.suppress(ProcessLookupError):
@@ -177,127 +256,222 @@
         await process.wait()
 
 
-async def live(port: int, cls: str, rate: float, seconds: float, name: str) -> dict[bytes, float]:
-    """Messages at this rate; when each was handed in."""
+async def send_live(
+    port: int, class_name: str, rate: float, seconds: float, prefix: str
+) -> dict[bytes, float]:
+    """Submit messages at this rate a second; when each was submitted."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    sent: dict[bytes, float] = {}
+    sent_at: dict[bytes, float] = {}
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    for i in range(int(rate * seconds)):
-        await asyncio.sleep(max(0.0, began + i / rate - loop.time()))
-        body = f"{name}-{i}".encode().ljust(200)
-        fields = f"c={cls},t=studio,d=5000,dest=1,k=key-{name}-{i}".encode()
-        parts = [b"ENQUEUE", b"0" * 16, f"{name}-{i}".encode(), fields, body]
-        sent[body[:16].strip()] = time.perf_counter()
-        writer.write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
+    started_at = loop.time()
+    for number in range(int(rate * seconds)):
+        await asyncio.sleep(max(0.0, started_at + number / rate - loop.time()))
+        name = f"{prefix}-{number}"
+        body = name.encode().ljust(200)
+        request = encode_enqueue(name, f"c={class_name},t=studio,d=5000,dest=1,k=key-{name}", body)
+        sent_at[body_key(body)] = time.perf_counter()
+        writer.write(request)
         while (await reader.readline()).startswith(b"-BUSY"):
             await asyncio.sleep(0.05)
-            writer.write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
+            writer.write(request)
     writer.close()
-    return sent
+    return sent_at
+
 
+@dataclass(frozen=True, slots=True)
+class FailingRun:
+    """The live path while messages fail."""
 
-async def failing(
-    folder: Path, operator: str | None, seconds: float
-) -> tuple[float, float, float, float, int]:
-    """CPU a message in microseconds, the loop's delay at p50, p99.9 and most in ms; records kept."""
+    cpu_microseconds: float  # a message
+    delay_p999_ms: float
+    delay_max_ms: float
+    stored_records: int
+
+
+async def measure_failing(folder: Path, operator: str | None, seconds: float) -> FailingRun:
+    """Let messages fail for so long, with or without a store."""
     partner = await Partner(500).start()
     async with program(folder, operator, partner) as (port, process):
-        await live(port, "order", 50, 2, "warm")
+        await send_live(port, "order", FAILING_RATE, 2, "warm")
         process.send_signal(signal.SIGUSR1)
-        await live(port, "order", 50, seconds, "m")
+        await send_live(port, "order", FAILING_RATE, seconds, "m")
         await asyncio.sleep(1)
         process.send_signal(signal.SIGUSR2)
-        spent, late, count = json.loads(await process.stdout.readline())
-    kept = 0
+        assert process.stdout is not None
+        cpu_seconds, delays, probe_count = json.loads(await process.stdout.readline())
+    stored_records = 0
     if operator is not None:
         store = Store(folder / "state" / "undelivered", writes=False)
-        kept = store.record_count
+        stored_records = store.record_count
         store.close()
-    at = max(1, int(count * 0.001))
-    return spent / (50 * seconds) * 1e6, late[0] * 1e3, late[-at] * 1e3, late[-1] * 1e3, kept
+    p999_from_end = max(1, int(probe_count * 0.001))
+    return FailingRun(
+        cpu_microseconds=cpu_seconds / (FAILING_RATE * seconds) * MICROSECONDS,
+        delay_p999_ms=delays[-p999_from_end] * MILLISECONDS,
+        delay_max_ms=delays[-1] * MILLISECONDS,
+        stored_records=stored_records,
+    )
 
 
-def record(number: int, size: int = 200, **more: Any) -> Record:
-    """One that never ran and may go again at once."""
+async def report_failing(folder: Path, quick: bool) -> list[str]:
+    """What the store costs the live path, in runs without and with it in turn."""
+    seconds, pairs = (5, 2) if quick else (10, 4)
+    runs: dict[str, list[FailingRun]] = {"off": [], "on": []}
+    for number in range(pairs):
+        for state, operator in (("off", None), ("on", "[undelivered]\n")):
+            run_folder = folder / f"{number}{state}"
+            run_folder.mkdir()
+            runs[state].append(await measure_failing(run_folder, operator, seconds))
+    lines = [
+        f"## The live path while {FAILING_RATE} messages a second fail"
+        f" ({pairs} runs of {seconds} s, in turn)",
+        "",
+        "| store | CPU a message, µs | loop late, p99.9, ms | loop late, most, ms | records kept |",
+        "| --- | --- | --- | --- | --- |",
+    ]
+    for state, results in runs.items():
+        cpu = statistics.median(result.cpu_microseconds for result in results)
+        p999 = statistics.median(result.delay_p999_ms for result in results)
+        longest = max(result.delay_max_ms for result in results)
+        stored = sum(result.stored_records for result in results)
+        lines.append(f"| {state} | {cpu:.0f} | {p999:.2f} | {longest:.2f} | {stored} |")
+    return [*lines, "", "CPU is of all the process's threads. The aim for the longest stall is 5 ms."]
+
+
+def resendable_record(number: int, size: int = 200, **more: Any) -> Record:
+    """The record of a message that was never executed and may be resent at once."""
     now = time.time_ns()
-    told: dict[str, Any] = {
-        "id": f"old-{number}", "ended_at": now - 60 * SECOND + number, "came_at": now - 80 * SECOND,
-        "deadline": now, "destination": 1, "cls": "standard", "effect": "keyed", "window": 5 * SECOND,
-        "zoned": False, "tenant": "studio", "key": f"k{number}", "front": "resp", "came_again": False,
-        "ending": "rejected", "reason": "refused", "come_back": 0, "first_ran": None, "first_zone": 0,
-        "tries": tuple(Attempt(i, "s-1", now, "refused", SECOND // 10, 0, "") for i in range(3)),
+    values: dict[str, Any] = {
+        "id": f"old-{number}",
+        "ended_at": now - 60 * SECOND + number,
+        "accepted_at": now - 80 * SECOND,
+        "deadline": now,
+        "key": f"k{number}",
+        "ending": "rejected",
+        "reason": "refused",
+        "attempts": tuple(
+            Attempt(attempt, "s-1", now, "refused", SECOND // 10, 0, "") for attempt in range(3)
+        ),
         "body": f"old-{number}".encode().ljust(size),
-    }  # fmt: skip
-    return Record(**{**told, **more})
+    }
+    return make_record(**{**values, **more})
 
 
-def filled(folder: Path, count: int, spread: bool = False) -> Store:
-    """A store with so many records, of one destination or of fifty."""
+def filled_store(folder: Path, count: int, spread: bool = False) -> Store:
+    """A store with so many records, of one destination or, spread, of fifty."""
     store = Store(folder)
-    for at in range(0, count, 1000):
-        numbers = range(at, min(count, at + 1000))
+    for first in range(0, count, 1000):
+        numbers = range(first, min(count, first + 1000))
         if spread:
-            store.add([record(i, destination=i % 50, tenant=f"t{i % 7}") for i in numbers])
+            store.add(
+                [
+                    resendable_record(number, destination=number % 50, tenant=f"t{number % 7}")
+                    for number in numbers
+                ]
+            )
         else:
-            store.add([record(i) for i in numbers])
+            store.add([resendable_record(number) for number in numbers])
     return store
 
 
-async def beside(folder: Path, count: int, seconds: float) -> tuple[list[float], int, float]:
-    """Live latencies to the partner in ms while so many records are resent; how many were, in what time."""
-    if count:
-        filled(folder / "state" / "undelivered", count).close()
-    partner = await Clocked(200).start()
-    async with program(folder, RULE, partner) as (port, _):
-        await live(port, "standard", 50, 3, "warm")
-        began, before = time.perf_counter(), len(partner.came)
-        sent = await live(port, "standard", 50, seconds, "m")
+@dataclass(frozen=True, slots=True)
+class LiveRun:
+    """Live traffic while records are resent."""
+
+    latencies_ms: list[float]
+    resends: int
+    seconds: float
+
+
+async def measure_live(folder: Path, record_count: int, seconds: float) -> LiveRun:
+    """Send live traffic for so long while so many records are resent."""
+    if record_count:
+        filled_store(folder / "state" / "undelivered", record_count).close()
+    partner = await ClockedPartner(200).start()
+    async with program(folder, RESEND_RULE, partner) as (port, _):
+        await send_live(port, "standard", 50, 3, "warm")
+        started_at = time.perf_counter()
+        received_before = len(partner.received_at)
+        sent_at = await send_live(port, "standard", 50, seconds, "m")
         await asyncio.sleep(0.5)
-        late = [(partner.came[name] - at) * 1e3 for name, at in sent.items() if name in partner.came]
-        assert len(late) == len(sent), "live messages were lost"
-        resent = len(partner.came) - before - len(sent)
-        return late, resent, time.perf_counter() - began
+        latencies = [
+            (partner.received_at[name] - at) * MILLISECONDS
+            for name, at in sent_at.items()
+            if name in partner.received_at
+        ]
+        assert len(latencies) == len(sent_at), "live messages were lost"
+        resends = len(partner.received_at) - received_before - len(sent_at)
+        return LiveRun(latencies, resends, time.perf_counter() - started_at)
+
+
+def quantile(values: list[float], fraction: float) -> float:
+    """The value below which this fraction of the values lies."""
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
+
+
+async def report_live(folder: Path, quick: bool) -> list[str]:
+    """What resends cost live traffic, in runs without and with them in turn."""
+    seconds, pairs, record_count = (10, 1, 1000) if quick else (30, 2, 10_000)
+    latencies: dict[int, list[float]] = {0: [], record_count: []}
+    resends = 0
+    resend_seconds = 0.0
+    for number in range(pairs):
+        for count, into in latencies.items():
+            run_folder = folder / f"{number}-{count}"
+            run_folder.mkdir()
+            result = await measure_live(run_folder, count, seconds)
+            into += result.latencies_ms
+            resends += result.resends
+            if count:
+                resend_seconds += result.seconds
+    without, with_resends = latencies[0], latencies[record_count]
+    ratio = quantile(with_resends, 0.99) / quantile(without, 0.99)
+    return [
+        f"## Live traffic at 50 messages a second beside a resend ({pairs} runs of {seconds} s, in turn)",
+        "",
+        "| | p50, ms | p99, ms |", "| --- | --- | --- |",
+        f"| nothing to resend | {quantile(without, 0.5):.2f} | {quantile(without, 0.99):.2f} |",
+        f"| {record_count} to resend | {quantile(with_resends, 0.5):.2f} |"
+        f" {quantile(with_resends, 0.99):.2f} |",
+        "",
+        f"{resends} were resent meanwhile, {resends / max(resend_seconds, 1e-9):.0f} a second."
+        " From handing in to",
+        f"the partner; p99 takes {ratio:.2f} times as long (the aim is 1.1).",
+    ]  # fmt: skip
 
 
 # The store by itself.
 
 
-def sizes(folder: Path) -> list[str]:
-    rows = []
+async def report_sizes(folder: Path, _quick: bool) -> list[str]:
+    """Bytes of a record, as counted against the limit and in the file."""
+    lines = ["## Bytes a record (three attempts in its history)", "", "| body | counted | in the file |"]
+    lines.append("| --- | --- | --- |")
     rng = random.Random(1)
-    words = [rng.randbytes(4).hex() for _ in range(400)]
+    vocabulary = [rng.randbytes(4).hex() for _ in range(400)]
 
-    def body_of(kind: str, size: int) -> bytes:
+    def make_body(kind: str, size: int) -> bytes:
         if kind == "text":
-            return " ".join(rng.choices(words, k=size // 9 + 1)).encode()[:size]
+            return " ".join(rng.choices(vocabulary, k=size // 9 + 1)).encode()[:size]
         return rng.randbytes(size)
 
     for size in (200, 20_000):
         for kind in ("text", "random"):
             store = Store(folder / f"{size}-{kind}")
-            for at in range(0, 2000, 500):
-                bodies = [
-                    " ".join(rng.choices(words, k=size // 9 + 1)).encode()[:size]
-                    if kind == "text"
-                    else rng.randbytes(size)
-                    for _ in range(500)
-                ]
-                store.add([record(at + i, body=body) for i, body in enumerate(bodies)])
+            for first in range(0, STORED_FOR_SIZES, 500):
+                bodies = [make_body(kind, size) for _ in range(500)]
+                store.add([resendable_record(first + i, body=body) for i, body in enumerate(bodies)])
             store.database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-            disk = (folder / f"{size}-{kind}" / "undelivered.db").stat().st_size / 2000
-            rows.append(f"| {size} B of {kind} | {store.stored_bytes / 2000:.0f} | {disk:.0f} |")
+            file_bytes = (folder / f"{size}-{kind}" / "undelivered.db").stat().st_size
+            counted = store.stored_bytes / STORED_FOR_SIZES
+            lines.append(f"| {size} B of {kind} | {counted:.0f} | {file_bytes / STORED_FOR_SIZES:.0f} |")
             store.close()
-    return rows
+    return lines
 
 
-def looks(folder: Path, count: int) -> list[str]:
-    began = time.perf_counter()
-    store = filled(folder, count, spread=True)
-    rows = [f"| {count} records added, 1000 in a transaction | {time.perf_counter() - began:.2f} |"]
-    store.close()
-    reader = Store(folder, writes=False)
-    cases = {
+def time_reads(store: Store) -> list[str]:
+    """The median of five runs of each read."""
+    cases: dict[str, tuple[str, dict[str, Any]]] = {
         "list, first page": ("list", {}),
         "list, newest first": ("list", {"newest_first": True}),
         "list of one destination and tenant": ("list", {"filter": {"destination": "17", "tenant": "t3"}}),
@@ -305,270 +479,261 @@
         "stats by standing": ("stats", {}),
         "stats by destination, tenant and day": ("stats", {"by": ["destination", "tenant", "day"]}),
     }
-    for name, (operation, told) in cases.items():
+    rows = []
+    for label, (operation, arguments) in cases.items():
         times = []
         for _ in range(5):
-            began = time.perf_counter()
-            operations.execute(reader, operation, told, "me")
-            times.append(time.perf_counter() - began)
-        rows.append(f"| {name} | {statistics.median(times):.3f} |")
-    began = time.perf_counter()
-    assert not list(reader.verify())
-    rows.append(f"| verify, all | {time.perf_counter() - began:.2f} |")
-    reader.close()
-    for words in (["list"], ["stats"]):
-        began = time.perf_counter()
-        command = [sys.executable, "-m", "honeyhitch", "undelivered", "--store", str(folder), *words]
-        subprocess.run(command, check=True, stdout=subprocess.DEVNULL, cwd=ROOT)
-        rows.append(
-            f"| the command `{words[0]}`, with its process's start | {time.perf_counter() - began:.2f} |"
-        )
+            started_at = time.perf_counter()
+            operations.execute(store, operation, arguments, "me")
+            times.append(time.perf_counter() - started_at)
+        rows.append(f"| {label} | {statistics.median(times):.3f} |")
     return rows
 
 
-def quantile(found: list[float], share: float) -> float:
-    return sorted(found)[min(len(found) - 1, int(share * len(found)))]
-
-
-async def measured_days(folder: Path, quick: bool) -> list[str]:
-    runs = 200 if quick else 2000
-    head = [f"## {runs} seeded days of mixed failures, with kills", "", "| | |", "| --- | --- |"]
-    return [*head, *days(runs)]
-
-
-async def measured_failing(folder: Path, quick: bool) -> list[str]:
-    seconds, pairs = (5, 2) if quick else (10, 4)
-    told: dict[str, list[tuple[float, float, float, float, int]]] = {"off": [], "on": []}
-    for i in range(pairs):
-        for what, operator in (("off", None), ("on", "[undelivered]\n")):
-            (folder / f"{i}{what}").mkdir()
-            told[what].append(await failing(folder / f"{i}{what}", operator, seconds))
-    lines = [
-        f"## The live path while 50 messages a second fail ({pairs} runs of {seconds} s, in turn)", "",
-        "| store | CPU a message, µs | loop late, p99.9, ms | loop late, most, ms | records kept |",
-        "| --- | --- | --- | --- | --- |",
-    ]  # fmt: skip
-    for what, found in told.items():
-        cpu = statistics.median(one[0] for one in found)
-        p999, most = statistics.median(one[2] for one in found), max(one[3] for one in found)
-        lines.append(f"| {what} | {cpu:.0f} | {p999:.2f} | {most:.2f} | {sum(one[4] for one in found)} |")
-    return [*lines, "", "CPU is of all the process's threads. The aim for the longest stall is 5 ms."]
-
-
-async def measured_sizes(folder: Path, quick: bool) -> list[str]:
-    head = ["## Bytes a record (three attempts in its history)", "", "| body | counted | in the file |"]
-    return [*head, "| --- | --- | --- |", *sizes(folder)]
+def time_commands(folder: Path) -> list[str]:
+    """The commands with the start of their process."""
+    rows = []
+    for name in ("list", "stats"):
+        command = [sys.executable, "-m", "honeyhitch", "undelivered", "--store", str(folder), name]
+        started_at = time.perf_counter()
+        subprocess.run(command, check=True, stdout=subprocess.DEVNULL, cwd=ROOT)
+        elapsed = time.perf_counter() - started_at
+        rows.append(f"| the command `{name}`, with its process's start | {elapsed:.2f} |")
+    return rows
 
 
-async def measured_looks(folder: Path, quick: bool) -> list[str]:
+async def report_reads(folder: Path, quick: bool) -> list[str]:
+    """How long reads of a full store take."""
     count = 10_000 if quick else 100_000
-    head = [f"## Looking at {count} records", "", "| | seconds |", "| --- | --- |"]
-    return [*head, *looks(folder / "looks", count), "", "The aim for a first page is 0.5 s."]
-
-
-async def measured_beside(folder: Path, quick: bool) -> list[str]:
-    seconds, pairs, records = (10, 1, 1000) if quick else (30, 2, 10_000)
-    without: list[float] = []
-    with_them: list[float] = []
-    resent, took = 0, 0.0
-    for i in range(pairs):
-        for count, into in ((0, without), (records, with_them)):
-            (folder / f"{i}-{count}").mkdir()
-            late, done, spent = await beside(folder / f"{i}-{count}", count, seconds)
-            into += late
-            resent, took = resent + done, took + (spent if count else 0)
-    longer = quantile(with_them, 0.99) / quantile(without, 0.99)
-    return [
-        f"## Live traffic at 50 messages a second beside a resend ({pairs} runs of {seconds} s, in turn)",
-        "",
-        "| | p50, ms | p99, ms |", "| --- | --- | --- |",
-        f"| nothing to resend | {quantile(without, 0.5):.2f} | {quantile(without, 0.99):.2f} |",
-        f"| {records} to resend | {quantile(with_them, 0.5):.2f} | {quantile(with_them, 0.99):.2f} |", "",
-        f"{resent} were resent meanwhile, {resent / max(took, 1e-9):.0f} a second. From handing in to",
-        f"the partner; p99 takes {longer:.2f} times as long (the aim is 1.1).",
-    ]  # fmt: skip
+    store_folder = folder / "looks"
+    lines = [f"## Looking at {count} records", "", "| | seconds |", "| --- | --- |"]
+    started_at = time.perf_counter()
+    store = filled_store(store_folder, count, spread=True)
+    elapsed = time.perf_counter() - started_at
+    lines.append(f"| {count} records added, 1000 in a transaction | {elapsed:.2f} |")
+    store.close()
+    reader = Store(store_folder, writes=False)
+    lines += time_reads(reader)
+    started_at = time.perf_counter()
+    assert not list(reader.verify())
+    lines.append(f"| verify, all | {time.perf_counter() - started_at:.2f} |")
+    reader.close()
+    return [*lines, *time_commands(store_folder), "", "The aim for a first page is 0.5 s."]
 
 
 # Real processes, killed by SIGKILL.
 
 
-class Mixed:
-    """A partner that fails in mixed ways until it is well; its ledger says what it applied, by key."""
+class FailingPartner:
+    """A receiver that fails in mixed ways until it is healthy; its ledger has what it applied, by key."""
+
+    MODES = ("200", "503", "reset", "late", "500", "500 after", "reset after")
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.well, self.port = random.Random(seed), False, 0
+        self.rng = random.Random(seed)
+        self.healthy = False
+        self.port = 0
         self.ledger: dict[str, list[float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def start(self) -> Mixed:
-        server = await asyncio.start_server(self._client, "127.0.0.1", 0)
+    async def start(self) -> FailingPartner:
+        """Listen on a free port."""
+        server = await asyncio.start_server(self._serve_client, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         return self
 
     def apply(self, key: str) -> None:
-        seen, now = self.ledger.setdefault(key, []), time.time()
-        if not (key.startswith("keyed") and seen and now < seen[0] + 60):  # a repeat in the window is dropped
-            seen.append(now)
+        """Apply a message, unless it repeats a key inside the deduplication window."""
+        applied = self.ledger.setdefault(key, [])
+        now = time.time()
+        if not (key.startswith("keyed") and applied and now < applied[0] + 60):
+            applied.append(now)
 
-    async def _late(self, key: str) -> None:
+    async def _apply_late(self, key: str) -> None:
         await asyncio.sleep(self.rng.uniform(0.1, 3))
         self.apply(key)
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
-                fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
-                await reader.readexactly(int(fields["content-length"]))
-                key, modes = fields["idempotency-key"], ("200", "503", "reset", "late", "500", "500 after")
-                mode = "200" if self.well else self.rng.choice((*modes, "reset after"))
-                if mode in ("200", "500 after", "reset after"):
-                    self.apply(key)
-                if mode == "late":
-                    task = asyncio.ensure_future(self._late(key))
-                    self.tasks.add(task)
-                    await asyncio.sleep(4)
+                mode = await self._take_call(reader)
                 if mode.startswith("reset") or mode == "late":
                     break
                 writer.write(f"HTTP/1.1 {mode[:3]} X\r\nContent-Length: 0\r\n\r\n".encode())
         writer.close()
 
+    async def _take_call(self, reader: asyncio.StreamReader) -> str:
+        """Read a call, and apply it as its mode says; the mode."""
+        head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
+        headers = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
+        await reader.readexactly(int(headers["content-length"]))
+        key = headers["idempotency-key"]
+        mode = "200" if self.healthy else self.rng.choice(self.MODES)
+        if mode in ("200", "500 after", "reset after"):
+            self.apply(key)
+        if mode == "late":
+            self.tasks.add(asyncio.ensure_future(self._apply_late(key)))
+            await asyncio.sleep(4)
+        return mode
+
+
+class KilledProgram:
+    """One program that is killed and started again, and its client."""
+
+    def __init__(self, folder: Path, seed: int) -> None:
+        self.folder = folder
+        self.seed = seed
+        self.rng = random.Random(seed)
+        self.port = free_port()
+        self.sent = 0
+        self.kills = 0
+        self.command: list[str] = []
+
+    async def run(self) -> KillCounts:
+        """Five lives with failures, each ended by SIGKILL, and one in which the receiver is healthy."""
+        partner = await FailingPartner(self.seed).start()
+        await self._write_configuration(partner.port)
+        for _ in range(5):
+            await self._live_until_killed()
+        partner.healthy = True
+        process = await self._start()
+        records, unsettled = await self._settle()
+        process.terminate()
+        await process.wait()
+        return KillCounts(
+            messages=self.sent,
+            kills=self.kills,
+            resends=sum(record.resend_count for record in records),
+            applied_twice=sum(len(times) > 1 for times in partner.ledger.values()),
+            unsettled=unsettled,
+        )
 
-KILLS = """
-[undelivered]
-share = 0.5
-copy-grace = 1
-
-[[undelivered.rule]]
-action = "resend"
-healthy = 0
-pause = 1
-rate = 100
-most-times = 100
-"""
-
+    async def _write_configuration(self, partner_port: int) -> None:
+        endpoint = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner_port}", "size": 2000.0}
+        agent = await Agent([endpoint]).start()
+        keyed_class = {**SETTINGS["classes"][0], "window": 60 * SECOND, "deadline": 3 * SECOND}
+        settings = {**LARGE_SETTINGS, "classes": [keyed_class, ORDER_CLASS]}
+        paths = write(self.folder, self.port, agent.port, [endpoint], KILL_RULE, settings=settings)
+        self.command = serve_command(*paths)
 
-async def killed(folder: Path, seed: int) -> tuple[int, int, int, int, int]:
-    """Messages, kills, resends, applied twice, and resendable ones that were not settled."""
-    rng, partner = random.Random(seed), await Mixed(seed).start()
-    member = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
-    agent, port, sent, kills = await Agent([member]).start(), free_port(), 0, 0
-    classes = [{**SETTINGS["classes"][0], "window": 60 * SECOND, "deadline": 3 * SECOND}, UNSAFE]
-    path, told = write(folder, port, agent.port, [member], KILLS, settings={**BIG, "classes": classes})
-    words = [sys.executable, __file__, "--serve", path, str(told)]
+    async def _start(self) -> asyncio.subprocess.Process:
+        return await asyncio.create_subprocess_exec(*self.command, stdout=subprocess.DEVNULL)
 
-    async def say(parts: list[bytes]) -> bytes:
+    async def _submit(self, name: str, fields_text: str, body: bytes) -> bool:
+        """Submit a message; whether it was accepted."""
         with contextlib.suppress(OSError):
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
+            writer.write(encode_enqueue(name, fields_text, body))
             answer = await reader.readline()
             writer.close()
-            return answer
-        return b""
-
-    for _ in range(5):
-        process = await asyncio.create_subprocess_exec(*words, stdout=subprocess.DEVNULL)
-        until = time.monotonic() + rng.uniform(2.0, 4.0)
-        while time.monotonic() < until:
-            cls = rng.choice(("standard", "order"))
-            name = f"{'keyed' if cls == 'standard' else 'unsafe'}-{sent}"
-            fields = f"c={cls},t=studio,d=1500,dest=1,k={name}".encode()
-            answer = await say([b"ENQUEUE", b"0" * 16, name.encode(), fields, b"body"])
-            sent += answer.startswith(b"+")
+            return answer.startswith(b"+")
+        return False
+
+    async def _live_until_killed(self) -> None:
+        process = await self._start()
+        kill_at = time.monotonic() + self.rng.uniform(2.0, 4.0)
+        while time.monotonic() < kill_at:
+            class_name = self.rng.choice(("standard", "order"))
+            name = f"{'keyed' if class_name == 'standard' else 'unsafe'}-{self.sent}"
+            fields_text = f"c={class_name},t=studio,d=1500,dest=1,k={name}"
+            self.sent += await self._submit(name, fields_text, b"body")
             await asyncio.sleep(0.05)
         process.kill()
         await process.wait()
-        kills += 1
-    partner.well = True
-    process = await asyncio.create_subprocess_exec(*words, stdout=subprocess.DEVNULL)
-    left = -1
-    for _ in range(90):
-        await asyncio.sleep(1)
-        await say(
-            [
-                b"ENQUEUE",
-                b"0" * 16,
-                b"live-%d" % sent,
-                b"c=order,t=studio,d=1500,dest=1,k=live-%d" % sent,
-                b"x",
-            ]
+        self.kills += 1
+
+    async def _settle(self) -> tuple[list[Record], int]:
+        """Wait until no record is left that may be resent; the records, and how many are left."""
+        records: list[Record] = []
+        unsettled = -1
+        for _ in range(90):
+            await asyncio.sleep(1)
+            name = f"live-{self.sent}"
+            await self._submit(name, f"c=order,t=studio,d=1500,dest=1,k={name}", b"x")
+            self.sent += 1
+            with contextlib.suppress(StoreError, sqlite3.Error):
+                records = self._read_records()
+                unsettled = sum(is_resendable(record) for record in records)
+                if not unsettled:
+                    break
+        return records, unsettled
+
+    def _read_records(self) -> list[Record]:
+        store = Store(
+            self.folder / "state" / "undelivered",
+            writes=False,
+            resend_settings=ResendSettings(duplicates_elsewhere=False),
         )
-        sent += 1
-        with contextlib.suppress(Exception):
-            store = Store(
-                folder / "state" / "undelivered",
-                writes=False,
-                resend_settings=ResendSettings(duplicates_elsewhere=False),
-            )
-            found = [one.record for one in store.page(RecordFilter(), limit=1000)]
+        try:
+            return [stored.record for stored in store.page(RecordFilter(), limit=1000)]
+        finally:
             store.close()
-            left = sum(resendable(one) for one in found)
-            if not left:
-                break
-    process.terminate()
-    await process.wait()
-    resent = sum(one.resend_count for one in found)
-    return sent, kills, resent, sum(len(times) > 1 for times in partner.ledger.values()), left
-
-
-def resendable(one: Record) -> bool:
-    """Whether a rule would still have it resent."""
-    step = plan_record(
-        one, (Rule("r", Action.RESEND),), ResendSettings(duplicates_elsewhere=False), time.time_ns(), SECOND
-    ).step
-    return one.status is RecordStatus.RESENDING or step in (Step.RESEND, Step.POSTPONE)
-
-
-async def measured_kills(folder: Path, quick: bool) -> list[str]:
-    count, at_once = (4, 4) if quick else (24, 6)
-    told: list[tuple[int, int, int, int, int]] = []
-    for at in range(0, count, at_once):
-        seeds = range(at, at + at_once)
+
+
+def is_resendable(record: Record) -> bool:
+    """Whether a rule would still have the record resent."""
+    rules = (Rule("r", Action.RESEND),)
+    settings = ResendSettings(duplicates_elsewhere=False)
+    step = plan_record(record, rules, settings, time.time_ns(), SECOND).step
+    return record.status is RecordStatus.RESENDING or step in (Step.RESEND, Step.POSTPONE)
+
+
+async def report_kills(folder: Path, quick: bool) -> list[str]:
+    """Runs of real processes, some at a time."""
+    count, concurrent_runs = (4, 4) if quick else (24, 6)
+    results: list[KillCounts] = []
+    for first in range(0, count, concurrent_runs):
+        seeds = range(first, first + concurrent_runs)
         for seed in seeds:
             (folder / f"{seed}").mkdir()
-        told += await asyncio.gather(*(killed(folder / f"{seed}", seed) for seed in seeds))
-    names = ("messages", "processes killed", "resends", "applied twice", "resendable and not settled")
+        results += await asyncio.gather(*(KilledProgram(folder / f"{seed}", seed).run() for seed in seeds))
     head = [f"## {count} seeded runs of real processes with SIGKILL", "", "| | |", "| --- | --- |"]
-    return [*head, *(f"| {name} | {sum(one[i] for one in told)} |" for i, name in enumerate(names))]
+    return [*head, *kill_table(results, "processes killed")]
 
 
-PARTS = {
-    "days": measured_days, "kills": measured_kills, "failing": measured_failing, "sizes": measured_sizes,
-    "looks": measured_looks, "beside": measured_beside,
-}  # fmt: skip
+REPORTS: dict[str, Callable[[Path, bool], Awaitable[list[str]]]] = {
+    "days": report_days,
+    "kills": report_kills,
+    "failing": report_failing,
+    "sizes": report_sizes,
+    "looks": report_reads,
+    "beside": report_live,
+}
 
 
 async def measure(quick: bool, only: list[str]) -> list[str]:
+    """The lines of the reports with these names, or of all."""
     lines: list[str] = []
-    for name in only or PARTS:
+    for name in only or REPORTS:
         print(name, file=sys.stderr, flush=True)
         with tempfile.TemporaryDirectory() as folder:
-            lines += ["", *await PARTS[name](Path(folder), quick)]
+            lines += ["", *await REPORTS[name](Path(folder), quick)]
     return lines
 
 
 def main() -> None:
+    """Measure, print the tables, and write them into the page if asked."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer and shorter runs")
     parser.add_argument("--write", action="store_true", help="put the tables into docs/")
-    parser.add_argument("--only", nargs="*", choices=list(PARTS), help="these parts alone")
+    parser.add_argument("--only", nargs="*", choices=list(REPORTS), help="these parts alone")
     parser.add_argument("--serve", nargs="+", help=argparse.SUPPRESS)
-    asked = parser.parse_args()
-    if asked.serve:
-        serve(asked.serve[0], asked.serve[1] if len(asked.serve) > 1 else None)
+    options = parser.parse_args()
+    if options.serve:
+        serve(options.serve[0], options.serve[1] if len(options.serve) > 1 else None)
         return
     logs.setup("json", "error")
     machine = f"{os.cpu_count()} cores, Python {platform.python_version()}"
     head = [
         "# Undelivered messages, measured",
         "",
-        f"By `benchmarks/undelivered.py` on loopback, {machine}.",
+        f"By `benchmarks/dead_letters.py` on loopback, {machine}.",
         "",
     ]
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        text = "\n".join(head + runner.run(measure(asked.quick, asked.only))) + "\n"
+        text = "\n".join(head + runner.run(measure(options.quick, options.only))) + "\n"
     print(text)
-    if asked.write:
+    if options.write:
         (ROOT / "docs" / "undelivered-measured.md").write_text(text)
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -6,12 +6,14 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+MIN_SIZES = 4  # fewer show no line
+
 
 @dataclass(frozen=True, slots=True)
 class Slope:
     """Least squares through all plays: `value = fixed + each * size`.
 
-    `spread` is the largest distance of a play from the line, as a share of the largest value measured.
+    `spread` is the largest distance of a play from the line, as a fraction of the largest value measured.
     """
 
     name: str
@@ -29,24 +31,25 @@
 
 def fit(name: str, unit: str, per: str, points: Sequence[tuple[float, Sequence[float]]]) -> Slope:
     """Fit a line. Raises ValueError with fewer than four sizes: those show no line."""
-    if len({size for size, _ in points}) < 4:
+    if len({size for size, _ in points}) < MIN_SIZES:
         raise ValueError(f"{name}: a slope needs four sizes or more, got {len(points)}")
     pairs = [(size, value) for size, plays in points for value in plays]
-    sizes, values = [size for size, _ in pairs], [value for _, value in pairs]
+    sizes = [size for size, _ in pairs]
+    values = [value for _, value in pairs]
     each, fixed = statistics.linear_regression(sizes, values)
-    most = max(map(abs, values)) or 1.0
-    spread = max(abs(value - fixed - each * size) for size, value in pairs) / most
-    kept = tuple((size, tuple(plays)) for size, plays in points)
-    return Slope(name, unit, per, kept, fixed, each, spread)
+    largest = max(map(abs, values)) or 1.0
+    spread = max(abs(value - fixed - each * size) for size, value in pairs) / largest
+    plays_by_size = tuple((size, tuple(plays)) for size, plays in points)
+    return Slope(name, unit, per, plays_by_size, fixed, each, spread)
 
 
 def table(slopes: Sequence[Slope]) -> str:
     """One line for each slope, and below it the median and range at each size."""
     lines = [f"{'what':44} {'fixed':>12} {'each':>12} {'spread':>7}  unit, per"]
-    for one in slopes:
-        fit_cells = f"{one.fixed:12.4g} {one.each:12.4g} {one.spread:7.1%}"
-        lines.append(f"{one.name:44} {fit_cells}  {one.unit}, {one.per}")
-        for size, plays in one.points:
-            middle = statistics.median(plays)
-            lines.append(f"    {size:>12,.5g}: {middle:12.5g}  ({min(plays):.5g} to {max(plays):.5g})")
+    for slope in slopes:
+        fit_cells = f"{slope.fixed:12.4g} {slope.each:12.4g} {slope.spread:7.1%}"
+        lines.append(f"{slope.name:44} {fit_cells}  {slope.unit}, {slope.per}")
+        for size, plays in slope.points:
+            median = statistics.median(plays)
+            lines.append(f"    {size:>12,.5g}: {median:12.5g}  ({min(plays):.5g} to {max(plays):.5g})")
     return "\n".join(lines)
