--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -58,13 +58,12 @@
     file_values = {key: document.get(key) for key in INSTANCE_KEYS}
     first_values = previous.file_values if previous is not None else file_values
     values = _instance_values(file_values, first_values, environ)
-    settings = _read_settings(document)
+    instance_settings = _read_settings(document)
     limits = _read_limits(document.get("limits"))
-    settings = _limit_calls(settings, limits)
+    settings = _limit_calls(instance_settings, limits)
     known = _read_known(document)
     name = str(values["name"])
-    operator_path = operator or environ.get("ROUTER_OPERATOR", "")
-    operator_settings = read_operator(operator_path, name, settings, environ)
+    operator_settings = read_operator(operator or environ.get("ROUTER_OPERATOR", ""), name, settings, environ)
     if operator_settings.fleet is not None:  # each zone has an owner of a destination, with its quota
         settings = replace(settings, instance_count=len(operator_settings.fleet.zones))
     state = Path(str(values["state"]))
--- a/honeyhitch/config/values.py
+++ b/honeyhitch/config/values.py
@@ -32,7 +32,7 @@
 
 
 def parse_choice(choices: dict[str, T], text: str, name: str) -> T:
-    """What one of these words stands for. Raises ConfigError."""
+    """The value that one of these words stands for. Raises ConfigError."""
     if text not in choices:
         raise ConfigError(f"{name}: expected one of {', '.join(choices)}, got {text!r}")
     return choices[text]
@@ -67,9 +67,9 @@
         return self.get(name, value_type) if name in self.unread else None
 
     def choice(self, name: str, choices: Iterable[str], default: str) -> str:
-        """One of these words. Raises ConfigError."""
+        """One of these texts. Raises ConfigError."""
         text = self.get(name, str, default)
-        return parse_choice({word: word for word in choices}, text, f"{self.path}.{name}")
+        return parse_choice({choice: choice for choice in choices}, text, f"{self.path}.{name}")
 
     def seconds(self, name: str, default: int) -> float:
         """A duration in seconds; the default is in nanoseconds. Raises ConfigError."""
--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -53,6 +53,21 @@
             "told-to-come-again",
         ),
     ],
+    ids=[
+        "a safe message that was never executed is resent",
+        "an unsafe message that was never executed is resent",
+        "a safe message that was executed is resent",
+        "an unsafe message that may have been executed is held",
+        "an unsafe message that was released is resent",
+        "a keyed message is resent while the resend fits into its window",
+        "a keyed message is held a nanosecond later",
+        "a keyed message is held when the clock has stepped back",
+        "a keyed message is held when the receivers with its key are not reached",
+        "a keyed message that was released is resent after its window",
+        "a rejected message waits until its client's grace is over",
+        "a rejected message is resent when its client's grace is over",
+        "a released message waits for its client, too",
+    ],
 )
 def test_each_case(history: ExecutionHistory, verdict: Verdict, reason: str) -> None:
     decision = decide_resend(history, NOW, GRACE, RESEND_DURATION)
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -77,6 +77,31 @@
             ("nothing", "unsafe-may-have-run"),
         ),
     ],
+    ids=[
+        "a pending record is resent",
+        "a record that is being resent is left alone",
+        "a settled record is left alone",
+        "a rule holds it",
+        "a rule discards it",
+        "a rule for another destination does not match",
+        "a rule for its destination and another matches",
+        "a rule for another tenant does not match",
+        "a rule for executed messages does not match",
+        "a rule for older records matches later",
+        "a record that was resent often enough is left alone",
+        "the pause after the first resend is not over",
+        "the pause after the second resend is twice as long",
+        "the pause after the second resend is over",
+        "a message that is too old is left alone",
+        "the client may still submit it again",
+        "a keyed message inside its window is resent",
+        "a keyed message after its window is left alone",
+        "a key that only one zone knows is left alone",
+        "an unsafe message that may have been executed is left alone",
+        "an unsafe message that was released is resent",
+        "a resend that a person asked for needs no rule",
+        "a person's request does not make an unsafe message safe",
+    ],
 )
 def test_each_step(changes: dict[str, Any], rule: Rule, expected: tuple[str, str]) -> None:
     assert plan_of(make_record(**changes), rule) == expected
@@ -93,6 +118,15 @@
         ({"client_retry_at": START, "idempotency": "unsafe", "evidence": "x"}, ("resend", "released")),
         ({"client_retry_at": START, "deduplication_window": 200 * SECOND}, ("resend", "inside-window")),
     ],
+    ids=[
+        "no client was asked to submit it again",
+        "a keyed message whose window is over",
+        "a safe message",
+        "an unsafe message",
+        "an unsafe message recovered from the journal",
+        "an unsafe message that was released",
+        "a keyed message inside its window",
+    ],
 )
 def test_where_copies_may_go_elsewhere(changes: dict[str, Any], expected: tuple[str, str]) -> None:
     assert plan_of(make_record(**changes), RESEND, resend_settings=AWAY) == expected
@@ -243,6 +277,14 @@
         changed(concurrent_calls=36),
         changed(unhealthy=True, last_sent_at=NOW),
     ],
+    ids=[
+        "the destination has no listed endpoint",
+        "the destination is in slow start",
+        "live messages are queued for the destination",
+        "the destination has sent Retry-After",
+        "live traffic needs the call slots",
+        "the destination is unhealthy and was just called",
+    ],
 )
 def test_when_none_may_start(condition: DestinationHealth) -> None:
     assert ResendPacing(0.1, 40).available_resends(1, condition, NOW) == 0
