--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -386,7 +386,7 @@
                 if front == "resp":
                     await hand_in(port, "copy", 15_000, "k-copy", b"body of copy")
                 else:
-                    client.hand_in("copy", 1, left=15_000)
+                    client.submit("copy", 1, left=15_000)
 
             if first == "copy":
                 await copy()
@@ -401,7 +401,7 @@
             await wait_until(lambda: partner.calls == 2)
             partner.released.set()
             if front == "mqtt":
-                await client.until(1)
+                await client.wait_for_answers(1)
                 assert client.answers["copy"][0]["status"] == "delivered"
             folder = tmp_path / "state" / "undelivered"
             await wait_until(lambda: [record.status for record in kept(folder)] == [RecordStatus.SETTLED])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -27,7 +27,7 @@
 from honeyhitch.protocols.mqtt_packets import Kind, Packet
 
 from .broker import Broker
-from .polling import poll_condition
+from .polling import Changes, poll_condition
 from .program import Peer, free_port, play, started, write
 from .rig import endpoint_row
 from .test_exchanges import raw
@@ -37,9 +37,11 @@
 
 
 async def receive(peer: Peer, pattern: bytes) -> None:
+    """Read exactly this; `%` stands for digits."""
     reader, _ = await peer.accepted()
-    wanted, got = re.compile(re.escape(pattern).replace(b"%", rb"\d+"), re.DOTALL), b""
-    while not wanted.fullmatch(got):
+    expected = re.compile(re.escape(pattern).replace(b"%", rb"\d+"), re.DOTALL)
+    got = b""
+    while not expected.fullmatch(got):
         byte = await reader.read(1)
         assert byte, f"the connection ended after {got!r}"
         got += byte
@@ -141,13 +143,13 @@
 
 
 async def watched(agent: Peer, port: int, revision: int = 1) -> None:
-    """With a list at hand it asks for what changed after it; the agent answers at once, with nothing new."""
+    """With a list it requests what changed after it; the agent answers immediately, with nothing new."""
     await receive(agent, raw(TARGETS % (f"?stream=1&index={revision}", port)))
     (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 
 
 async def listed(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
-    """An agent at another address is asked for its whole list first, and then for what changes after it."""
+    """An agent at another address is asked for its complete list first, and then for its changes."""
     await receive(agent, raw(TARGETS % ("", port)))
     body = json.dumps({"revision": 3, "complete": True, "members": members}).encode()
     (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -160,7 +162,9 @@
 )
 
 
-def test_a_fault_of_ours_in_a_call_frees_its_slot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unexpected_exception_in_a_call_frees_its_slot(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     encode, faults = calls.encode_call, [RuntimeError("a fault")]
 
     def faulty(*given: Any) -> bytes:
@@ -177,7 +181,7 @@
             client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
             await poll_condition(lambda: not faults)
-            await member.accepted()  # the connection of the faulty call, which carries nothing
+            await member.accepted()  # the connection of the failed call, which carries nothing
             member.connection = None
             reader, _ = await member.accepted()
             assert await reader.readuntil(b"body")
@@ -186,11 +190,11 @@
     play(work())
 
 
-def test_balancers_are_answered_beside_the_fronts(tmp_path: Path) -> None:
+def test_health_checks_of_load_balancers_are_answered(tmp_path: Path) -> None:
     async def work() -> None:
         agent, ports = await Peer().start(), (free_port(), free_port())
-        beside = '[beside]\nagent-check = "127.0.0.1:{}"\nhealth = "127.0.0.1:{}"\n'.format(*ports)
-        async with started(tmp_path, agent.port, [], beside):
+        operator = '[beside]\nagent-check = "127.0.0.1:{}"\nhealth = "127.0.0.1:{}"\n'.format(*ports)
+        async with started(tmp_path, agent.port, [], operator):
             reader, _ = await asyncio.open_connection("127.0.0.1", ports[0])
             assert await reader.read() == b"up ready 100%\n"
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[1])
@@ -219,8 +223,9 @@
     """The independent client library against the stand-in broker; it collects final answers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.answers = loop, collections.defaultdict[str, list[dict[str, Any]]](list)
-        self.came = asyncio.Event()
+        self.loop = loop
+        self.answers = collections.defaultdict[str, list[dict[str, Any]]](list)
+        self.received = Changes()
         self.paho = paho.Client(paho.CallbackAPIVersion.VERSION2, client_id="client", protocol=paho.MQTTv5)
         self.paho.on_message = self._message
         self.paho.on_connect = lambda client, *_: client.subscribe("re/client", qos=2)
@@ -233,7 +238,7 @@
 
     def _answered(self, answer: dict[str, Any]) -> None:
         self.answers[answer["id"]].append(answer)
-        self.came.set()
+        self.received.notify()
 
     def connect(self, port: int) -> None:
         properties = Properties(PacketTypes.CONNECT)
@@ -241,7 +246,7 @@
         self.paho.connect("127.0.0.1", port, clean_start=False, properties=properties)
         self.paho.loop_start()
 
-    def hand_in(self, name: str, dest: int, left: int = 20_000) -> None:
+    def submit(self, name: str, dest: int, left: int = 20_000) -> None:
         properties = Properties(PacketTypes.PUBLISH)
         properties.ResponseTopic, properties.CorrelationData = "re/client", b"\x00corr"
         fields = {
@@ -255,10 +260,9 @@
         properties.UserProperty = list(fields.items())
         self.paho.publish("in", f"body of {name}", qos=1, properties=properties)
 
-    async def until(self, count: int) -> None:
-        while len(self.answers) < count:
-            self.came.clear()
-            await self.came.wait()
+    async def wait_for_answers(self, count: int) -> None:
+        """Return once so many messages have an answer."""
+        await self.received.wait_until(lambda: len(self.answers) >= count)
 
 
 def calls_to_partner(broker: Broker) -> list[Packet]:
@@ -271,8 +275,8 @@
     return [fields for fields, _, _ in decode_frames(data) if fields["t"] == kind]
 
 
-def ended(broker: Broker, reasons: dict[str, int]) -> None:
-    """The partner behind the broker: acknowledges each call once, with a reason by the message's id."""
+def set_reasons(broker: Broker, reasons: dict[str, int]) -> None:
+    """Have the partner acknowledge each call once, with a reason by message; none if that is below 0."""
 
     def partner(packet: Packet) -> Packet | None:
         reason = reasons.get(dict(packet.user)["id"], 0)
@@ -285,29 +289,29 @@
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
         await broker.start()
-        ended(broker, {"fails": 0x83, "silent": -1, "full": 0x97})
+        set_reasons(broker, {"fails": 0x83, "silent": -1, "full": 0x97})
         client = Client(asyncio.get_running_loop())
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
-            client.hand_in("good", 1)
-            await client.until(1)
-            client.hand_in("silent", 1, left=300)
-            client.hand_in("full", 1, left=300)
-            client.hand_in("fails", 1, left=300)
-            client.hand_in("nobody", 9, left=300)
-            client.hand_in("", 1)
-            client.hand_in("", 1)
-            await client.until(6)
+            client.submit("good", 1)
+            await client.wait_for_answers(1)
+            client.submit("silent", 1, left=300)
+            client.submit("full", 1, left=300)
+            client.submit("fails", 1, left=300)
+            client.submit("nobody", 9, left=300)
+            client.submit("", 1)
+            client.submit("", 1)
+            await client.wait_for_answers(6)
             # Without an id, each is answered by itself.
-            await poll_condition(lambda: len(client.answers[""]) == 2)
+            await poll_condition(lambda: len(client.answers[""]) >= 2)
         client.paho.disconnect()
         client.paho.loop_stop()
         assert all(len(answers) == 1 + (name == "") for name, answers in client.answers.items())
         status = {name: answers[0]["status"] for name, answers in client.answers.items()}
         assert status == {
             "good": "delivered",
-            "silent": "deferred",  # a repeat is dropped inside the window, so handing in again is harmless
+            "silent": "deferred",  # a repeat is dropped inside the window, so submitting again is harmless
             "full": "deferred",
             "fails": "deferred",
             "nobody": "error",
@@ -324,19 +328,19 @@
     async def work() -> None:
         broker, agent, count = Broker(), await Peer().start(), 40
         await broker.start()
-        ended(broker, {})
+        set_reasons(broker, {})
         client = Client(asyncio.get_running_loop())
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             for i in range(count):
-                client.hand_in(f"m{i}", 1)
+                client.submit(f"m{i}", 1)
                 if i in (10, 25):
-                    await client.until(3)  # some are answered, some are out, some are on their way
+                    await client.wait_for_answers(3)  # some are answered, some in flight, some not sent yet
                     await broker.kill()
                     await broker.start()
-            await client.until(count)
-            await asyncio.sleep(0.3)  # a second answer would come now
+            await client.wait_for_answers(count)
+            await asyncio.sleep(0.3)  # a second answer would arrive now
         client.paho.disconnect()
         client.paho.loop_stop()
         assert {name: len(answers) for name, answers in client.answers.items()} == {
@@ -348,21 +352,21 @@
     play(work())
 
 
-def test_a_drop_with_a_call_out_is_a_reset_and_the_module_decides(tmp_path: Path) -> None:
+def test_a_broker_lost_with_a_call_in_flight_is_a_reset_and_the_policy_decides(tmp_path: Path) -> None:
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
         await broker.start()
-        ended(broker, {"m": -1})
+        set_reasons(broker, {"m": -1})
         client = Client(asyncio.get_running_loop())
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
-            client.hand_in("m", 1)
+            client.submit("m", 1)
             await poll_condition(lambda: calls_to_partner(broker))
             await broker.kill()
-            ended(broker, {})
+            set_reasons(broker, {})
             await broker.start()
-            await client.until(1)
+            await client.wait_for_answers(1)
         client.paho.disconnect()
         client.paho.loop_stop()
         calls = calls_to_partner(broker)
@@ -374,24 +378,24 @@
     play(work())
 
 
-def test_the_process_killed_with_a_call_out_still_gives_one_final_answer(tmp_path: Path) -> None:
+def test_a_process_killed_with_a_call_in_flight_still_gives_one_final_answer(tmp_path: Path) -> None:
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
         await broker.start()
-        ended(broker, {"m": -1})
+        set_reasons(broker, {"m": -1})
         client = Client(asyncio.get_running_loop())
         operator = OPERATOR.format(port=broker.port, dest=1)
         async with started(tmp_path, agent.port, [], operator):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
-            client.hand_in("m", 1)
+            client.submit("m", 1)
             await poll_condition(lambda: calls_to_partner(broker))
-        ended(broker, {})
+        set_reasons(broker, {})
         async with started(tmp_path, agent.port, [], operator):
-            client.hand_in("m", 1)  # handed in twice: the id is known over the restart
-            await client.until(1)
-            client.hand_in("n", 1)
-            await client.until(2)
+            client.submit("m", 1)  # submitted twice: the id is known over the restart
+            await client.wait_for_answers(1)
+            client.submit("n", 1)
+            await client.wait_for_answers(2)
         client.paho.disconnect()
         client.paho.loop_stop()
         assert [answer["status"] for answer in client.answers["m"]] == ["delivered"]
@@ -401,11 +405,11 @@
     play(work())
 
 
-def test_one_partner_over_both_wires_shares_its_wait(tmp_path: Path) -> None:
+def test_one_partner_over_both_protocols_shares_its_retry_after(tmp_path: Path) -> None:
     async def work() -> None:
         broker, agent, member, client = Broker(), await Peer().start(), await Peer().start(), Peer()
         await broker.start()
-        ended(broker, {})
+        set_reasons(broker, {})
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
         async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
             await poll_condition(lambda: "n0-calls" in broker.kept)
@@ -424,36 +428,38 @@
     play(work())
 
 
-def test_a_wait_acknowledged_after_its_call_was_given_up_is_heeded(tmp_path: Path) -> None:
-    """A publish cannot be called back, and its acknowledgement may come after its message's time."""
+def test_a_retry_after_acknowledged_after_its_call_was_cancelled_is_heeded(tmp_path: Path) -> None:
+    """A publish cannot be revoked, and its acknowledgement may arrive after its message expired."""
 
     async def work() -> None:
         broker, agent, loop = Broker(), await Peer().start(), asyncio.get_running_loop()
         await broker.start()
-        silent, heard = list[Packet](), list[float]()
+        silent: list[Packet] = []
+        second_calls: list[float] = []
 
         def partner(packet: Packet) -> Packet | None:
             if not silent:
                 silent.append(packet)
                 return None
-            heard.append(loop.time())
+            second_calls.append(loop.time())
             return Packet(Kind.PUBACK, id=packet.id)
 
         broker.partner, client = partner, Client(loop)
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
-            client.hand_in("brief", 1, left=300)
-            await client.until(1)
-            (one,), told = silent, loop.time()
-            wait = Packet(Kind.PUBACK, id=one.id, reason=0x97, user=[("Retry-After", "0.5")])
-            broker.write(broker.kept["n0-calls"], wait)
+            client.submit("brief", 1, left=300)
+            await client.wait_for_answers(1)
+            (first,) = silent
+            retry_after_received_at = loop.time()
+            late_reply = Packet(Kind.PUBACK, id=first.id, reason=0x97, user=[("Retry-After", "0.5")])
+            broker.write(broker.kept["n0-calls"], late_reply)
             await poll_condition(lambda: journal_records(tmp_path, "wait"))
-            client.hand_in("next", 1)
-            await client.until(2)
+            client.submit("next", 1)
+            await client.wait_for_answers(2)
         client.paho.disconnect()
         client.paho.loop_stop()
-        assert len(heard) == 1
-        assert heard[0] >= told + 0.5, "started before the Retry-After was over"
+        assert len(second_calls) == 1
+        assert second_calls[0] >= retry_after_received_at + 0.5, "started before the Retry-After was over"
 
     play(work())
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -24,7 +24,7 @@
 from .broker import Broker
 from .program import SETTINGS, Peer, free_port, play, started, write
 from .rig import endpoint_row
-from .test_program import OPERATOR, Client, ended, receive
+from .test_program import OPERATOR, Client, receive, set_reasons
 from .tls_partner import OK, Session, TlsPartner, asking, server_context
 
 CLIENT = ExtendedKeyUsageOID.CLIENT_AUTH
@@ -466,7 +466,7 @@
         broker, agent = Broker(), await Peer().start()
         broker.secure = server_context(authority.issue())
         await broker.start()
-        ended(broker, {})
+        set_reasons(broker, {})
         client = Client(asyncio.get_running_loop())
         trust = tmp_path / "trust.pem"
         trust.write_bytes(authority.file.read_bytes())
@@ -476,8 +476,8 @@
         async with started(tmp_path, agent.port, [], operator):
             await asyncio.to_thread(client.connect, broker.port)
             await until(lambda: broker.subscribed("n0-intake", "client"))
-            client.hand_in("one", 1)
-            await client.until(1)
+            client.submit("one", 1)
+            await client.wait_for_answers(1)
             before = broker.kept["n0-calls"].writer
             (tmp_path / "other").mkdir()
             other = Authority(tmp_path / "other", "Other CA")
@@ -485,8 +485,8 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: log.events("tls.files-reloaded"))
             await until(lambda: broker.kept["n0-calls"].writer not in (before, None))
-            client.hand_in("two", 1)
-            await client.until(2)
+            client.submit("two", 1)
+            await client.wait_for_answers(2)
         client.paho.disconnect()
         client.paho.loop_stop()
         assert {name: [one["status"] for one in told] for name, told in client.answers.items()} == {
