--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,7 +24,7 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.service_process import ServiceProcess, enqueue, members, running  # noqa: E402
+from benchmarks.service_process import ServiceProcess, endpoint_rows, enqueue, running_service  # noqa: E402
 from benchmarks.slopes import Slope, fit, table  # noqa: E402
 from benchmarks.standins import Agent, Endpoint, LoopThread  # noqa: E402
 from honeyhitch.endpoints.pool import EndpointPool  # noqa: E402
@@ -77,42 +77,42 @@
             print(f"destinations listed: {count} done", file=sys.stderr, flush=True)
 
     def _one_process(self, folder: Path, count: int) -> None:
-        listed = members(count)
+        listed = endpoint_rows(count)
         agent = Agent(self.thread, listed)
-        with running(folder, agent.port, listed) as service:
+        with running_service(folder, agent.port, listed) as service:
             per = "destination listed"
             self.note("start: exec to PONG", "s", per, count, service.seconds_to_ready)
-            self.note("start: CPU", "s", per, count, service.cpu())
+            self.note("start: CPU", "s", per, count, service.cpu_seconds())
             self.note("memory after the start", "bytes", per, count, service.resident())
             assert agent.watched.wait(60)
-            before = service.cpu()
+            before = service.cpu_seconds()
             time.sleep(IDLE_SECONDS)
-            idle = (service.cpu() - before) / IDLE_SECONDS
+            idle = (service.cpu_seconds() - before) / IDLE_SECONDS
             self.note("idle: CPU of a second", "s", per, count, idle)
             self._changes(service, agent, count)
             self._reload(service, count)
 
     def _changes(self, service: ServiceProcess, agent: Agent, count: int) -> None:
         """A new destination is told; it is in force once a message for it is taken on."""
-        before, waited, sent = service.cpu(), 0.0, 0
+        before, waited, sent = service.cpu_seconds(), 0.0, 0
         for number in range(CHANGES):
             new = count + 1 + number
             began = time.monotonic()
-            sent += agent.change(*members(1, first=new))
-            while service.ask(enqueue(f"c{count}-{number}", new, left=100)) != b"+OK\r\n":
+            sent += agent.change(*endpoint_rows(1, first=new))
+            while service.request_line(enqueue(f"c{count}-{number}", new, time_left_ms=100)) != b"+OK\r\n":
                 time.sleep(0.001)
             waited += time.monotonic() - began
         per = "destination listed"
-        self.note("change of one endpoint: CPU", "s", per, count, (service.cpu() - before) / CHANGES)
+        self.note("change of one endpoint: CPU", "s", per, count, (service.cpu_seconds() - before) / CHANGES)
         self.note("change of one endpoint: until in force", "s", per, count, waited / CHANGES)
         self.note("change of one endpoint: bytes", "bytes", per, count, sent / CHANGES)
 
     def _reload(self, service: ServiceProcess, count: int) -> None:
         """SIGHUP names another agent; it is in force once that one is watched."""
-        other = Agent(self.thread, members(count), revision=1 << 20)
+        other = Agent(self.thread, endpoint_rows(count), revision=1 << 20)
         told = json.loads(service.config.read_text())
         service.config.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{other.port}"}))
-        before, began = service.cpu(), time.monotonic()
+        before, began = service.cpu_seconds(), time.monotonic()
         service.process.send_signal(signal.SIGHUP)
         in_force = other.watched.wait(120)
         assert in_force or count * 130 > discovery.MAX_LIST_BYTES, "only a list over the limit is never taken"
@@ -120,7 +120,7 @@
         per = "destination listed"
         if in_force:
             self.note("SIGHUP: until the new agent is watched", "s", per, count, took)
-            self.note("SIGHUP: CPU", "s", per, count, service.cpu() - before)
+            self.note("SIGHUP: CPU", "s", per, count, service.cpu_seconds() - before)
         else:
             print(
                 f"SIGHUP at {count}: the whole list is over {discovery.MAX_LIST_BYTES} bytes", file=sys.stderr
@@ -129,7 +129,7 @@
     def lists(self) -> None:
         """Bytes and CPU of a whole list as it is read, in this process."""
         for count in self.destinations:
-            told = {"revision": 2, "complete": True, "members": members(count)}
+            told = {"revision": 2, "complete": True, "members": endpoint_rows(count)}
             body = json.dumps(told, separators=(",", ":")).encode()
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
             for _ in range(self.plays):
@@ -147,33 +147,37 @@
     def events(self) -> None:
         """CPU and journal bytes of events that are delivered, by their number."""
         endpoint = Endpoint(self.thread)
-        listed = members(8, endpoint.port)
+        listed = endpoint_rows(8, endpoint.port)
         agent = Agent(self.thread, listed)
         for count in EVENTS:
             for _ in range(self.plays):
                 with (
                     tempfile.TemporaryDirectory(dir=BENCH_NAMESPACE) as folder,
-                    running(Path(folder), agent.port, listed, settings=_roomy(64), limits=ROOMY) as service,
+                    running_service(
+                        Path(folder), agent.port, listed, settings=_roomy(64), limits=ROOMY
+                    ) as service,
                 ):
-                    empty, before = service.journal_bytes(), service.cpu()
+                    empty, before = service.journal_bytes(), service.cpu_seconds()
                     done = endpoint.messages + count
                     self._hand_in(service, count, 8)
                     _until(lambda done=done: endpoint.messages >= done)  # type: ignore[misc]
                     per = "event"
-                    self.note("events delivered: CPU", "s", per, count, service.cpu() - before)
+                    self.note("events delivered: CPU", "s", per, count, service.cpu_seconds() - before)
                     written = service.journal_bytes() - empty
                     self.note("events delivered: journal", "bytes", per, count, written)
 
     def waiting(self) -> None:
         """Memory and journal bytes of events that wait for an endpoint that does not answer."""
         endpoint = Endpoint(self.thread, answer=b"")
-        listed = members(8, endpoint.port)
+        listed = endpoint_rows(8, endpoint.port)
         agent = Agent(self.thread, listed)
         for count in WAITING:
             for _ in range(self.plays):
                 with (
                     tempfile.TemporaryDirectory(dir=BENCH_NAMESPACE) as folder,
-                    running(Path(folder), agent.port, listed, settings=_roomy(4), limits=ROOMY) as service,
+                    running_service(
+                        Path(folder), agent.port, listed, settings=_roomy(4), limits=ROOMY
+                    ) as service,
                 ):
                     memory, journal = service.resident(), service.journal_bytes()
                     self._hand_in(service, count, 8)
