--- a/honeyhitch/journal/records.py
+++ b/honeyhitch/journal/records.py
@@ -1,6 +1,7 @@
 """The records of the journal, as the program knows them; `record_codec` maps them to their stored form.
 
-Times are Unix times in nanoseconds, durations nanoseconds.
+Times are Unix times in nanoseconds, durations nanoseconds. Records are not changed once made; they are not
+frozen dataclasses because these take longer to make, and a start makes one for each record of the journal.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from honeyhitch.journal.transactions import Attempt, DeliveredKey, Ending, Transaction
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class MessageRecord:
     """A message was accepted; after compaction also all that later records told of it."""
 
@@ -19,7 +20,7 @@
     answered: bool = False  # its final answer was sent: it only waits for the store of dead letters
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AttemptStarted:
     """The first byte of an attempt is about to be written."""
 
@@ -30,7 +31,7 @@
     endpoint: str | None = None  # known in a detailed journal alone
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AttemptOutcome:
     """An attempt ended; written in a detailed journal alone."""
 
@@ -38,7 +39,7 @@
     attempt: Attempt
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AttemptNotExecuted:
     """An attempt was certainly not executed by its endpoint."""
 
@@ -46,7 +47,7 @@
     number: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class EndingDecided:
     """How a message ends was decided; its final answer may not have been sent."""
 
@@ -57,7 +58,7 @@
     is_dead_letter: bool = False
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class MessageEnded:
     """The final answer to a message was sent, or is not waited for."""
 
@@ -66,7 +67,7 @@
     ended_at: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class DeadLetterStored:
     """The store of dead letters has a message, or has discarded it."""
 
@@ -74,7 +75,7 @@
     ended_at: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class RetryAfterNoted:
     """An endpoint asked to be left alone until then."""
 
@@ -83,7 +84,7 @@
     until: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class JournalOwner:
     """Which dispatcher writes the journal, and in which version of its form."""
 
@@ -91,26 +92,26 @@
     name: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class MessagesHandedOver:
     """The other process of a hand-over resumes these messages."""
 
     messages: list[str]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CallsInFlight:
     """How many calls are in flight in a process that hands over; None if it does not."""
 
     count: int | None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class HandoverReclaimed:
     """What was handed over is the writer's own again."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class EndedMessages:
     """What is remembered of messages that ended, for detecting duplicates."""
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -339,9 +339,8 @@
 
         rig.loop.add_reader(here, ends)
 
-        def write_immediately(
-            self: asyncio.StreamWriter, data: bytes
-        ) -> None:  # in this turn of the loop, not at its end
+        def write_immediately(self: asyncio.StreamWriter, data: bytes) -> None:
+            """In this turn of the loop, not at its end."""
             sides = [lambda: os.write(self.get_extra_info("socket").fileno(), data), lambda: there.send(b"x")]
             for side in sides if reply == "just read" else reversed(sides):
                 side()  # what is written first is read first
@@ -385,6 +384,26 @@
     play(work())
 
 
+class BrokerSide:
+    """Plays the broker to the session of a transport, packet by packet."""
+
+    def __init__(self, transport: MqttTransport) -> None:
+        self.session = transport.session
+        self.buffer = Buffer()
+
+    def receive(self, packet: Packet) -> None:
+        """Have the session receive this packet."""
+        self.buffer.feed(encode(packet))
+        self.session.receive(self.buffer)
+
+    def published(self) -> list[Packet]:
+        """What the session published since the last call."""
+        sent = Buffer()
+        sent.feed(self.session.take_output())
+        packets = list(iter(lambda: decode(sent), None))
+        return [packet for packet in packets if packet.kind is Kind.PUBLISH]
+
+
 def test_a_publish_that_waits_for_the_receive_maximum_heeds_a_retry_after(tmp_path: Path) -> None:
     """The broker accepts one at a time: the second publish is due once the first is acknowledged."""
 
@@ -398,35 +417,24 @@
         rig.dispatcher.pool.pin(endpoint)
         listed = {"revision": 2, "complete": True, "members": []}
         rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(listed))
-        session, buffer = transport.session, Buffer()
-
-        def receive(packet: Packet) -> None:
-            buffer.feed(encode(packet))
-            session.receive(buffer)
-
-        def published() -> list[Packet]:
-            sent = Buffer()
-            sent.feed(session.take_output())
-            found = list(iter(lambda: decode(sent), None))
-            return [packet for packet in found if packet.kind is Kind.PUBLISH]
-
-        session.open()
-        session.take_output()
-        receive(Packet(Kind.CONNACK, properties={"receive_maximum": 1}))
+        broker = BrokerSide(transport)
+        broker.session.open()
+        broker.session.take_output()
+        broker.receive(Packet(Kind.CONNACK, properties={"receive_maximum": 1}))
         rig.submit("a")
         rig.submit("b")
         await until(lambda: len(rig.dispatcher.calls_in_flight) == 2)
-        (first_publish,) = published()
+        (first_publish,) = broker.published()
         rig.dispatcher.retry_after_received(endpoint, SECOND // 2)
         ends = rig.dispatcher.scheduler.now() + SECOND // 2
         await until(lambda: rig.retry_after_until() >= ends - SECOND // 10)
-        receive(Packet(Kind.PUBACK, id=first_publish.id))
-        assert not published()
+        broker.receive(Packet(Kind.PUBACK, id=first_publish.id))
+        assert not broker.published()
         assert not rig.dispatcher.calls_in_flight
         later: list[Packet] = []
-        await until(lambda: later.extend(published()) or later)  # type: ignore[func-returns-value]
+        await until(lambda: later.extend(broker.published()) or later)  # type: ignore[func-returns-value]
         assert rig.dispatcher.scheduler.now() >= ends - 10**7, "started before the Retry-After was over"
-        receive(Packet(Kind.PUBACK, id=later[0].id))
+        broker.receive(Packet(Kind.PUBACK, id=later[0].id))
         await until(lambda: len(rig.dispatcher.messages) == 0)
         assert [fields["n"] for fields in rig.records("attempt")] == [0, 0], "no attempt was used up"
         await rig.close()
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -47,6 +47,29 @@
     return len(seen), size
 
 
+def replace_endpoints(rig: DispatcherRig, revision: int) -> None:
+    """A complete list in which two of three endpoints are new."""
+    members = [
+        endpoint_row(f"s-{revision}", 1),
+        endpoint_row(f"t-{revision}", 2, "large"),
+        endpoint_row("u", 3),
+    ]
+    listed = {"revision": revision, "complete": True, "members": members}
+    rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(listed))
+
+
+def end_calls(rig: DispatcherRig, open_calls: list[Call], chance: random.Random) -> list[Call]:
+    """End those that are late and three in four at random; the calls still in flight."""
+    chance.shuffle(open_calls)
+    late = [call for call in open_calls if call.sent_at + call.timeout <= rig.time.time]
+    for call in [*late, *open_calls[: len(open_calls) * 3 // 4]]:
+        if any(call.pending):
+            unhealthy = call.endpoint.destination == 3  # messages always wait there
+            outcome = chance.choices(OUTCOMES, UNHEALTHY_WEIGHTS if unhealthy else OUTCOME_WEIGHTS)[0]
+            rig.end(call, Outcome.TIMEOUT if call in late else outcome)
+    return [call for call in open_calls if any(call.pending)]
+
+
 def test_memory_stays_over_100_000_messages_ids_keys_and_replaced_endpoints(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path, max_messages=60)
     chance = random.Random(3)
@@ -54,33 +77,14 @@
     number = 0
     open_calls: list[Call] = []
     for revision in range(2, 402):
-        rig.dispatcher.apply_list_update(
-            rig.dispatcher.pool.update(
-                {
-                    "revision": revision,
-                    "complete": True,
-                    "members": [
-                        endpoint_row(f"s-{revision}", 1),
-                        endpoint_row(f"t-{revision}", 2, "large"),
-                        endpoint_row("u", 3),
-                    ],
-                }
-            )
-        )
+        replace_endpoints(rig, revision)
         for _ in range(25):
             for _ in range(10):
                 number += 1
                 name = f"{number:016x}"
                 rig.submit(name, 1 + number % 3, left=chance.randrange(1, 20) * SECOND, key=f"k{number}")
             open_calls += rig.run(0.05)
-            chance.shuffle(open_calls)
-            late = [call for call in open_calls if call.sent_at + call.timeout <= rig.time.time]
-            for call in [*late, *open_calls[: len(open_calls) * 3 // 4]]:
-                if any(call.pending):
-                    unhealthy = call.endpoint.destination == 3  # messages always wait there
-                    outcome = chance.choices(OUTCOMES, UNHEALTHY_WEIGHTS if unhealthy else OUTCOME_WEIGHTS)[0]
-                    rig.end(call, Outcome.TIMEOUT if call in late else outcome)
-            open_calls = [call for call in open_calls if any(call.pending)]
+            open_calls = end_calls(rig, open_calls, chance)
         rig.calls.clear()
         rig.answers.clear()
         rig.closed_endpoints.clear()
