--- a/example/parts.py
+++ b/example/parts.py
@@ -1,4 +1,4 @@
-"""What the examples share: free ports, waiting for a dispatcher, and showing what the toy prints."""
+"""Shared by the examples: free ports, waiting for a dispatcher, and showing what the toy prints."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import time
 from typing import IO
 
-STEP_TIMEOUT_SECONDS = 30.0  # seconds for each step
+STEP_TIMEOUT_SECONDS = 30.0
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports on which nothing listens now."""
+    """Ports on which nothing listens at this moment."""
     socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in socks]
     for sock in socks:
@@ -21,9 +21,9 @@
 
 
 def wait_until_serving(port: int, program: subprocess.Popen[str]) -> bool:
-    """Wait till the dispatcher answers a PING with +PONG: it takes messages from then on."""
-    until = time.monotonic() + STEP_TIMEOUT_SECONDS
-    while time.monotonic() < until and program.poll() is None:
+    """Wait until the dispatcher replies to PING with +PONG; from then on it accepts messages."""
+    deadline = time.monotonic() + STEP_TIMEOUT_SECONDS
+    while time.monotonic() < deadline and program.poll() is None:
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=1) as client:
                 client.sendall(b"PING\r\n")
@@ -36,7 +36,7 @@
 
 
 def print_until(lines: IO[str], pattern: str) -> bool:
-    """Print what the toy prints until a line tells of this message."""
+    """Print the lines of the toy until one matches the pattern; whether one did."""
     for line in lines:
         print(f"toy         {line}", end="", flush=True)
         if re.search(pattern, line):
--- a/example/toy.py
+++ b/example/toy.py
@@ -1,10 +1,10 @@
-"""A toy partner and a toy discovery in one process, with which to try the dispatcher.
+"""A toy endpoint and a toy discovery in one process, with which to try the dispatcher.
 
-It prints each message that reaches it and each notice, and turns every third call away with a wait of half
-a second, so that the module's waits can be seen. Start it with `python example/toy.py`; two numbers behind
-it are the ports of the discovery and of the partner, two files behind them the certificate and key with
-which the partner speaks TLS. With `--fails` the partner turns everything away until SIGUSR1 mends it, so that
-a message ends undelivered.
+It prints each message and each notice that it receives, and rejects every third call with a Retry-After of
+half a second, so that the dispatcher can be seen to wait. Start it with `python example/toy.py`; two numbers
+after that are the ports of the discovery and of the endpoint, two files after them the certificate and key
+with which the endpoint speaks TLS. With `--fails` the endpoint rejects everything until SIGUSR1 repairs it,
+so that a message ends undelivered.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 import ssl
 import sys
 
-WORDS = [word for word in sys.argv[1:] if word != "--fails"]
-DISCOVERY, PARTNER = map(int, WORDS[:2]) if len(WORDS) >= 2 else (8500, 9001)
-CERTIFICATE = WORDS[2:4]
+ARGUMENTS = [argument for argument in sys.argv[1:] if argument != "--fails"]
+DISCOVERY, ENDPOINT = map(int, ARGUMENTS[:2]) if len(ARGUMENTS) >= 2 else (8500, 9001)
+CERTIFICATE = ARGUMENTS[2:4]
 MEMBERS = [
     {
         "id": "toy-1",
-        "host_port": f"127.0.0.1:{PARTNER}",
+        "host_port": f"127.0.0.1:{ENDPOINT}",
         "locality": "here",
         "flavor": "partner",
         "cell": 1,
@@ -42,20 +42,20 @@
 
 
 def answer(status: str, body: bytes = b"", more: str = "") -> bytes:
-    """One answer."""
+    """The bytes of one HTTP response."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode() + body
 
 
 calls = itertools.count(1)
-mended = asyncio.Event()
+repaired = asyncio.Event()
 
 
-async def partner(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Takes messages."""
+async def endpoint(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Accept or reject messages on one connection."""
     while True:
         path, headers, body = await read(reader)
         number = next(calls)
-        if not mended.is_set():
+        if not repaired.is_set():
             print(f"call {number}: turned away, the partner is out of order", flush=True)
             writer.write(answer("503 Service Unavailable"))
         elif number % 3 == 0:
@@ -71,7 +71,7 @@
 
 
 async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Gives the list, once or to a watch, which it keeps open; takes notices."""
+    """Give the list, once or on a watch, which stays open; accept notices."""
     while True:
         path, _, body = await read(reader)
         if path == "/reports":
@@ -90,12 +90,12 @@
 
 
 async def main() -> None:
-    """Serve both till interrupted."""
+    """Serve both until interrupted."""
     if "--fails" not in sys.argv:
-        mended.set()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, mended.set)
+        repaired.set()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, repaired.set)
 
-    def quietly(serve):  # type: ignore[no-untyped-def]
+    def ignore_disconnects(serve):  # type: ignore[no-untyped-def]
         async def session(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 await serve(reader, writer)
@@ -108,9 +108,9 @@
     if CERTIFICATE:
         secure = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         secure.load_cert_chain(*CERTIFICATE)
-    await asyncio.start_server(quietly(partner), "127.0.0.1", PARTNER, ssl=secure)
-    await asyncio.start_server(quietly(discovery), "127.0.0.1", DISCOVERY)
-    print(f"partner 1 at 127.0.0.1:{PARTNER}, discovery at 127.0.0.1:{DISCOVERY}", flush=True)
+    await asyncio.start_server(ignore_disconnects(endpoint), "127.0.0.1", ENDPOINT, ssl=secure)
+    await asyncio.start_server(ignore_disconnects(discovery), "127.0.0.1", DISCOVERY)
+    print(f"partner 1 at 127.0.0.1:{ENDPOINT}, discovery at 127.0.0.1:{DISCOVERY}", flush=True)
     await asyncio.Event().wait()
 
 
--- a/example/try.py
+++ b/example/try.py
@@ -1,10 +1,9 @@
-"""Starts the toy and a dispatcher on free ports, hands one message in, and shows that the toy received it.
+"""Starts the toy and a dispatcher on free ports, submits one message, and shows that the toy received it.
 
 It needs the environment only; `make try` makes that first. Exit code 0 once the message was delivered. With
-`--tls` the toy speaks TLS with a certificate made for the occasion, which the dispatcher verifies; `make
-try-tls` installs what that needs. With `--undelivered` the toy turns the message away till it ends
-undelivered: it is kept, listed, and resent by a rule once the toy has been mended; `make try-undelivered`
-does that.
+`--tls` the toy speaks TLS with a certificate made for this run, which the dispatcher verifies; `make
+try-tls` installs what that needs. With `--undelivered` the toy rejects the message until it ends undelivered:
+it is stored, listed, and resent by a rule once the toy has been repaired; `make try-undelivered` does that.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 def certificate(folder: str) -> tuple[list[str], list[str]]:
-    """A certificate and key for the toy, which vouch for themselves; and the dispatcher's words for it."""
+    """A self-signed certificate and key for the toy, and the dispatcher's options for them."""
     import datetime
     import ipaddress
 
@@ -39,10 +38,10 @@
     builder = x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
     builder = builder.serial_number(x509.random_serial_number()).add_extension(names, False)
     builder = builder.not_valid_before(now).not_valid_after(now + datetime.timedelta(days=1))
-    made = builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+    certificate_pem = builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
     form = serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     files = [f"{folder}/toy.crt", f"{folder}/toy.key"]
-    Path(files[0]).write_bytes(made)
+    Path(files[0]).write_bytes(certificate_pem)
     Path(files[1]).write_bytes(key.private_bytes(serialization.Encoding.PEM, *form))
     operator = Path(folder, "operator.toml")
     operator.write_text(f'[[tls.partner]]\nkind = "partner"\nca = "{files[0]}"\nwarn-days = 0\n')
@@ -61,53 +60,53 @@
 
 
 def rules(folder: str) -> list[str]:
-    """An operator's file that has undelivered messages kept and resent; the dispatcher's words for it."""
+    """An operator's file with a store and a resend rule; the dispatcher's options for it."""
     operator = Path(folder, "operator.toml")
     operator.write_text(RULES)
     return ["--operator", str(operator)]
 
 
-def listed(command: list[str], standing: str) -> bool:
-    """Wait till a message stands so in the store, and show it."""
-    until = time.monotonic() + STEP_TIMEOUT_SECONDS
-    while time.monotonic() < until:
-        asked = [*command, "list", "--standing", standing]
-        told = subprocess.run(
-            asked, cwd=HERE.parent, capture_output=True, text=True, timeout=STEP_TIMEOUT_SECONDS
+def wait_until_listed(command: list[str], status: str) -> bool:
+    """Wait until the store lists a message with this status, and print it."""
+    deadline = time.monotonic() + STEP_TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
+        list_command = [*command, "list", "--standing", status]
+        listing = subprocess.run(
+            list_command, cwd=HERE.parent, capture_output=True, text=True, timeout=STEP_TIMEOUT_SECONDS
         )
-        if standing in told.stdout:
-            print("\n".join(f"store       {line}" for line in told.stdout.splitlines()), flush=True)
+        if status in listing.stdout:
+            print("\n".join(f"store       {line}" for line in listing.stdout.splitlines()), flush=True)
             return True
         time.sleep(0.2)
-    print(f"no message is {standing}: {told.stdout}{told.stderr}")
+    print(f"no message is {status}: {listing.stdout}{listing.stderr}")
     return False
 
 
 def main() -> int:
-    """Try it; the exit code."""
-    listen, discovery, partner, management = free_ports(4)
-    told = json.loads((HERE / "config.json").read_text())
+    """Run the example; returns the exit code."""
+    listen, discovery, endpoint, management = free_ports(4)
+    config = json.loads((HERE / "config.json").read_text())
     with tempfile.TemporaryDirectory() as folder:
-        told |= {
+        config |= {
             "listen": f"127.0.0.1:{listen}",
             "discovery": f"127.0.0.1:{discovery}",
             "management": f"127.0.0.1:{management}",
             "state": f"{folder}/state",
         }
         path = Path(folder, "config.json")
-        path.write_text(json.dumps(told))
-        files, words = certificate(folder) if "--tls" in sys.argv[1:] else ([], [])
+        path.write_text(json.dumps(config))
+        files, options = certificate(folder) if "--tls" in sys.argv[1:] else ([], [])
         fails = "--undelivered" in sys.argv[1:]
         if fails:
-            files, words = ["--fails"], rules(folder)
+            files, options = ["--fails"], rules(folder)
         toy = subprocess.Popen(
-            [sys.executable, str(HERE / "toy.py"), str(discovery), str(partner), *files],
+            [sys.executable, str(HERE / "toy.py"), str(discovery), str(endpoint), *files],
             stdout=subprocess.PIPE,
             text=True,
         )
         command = [sys.executable, "-m", "honeyhitch"]
         dispatcher = subprocess.Popen(
-            [*command, "serve", "--config", str(path), *words], cwd=HERE.parent, text=True
+            [*command, "serve", "--config", str(path), *options], cwd=HERE.parent, text=True
         )
         try:
             assert toy.stdout is not None
@@ -116,23 +115,23 @@
                 return 1
             print(f"dispatcher  serves clients on 127.0.0.1:{listen}", flush=True)
             left = ["--left", "700"] if fails else []
-            handed_in = subprocess.run(
+            sent = subprocess.run(
                 [*command, "send", f"127.0.0.1:{listen}", HELLO, "--dest", "1", "--tenant", "studio", *left],
                 cwd=HERE.parent,
                 capture_output=True,
                 text=True,
                 timeout=STEP_TIMEOUT_SECONDS,
             )
-            print(f"hand-in     {handed_in.stdout.strip() or handed_in.stderr.strip()}", flush=True)
-            if handed_in.returncode:
+            print(f"hand-in     {sent.stdout.strip() or sent.stderr.strip()}", flush=True)
+            if sent.returncode:
                 return 1
-            store = [*command, "undelivered", "--config", str(path), *words]
+            store = [*command, "undelivered", "--config", str(path), *options]
             if fails:
-                if not print_until(toy.stdout, "notice") or not listed(store, "kept"):
+                if not print_until(toy.stdout, "notice") or not wait_until_listed(store, "kept"):
                     return 1
                 toy.send_signal(signal.SIGUSR1)
                 print("toy         is mended; the rule resends what is safe", flush=True)
-            if not print_until(toy.stdout, HELLO) or (fails and not listed(store, "settled")):
+            if not print_until(toy.stdout, HELLO) or (fails and not wait_until_listed(store, "settled")):
                 return 1
             stats = [*command, "stats", "--config", str(path)]
             figures = subprocess.run(
