--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -1,4 +1,4 @@
-"""A stand-in for the control machines, and instances that hear of them late and by clocks that differ.
+"""A stand-in for the control machines, and instances that receive their updates late and by other clocks.
 
 Virtual time. The control machines publish phases with the time of each, and stamp heartbeats with the time at
 which they were issued. Each instance has a stream from them that keeps its order, and may be delayed, cut, or
@@ -14,9 +14,9 @@
 from honeyhitch.partitioning.fleet import Fleet
 from honeyhitch.partitioning.settings import FleetSettings, Region
 from honeyhitch.partitioning.view import FleetViewError
-from honeyhitch.time_units import SECOND
+from honeyhitch.time_units import MILLISECOND, SECOND
 
-MS = 1_000_000  # ns
+MS = MILLISECOND
 START = 1_700_000_000 * SECOND
 REGIONS = (Region("east", ("a1", "a2")), Region("west", ("b1", "b2")))
 LEASE, RESERVE_LEASE, SKEW = 3 * SECOND, 20 * SECOND, SECOND // 4
@@ -49,20 +49,23 @@
 
 @dataclass
 class InstanceProcess:
-    """A process of one instance: what it believes, and what is on its way to it."""
+    """A process of one instance: its state, and the lines that it has not read yet."""
 
     fleet: Fleet
     clock_offset: int  # ns, from the control machines' clock
     stream: list[dict[str, Any]] = field(default_factory=list)
     disconnected: bool = False
-    watching: bool = False  # it has a watch, and all that was told before it
+    watching: bool = False  # it has a watch, and all that was sent before
 
 
 class ControlPlane:
     """The control machines, and all processes of the fleet, alive or ended."""
 
     def __init__(self, seed: int = 1, per_zone: int = 3) -> None:
-        self.now, self.revision, self.up, self.rng = START, 1, True, Random(seed)
+        self.now = START
+        self.revision = 1
+        self.up = True
+        self.rng = Random(seed)
         self.entries: dict[str, dict[str, Any]] = {}
         self.history: list[list[dict[str, Any]]] = [[]]  # entries changed by each revision
         self.processes: dict[str, InstanceProcess] = {}
@@ -93,7 +96,7 @@
             self.saved[name] = process.fleet.snapshot()
 
     def open_watch(self, name: str) -> None:
-        """A new watch: what is on its way on the old one is lost, and the whole list comes."""
+        """A new watch: what is on its way on the old one is lost, and the complete list comes."""
         process = self.processes[name]
         process.stream.clear()
         process.watching = self.up and not process.disconnected
@@ -117,9 +120,9 @@
 
     # The control machines.
 
-    def stamp(self, told: dict[str, Any]) -> dict[str, Any]:
+    def stamp(self, update: dict[str, Any]) -> dict[str, Any]:
         """With the revision and the time, as it is issued now."""
-        return {"revision": self.revision, "issued_ms": self.now // MS, "lease_ms": LEASE // MS, **told}
+        return {"revision": self.revision, "issued_ms": self.now // MS, "lease_ms": LEASE // MS, **update}
 
     def publish(self, row: dict[str, Any]) -> None:
         """A change, sent on every watch that is not cut. A cut one has to be opened anew."""
@@ -130,7 +133,8 @@
 
     def disconnect(self, name: str) -> None:
         """Nothing more comes to a process; what is on its way may still arrive."""
-        self.processes[name].disconnected, self.processes[name].watching = True, False
+        self.processes[name].disconnected = True
+        self.processes[name].watching = False
 
     def reconnect(self, name: str) -> None:
         """It is reached again."""
@@ -168,8 +172,8 @@
         if name in self.processes:
             self.kill(name)
         self.saved.pop(name, None)
-        gone = {**self.entries.pop(name), "phase": "Gone"}
-        self.publish(gone)
+        removed = {**self.entries.pop(name), "phase": "Gone"}
+        self.publish(removed)
 
     def send_heartbeat(self) -> None:
         """A heartbeat on every watch that is not cut."""
@@ -180,7 +184,7 @@
     # What must hold.
 
     def quota_totals(self, partition: int) -> dict[str, float]:
-        """By zone, the sum of what all live processes hold of the zone's share of a partition."""
+        """By zone, the sum of what all live processes hold of the zone's quota of a partition."""
         total: dict[str, float] = {}
         for process in self.processes.values():
             zone = process.fleet.settings.zone
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -30,19 +30,19 @@
 from .rig import START, DispatcherRig, VirtualTime, endpoint_row
 from .world import SECOND as S
 
-KEEP = 20 * S
+RETENTION = 20 * S
 
 
 def transaction(name: str) -> Transaction:
     return Transaction(name, 0, 1, START + 20 * S, b"body", key=f"k-{name}")
 
 
-def opened(folder: Path, place: int = FIRST_SLOT, disk: int = 3_000_000, now: int = START) -> Journal:
-    name = {FIRST_SLOT: "journal", SECOND_SLOT: "journal-2"}[place]
-    return Journal(folder, disk, lambda: now, lambda _: KEEP, file_name=name)
+def open_journal(folder: Path, slot: int = FIRST_SLOT, disk: int = 3_000_000, now: int = START) -> Journal:
+    name = {FIRST_SLOT: "journal", SECOND_SLOT: "journal-2"}[slot]
+    return Journal(folder, disk, lambda: now, lambda _: RETENTION, file_name=name)
 
 
-def test_a_third_process_is_refused_and_a_place_is_free_when_its_holder_has_gone(tmp_path: Path) -> None:
+def test_a_third_process_is_refused_and_a_slot_is_free_once_its_process_has_ended(tmp_path: Path) -> None:
     first, second = StateDirectory(tmp_path), StateDirectory(tmp_path)
     assert (first.slot, second.slot) == (FIRST_SLOT, SECOND_SLOT)
     with pytest.raises(StateDirectoryInUseError):
@@ -52,7 +52,7 @@
     assert second.lock_slot(FIRST_SLOT)
 
 
-def test_a_start_during_a_take_over_waits_for_it_and_is_no_third(
+def test_a_start_during_a_take_over_waits_and_is_not_taken_for_a_third_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     time, came = VirtualTime(), list[StateDirectory]()
@@ -68,44 +68,47 @@
 
     monkeypatch.setattr(Journal, "take_over", slowly)
     old.kill()
-    new.beside.check_peer()
+    new.handover.check_peer()
     start.join(10)
     assert came[0].slot == SECOND_SLOT
-    assert new.folder.slot == FIRST_SLOT
+    assert new.state_directory.slot == FIRST_SLOT
 
 
 class Process(DispatcherRig):
     """A stand-in process of an upgrade; `kill` ends it as the kernel would, with the file as it is."""
 
     def __init__(self, folder: Path, time: VirtualTime, **more: Any) -> None:
-        self.folder = StateDirectory(folder)
+        self.state_directory = StateDirectory(folder)
         super().__init__(folder, time, **more)
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
-        file = self.folder.journal_path(self.folder.slot).name
-        return Journal(folder, disk, self.time.now, lambda _: KEEP, file_name=file)
+        file = self.state_directory.journal_path(self.state_directory.slot).name
+        return Journal(folder, disk, self.time.now, lambda _: RETENTION, file_name=file)
 
     def resume(self) -> None:
-        self.shares: list[int | None] = []  # calls that the other one had out, as they were told
+        self.reported_calls: list[int | None] = []  # calls that the other one had out, as they were told
         self.journal.record_owner("n0")
-        self.beside = ProcessHandover(
-            self.folder, self.journal, self.dispatcher, lambda _, out: self.shares.append(out)
+        self.handover = ProcessHandover(
+            self.state_directory,
+            self.journal,
+            self.dispatcher,
+            lambda _, out: self.reported_calls.append(out),
         )
-        self.beside.start()
+        self.handover.start()
         self.dispatcher.recover()
-        self.beside.recovered = True
+        self.handover.recovered = True
 
     def kill(self) -> None:
         self.dispatcher.sending = self.dispatcher.accepting = False
-        self.folder.close()
-        self.beside.close()
+        self.state_directory.close()
+        self.handover.close()
         self.journal.close()
 
     def held(self) -> set[str]:
         return self.dispatcher.messages.by_id.keys() - self.journal.handed_over.keys()
 
 
-def test_what_the_old_one_leaves_is_the_new_ones_and_goes_on(tmp_path: Path) -> None:
+def test_the_new_process_resumes_what_the_old_one_leaves(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -119,16 +122,16 @@
     assert old.submit("b")
     assert not old.run(0.5), "nothing new is sent"
     old.kill()
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert new.held() == {"a", "b"}
     assert new.dispatcher.peer_process is None
-    assert new.folder.slot == FIRST_SLOT
+    assert new.state_directory.slot == FIRST_SLOT
     sent = [part.id for call in new.run(2) for part in call.messages]
     assert sorted(sent) == ["a", "b"]
     assert [file.name for file in sorted(tmp_path.glob("journal*"))] == ["journal"], "the name of old"
 
 
-def test_one_that_hands_over_keeps_no_connection_that_its_successor_could_use(tmp_path: Path) -> None:
+def test_a_process_that_hands_over_pools_no_connection_that_its_successor_could_use(tmp_path: Path) -> None:
     """A member's table of connections is shared by both: what is idle here would be missing there."""
     time = VirtualTime()
     old = Process(tmp_path, time)
@@ -143,28 +146,30 @@
     assert old.closed_endpoints[2:] == ["s-1"], "and each that its last call leaves"
 
 
-def test_what_waits_goes_on_in_the_new_one_while_calls_of_the_old_one_are_out(tmp_path: Path) -> None:
+def test_queued_messages_resume_in_the_new_process_while_calls_of_the_old_one_are_in_flight(
+    tmp_path: Path,
+) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
     (call,) = old.run(0.1)
     old.submit("b")
     new = Process(tmp_path, time)
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert not new.held(), "nothing is handed over before the old one is told to stop"
-    assert new.shares == [None]
+    assert new.reported_calls == [None]
     old.dispatcher.hand_over()
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert (old.held(), new.held()) == ({"a"}, {"b"})
-    assert new.shares == [None, 1], "with the slots left over"
+    assert new.reported_calls == [None, 1], "with the slots left over"
     assert [part.id for call in new.run(0.5) for part in call.messages] == ["b"]
     assert old.dispatcher.metrics_snapshot()["active"] == new.dispatcher.metrics_snapshot()["active"] == 1
     old.submit("c")
     old.end(call, Outcome.CONNECT_FAILED)  # no end of its own: on it goes in the new one
     old.dispatcher.hand_over()
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert (old.held(), new.held()) == (set(), {"a", "b", "c"})
-    assert new.shares == [None, 1, 0]
+    assert new.reported_calls == [None, 1, 0]
     assert not old.run(1), "the old one does nothing more for them"
     old.dispatcher.withdraw("b")
     old.dispatcher.conclude(old.dispatcher.messages.by_id["c"], Ending.FAILED)
@@ -172,17 +177,17 @@
     for call in new.calls:
         new.end(call, Outcome.DELIVERED)
     old.kill()
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert "b" in new.dispatcher.messages.concluded
     assert "b" not in new.held()
-    assert new.shares[-1] is None
+    assert new.reported_calls[-1] is None
 
 
 @pytest.mark.parametrize("adopted", [False, True])
 @pytest.mark.parametrize("ended", [False, True])
 @pytest.mark.parametrize("first", ["old", "new"])
 @pytest.mark.parametrize("compact", [False, True])
-def test_what_was_passed_on_has_one_owner_whoever_is_killed(
+def test_a_message_handed_over_has_one_owner_whichever_process_is_killed(
     tmp_path: Path, adopted: bool, ended: bool, first: str, compact: bool
 ) -> None:
     time = VirtualTime()
@@ -193,12 +198,12 @@
     if compact:
         old.journal.replace_file(old.journal.snapshot(), old.journal.path, old.journal.new_path)
     if adopted:
-        new.beside.check_peer()
+        new.handover.check_peer()
         if ended:
             new.dispatcher.conclude(new.dispatcher.messages.by_id["a"], Ending.DELIVERED)
     one, other = (old, new) if first == "old" else (new, old)
     one.kill()
-    other.beside.check_peer()
+    other.handover.check_peer()
     owed = set() if adopted and ended else {"a"}
     assert other.held() == owed
     other.kill()
@@ -210,7 +215,7 @@
     assert Process(tmp_path, time).held() == owed
 
 
-def test_a_start_alone_takes_back_what_was_passed_on_to_one_that_never_wrote_it(tmp_path: Path) -> None:
+def test_a_start_reclaims_messages_handed_over_to_a_process_that_never_recorded_them(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
     old.submit("a")
@@ -223,7 +228,7 @@
     assert [part.id for call in again.run(1) for part in call.messages] == ["a"]
 
 
-def test_one_that_passes_on_leaves_its_successor_the_room_that_it_needs(tmp_path: Path) -> None:
+def test_a_process_that_hands_over_leaves_its_successor_the_disk_space_it_needs(tmp_path: Path) -> None:
     """Both hold the same messages for a while: half as many as fit alone must fit in both."""
     time, disk, count = VirtualTime(), 200_000, 0
     old = Process(tmp_path, time, disk=disk, max_messages=1000)
@@ -234,27 +239,27 @@
     for name in sorted(old.held())[::2]:
         old.dispatcher.conclude(old.dispatcher.messages.by_id[name], Ending.REJECTED)
     new, owed = Process(tmp_path, time, disk=disk, max_messages=1000), old.held()
-    new.beside.retry_after_events()  # as in a round: it sees how full the disk is
+    new.handover.retry_after_events()  # as in a round: it sees how full the disk is
     old.dispatcher.hand_over()
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert new.held() == owed
     assert not old.held()
     assert new.submit("one more")
     assert sum(file.stat().st_size for file in tmp_path.iterdir()) < disk
 
 
-def test_a_start_in_the_place_of_one_that_passed_on_does_not_pass_on_itself(tmp_path: Path) -> None:
+def test_a_start_in_the_slot_of_a_process_that_handed_over_does_not_hand_over_itself(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
     old.submit("a")
     old.dispatcher.hand_over()
-    new.beside.check_peer()
+    new.handover.check_peer()
     old.kill()
     again = Process(tmp_path, time)  # before the new one has looked
     assert again.journal.calls_in_flight is None
-    assert again.folder.slot == FIRST_SLOT
-    new.beside.check_peer()
-    assert new.shares[-1] is None
+    assert again.state_directory.slot == FIRST_SLOT
+    new.handover.check_peer()
+    assert new.reported_calls[-1] is None
     assert new.held() == {"a"}
     assert not again.held()
 
@@ -265,34 +270,36 @@
     old.submit("a")
     old.journal.max_bytes = 1000
     old.dispatcher.hand_over()
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert old.held() == {"a"}
     assert not new.held()
     old.journal.max_bytes, new.journal.max_bytes = 3_000_000, 1000
     old.dispatcher.hand_over()
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert not new.held(), "no room there: it is not taken, and not lost"
     new.journal.max_bytes = 3_000_000
-    new.beside.check_peer()
+    new.handover.check_peer()
     assert new.held() == {"a"}
     assert not old.held()
 
 
-def test_the_old_one_takes_over_from_a_new_one_that_died(tmp_path: Path) -> None:
+def test_the_old_process_takes_over_from_a_new_one_that_was_killed(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     new = Process(tmp_path, time)
-    old.beside.check_peer()
+    old.handover.check_peer()
     assert old.dispatcher.peer_process is not None
     new.submit("a")
     new.kill()
-    old.beside.check_peer()
+    old.handover.check_peer()
     assert old.held() == {"a"}
     assert old.dispatcher.peer_process is None
     assert not (tmp_path / "journal-2").exists()
 
 
-def test_a_wait_told_to_one_binds_the_other_at_once_and_after_its_end(tmp_path: Path) -> None:
+def test_a_retry_after_received_by_one_process_binds_the_other_at_once_and_after_its_end(
+    tmp_path: Path,
+) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -304,13 +311,13 @@
     assert not new.run(1)
     old.dispatcher.hand_over()
     old.kill()
-    new.beside.check_peer()
+    new.handover.check_peer()
     sent = new.run(4)
     assert sent
     assert all(call.sent_at >= told + 2 * S for call in sent)
 
 
-def test_a_wait_told_before_the_new_one_came_binds_it(tmp_path: Path) -> None:
+def test_a_retry_after_received_before_the_new_process_started_binds_it(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -323,7 +330,7 @@
     assert new.run(2)
 
 
-def test_a_wait_told_by_a_member_that_has_gone_binds_those_in_its_place(tmp_path: Path) -> None:
+def test_a_retry_after_of_an_endpoint_that_was_removed_binds_those_that_replace_it(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -339,7 +346,7 @@
     assert all(call.sent_at >= told + 2 * S and call.endpoint.id == "s-9" for call in new.run(2))
 
 
-def test_an_id_that_comes_to_both_is_taken_once(tmp_path: Path) -> None:
+def test_an_id_submitted_to_both_processes_is_accepted_once(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -353,14 +360,14 @@
     assert not new.run(1), "also once it ended"
 
 
-def test_a_kill_between_the_two_strokes_of_a_take_over_leaves_one_owner(tmp_path: Path) -> None:
+def test_a_kill_between_the_two_writes_of_a_take_over_leaves_one_owner(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
     old.submit("a")
     new.submit("b")
     stale = (tmp_path / "journal-2").read_bytes()
     old.kill()
-    new.beside.check_peer()
+    new.handover.check_peer()
     new.dispatcher.conclude(new.dispatcher.messages.by_id["b"], Ending.UNANSWERED)
     new.kill()
     (tmp_path / "journal-2").write_bytes(stale)  # as if it had not been removed yet
@@ -368,11 +375,11 @@
     assert again.held() == {"a"}
 
 
-def test_a_journal_of_a_later_form_is_refused(tmp_path: Path) -> None:
-    journal = opened(tmp_path)
+def test_a_journal_of_a_later_version_is_refused(tmp_path: Path) -> None:
+    journal = open_journal(tmp_path)
     journal.append(JournalOwner(99, "n0"))
     with pytest.raises(JournalVersionError, match="form 99"):
-        opened(tmp_path)
+        open_journal(tmp_path)
 
 
 class Two(RuleBasedStateMachine):
@@ -453,7 +460,7 @@
     @rule()
     def look(self) -> None:
         for process in self.alive:
-            process.beside.check_peer()
+            process.handover.check_peer()
         holds = [process.held() for process in self.alive]
         assert len(holds) < 2 or not holds[0] & holds[1], "never two owners"
         passed = set().union(*(process.journal.handed_over for process in self.alive))
@@ -467,8 +474,8 @@
 
 
 def test_a_follower_reads_what_grows_what_is_replaced_and_what_was_cut_back(tmp_path: Path) -> None:
-    journal = opened(tmp_path)
-    follower = JournalFollower(tmp_path / "journal", 100, lambda _: KEEP)
+    journal = open_journal(tmp_path)
+    follower = JournalFollower(tmp_path / "journal", 100, lambda _: RETENTION)
     for number in range(3):
         journal.record_accepted(transaction(f"m{number}"))
         follower.read()
@@ -486,7 +493,7 @@
     assert set(follower.messages.by_id) == {"m1", "m2", "m3", "m4"}
 
 
-def test_new_connections_go_to_the_newer_listener_and_the_older_ones_queue_stays() -> None:
+def test_new_connections_go_to_the_newer_listener_and_the_queue_of_the_older_one_stays() -> None:
     def listener(port: int = 0) -> socket.socket:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -519,7 +526,7 @@
         sock.close()
 
 
-def test_an_address_with_a_stranger_is_refused_before_the_journal_is_opened(tmp_path: Path) -> None:
+def test_an_address_that_another_program_uses_is_refused_before_the_journal_is_opened(tmp_path: Path) -> None:
     """An earlier version neither shares its address nor holds a place: its journal must stay as it is."""
 
     async def work() -> None:
@@ -549,7 +556,7 @@
         ({}, None, ""),
     ],
 )
-def test_beside_a_running_process(
+def test_a_second_process_starts_or_is_refused_with_the_key_at_fault(
     tmp_path: Path, change: dict[str, str], operator: str | None, says: str
 ) -> None:
     """The second one is refused with its key, or both take clients and a third one is refused."""
@@ -557,10 +564,15 @@
     async def work() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, [endpoint_row("s", 1)]) as port:
-            beside = tmp_path / "beside"
-            beside.mkdir()
+            second_directory = tmp_path / "second"
+            second_directory.mkdir()
             path = write(
-                beside, port, agent.port, [endpoint_row("s", 1)], operator, **{"name": "n0", **change}
+                second_directory,
+                port,
+                agent.port,
+                [endpoint_row("s", 1)],
+                operator,
+                **{"name": "n0", **change},
             )
             set_state_directory(Path(path[0]), tmp_path / "state")
             task = asyncio.ensure_future(run(config.read({}, *path), lambda before: before))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(("form", "level"), [("xml", "info"), ("json", "loud")])
-def test_an_unknown_form_or_level_is_refused(form: str, level: str) -> None:
+def test_an_unknown_format_or_level_is_refused(form: str, level: str) -> None:
     with pytest.raises(ValueError, match="expected one of"):
         logs.setup(form, level)
     told = CliRunner().invoke(main, ["serve", "--log-format", form, "--log-level", level])
@@ -88,7 +88,7 @@
     assert len(limiter.bursts) == logs.MAX_KEYS
 
 
-def test_what_was_left_out_is_told_at_the_end() -> None:
+def test_suppressed_events_are_counted_at_the_end() -> None:
     stream = io.StringIO()
     logs.setup("json", "info", stream)
     for _ in range(logs.BURST_EVENTS + 7):
@@ -99,7 +99,7 @@
     assert told[-1]["left_out"] == 7
 
 
-def test_nothing_is_logged_for_a_message_that_goes_well(tmp_path: Path) -> None:
+def test_nothing_is_logged_for_a_message_that_is_delivered(tmp_path: Path) -> None:
     stream = io.StringIO()
     logs.setup("json", "debug", stream)
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -29,7 +29,7 @@
 from .world import SECOND
 
 
-def test_each_end_is_counted_once_where_it_belongs(tmp_path: Path) -> None:
+def test_each_end_is_counted_once_under_its_outcome(tmp_path: Path) -> None:
     stand = DispatcherRig(tmp_path, max_messages=4)
     for name in "abcd":
         assert stand.submit(name)
@@ -59,7 +59,7 @@
     assert told["active"] == 0
 
 
-def test_a_message_that_fails_at_the_door_is_an_error_of_its_class(tmp_path: Path) -> None:
+def test_a_message_with_an_invalid_field_is_an_error_of_its_class(tmp_path: Path) -> None:
     stand = DispatcherRig(tmp_path)
     fields = TransactionParser(
         stand.settings, stand.dispatcher.pool.has_destination, stand.dispatcher.metrics.message_invalid
@@ -86,7 +86,7 @@
     }
 
 
-def test_an_endpoint_that_told_a_wait_is_avoided_till_its_end(tmp_path: Path) -> None:
+def test_an_endpoint_that_sent_a_retry_after_is_avoided_until_it_expires(tmp_path: Path) -> None:
     stand = DispatcherRig(tmp_path)
     stand.submit("a")
     (call,) = stand.run(0.1)
@@ -126,7 +126,7 @@
     assert told["active"] == taken - len(over) - len(stand.answers)
 
 
-def test_callers_who_stall_keep_nobody_from_an_answer(tmp_path: Path) -> None:
+def test_callers_that_stall_delay_no_other_reply(tmp_path: Path) -> None:
     async def work() -> None:
         at, agent = free_port(), await Peer().start()
         async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{at}"):
@@ -198,7 +198,7 @@
     assert sum(descriptor_budget(without)) - sum(descriptor_budget(told)) == MONITORING_CONNECTIONS
 
 
-def test_an_address_that_is_taken_ends_the_start_with_its_key(tmp_path: Path) -> None:
+def test_an_address_in_use_ends_the_start_with_its_key(tmp_path: Path) -> None:
     async def work() -> None:
         at = (await Peer().start()).port
         path, _ = write(tmp_path, free_port(), at, [], management=f"127.0.0.1:{at}")
@@ -212,7 +212,7 @@
 @given(
     pieces=st.lists(st.sampled_from([b"status", b"stats", b"\r", b"\n", b"x" * 300]) | st.binary(max_size=9))
 )
-def test_whatever_comes_in_pieces_brings_at_most_one_answer_of_the_stated_form(pieces: list[bytes]) -> None:
+def test_a_request_in_pieces_gets_at_most_one_reply_of_the_documented_form(pieces: list[bytes]) -> None:
     """The answer depends on the bytes alone, not on how they were cut."""
 
     def answered(parts: list[bytes]) -> bytes:
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -106,7 +106,7 @@
     play(work())
 
 
-def test_an_application_without_a_lifespan_gets_one(tmp_path: Path) -> None:
+def test_an_application_without_a_lifespan_is_given_one(tmp_path: Path) -> None:
     async def work() -> None:
         agent, member = await Peer().start(), await Peer().start()
         app = DispatcherMiddleware(bare, configured(tmp_path, agent, member))
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -200,7 +200,7 @@
     play(work())
 
 
-def test_a_request_is_passed_on_once_at_most(tmp_path: Path) -> None:
+def test_a_request_is_forwarded_once_at_most(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
             number = rig.destination_owned_by("y")
@@ -212,7 +212,7 @@
     play(work())
 
 
-def test_an_owner_that_was_killed_is_followed_by_the_next_one(tmp_path: Path) -> None:
+def test_an_owner_that_was_killed_is_replaced_by_the_next_candidate(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
             number = rig.destination_owned_by("y")
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("ended", ["hangs", "killed"])
-def test_a_request_written_to_an_owner_that_does_not_answer_is_not_taken_elsewhere(
+def test_a_request_written_to_an_owner_that_does_not_reply_is_accepted_nowhere_else(
     tmp_path: Path, ended: str
 ) -> None:
     """The client gets what a dispatcher that did not answer gives: the end of its connection."""
@@ -271,7 +271,7 @@
     return False
 
 
-def test_an_owner_that_drains_answers_or_is_followed_by_the_next(tmp_path: Path) -> None:
+def test_an_owner_that_drains_replies_or_is_replaced_by_the_next_candidate(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
             number, answers = rig.destination_owned_by("y"), dict[str, bytes]()
@@ -296,7 +296,9 @@
     play(work())
 
 
-def test_with_control_gone_all_go_on_with_their_reserved_part_also_after_a_restart(tmp_path: Path) -> None:
+def test_with_control_down_all_instances_keep_their_reserved_part_also_after_a_restart(
+    tmp_path: Path,
+) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
             number = rig.destination_owned_by("x")
@@ -320,7 +322,7 @@
     play(work())
 
 
-def test_none_reachable_is_answered_with_a_time_to_come_back(tmp_path: Path) -> None:
+def test_without_a_reachable_owner_the_reply_names_a_retry_after(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
             number = rig.destination_owned_by("y")
@@ -335,7 +337,7 @@
 @pytest.mark.parametrize(
     "reply", [b"HTTP/1.1 200 OK\r\n\r\n", b"+OK\r\n+OK\r\n", b"\x00" * 4096, b"+" + b"x" * 2000, b""]
 )
-def test_a_peer_that_answers_rubbish_leaves_the_request_unanswered(tmp_path: Path, reply: bytes) -> None:
+def test_a_malformed_reply_of_a_peer_leaves_the_request_unanswered(tmp_path: Path, reply: bytes) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
             number = rig.destination_owned_by("y")
--- a/tests/test_partitioning_quotas.py
+++ b/tests/test_partitioning_quotas.py
@@ -1,4 +1,4 @@
-"""The sum of all shares of a limit stays inside it, whatever views, leases, clocks and cuts do."""
+"""The sum of all quotas of a limit stays within it, whatever views, leases, clocks and disconnections do."""
 
 from __future__ import annotations
 
@@ -138,8 +138,8 @@
 )
 
 
-def settled(control: ControlPlane, seconds: int = 8) -> None:
-    """Time passes, and all goes well."""
+def run_without_faults(control: ControlPlane, seconds: int = 8) -> None:
+    """Time passes without a fault."""
     for _ in range(seconds):
         control.send_heartbeat()
         for name in control.processes:
@@ -147,7 +147,7 @@
         control.now += SECOND
 
 
-def portions(control: ControlPlane, partition: int) -> dict[str, float]:
+def quota_fractions(control: ControlPlane, partition: int) -> dict[str, float]:
     """What each live process holds, where it holds anything."""
     found = {}
     for name, one in control.processes.items():
@@ -157,19 +157,19 @@
     return found
 
 
-def test_on_a_calm_day_one_instance_of_each_zone_holds_its_whole_share() -> None:
+def test_without_faults_one_instance_of_each_zone_holds_the_full_quota() -> None:
     control = ControlPlane()
-    settled(control)
+    run_without_faults(control)
     for partition in range(PARTITIONS):
-        found = portions(control, partition)
+        found = quota_fractions(control, partition)
         assert list(found.values()) == [1.0] * len(ZONES)
         assert sorted(name.split("-")[0] for name in found) == ZONES
 
 
 def test_a_new_owner_waits_out_the_lease_of_the_old_one() -> None:
     control = ControlPlane()
-    settled(control)
-    (name,) = [name for name in portions(control, 3) if name.startswith("a1")]
+    run_without_faults(control)
+    (name,) = [name for name in quota_fractions(control, 3) if name.startswith("a1")]
     control.disconnect(name)  # it runs on, and does not hear that it was given up
     control.set_phase(name, "Terminating")
     published, seen = control.now, dict[str, int]()
@@ -178,60 +178,62 @@
         for other in control.processes:
             control.read_lines(other, 1 << 10)
         control.now += 50 * MS
-        for holder in portions(control, 3):
+        for holder in quota_fractions(control, 3):
             seen.setdefault(holder, control.now - published)
     (new,) = [holder for holder in seen if holder.startswith("a1") and holder != name]
     assert LEASE <= seen[new] <= LEASE + 2 * SKEW + 50 * MS
-    assert portions(control, 3)[name] == 0.75, "its reserved part stays its own while it is cut off"
-    assert portions(control, 3)[new] == 0.25
+    assert quota_fractions(control, 3)[name] == 0.75, "its reserved part stays its own while it is cut off"
+    assert quota_fractions(control, 3)[new] == 0.25
 
 
 @pytest.mark.parametrize("seconds", [10, 15])
-def test_while_control_is_gone_every_home_goes_on_with_its_reserved_part(seconds: int) -> None:
+def test_while_control_is_down_every_home_keeps_its_reserved_part(seconds: int) -> None:
     control = ControlPlane()
-    settled(control)
+    run_without_faults(control)
     control.stop()
     control.now += seconds * SECOND
     for name in list(control.processes):  # all restart meanwhile, too
         control.kill(name)
         control.start(name)
     for partition in range(PARTITIONS):
-        assert list(portions(control, partition).values()) == [0.75] * len(ZONES)
+        assert list(quota_fractions(control, partition).values()) == [0.75] * len(ZONES)
 
 
-def test_regions_apart_keep_their_own_shares_and_come_together_again() -> None:
+def test_partitioned_regions_keep_their_own_quotas_and_join_again() -> None:
     control = ControlPlane()
-    settled(control)
-    before = [portions(control, partition) for partition in range(PARTITIONS)]
+    run_without_faults(control)
+    before = [quota_fractions(control, partition) for partition in range(PARTITIONS)]
     west = [name for name, one in control.processes.items() if one.fleet.settings.region == "west"]
     for name in west:
         control.disconnect(name)
     for _ in range(12):
-        settled(control, 1)
+        run_without_faults(control, 1)
     for partition in range(PARTITIONS):
-        found = portions(control, partition)
+        found = quota_fractions(control, partition)
         assert found.keys() == before[partition].keys()
         expected = [1.0 if name.startswith("a") else 0.75 for name in found]
         assert list(found.values()) == expected
     for name in west:
         control.reconnect(name)
-    settled(control)
-    assert [portions(control, partition) for partition in range(PARTITIONS)] == before
+    run_without_faults(control)
+    assert [quota_fractions(control, partition) for partition in range(PARTITIONS)] == before
 
 
-def test_an_instance_that_joins_takes_its_parts_over_in_two_steps() -> None:
+def test_an_instance_that_joins_takes_its_quotas_over_in_two_steps() -> None:
     control = ControlPlane()
-    settled(control)
-    before = {partition: portions(control, partition) for partition in range(PARTITIONS)}
+    run_without_faults(control)
+    before = {partition: quota_fractions(control, partition) for partition in range(PARTITIONS)}
     name = control.join("a1")
-    settled(control)
-    moved = [p for p in range(PARTITIONS) if name in portions(control, p)]
+    run_without_faults(control)
+    moved = [p for p in range(PARTITIONS) if name in quota_fractions(control, p)]
     assert moved, "it was given something"
     for partition in moved:
         (old,) = [one for one in before[partition] if one.startswith("a1")]
-        found = portions(control, partition)
+        found = quota_fractions(control, partition)
         assert (found[name], found[old]) == (0.25, 0.75)
     control.now += RESERVE_LEASE
-    settled(control)
-    assert all(portions(control, partition)[name] == 1.0 for partition in moved)
-    assert all(portions(control, p) == before[p] for p in before if p not in moved), "and nothing else moved"
+    run_without_faults(control)
+    assert all(quota_fractions(control, partition)[name] == 1.0 for partition in moved)
+    assert all(quota_fractions(control, p) == before[p] for p in before if p not in moved), (
+        "and nothing else moved"
+    )
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -1,4 +1,4 @@
-"""What one dispatcher does as its shares of limits come and go: virtual time, stand-in ports, no socket."""
+"""What one dispatcher does as its quotas come and go: virtual time, stand-in ports, no socket."""
 
 from __future__ import annotations
 
@@ -103,7 +103,7 @@
     (tmp_path / "first").mkdir()
 
 
-def test_before_any_view_nothing_is_this_instances_and_the_first_one_has_lists_asked_for(
+def test_before_any_view_the_instance_owns_nothing_and_the_first_view_makes_it_ask_for_lists(
     tmp_path: Path,
 ) -> None:
     one = FleetServiceRig(tmp_path / "first")
@@ -117,7 +117,7 @@
     assert one.refetched == 1, "once"
 
 
-def test_only_what_may_become_its_own_is_kept_of_a_list(tmp_path: Path) -> None:
+def test_only_destinations_it_may_own_are_kept_of_a_list(tmp_path: Path) -> None:
     one = restarted_rig(tmp_path)
     kept = {member.destination for member in one.dispatcher.pool.endpoints.values()}
     assert kept == {number for number in range(1, 60) if one.fleet.fleet.is_candidate(number)}
@@ -128,7 +128,7 @@
     assert not one.dispatcher.pool.update(change).listings
 
 
-def test_messages_are_taken_for_what_is_held_and_passed_on_for_the_rest(tmp_path: Path) -> None:
+def test_messages_are_accepted_for_owned_destinations_and_forwarded_for_others(tmp_path: Path) -> None:
     one = restarted_rig(tmp_path)
     one.receive_update()
     mine, other = one.destination_with_home(), one.destination_with_home(second="a1-1")
@@ -142,7 +142,9 @@
     assert one.fleet.route(held, False) is Route.LOCAL, "its reserved part, also while control is silent"
 
 
-def test_nothing_is_sent_once_the_share_has_run_out_and_what_never_ran_is_handed_back(tmp_path: Path) -> None:
+def test_nothing_is_sent_once_the_quota_has_expired_and_unattempted_messages_are_returned(
+    tmp_path: Path,
+) -> None:
     """The second candidate owns the leased part while the first one is away, until control falls silent."""
     one = restarted_rig(tmp_path)
     number = one.destination_with_home(second="a1-1")
@@ -167,7 +169,9 @@
     assert "late" not in one.dispatcher.messages.by_id
 
 
-def test_a_call_that_is_out_keeps_its_end_and_what_may_have_run_is_not_handed_back(tmp_path: Path) -> None:
+def test_a_call_in_flight_keeps_its_end_and_a_possibly_executed_message_is_not_returned(
+    tmp_path: Path,
+) -> None:
     one = restarted_rig(tmp_path)
     number = one.destination_with_home()
     one.receive_update()
@@ -185,7 +189,9 @@
     assert calls[0].messages[0].id not in one.dispatcher.messages.by_id
 
 
-def test_what_was_out_as_its_share_was_lost_and_never_ran_is_handed_back_then(tmp_path: Path) -> None:
+def test_a_message_in_flight_as_its_quota_was_lost_is_returned_once_its_call_proves_it_unexecuted(
+    tmp_path: Path,
+) -> None:
     one = restarted_rig(tmp_path)
     number = one.destination_with_home()
     one.receive_update()
@@ -204,7 +210,7 @@
     assert not one.fleet.lost_partitions, "and nothing more is looked for"
 
 
-def test_the_module_is_told_the_part_of_listed_and_of_reported_limits(tmp_path: Path) -> None:
+def test_the_policy_applies_the_quota_to_listed_and_to_reported_limits(tmp_path: Path) -> None:
     one = restarted_rig(tmp_path)
     number = one.destination_with_home()
     one.run_with_heartbeats(2)
@@ -225,7 +231,7 @@
     assert lane.rate.quota() == 3.75, "three quarters of it while control is silent"
 
 
-def test_a_saved_view_that_cannot_be_read_is_as_good_as_none(tmp_path: Path) -> None:
+def test_a_saved_view_that_cannot_be_read_is_ignored(tmp_path: Path) -> None:
     for text in ("", "{", "[]", '{"form": 9}', json.dumps({"form": 1, "revision": 1, "members": 3})):
         (tmp_path / "first" / VIEW_FILE_NAME).write_text(text)
         assert not FleetServiceRig(tmp_path / "first").fleet.ready
@@ -263,7 +269,7 @@
     assert not (tmp_path / "first" / VIEW_FILE_NAME).exists()
 
 
-def test_a_request_that_is_passed_on_says_what_is_left_of_its_time_and_who_passed_it_on() -> None:
+def test_a_forwarded_request_names_the_time_left_and_the_instance_that_forwarded_it() -> None:
     given = settings(**SETTINGS)
     now = 1_700_000_000 * SECOND
     one = Transaction("id", 0, 7, now + 900 * MS, b"a\r\nb", key="k", recovered_from_journal=True)
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -19,11 +19,11 @@
 
 
 def view_update(**told: Any) -> dict[str, Any]:
-    """A whole list as the control machines send it, with changes."""
+    """A complete list as the control machines send it, with changes."""
     return {"revision": 5, "complete": True, "members": ROWS, "issued_ms": START // MS, **told}
 
 
-def fleet(name: str = "a1-0") -> Fleet:
+def fleet_of(name: str = "a1-0") -> Fleet:
     one = Fleet(fleet_settings(name, name.split("-")[0]))
     one.apply_update(view_update(), START)
     return one
@@ -61,7 +61,7 @@
     ],
 )
 def test_a_view_that_cannot_be_used_is_named_and_changes_nothing(told: dict[str, Any], field: str) -> None:
-    one = fleet()
+    one = fleet_of()
     before = one.view, one.last_heartbeat, one.candidate_partitions
     with pytest.raises(FleetViewError) as error:
         one.apply_update(told, START)
@@ -70,14 +70,14 @@
     assert (one.view, one.last_heartbeat, one.candidate_partitions) == before
 
 
-def test_an_instance_listed_in_another_zone_than_it_is_set_up_in_is_refused() -> None:
+def test_an_instance_listed_in_another_zone_than_its_settings_say_is_refused() -> None:
     one = Fleet(fleet_settings("a2-0", "a1"))
     with pytest.raises(FleetViewError, match="a2-0: locality: 'a2', but 'a1' is set up here"):
         one.apply_update(view_update(), START)
 
 
 def test_a_heartbeat_from_a_clock_too_far_ahead_renews_nothing_and_its_view_counts() -> None:
-    one, ahead = fleet(), START + SECOND
+    one, ahead = fleet_of(), START + SECOND
     with pytest.raises(ClockError, match="later than this machine's clock"):
         one.apply_update(view_update(revision=6, issued_ms=ahead // MS), START)
     assert one.view.revision == 6
@@ -92,7 +92,7 @@
 
 
 def test_an_instance_that_is_not_listed_owns_nothing_and_knows_who_does() -> None:
-    one = fleet("a1-9")
+    one = fleet_of("a1-9")
     assert not one.candidate_partitions
     assert not any(one.quota_fraction(number, START) for number in range(100))
     assert len(one.owners(7, START)) == 4
@@ -101,7 +101,7 @@
 
 def test_owners_of_the_own_zone_come_first_then_those_of_the_own_region() -> None:
     regions = {"a1": 0, "a2": 1, "b1": 2, "b2": 2}
-    one = fleet("a1-0")
+    one = fleet_of("a1-0")
     for destination in range(50):
         order = [regions[owner.zone] for owner in one.owners(destination, START)]
         assert order == sorted(order)
@@ -109,23 +109,23 @@
         assert all(owner.name != "a1-0" for owner in one.owners(destination, START))
 
 
-def test_one_that_waits_for_anothers_lease_is_asked_last() -> None:
-    one = fleet("a2-0")
+def test_an_owner_that_waits_for_a_lease_to_expire_is_asked_last() -> None:
+    one = fleet_of("a2-0")
     for destination in range(50):
-        (first, *rest) = [owner for owner in one.owners(destination, START) if owner.zone == "a1"]
-        away = entry(first.name, "a1", "Terminating", since=START)
-        other = fleet("a2-0")
+        (expected, *others) = [owner for owner in one.owners(destination, START) if owner.zone == "a1"]
+        away = entry(expected.name, "a1", "Terminating", since=START)
+        other = fleet_of("a2-0")
         other.apply_update(view_update(revision=6, complete=False, members=[away]), START)
         assert other.owners(destination, START)[-1].zone == "a1"
-        assert not rest
+        assert not others
         later = START + other.settings.lease + other.settings.clock_skew
         assert other.owners(destination, later)[-1].zone == "a1", "control is silent: it holds nothing yet"
         other.apply_update(view_update(revision=6, complete=False, members=[], issued_ms=later // MS), later)
         assert other.owners(destination, later)[-1].zone != "a1"
 
 
-def test_what_was_saved_is_restored_and_a_form_that_is_not_known_is_refused() -> None:
-    one, other = fleet(), Fleet(fleet_settings("a1-0", "a1"))
+def test_a_saved_view_is_restored_and_an_unknown_form_is_refused() -> None:
+    one, other = fleet_of(), Fleet(fleet_settings("a1-0", "a1"))
     other.restore(one.snapshot(), START)
     assert (other.view, other.last_heartbeat, other.candidate_partitions) == (
         one.view,
@@ -150,7 +150,7 @@
         ({"peer_connections": 0}, "peer-connections"),
     ],
 )
-def test_settings_that_cannot_hold_are_refused(changes: dict[str, Any], problem: str) -> None:
+def test_invalid_settings_are_refused(changes: dict[str, Any], problem: str) -> None:
     given: dict[str, Any] = {"name": "a1-0", "zone": "a1", "view": "127.0.0.1:1", "regions": REGIONS}
     with pytest.raises(ValueError, match=problem):
         FleetSettings(**{**given, **changes})
@@ -167,12 +167,12 @@
     return found
 
 
-def first(zone: ZoneCandidates) -> list[str]:
+def first_candidates(zone: ZoneCandidates) -> list[str]:
     return [zone.for_partition(partition)[0] for partition in range(PARTITIONS)]
 
 
 def test_partitions_and_destinations_are_spread_evenly(zone: ZoneCandidates) -> None:
-    owned = Counter(first(zone))
+    owned = Counter(first_candidates(zone))
     mean = PARTITIONS / len(NAMES)
     assert len(owned) == len(NAMES)
     assert sum(owned.values()) == PARTITIONS
@@ -183,7 +183,7 @@
     assert max(destinations.values()) <= 2 * 190_000 / PARTITIONS
 
 
-def test_the_candidates_are_the_highest_ranks_and_the_same_by_any_way_there(zone: ZoneCandidates) -> None:
+def test_the_candidates_are_the_highest_ranks_whatever_the_order_of_changes(zone: ZoneCandidates) -> None:
     other = ZoneCandidates(PARTITIONS, 2)
     other.update(NAMES[:50])
     other.partitions_of("d0")
@@ -196,7 +196,7 @@
         )
 
 
-def test_one_that_leaves_moves_its_own_partitions_alone_to_those_next_in_rank() -> None:
+def test_only_the_partitions_of_an_instance_that_leaves_move_to_the_next_in_rank() -> None:
     one = ZoneCandidates(PARTITIONS, 2)
     one.update(NAMES)
     before = {partition: one.for_partition(partition) for partition in range(PARTITIONS)}
@@ -205,12 +205,12 @@
         assert one.for_partition(partition)[0] == (second if owner == "d7" else owner)
 
 
-def test_one_that_joins_takes_its_part_and_nothing_moves_between_others() -> None:
+def test_an_instance_that_joins_takes_its_partitions_and_none_move_between_others() -> None:
     one = ZoneCandidates(PARTITIONS, 2)
     one.update(NAMES)
-    before = first(one)
+    before = first_candidates(one)
     one.update([*NAMES, "new"])
-    after = first(one)
+    after = first_candidates(one)
     moved = [now for then, now in zip(before, after, strict=True) if then != now]
     assert set(moved) == {"new"}
     assert 0.5 * PARTITIONS / 78 <= len(moved) <= 1.6 * PARTITIONS / 78
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,13 +11,15 @@
 
 from honeyhitch.cli.main import COMMAND_MODULES, main
 
-LOOK = "import json, sys; import honeyhitch.cli.main, honeyhitch.service.run; "
-LOOK += "print(json.dumps(sorted(sys.modules)))"
+PRINT_LOADED_MODULES = "import json, sys; import honeyhitch.cli.main, honeyhitch.service.run; "
+PRINT_LOADED_MODULES += "print(json.dumps(sorted(sys.modules)))"
 
 
 @pytest.fixture(scope="module")
 def loaded() -> set[str]:
-    told = subprocess.run([sys.executable, "-c", LOOK], capture_output=True, check=True, timeout=60)
+    told = subprocess.run(
+        [sys.executable, "-c", PRINT_LOADED_MODULES], capture_output=True, check=True, timeout=60
+    )
     return set(json.loads(told.stdout))
 
 
@@ -53,7 +55,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(COMMAND_MODULES))
-def test_each_group_is_named_and_loaded_when_it_is_asked_for(name: str) -> None:
+def test_each_command_group_is_listed_and_loaded_on_use(name: str) -> None:
     assert name in CliRunner().invoke(main, ["--help"]).output
     told = CliRunner().invoke(main, [name, "--help"])
     assert told.exit_code == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -201,7 +201,7 @@
             await process.wait()
 
 
-def test_ten_upgrades_in_a_row_lose_nothing_and_turn_nobody_back(tmp_path: Path) -> None:
+def test_ten_upgrades_in_a_row_lose_no_message_and_refuse_no_connection(tmp_path: Path) -> None:
     async def work() -> None:
         async with upgrade_under_load(tmp_path, 1) as rig:
             for _ in range(10):
