--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -15,12 +15,12 @@
 
 from honeyhitch import config
 from honeyhitch.dispatcher.delivery import Admission
+from honeyhitch.journal.transactions import Transaction
 from honeyhitch.protocols import resp
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.transaction_parser import TransactionParser
 from honeyhitch.service.descriptors import descriptor_budget
-from honeyhitch.transports import client_server as client_server
-from honeyhitch.transports import sockets
+from honeyhitch.transports import client_server, sockets
 from honeyhitch.transports.client_server import ClientServer
 from honeyhitch.transports.tasks import Tasks
 
@@ -71,7 +71,7 @@
             await ping(new)
             newer = await dial(server)
             await ping(newer)
-            assert await partial[0].read() == b"", "the one that has rested for longest"
+            assert await partial[0].read() == b"", "the one that has been unused for longest"
             for _ in range(20):  # a crowd that asks once and stays: none of it is left out
                 await ping(await dial(server))
 
@@ -90,9 +90,9 @@
             queued = [await dial(server) for _ in range(3)]
             partial[1].write(b"NG\r\n")
             assert await partial[0].readline() == PONG
-            assert not server.quiescent, "one waits for a place, two to be accepted"
-            for one in queued:
-                await ping(one)
+            assert not server.quiescent, "one waits for a slot, two to be accepted"
+            for stream in queued:
+                await ping(stream)
             assert server.quiescent
 
     play(work())
@@ -112,16 +112,17 @@
                 reader, writer = await dial(server)
                 writer.write(begun)
                 assert await reader.read() == expected + client_server.REQUEST_TIMEOUT_REPLY
-            await ping(used)  # one that was answered may rest
+            await ping(used)  # a client that was answered may be silent
 
     play(work())
 
 
 def test_a_flood_on_one_connection_leaves_turns_to_the_others() -> None:
-    one, buffer = create_session(), Buffer()
+    session = create_session()
+    buffer = Buffer()
     buffer.feed(PING * 1000)
-    assert one.receive(buffer).count(PONG) == resp.MAX_REPLIES_PER_TURN
-    assert one.has_more_requests
+    assert session.receive(buffer).count(PONG) == resp.MAX_REPLIES_PER_TURN
+    assert session.has_more_requests
 
     async def work() -> None:
         async with served(10) as server:
@@ -138,9 +139,9 @@
 @pytest.mark.parametrize("sockets", [64, 256, 1024])
 def test_all_descriptors_together_stay_under_the_limit(tmp_path: Path, sockets: int) -> None:
     path = Path(write(tmp_path, 6379, 8500, [])[0])
-    told = json.loads(path.read_text())
-    told["settings"]["family-info"]["call-slots"] = 200
-    path.write_text(json.dumps({**told, "limits": {"sockets": sockets}}))
+    content = json.loads(path.read_text())
+    content["settings"]["family-info"]["call-slots"] = 200
+    path.write_text(json.dumps({**content, "limits": {"sockets": sockets}}))
     read = config.read({}, str(path))
     for processes in (1, 2):
         clients, idle = descriptor_budget(read, processes)
@@ -156,7 +157,7 @@
             streams = [await dial(server) for _ in range(4)]
             for stream in streams[:3]:
                 await ping(stream)
-            streams[3][1].write(b"*1\r\n$4\r\nPI")  # half a command: this one is in use
+            streams[3][1].write(b"*1\r\n$4\r\nPI")  # half a command: this client uses its slot
             await poll_condition(
                 lambda: any(client.has_partial_request for client in server.clients), interval=0
             )
@@ -186,7 +187,7 @@
         self.done.set()
 
     async def follow(self, act: Callable[[], object]) -> None:
-        """`act` makes something readable; then this does, and both are read in one turn."""
+        """`act` makes something readable, then this does, and both are read in one turn of the loop."""
         act()
         self.there.send(b"x")
         await self.done.wait()
@@ -236,25 +237,30 @@
 def test_a_request_that_crosses_the_close_of_its_connection_is_not_read(
     monkeypatch: pytest.MonkeyPatch, moment: str
 ) -> None:
-    """Its client hands it in again elsewhere; read and taken on here, nobody would hear of it."""
-    taken: list[object] = []
+    """Its client submits it again elsewhere; if it was accepted here too, nobody would get the answer."""
+    accepted: list[object] = []
 
     def spied() -> resp.Session:
-        made = create_session()
-        made.submit = lambda one: taken.append(one) or Admission(True)  # type: ignore[func-returns-value]
-        return made
+        session = create_session()
+
+        def submit(transaction: Transaction) -> Admission:
+            accepted.append(transaction)
+            return Admission(True)
+
+        session.submit = submit
+        return session
 
     async def work() -> None:
         async with served(1) as server:
             server.create_session = spied
             sock = await plain(server)
-            quiet = sockets.is_reusable
+            is_reusable = sockets.is_reusable
 
-            def crossed(one: socket.socket) -> bool:
-                found = quiet(one)
-                if found and one.getpeername() == sock.getsockname():
-                    sock.send(raw(ENQUEUE))  # right after the look, before the shutdown
-                return found
+            def crossed(checked: socket.socket) -> bool:
+                reusable = is_reusable(checked)
+                if reusable and checked.getpeername() == sock.getsockname():
+                    sock.send(raw(ENQUEUE))  # right after the check, before the shutdown
+                return reusable
 
             with monkeypatch.context() as patch:
                 patch.setattr(sockets, "is_reusable", crossed)
@@ -268,7 +274,7 @@
             with contextlib.suppress(ConnectionResetError):  # unread bytes make a reset of its end
                 assert await reader.read() == b""
             await poll_condition(lambda: not server.clients, interval=0)
-            assert not taken
+            assert not accepted
 
     play(work())
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -47,17 +47,17 @@
 
 
 class Resp:
-    """The platform's front; a body `busy` is turned away."""
+    """A client's connection over RESP; a message with the body `busy` is rejected."""
 
     def __init__(self, _: str) -> None:
-        def offer(taken: Transaction) -> Admission:
-            self.seen.append(taken)
-            return Admission(taken.body != b"busy", 250_000_000)
+        def submit(transaction: Transaction) -> Admission:
+            self.submitted.append(transaction)
+            return Admission(transaction.body != b"busy", 250_000_000)
 
-        self.seen: list[Transaction] = []
+        self.submitted: list[Transaction] = []
         self.buffer = Buffer()
-        fields = TransactionParser(SET, lambda destination: destination != 404)
-        self.session = resp.Session(fields, offer, lambda: True, lambda: START)
+        parser = TransactionParser(SET, lambda destination: destination != 404)
+        self.session = resp.Session(parser, submit, lambda: True, lambda: START)
 
     def feed(self, data: bytes) -> Out:
         self.buffer.feed(data)
@@ -66,24 +66,24 @@
             yield self.session.receive(self.buffer)
 
     def end(self) -> Out:
-        for one in self.seen:
+        for transaction in self.submitted:
             words = [
-                one.id,
-                one.key,
-                one.destination,
-                (one.deadline - START) // 10**6,
-                one.recovered_from_journal,
-                one.body,
+                transaction.id,
+                transaction.key,
+                transaction.destination,
+                (transaction.deadline - START) // 10**6,
+                transaction.recovered_from_journal,
+                transaction.body,
             ]
             yield f"took {' '.join(map(str, words))}\n".encode()
         yield b"closes\n" if self.session.closing else b"half\n" if self.session.has_partial_request else b""
 
 
 class HttpCall:
-    """A call's answer; the argument is how many messages it carries."""
+    """The response to a call; the argument is the number of its messages."""
 
     def __init__(self, count: str) -> None:
-        self.parts, self.machine, self.spoilt = (
+        self.messages, self.parser, self.malformed = (
             messages(int(count)),
             http1.ResponseParser(max_bytes=4096),
             False,
@@ -92,13 +92,13 @@
 
     def feed(self, data: bytes) -> Out:
         try:
-            self.answer = None if self.spoilt else self.machine.feed(data)
+            self.answer = None if self.malformed else self.parser.feed(data)
         except http1.HttpError:
-            self.spoilt = True
+            self.malformed = True
         yield b""
 
     def show(self, answer: http1.Response) -> bytes:
-        result = calls.interpret_response(answer, self.parts)
+        result = calls.interpret_response(answer, self.messages)
         told = f" wait {result.retry_after // 10**6}" if result.retry_after else ""
         told += f" {result.reported}" if result.reported else ""
         ends = " ".join(outcome.value + "+" * over for outcome, over in result.outcomes)
@@ -106,13 +106,13 @@
 
     def end(self) -> Out:
         ended = self.answer is None
-        answer = None if self.spoilt else self.answer or self.machine.connection_closed()
+        answer = None if self.malformed else self.answer or self.parser.connection_closed()
         if answer is None:
-            result = calls.interpret_failure(self.machine.status, self.parts, Outcome.RESET)
+            result = calls.interpret_failure(self.parser.status, self.messages, Outcome.RESET)
             yield f"broken: {' '.join(outcome.value for outcome, _ in result.outcomes)}\n".encode()
         else:
             yield self.show(answer)
-            yield b"" if ended else b"reusable\n" if self.machine.reusable else b"to be closed\n"
+            yield b"" if ended else b"reusable\n" if self.parser.reusable else b"to be closed\n"
 
 
 class Encode:
@@ -248,10 +248,11 @@
             self.machine.feed(data)
         except control.ControlError as error:
             wrong = f"{error.status.value} {error.reason}\n"
-        asked, self.machine.requests = self.machine.requests, []
-        for one in asked:
-            assert one.actor == "me"
-            yield f"{one.method} {one.path} {json.dumps(one.arguments)}\n".encode()
+        requests = self.machine.requests
+        self.machine.requests = []
+        for request in requests:
+            assert request.actor == "me"
+            yield f"{request.method} {request.path} {json.dumps(request.arguments)}\n".encode()
         yield wrong.encode()
 
     def end(self) -> Out:
