--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Passing a request on over kept connections: what ends in the moment in which it is written. Loopback."""
+"""Forwarding over reused connections: what happens when one ends as a request is written. On loopback."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
     """A stand-in for another instance: a test says what it does with each request that has come."""
 
     def __init__(self, act: Callable[[int, asyncio.StreamWriter], Awaitable[None]]) -> None:
-        self.act, self.requests, self.connections, self.port = act, list[bytes](), 0, 0
+        self.act = act
+        self.requests: list[bytes] = []
+        self.connections = 0
+        self.port = 0
 
     async def start(self) -> Owner:
         self.server = await asyncio.start_server(self._client, "127.0.0.1", self.port)
@@ -39,7 +42,7 @@
 
 def forwarder(*owners: Owner) -> Forwarder:
     loop = asyncio.get_running_loop()
-    addresses = [f"127.0.0.1:{one.port}" for one in owners]
+    addresses = [f"127.0.0.1:{owner.port}" for owner in owners]
     connections = PeerConnections(loop, 4)
     return Forwarder(settings(**SETTINGS), "x", lambda _: addresses, connections, lambda: 0, BUSY)
 
@@ -56,20 +59,20 @@
     writer.write(b"+OK\r\n")
 
 
-async def accept_once_then_end(number: int, writer: asyncio.StreamWriter) -> None:
-    """As a dispatcher that shuts a resting connection while the next request is on its way."""
+async def accept_once_then_close(number: int, writer: asyncio.StreamWriter) -> None:
+    """As a dispatcher that closes an idle connection while the next request is on its way."""
     if number == 2:
         writer.close()
     else:
         writer.write(b"+OK\r\n")
 
 
-def test_a_request_that_crosses_the_end_of_a_kept_connection_goes_once_more_to_the_same_owner() -> None:
+def test_a_request_that_crosses_the_end_of_a_reused_connection_is_sent_again_to_the_same_owner() -> None:
     async def work() -> None:
-        owner, other = await Owner(accept_once_then_end).start(), await Owner(accept).start()
-        one = forwarder(owner, other)
-        assert await one.forward(message("a")) == b"+OK\r\n"
-        assert await one.forward(message("b")) == b"+OK\r\n"
+        owner, other = await Owner(accept_once_then_close).start(), await Owner(accept).start()
+        instance = forwarder(owner, other)
+        assert await instance.forward(message("a")) == b"+OK\r\n"
+        assert await instance.forward(message("b")) == b"+OK\r\n"
         assert owner.requests[1] == owner.requests[2], "the same request, by the same id"
         assert owner.connections == 2
         assert not other.requests
@@ -77,7 +80,7 @@
     run(work)
 
 
-def test_it_is_not_sent_to_another_owner_where_the_first_is_gone_then() -> None:
+def test_it_is_not_sent_to_another_owner_if_the_first_has_gone_by_then() -> None:
     async def work() -> None:
         async def end_for_good(number: int, writer: asyncio.StreamWriter) -> None:
             if number == 2:
@@ -87,15 +90,15 @@
                 writer.write(b"+OK\r\n")
 
         owner, other = await Owner(end_for_good).start(), await Owner(accept).start()
-        one = forwarder(owner, other)
-        assert await one.forward(message("a")) == b"+OK\r\n"
-        assert await one.forward(message("b")) is None
+        instance = forwarder(owner, other)
+        assert await instance.forward(message("a")) == b"+OK\r\n"
+        assert await instance.forward(message("b")) is None
         assert not other.requests, "the first one may have accepted it"
 
     run(work)
 
 
-def test_a_new_connection_that_ends_without_a_reply_is_not_asked_again() -> None:
+def test_a_new_connection_that_ends_without_a_reply_is_not_retried() -> None:
     async def work() -> None:
         async def end(_number: int, writer: asyncio.StreamWriter) -> None:
             writer.close()
@@ -108,34 +111,34 @@
     run(work)
 
 
-def test_half_a_reply_on_a_kept_connection_is_no_crossing() -> None:
+def test_a_partial_reply_on_a_reused_connection_is_not_retried() -> None:
     async def work() -> None:
-        async def half(number: int, writer: asyncio.StreamWriter) -> None:
+        async def reply_partly(number: int, writer: asyncio.StreamWriter) -> None:
             writer.write(b"+OK\r\n" if number == 1 else b"+O")
             if number == 2:
                 writer.close()
 
-        owner = await Owner(half).start()
-        one = forwarder(owner)
-        assert await one.forward(message("a")) == b"+OK\r\n"
-        assert await one.forward(message("b")) is None
+        owner = await Owner(reply_partly).start()
+        instance = forwarder(owner)
+        assert await instance.forward(message("a")) == b"+OK\r\n"
+        assert await instance.forward(message("b")) is None
         assert len(owner.requests) == 2
 
     run(work)
 
 
-def test_connections_are_bounded_and_kept() -> None:
+def test_connections_are_limited_and_reused() -> None:
     async def work() -> None:
         owners = [await Owner(accept).start() for _ in range(6)]
-        one = forwarder(owners[0])
+        instance = forwarder(owners[0])
         for _ in range(5):
-            assert await one.forward(message("a")) == b"+OK\r\n"
+            assert await instance.forward(message("a")) == b"+OK\r\n"
         assert owners[0].connections == 1
         for number, owner in enumerate(owners):
-            one.owners = lambda _, port=owner.port: [f"127.0.0.1:{port}"]  # type: ignore[misc]
-            assert await one.forward(message(f"m{number}")) == b"+OK\r\n"
-            assert one.connections.open <= one.connections.max_connections == 4
-        one.connections.close()
-        assert one.connections.open == 0
+            instance.owners = lambda _, port=owner.port: [f"127.0.0.1:{port}"]  # type: ignore[misc]
+            assert await instance.forward(message(f"m{number}")) == b"+OK\r\n"
+            assert instance.connections.open <= instance.connections.max_connections == 4
+        instance.connections.close()
+        assert instance.connections.open == 0
 
     run(work)
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -1,4 +1,4 @@
-"""Lists read piece by piece: the same as the whole, at any cut, with the wanted members alone."""
+"""Lists that are parsed incrementally: the same result at any split, with the needed members alone."""
 
 from __future__ import annotations
 
@@ -30,15 +30,18 @@
 
 
 @given(st.lists(lists, min_size=1, max_size=4), st.integers(1, 40), st.sampled_from([None, 2]))
-def test_objects_cut_anywhere_are_read_as_they_were_written(
-    told: list[dict[str, Any]], size: int, indent: int | None
+def test_lists_split_anywhere_are_parsed_as_they_were_written(
+    written: list[dict[str, Any]], size: int, indent: int | None
 ) -> None:
-    data = b"\n\n".join(json.dumps(one, indent=indent).encode() for one in told) + b"\n"
-    reader, found = ListParser(lambda row: row["cell"] % 2 == 0), list[dict[str, Any]]()
+    data = b"\n\n".join(json.dumps(item, indent=indent).encode() for item in written) + b"\n"
+    parser = ListParser(lambda row: row["cell"] % 2 == 0)
+    found: list[dict[str, Any]] = []
     for at in range(0, len(data), size):
-        found += reader.feed(data[at : at + size])
-    kept = [{**one, "members": [row for row in one["members"] if row["cell"] % 2 == 0]} for one in told]
-    assert found == kept
+        found += parser.feed(data[at : at + size])
+    expected = [
+        {**item, "members": [row for row in item["members"] if row["cell"] % 2 == 0]} for item in written
+    ]
+    assert found == expected
 
 
 @pytest.mark.parametrize(
@@ -52,26 +55,27 @@
         (b'{"members":[{"id":"\xff"', "not UTF-8"),
     ],
 )
-def test_what_is_no_list_is_an_error_and_is_not_waited_for_without_end(data: bytes, problem: str) -> None:
+def test_a_malformed_list_is_an_error_after_a_bounded_length(data: bytes, problem: str) -> None:
     with pytest.raises(ListError, match=problem):
         ListParser(lambda _: True).feed(data)
 
 
-def test_a_watch_that_keeps_what_is_wanted_takes_a_list_over_every_bound_and_then_changes() -> None:
-    """25 MB, of which it keeps one member in a thousand, and never more than a piece besides."""
+def test_a_watch_that_keeps_few_members_takes_a_list_over_every_limit_and_then_changes() -> None:
+    """25 MB, of which it keeps one member in a thousand, and never more text than one chunk."""
     members = [endpoint_row(f"s-{number:08x}", number) for number in range(190_000)]
-    whole = json.dumps({"revision": 7, "complete": True, "members": members}).encode()
-    assert len(whole) > 20_000_000
-    watch, found = WatchParser(lambda row: row["cell"] % 1000 == 0), list[dict[str, Any]]()
+    data = json.dumps({"revision": 7, "complete": True, "members": members}).encode()
+    assert len(data) > 20_000_000
+    watch = WatchParser(lambda row: row["cell"] % 1000 == 0)
+    found: list[dict[str, Any]] = []
     found += watch.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    piece = 1 << 16
-    for at in range(0, len(whole), piece):
-        part = whole[at : at + piece]
-        found += watch.feed(b"%x\r\n%s\r\n" % (len(part), part))
+    chunk_size = 1 << 16
+    for start in range(0, len(data), chunk_size):
+        chunk = data[start : start + chunk_size]
+        found += watch.feed(b"%x\r\n%s\r\n" % (len(chunk), chunk))
     assert [len(one["members"]) for one in found] == [190]
     assert found[0]["complete"]
     assert watch.list_parser is not None
-    assert watch.list_parser.unparsed_length <= piece
+    assert watch.list_parser.unparsed_length <= chunk_size
     change = json.dumps({"revision": 8, "complete": False, "members": [endpoint_row("s-1", 1000)]}).encode()
     for text in (b"\n", change, b"\n"):
         found += watch.feed(b"%x\r\n%s\r\n" % (len(text), text))
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are kept going, and how they end."""
+"""Tasks that are restarted, and how they are stopped."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .polling import poll_condition
 
 
-def test_a_group_that_fails_as_it_is_stopped_does_not_start_again() -> None:
+def test_a_task_group_that_fails_while_it_is_stopped_is_not_restarted() -> None:
     begun = 0
 
     async def work() -> None:
