--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -110,7 +110,7 @@
     endpoint = Endpoint(thread)
     listed = endpoint_rows(destinations, endpoint.port)
     agent = Agent(thread, listed)
-    say(f"service: a list of {destinations} destinations, {len(agent.whole_list()) / 1e6:.1f} MB")
+    say(f"service: a list of {destinations} destinations, {len(agent.complete_list()) / 1e6:.1f} MB")
     with contextlib.ExitStack() as stack:
         place = "/dev/shm" if Path("/dev/shm").is_dir() else None
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(dir=place)))
@@ -134,7 +134,7 @@
         return {
             "real": real,
             "destinations": destinations,
-            "list_bytes": len(agent.whole_list()),
+            "list_bytes": len(agent.complete_list()),
             "before": plain,
             "resident_median": statistics.median(resident),
             "resident_most": max(resident),
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -101,7 +101,8 @@
     ):
         with pytest.raises(MaterialError) as error:
             load(terms, {"WRONG": "guess"}, time.time_ns())
-        assert str(error.value).startswith(f"{key}: ") and str(file) in str(error.value), error.value
+        assert str(error.value).startswith(f"{key}: "), error.value
+        assert str(file) in str(error.value), error.value
         assert says in str(error.value)
     told = load(
         own(locked.cert_file, locked.key_file, key_password_env="RIGHT"), {"RIGHT": "secret"}, time.time_ns()
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -169,9 +169,9 @@
     start = door.start(now)
     assert start is not None
     down = door.failed(start, now + 5 * MS, TlsError(Failure.STALLED))
-    assert down.failure_reason == "stalled" and down.connect_failed and down.elapsed == 5 * MS, (
-        "an outage, as the module knows it"
-    )
+    assert down.failure_reason == "stalled"
+    assert down.connect_failed, "an outage, as the policy knows it"
+    assert down.elapsed == 5 * MS
     door.block(now)
     door.unblock()
     start = door.start(now + 3 * SECOND)
@@ -192,7 +192,7 @@
             TLS_TRANSPORT if member.destination == 1 else "http"
         )
 
-    def open(self, member: PoolEndpoint, calls: int) -> None:
+    def open(self, _endpoint: PoolEndpoint, calls: int) -> None:
         self.asked.append(calls)
 
     def tell(self, calls: int, **more: int) -> list[Call]:
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -122,7 +122,8 @@
         if good:
             assert machine.phase is Phase.OPEN, (names, wanted)
         else:
-            assert machine.failure is not None and machine.failure.failure is Failure.WRONG_NAME, wanted
+            assert machine.failure is not None, wanted
+            assert machine.failure.failure is Failure.WRONG_NAME, wanted
 
 
 def cases(pki: Authority, folder: Path) -> Iterator[tuple[Failure, Terms, ssl.SSLContext]]:
@@ -156,7 +157,8 @@
     for failure, terms, context in cases(pki, tmp_path):
         machine, server = client(terms), Server(context)
         connect(machine, server)
-        assert machine.phase is Phase.FAILED and machine.failure is not None, failure
+        assert machine.phase is Phase.FAILED, failure
+        assert machine.failure is not None, failure
         assert machine.failure.failure is failure, (failure, machine.failure)
         assert failure.lasting, "no outage: a trial storm must not probe it"
         with pytest.raises(TlsError):
@@ -178,7 +180,8 @@
 def test_garbage_instead_of_a_handshake(pki: Authority, garbage: bytes, failure: Failure) -> None:
     machine = client(Terms(ca=pki.file))
     machine.feed(garbage)
-    assert machine.failure is not None and machine.failure.failure is failure, machine.failure
+    assert machine.failure is not None
+    assert machine.failure.failure is failure, machine.failure
     machine.feed(garbage)  # nothing counts behind an end
     assert not machine.plaintext
 
@@ -231,7 +234,7 @@
     assert server.got == b""
 
 
-def test_a_certificate_alert_after_an_answer_proves_nothing(pki: Authority, server_cert: Issued) -> None:
+def test_a_certificate_alert_after_a_response_proves_nothing() -> None:
     from honeyhitch.tls import failures
 
     error = ssl.SSLError(1, "")
@@ -253,7 +256,8 @@
     material = load(Terms(ca=pki.file), {}, time.time_ns())
     first = TlsMachine(material.context, "localhost")
     connect(first, Server(context))
-    assert not first.resumed and first.quiescent, "tickets that came are no answer"
+    assert not first.resumed
+    assert first.quiescent, "received tickets are no response"
     session = first.session()
     assert session is not None
     second = TlsMachine(material.context, "localhost", session)
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -9,7 +9,7 @@
 import signal
 import subprocess
 import sys
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from pathlib import Path
 from typing import Any
 
@@ -22,6 +22,7 @@
 from .agent import Agent
 from .authority import Authority, Issued
 from .broker import Broker
+from .polling import poll_condition
 from .program import SETTINGS, Peer, free_port, play, started, write
 from .rig import endpoint_row
 from .test_program import OPERATOR, Client, ended, receive
@@ -96,10 +97,9 @@
     await receive(client, b"+OK\r\n")
 
 
-async def until(what: Any) -> None:
-    """Wait till it holds; the test's own bound ends a wait in vain."""
-    while not what():
-        await asyncio.sleep(0.005)
+async def until(condition: Callable[[], object]) -> None:
+    """Wait for a condition of this process, within the limit of the whole test."""
+    await poll_condition(condition, interval=0.005)
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
@@ -294,7 +294,7 @@
         partner = await TlsPartner(asking(server_context(authority.issue()), authority.file)).start()
         seen: list[int] = []
 
-        async def answer(session: Session, request: bytes) -> bytes:
+        async def answer(session: Session, _request: bytes) -> bytes:
             seen.append(int(session.tls.getpeercert()["serialNumber"], 16))  # type: ignore[index]
             return OK
 
@@ -441,7 +441,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",  # whole by its length
         ]
 
-        async def answer(session: Session, request: bytes) -> bytes | None:
+        async def answer(session: Session, _request: bytes) -> bytes | None:
             session.tls.write(replies.pop(0))
             await partner.flush(session)
             return None  # the connection is closed without a word
@@ -451,8 +451,8 @@
         async with running(tmp_path, [partner], PARTNER.format(ca=authority.file)) as (_, client):
             await hand_in(client, "m")
             await until(lambda: not replies)
-            while b'"end"' not in (tmp_path / "state" / "journal").read_bytes():
-                await asyncio.sleep(0.01)
+            journal = tmp_path / "state" / "journal"
+            await poll_condition(lambda: b'"end"' in journal.read_bytes(), interval=0.01)
         (broken,) = log.events("tls.call-broken")
         assert broken["failure"] == "truncated"
 
--- a/tests/tls_partner.py
+++ b/tests/tls_partner.py
@@ -119,23 +119,9 @@
         self.most = max(self.most, self.now)
         self.starts.append(start)
         try:
-            while True:
-                try:
-                    session.tls.do_handshake()
-                    break
-                except ssl.SSLWantReadError:
-                    if self.stall == "flight" and session.outgoing.pending:
-                        session.writer.write(session.outgoing.read()[:40])
-                        await asyncio.Event().wait()
-                    await self.flush(session)
-                data = await session.reader.read(65536)
-                if not data:
+            while not await self._continue_handshake(session):
+                if not await self._receive_handshake(session):
                     return False
-                if self.stall == "hello":
-                    await asyncio.Event().wait()
-                if self.delay:
-                    await asyncio.sleep(self.delay)
-                session.incoming.write(data)
         except BaseException:
             self.failed += 1
             raise
@@ -149,6 +135,30 @@
         await self.flush(session)
         return True
 
+    async def _continue_handshake(self, session: Session) -> bool:
+        """True once the handshake is complete."""
+        try:
+            session.tls.do_handshake()
+        except ssl.SSLWantReadError:
+            if self.stall == "flight" and session.outgoing.pending:
+                session.writer.write(session.outgoing.read()[:40])
+                await asyncio.Event().wait()
+            await self.flush(session)
+            return False
+        return True
+
+    async def _receive_handshake(self, session: Session) -> bool:
+        """Read once; false at the end of the connection."""
+        data = await session.reader.read(65536)
+        if not data:
+            return False
+        if self.stall == "hello":
+            await asyncio.Event().wait()
+        if self.delay:
+            await asyncio.sleep(self.delay)
+        session.incoming.write(data)
+        return True
+
     async def flush(self, session: Session) -> None:
         data = session.outgoing.read()
         step = self.split or len(data)
