--- a/honeyhitch/journal/record_codec.py
+++ b/honeyhitch/journal/record_codec.py
@@ -92,28 +92,41 @@
 # Each kind of record: to its stored fields, and back.
 
 
+# How fields of a message are called in its stored record, in the order in which they are written.
+_ACCEPTED_FIELDS = {
+    "id": "id",
+    "cls": "class_index",
+    "destination": "destination",
+    "deadline": "deadline",
+    "key": "key",
+    "tenant": "tenant",
+    "came_again": "recovered_from_journal",
+    "front": "frontend",
+}
+_STATE_FIELDS = {"reply": "reply_context", "attempts": "attempt_count"}
+_DETAIL_FIELDS = {
+    "came_at": "accepted_at",
+    "ended_at": "ended_at",
+    "keep": "is_dead_letter",
+    "moved": "dead_letter_stored",
+}
+_MESSAGE_FIELDS = _ACCEPTED_FIELDS | _STATE_FIELDS | _DETAIL_FIELDS
+_CONVERTED_FIELDS = frozenset({"t", "ran", "back", "tries", "as", "over"})  # the codec converts their values
+
+
+def _stored(message: Transaction, names: dict[str, str]) -> Fields:
+    return {stored: getattr(message, field) for stored, field in names.items()}
+
+
 def _encode_message(record: MessageRecord) -> Fields:
     message = record.message
-    fields = {
-        "id": message.id,
-        "cls": message.class_index,
-        "destination": message.destination,
-        "deadline": message.deadline,
-        "key": message.key,
-        "tenant": message.tenant,
-        "came_again": message.recovered_from_journal,
-        "front": message.frontend,
-        "t": "taken",
-        "reply": message.reply_context,
-        "attempts": message.attempt_count,
-        "ran": message.possible_executions,
-        "back": message.retry_after,
-    }
+    fields = _stored(message, _ACCEPTED_FIELDS)
+    fields["t"] = "taken"
+    fields |= _stored(message, _STATE_FIELDS)
+    fields["ran"] = message.possible_executions
+    fields["back"] = message.retry_after
     if message.is_dead_letter or record.detailed:
-        fields["came_at"] = message.accepted_at
-        fields["ended_at"] = message.ended_at
-        fields["keep"] = message.is_dead_letter
-        fields["moved"] = message.dead_letter_stored
+        fields |= _stored(message, _DETAIL_FIELDS)
         fields["tries"] = [astuple(attempt) for attempt in message.attempt_history]
     fields["as"] = message.ending.value if message.ending else None
     if record.answered:
@@ -122,26 +135,15 @@
 
 
 def _decode_message(fields: Fields, body: bytes) -> MessageRecord:
+    """A field that an earlier version did not write has its default; KeyError at one that is unknown."""
+    values = {_MESSAGE_FIELDS[name]: value for name, value in fields.items() if name not in _CONVERTED_FIELDS}
     message = Transaction(
-        id=fields["id"],
-        class_index=fields["cls"],
-        destination=fields["destination"],
-        deadline=fields["deadline"],
         body=body,
-        key=fields["key"],
-        tenant=fields["tenant"],
-        recovered_from_journal=fields["came_again"],
-        frontend=fields["front"],
-        reply_context=fields["reply"],
-        attempt_count=fields["attempts"],
         possible_executions=[PossibleExecution(*map(int, row)) for row in fields["ran"]],
+        attempt_history=[Attempt(*row) for row in fields.get("tries", ())],
         ending=Ending(fields["as"]) if fields["as"] else None,
         retry_after=int(fields["back"]),
-        ended_at=fields.get("ended_at", 0),
-        accepted_at=fields.get("came_at", 0),
-        attempt_history=[Attempt(*attempt) for attempt in fields.get("tries", ())],
-        is_dead_letter=fields.get("keep", False),
-        dead_letter_stored=fields.get("moved", False),
+        **values,
     )
     return MessageRecord(message, detailed="tries" in fields, answered=fields.get("over", False))
 
--- a/tests/test_journal_stored_form.py
+++ b/tests/test_journal_stored_form.py
@@ -19,8 +19,9 @@
 
 from honeyhitch.journal.follower import JournalFollower
 from honeyhitch.journal.journal import Journal
+from honeyhitch.journal.record_codec import encode_frame
 from honeyhitch.journal.state import JournalState
-from honeyhitch.journal.transactions import Attempt, Ending, Transaction
+from honeyhitch.journal.transactions import Attempt, Ending, PossibleExecution, Transaction
 
 FIXTURES = Path(__file__).parent / "fixtures" / "journal-1"
 NOW = 1_000  # ns
@@ -320,3 +321,18 @@
     journal.record_attempt(journal.messages.by_id["c"], 908, 2, "s-3")
     journal.close()
     assert (tmp_path / "journal").read_bytes() == (FIXTURES / "plain").read_bytes()
+
+
+def test_fields_that_an_earlier_version_did_not_write_have_their_defaults(tmp_path: Path) -> None:
+    stored = {"id": "a", "cls": 1, "destination": 3, "deadline": 9_999, "t": "taken"}
+    stored |= {"ran": [[0, 905, 1]], "back": 0, "as": None}
+    (tmp_path / "journal").write_bytes(encode_frame(stored, b"body"))
+    (read,) = followed(tmp_path / "journal").messages.by_id.values()
+    expected = Transaction("a", 1, 3, 9_999, b"body", possible_executions=[PossibleExecution(0, 905, 1)])
+    assert dataclasses.asdict(read) == dataclasses.asdict(expected)
+
+
+def test_records_of_an_unknown_kind_change_nothing(tmp_path: Path) -> None:
+    unknown = encode_frame({"t": "later", "id": "b"})
+    (tmp_path / "journal").write_bytes((FIXTURES / "plain").read_bytes() + unknown)
+    assert contents(followed(tmp_path / "journal")) == contents(followed(FIXTURES / "plain"))
