--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -29,7 +29,8 @@
 sys.path.insert(0, str(ROOT))
 from benchmarks.fleet_control import FleetControl, view_entries  # noqa: E402
 from benchmarks.fleet_watchers import watch_in_process  # noqa: E402
-from benchmarks.hollow_fleet import Fault, FaultKind, HollowPlay, Totals  # noqa: E402
+from benchmarks.hollow_fleet import HollowPlay  # noqa: E402
+from benchmarks.hollow_model import Fault, FaultKind, Totals  # noqa: E402
 from benchmarks.real_fleet import DELIVERY_SETTLE_SECONDS, RealFleet  # noqa: E402
 from benchmarks.service_process import endpoint_rows, running_service  # noqa: E402
 from benchmarks.standins import Agent, Endpoint, LoopThread  # noqa: E402
@@ -110,7 +111,7 @@
     endpoint = Endpoint(thread)
     listed = endpoint_rows(destinations, endpoint.port)
     agent = Agent(thread, listed)
-    say(f"service: a list of {destinations} destinations, {len(agent.whole_list()) / 1e6:.1f} MB")
+    say(f"service: a list of {destinations} destinations, {len(agent.complete_list()) / 1e6:.1f} MB")
     with contextlib.ExitStack() as stack:
         place = "/dev/shm" if Path("/dev/shm").is_dir() else None
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(dir=place)))
@@ -134,7 +135,7 @@
         return {
             "real": real,
             "destinations": destinations,
-            "list_bytes": len(agent.whole_list()),
+            "list_bytes": len(agent.complete_list()),
             "before": plain,
             "resident_median": statistics.median(resident),
             "resident_most": max(resident),
