--- a/honeyhitch/config/dead_letters.py
+++ b/honeyhitch/config/dead_letters.py
@@ -46,15 +46,15 @@
     resend_settings = _parse_resend_settings(table, settings)
     table.reject_unknown_keys()
     if directory == "":
-        raise table.error("folder", "must not be empty")
+        raise table.invalid("folder", "must not be empty")
     if not 1 <= megabytes <= MAX_MEGABYTES:
-        raise table.error("max-mb", f"expected 1 to {MAX_MEGABYTES}, got {megabytes:g}")
+        raise table.invalid("max-mb", f"expected 1 to {MAX_MEGABYTES}, got {megabytes:g}")
     if not 1 <= max_records <= MAX_RECORDS:
-        raise table.error("max-count", f"expected 1 to {MAX_RECORDS}, got {max_records}")
+        raise table.invalid("max-count", f"expected 1 to {MAX_RECORDS}, got {max_records}")
     if not 0 < days <= MAX_DAYS:
-        raise table.error("max-days", f"expected above 0 and at most {MAX_DAYS}, got {days:g}")
+        raise table.invalid("max-days", f"expected above 0 and at most {MAX_DAYS}, got {days:g}")
     if compress_min_bytes < 0:
-        raise table.error("compress-from", "must not be negative")
+        raise table.invalid("compress-from", "must not be negative")
     rules = _parse_rules(rule_rows, settings)
     _check_extra()
     return DeadLetterSettings(
@@ -70,7 +70,7 @@
     """A duration in nanoseconds, from seconds; the default is in nanoseconds."""
     seconds = table.seconds(key, default)
     if not min_seconds <= seconds <= MAX_DURATION_SECONDS:
-        raise table.error(
+        raise table.invalid(
             key, f"expected seconds from {min_seconds:g} to {MAX_DURATION_SECONDS}, got {seconds:g}"
         )
     return int(seconds * SECOND)
@@ -82,7 +82,9 @@
     copies = table.choice("copies", ("here", "anywhere"), default_copies)
     fraction = table.get("share", float, defaults.capacity_fraction)
     if not 0 < fraction <= MAX_CAPACITY_FRACTION:
-        raise table.error("share", f"expected above 0 and at most {MAX_CAPACITY_FRACTION}, got {fraction:g}")
+        raise table.invalid(
+            "share", f"expected above 0 and at most {MAX_CAPACITY_FRACTION}, got {fraction:g}"
+        )
     return ResendSettings(
         client_retry_grace=_parse_duration(table, "copy-grace", defaults.client_retry_grace),
         duplicates_elsewhere=copies == "anywhere",
@@ -102,7 +104,7 @@
         for earlier_index, earlier in enumerate(rules):
             earlier_path = f"undelivered.rule.{earlier_index}"
             if earlier.name == rule.name:
-                raise table.error("name", f"{rule.name!r} is the name of {earlier_path}, too")
+                raise table.invalid("name", f"{rule.name!r} is the name of {earlier_path}, too")
             if earlier.covers(rule):
                 raise ConfigError(f"{table.path}: never reached, {earlier_path} matches whatever it does")
         rules.append(rule)
@@ -136,11 +138,13 @@
 
 def _check_rule(table: ConfigTable, rule: Rule) -> None:
     if not rule.name or len(rule.name) > MAX_NAME_LENGTH:
-        raise table.error("name", f"expected 1 to {MAX_NAME_LENGTH} characters")
+        raise table.invalid("name", f"expected 1 to {MAX_NAME_LENGTH} characters")
     if not 1 <= rule.max_resends <= MAX_RESENDS:
-        raise table.error("most-times", f"expected 1 to {MAX_RESENDS}, got {rule.max_resends}")
+        raise table.invalid("most-times", f"expected 1 to {MAX_RESENDS}, got {rule.max_resends}")
     if not MIN_RATE <= rule.rate_per_second <= MAX_RATE:
-        raise table.error("rate", f"expected {MIN_RATE} to {MAX_RATE} a second, got {rule.rate_per_second:g}")
+        raise table.invalid(
+            "rate", f"expected {MIN_RATE} to {MAX_RATE} a second, got {rule.rate_per_second:g}"
+        )
 
 
 def _parse_list(table: ConfigTable, key: str) -> list[Any]:
@@ -153,7 +157,7 @@
     values = _parse_list(table, key)
     for value in values:
         if isinstance(value, bool) or not isinstance(value, int):
-            raise table.error(key, f"expected a number or a list of numbers, got {value!r}")
+            raise table.invalid(key, f"expected a number or a list of numbers, got {value!r}")
     return frozenset(values)
 
 
@@ -161,7 +165,7 @@
     values = _parse_list(table, key)
     for value in values:
         if value not in choices:
-            raise table.error(key, f"expected one of {', '.join(choices)}, got {value!r}")
+            raise table.invalid(key, f"expected one of {', '.join(choices)}, got {value!r}")
     return frozenset(values)
 
 
--- a/honeyhitch/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -38,7 +38,7 @@
         ("session-expiry", parsed.session_expiry_seconds),
     ):
         if seconds < 1:
-            raise table.error(key, f"expected at least 1, got {seconds}")
+            raise table.invalid(key, f"expected at least 1, got {seconds}")
     table.reject_unknown_keys()
     return parsed
 
@@ -53,7 +53,7 @@
         rate=table.get("rate", float, 1.0),
     )
     if endpoint.kind not in [kind.name for kind in settings.kinds]:
-        raise table.error("kind", f"not a kind in the settings: {endpoint.kind!r}")
+        raise table.invalid("kind", f"not a kind in the settings: {endpoint.kind!r}")
     table.reject_unknown_keys()
     return endpoint
 
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -53,7 +53,7 @@
 def _check_unique(table: ConfigTable, scope: Scope, matched: str, partners: list[Partner]) -> None:
     for index, other in enumerate(partners):
         if (other.scope, other.value) == (scope, matched):
-            raise table.error(scope.value, f"{matched} is matched by tls.partner.{index}, too")
+            raise table.invalid(scope.value, f"{matched} is matched by tls.partner.{index}, too")
 
 
 def parse_broker_tls(value: object, environ: Mapping[str, str]) -> Partner:
@@ -86,9 +86,9 @@
     matched = table.get(scope.value, str)
     kinds = [kind.name for kind in settings.kinds] if settings is not None else [matched]
     if scope is Scope.KIND and matched not in kinds:
-        raise table.error("kind", f"not a kind in the settings: {matched!r}")
+        raise table.invalid("kind", f"not a kind in the settings: {matched!r}")
     if not matched:
-        raise table.error(scope.value, "must not be empty")
+        raise table.invalid(scope.value, "must not be empty")
     return scope, matched
 
 
@@ -118,19 +118,19 @@
 def _check_terms(table: ConfigTable, terms: Terms) -> None:
     if (terms.certificate is None) != (terms.key is None):
         missing = "key" if terms.key is None else "certificate"
-        raise table.error(missing, "missing; certificate and key go together")
+        raise table.invalid(missing, "missing; certificate and key go together")
     if terms.handshakes < 1:
-        raise table.error("handshakes", f"expected at least 1, got {terms.handshakes}")
+        raise table.invalid("handshakes", f"expected at least 1, got {terms.handshakes}")
     if not 0 < terms.handshake_rate < math.inf:
-        raise table.error("handshake-rate", f"expected more than 0, got {terms.handshake_rate:g}")
+        raise table.invalid("handshake-rate", f"expected more than 0, got {terms.handshake_rate:g}")
     if terms.warn_days < 0:
-        raise table.error("warn-days", "must not be negative")
+        raise table.invalid("warn-days", "must not be negative")
 
 
 def _parse_path(table: ConfigTable, key: str) -> Path | None:
     text = table.optional(key, str)
     if text == "":
-        raise table.error(key, "must not be empty")
+        raise table.invalid(key, "must not be empty")
     return Path(text) if text is not None else None
 
 
@@ -138,7 +138,7 @@
     """A duration in nanoseconds, from seconds; the default is in nanoseconds."""
     seconds = table.seconds(key, default)
     if not 0 < seconds <= MAX_DURATION_SECONDS:
-        raise table.error(key, f"expected seconds above 0 and at most a day, got {seconds:g}")
+        raise table.invalid(key, f"expected seconds above 0 and at most a day, got {seconds:g}")
     return int(seconds * SECOND)
 
 
@@ -146,7 +146,7 @@
     name = table.get("server-name", str, "")
     forbidden = "\0" in name or any(character.isspace() for character in name)
     if name.startswith(".") or forbidden or len(name) > MAX_NAME_LENGTH:
-        raise table.error("server-name", f"expected a host name or an IP address, got {name!r}")
+        raise table.invalid("server-name", f"expected a host name or an IP address, got {name!r}")
     return name
 
 
--- a/honeyhitch/config/values.py
+++ b/honeyhitch/config/values.py
@@ -48,8 +48,8 @@
         self.unread = dict(value)
         self.path = path
 
-    def error(self, name: str, problem: str) -> ConfigError:
-        """The error of one key."""
+    def invalid(self, name: str, problem: str) -> ConfigError:
+        """The error of one key, to be raised."""
         return ConfigError(f"{self.path}.{name}: {problem}")
 
     def get(self, name: str, value_type: type[T], default: T | None = None) -> T:
@@ -60,7 +60,7 @@
         is_unwanted_bool = isinstance(value, bool) and value_type is not bool
         if isinstance(value, value_type) and not is_unwanted_bool:
             return value
-        raise self.error(name, "missing" if value is None else f"expected {value_type.__name__}")
+        raise self.invalid(name, "missing" if value is None else f"expected {value_type.__name__}")
 
     def optional(self, name: str, value_type: type[T]) -> T | None:
         """A value of this type, or None where the key is missing. Raises ConfigError."""
@@ -78,4 +78,4 @@
     def reject_unknown_keys(self) -> None:
         """Raise ConfigError if a key is left that nothing has read."""
         for name in self.unread:
-            raise self.error(name, "no such key")
+            raise self.invalid(name, "no such key")
--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -1,7 +1,7 @@
 """Which messages are duplicates of a dead letter, and what follows. No I/O; the clock is passed in.
 
 Duplicates have the same idempotency key at the same destination, and are recognised while the dead letter is
-remembered. Serves the claim of DESIGN that a client's duplicate and a resend are never both sent.
+remembered: a client's duplicate and a resend are never in flight together (docs/design/undelivered.md).
 """
 
 from __future__ import annotations
--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -1,5 +1,6 @@
-"""Whether an undelivered message may be sent again without being applied twice. No I/O; the clock is passed
-in.
+"""Whether an undelivered message may be sent again without being applied twice.
+
+No I/O; the clock is passed in. See docs/design/undelivered.md, "What may be resent".
 
 It follows the rules that the policy keeps for live messages (policy/engine.py) and adds what a resend needs:
 a person's release, and the time until which a client may still submit its duplicate.
--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -1,7 +1,7 @@
 """Resends what the rules allow: from the store through the journal and the policy, and back to the store.
 
 It does no I/O itself: the store's work is submitted to its thread, the clock is the dispatcher's. Every step
-is written down before the next one, and may be repeated after a kill:
+is written down before the next one, and may be repeated after a kill (docs/design/undelivered.md):
 
 1. the resend is written to the journal, under an id that follows from the record;
 2. the store claims the record for it (`sending`), or says that it must not be sent;
