--- a/example/parts.py
+++ b/example/parts.py
@@ -1,4 +1,4 @@
-"""What the examples share: free ports, waiting for a dispatcher, and showing what the toy prints."""
+"""Shared by the examples: free ports, waiting for a dispatcher, and showing what the toy prints."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import time
 from typing import IO
 
-PATIENCE = 30.0  # seconds for each step
+STEP_TIMEOUT_SECONDS = 30.0
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports on which nothing listens now."""
+    """Ports on which nothing listens at this moment."""
     socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in socks]
     for sock in socks:
@@ -20,10 +20,10 @@
     return ports
 
 
-def serves(port: int, program: subprocess.Popen[str]) -> bool:
-    """Wait till the dispatcher answers a PING with +PONG: it takes messages from then on."""
-    until = time.monotonic() + PATIENCE
-    while time.monotonic() < until and program.poll() is None:
+def wait_until_serving(port: int, program: subprocess.Popen[str]) -> bool:
+    """Wait until the dispatcher replies to PING with +PONG; from then on it accepts messages."""
+    deadline = time.monotonic() + STEP_TIMEOUT_SECONDS
+    while time.monotonic() < deadline and program.poll() is None:
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=1) as client:
                 client.sendall(b"PING\r\n")
@@ -35,10 +35,10 @@
     return False
 
 
-def shown(lines: IO[str], wanted: str) -> bool:
-    """Print what the toy prints until a line tells of this message."""
+def print_until(lines: IO[str], pattern: str) -> bool:
+    """Print the lines of the toy until one matches the pattern; whether one did."""
     for line in lines:
         print(f"toy         {line}", end="", flush=True)
-        if re.search(wanted, line):
+        if re.search(pattern, line):
             return True
     return False
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -42,22 +42,22 @@
 Out = Iterator[bytes]
 
 
-def parts(count: int) -> list[Transaction]:
+def messages(count: int) -> list[Transaction]:
     return [Transaction(f"id{i}", 0, 1, START, b"hello", key=f"key{i}") for i in range(count)]
 
 
 class Resp:
-    """The platform's front; a body `busy` is turned away."""
+    """A client's connection over RESP; a message with the body `busy` is rejected."""
 
     def __init__(self, _: str) -> None:
-        def offer(taken: Transaction) -> Admission:
-            self.seen.append(taken)
-            return Admission(taken.body != b"busy", 250_000_000)
+        def submit(transaction: Transaction) -> Admission:
+            self.submitted.append(transaction)
+            return Admission(transaction.body != b"busy", 250_000_000)
 
-        self.seen: list[Transaction] = []
+        self.submitted: list[Transaction] = []
         self.buffer = Buffer()
-        fields = TransactionParser(SET, lambda destination: destination != 404)
-        self.session = resp.Session(fields, offer, lambda: True, lambda: START)
+        parser = TransactionParser(SET, lambda destination: destination != 404)
+        self.session = resp.Session(parser, submit, lambda: True, lambda: START)
 
     def feed(self, data: bytes) -> Out:
         self.buffer.feed(data)
@@ -66,35 +66,39 @@
             yield self.session.receive(self.buffer)
 
     def end(self) -> Out:
-        for one in self.seen:
+        for transaction in self.submitted:
             words = [
-                one.id,
-                one.key,
-                one.destination,
-                (one.deadline - START) // 10**6,
-                one.recovered_from_journal,
-                one.body,
+                transaction.id,
+                transaction.key,
+                transaction.destination,
+                (transaction.deadline - START) // 10**6,
+                transaction.recovered_from_journal,
+                transaction.body,
             ]
             yield f"took {' '.join(map(str, words))}\n".encode()
         yield b"closes\n" if self.session.closing else b"half\n" if self.session.has_partial_request else b""
 
 
 class HttpCall:
-    """A call's answer; the argument is how many messages it carries."""
+    """The response to a call; the argument is the number of its messages."""
 
     def __init__(self, count: str) -> None:
-        self.parts, self.machine, self.spoilt = parts(int(count)), http1.ResponseParser(max_bytes=4096), False
+        self.messages, self.parser, self.malformed = (
+            messages(int(count)),
+            http1.ResponseParser(max_bytes=4096),
+            False,
+        )
         self.answer: http1.Response | None = None
 
     def feed(self, data: bytes) -> Out:
         try:
-            self.answer = None if self.spoilt else self.machine.feed(data)
+            self.answer = None if self.malformed else self.parser.feed(data)
         except http1.HttpError:
-            self.spoilt = True
+            self.malformed = True
         yield b""
 
     def show(self, answer: http1.Response) -> bytes:
-        result = calls.interpret_response(answer, self.parts)
+        result = calls.interpret_response(answer, self.messages)
         told = f" wait {result.retry_after // 10**6}" if result.retry_after else ""
         told += f" {result.reported}" if result.reported else ""
         ends = " ".join(outcome.value + "+" * over for outcome, over in result.outcomes)
@@ -102,13 +106,13 @@
 
     def end(self) -> Out:
         ended = self.answer is None
-        answer = None if self.spoilt else self.answer or self.machine.connection_closed()
+        answer = None if self.malformed else self.answer or self.parser.connection_closed()
         if answer is None:
-            result = calls.interpret_failure(self.machine.status, self.parts, Outcome.RESET)
+            result = calls.interpret_failure(self.parser.status, self.messages, Outcome.RESET)
             yield f"broken: {' '.join(outcome.value for outcome, _ in result.outcomes)}\n".encode()
         else:
             yield self.show(answer)
-            yield b"" if ended else b"reusable\n" if self.machine.reusable else b"to be closed\n"
+            yield b"" if ended else b"reusable\n" if self.parser.reusable else b"to be closed\n"
 
 
 class Encode:
@@ -120,11 +124,11 @@
     def feed(self, data: bytes) -> Out:
         name, _, number = data.decode().partition(" ")
         if name == "call":
-            yield calls.encode_call(parts(int(number)), 1_500_000_000, "127.0.0.1:80")
+            yield calls.encode_call(messages(int(number)), 1_500_000_000, "127.0.0.1:80")
         elif name == "watch":
             yield discovery.encode_watch_request("127.0.0.1:85", int(number))
         else:
-            failed, back = parts(2)
+            failed, back = messages(2)
             failed.ending, back.ending, back.retry_after = Ending.FAILED, Ending.REJECTED, int(number)
             yield notices.encode_request([failed, back], "127.0.0.1:85")
 
@@ -190,7 +194,7 @@
 
     def __init__(self, count: str) -> None:
         member = PoolEndpoint("m", "partner/1", 1, transport="mqtt")
-        self.call = Call(member, parts(int(count)), [], [], START, [])
+        self.call = Call(member, messages(int(count)), [], [], START, [])
 
     def feed(self, data: bytes) -> Out:
         buffer = Buffer()
@@ -204,7 +208,7 @@
         yield b""
 
 
-class Beside:
+class HealthCheck:
     """Agent-check or health; the argument is the phase."""
 
     def __init__(self, phase: str, kind: Callable[[Callable[[], DispatcherState]], Any]) -> None:
@@ -219,7 +223,7 @@
         yield self.session.greeting + b"closes\n" * self.session.closing
 
 
-class Management(Beside):
+class Management(HealthCheck):
     """What operators call; the argument is the phase."""
 
     def __init__(self, phase: str) -> None:
@@ -244,10 +248,11 @@
             self.machine.feed(data)
         except control.ControlError as error:
             wrong = f"{error.status.value} {error.reason}\n"
-        asked, self.machine.requests = self.machine.requests, []
-        for one in asked:
-            assert one.actor == "me"
-            yield f"{one.method} {one.path} {json.dumps(one.arguments)}\n".encode()
+        requests = self.machine.requests
+        self.machine.requests = []
+        for request in requests:
+            assert request.actor == "me"
+            yield f"{request.method} {request.path} {json.dumps(request.arguments)}\n".encode()
         yield wrong.encode()
 
     def end(self) -> Out:
@@ -280,8 +285,8 @@
     "call": HttpCall,
     "encode": Encode,
     "watch": Watch,
-    "agent": lambda phase: Beside(phase, agent_check.AgentSession),
-    "health": lambda phase: Beside(phase, agent_check.HealthSession),
+    "agent": lambda phase: HealthCheck(phase, agent_check.AgentSession),
+    "health": lambda phase: HealthCheck(phase, agent_check.HealthSession),
     "mqtt": Mqtt,
     "mqtt-call": MqttCall,
     "mqtt-take": MqttTake,
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(("form", "level"), [("xml", "info"), ("json", "loud")])
-def test_an_unknown_form_or_level_is_refused(form: str, level: str) -> None:
+def test_an_unknown_format_or_level_is_refused(form: str, level: str) -> None:
     with pytest.raises(ValueError, match="expected one of"):
         logs.setup(form, level)
     told = CliRunner().invoke(main, ["serve", "--log-format", form, "--log-level", level])
@@ -88,7 +88,7 @@
     assert len(limiter.bursts) == logs.MAX_KEYS
 
 
-def test_what_was_left_out_is_told_at_the_end() -> None:
+def test_suppressed_events_are_counted_at_the_end() -> None:
     stream = io.StringIO()
     logs.setup("json", "info", stream)
     for _ in range(logs.BURST_EVENTS + 7):
@@ -99,7 +99,7 @@
     assert told[-1]["left_out"] == 7
 
 
-def test_nothing_is_logged_for_a_message_that_goes_well(tmp_path: Path) -> None:
+def test_nothing_is_logged_for_a_message_that_is_delivered(tmp_path: Path) -> None:
     stream = io.StringIO()
     logs.setup("json", "debug", stream)
 
@@ -109,16 +109,16 @@
         async with started(tmp_path, agent.port, members) as port:
             stream.truncate(0)
             await client.dial(port)
-            assert client.now is not None
-            client.now[1].write(raw(ENQUEUE))
+            assert client.connection is not None
+            client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
             reader, writer = await member.accepted()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            client.now[1].write(b"PING\r\n")
+            client.connection[1].write(b"PING\r\n")
             await receive(client, b"+PONG\r\n")
             while b'"end"' not in (tmp_path / "state" / "journal").read_bytes():
-                client.now[1].write(b"PING\r\n")
+                client.connection[1].write(b"PING\r\n")
                 await receive(client, b"+PONG\r\n")
             # The scripted agent says nothing, which is the only thing worth an event here.
             assert [one for one in events(stream) if one.get("work") != "Discovery.watch"] == []
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are kept going, and how they end."""
+"""Tasks that are restarted, and how they are stopped."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 
 from honeyhitch.transports.tasks import Tasks
 
+from .polling import poll_condition
 
-def test_a_group_that_fails_as_it_is_stopped_does_not_start_again() -> None:
+
+def test_a_task_group_that_fails_while_it_is_stopped_is_not_restarted() -> None:
     begun = 0
 
     async def work() -> None:
@@ -34,8 +36,7 @@
     async def stopped() -> None:
         tasks = Tasks(asyncio.get_running_loop())
         tasks.run_forever(work)
-        while not begun:
-            await asyncio.sleep(0)
+        await poll_condition(lambda: begun, interval=0)
         await asyncio.sleep(0)
         async with asyncio.timeout(5):
             await tasks.stop()
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -9,7 +9,7 @@
 import signal
 import subprocess
 import sys
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from pathlib import Path
 from typing import Any
 
@@ -22,9 +22,10 @@
 from .agent import Agent
 from .authority import Authority, Issued
 from .broker import Broker
+from .polling import poll_condition
 from .program import SETTINGS, Peer, free_port, play, started, write
 from .rig import endpoint_row
-from .test_program import OPERATOR, Client, ended, receive
+from .test_program import OPERATOR, Client, receive, set_reasons
 from .tls_partner import OK, Session, TlsPartner, asking, server_context
 
 CLIENT = ExtendedKeyUsageOID.CLIENT_AUTH
@@ -89,17 +90,16 @@
 
 
 async def hand_in(client: Peer, name: str, left: int = 15000) -> None:
-    assert client.now is not None
+    assert client.connection is not None
     fields = f"c=standard,t=studio,d={left},k=k-{name},dest=1"
     parts = [b"ENQUEUE", b"0", name.encode(), fields.encode(), b"body"]
-    client.now[1].write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
+    client.connection[1].write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
     await receive(client, b"+OK\r\n")
 
 
-async def until(what: Any) -> None:
-    """Wait till it holds; the test's own bound ends a wait in vain."""
-    while not what():
-        await asyncio.sleep(0.005)
+async def until(condition: Callable[[], object]) -> None:
+    """Wait for a condition of this process, within the limit of the whole test."""
+    await poll_condition(condition, interval=0.005)
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
@@ -294,7 +294,7 @@
         partner = await TlsPartner(asking(server_context(authority.issue()), authority.file)).start()
         seen: list[int] = []
 
-        async def answer(session: Session, request: bytes) -> bytes:
+        async def answer(session: Session, _request: bytes) -> bytes:
             seen.append(int(session.tls.getpeercert()["serialNumber"], 16))  # type: ignore[index]
             return OK
 
@@ -413,13 +413,15 @@
         ]
         async with started(tmp_path, agent.port, members, operator, limits=few) as port:
             await client.dial(port)
-            assert client.now is not None
+            assert client.connection is not None
             for i in range(40):
                 fields = f"c=standard,t=studio,d=9000,k=k{i},dest={i % 12}"
                 parts = [b"ENQUEUE", b"0", b"m%d" % i, fields.encode(), b"body"]
-                client.now[1].write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in parts))
+                client.connection[1].write(
+                    b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in parts)
+                )
                 await receive(client, b"+OK\r\n")
-            client.now[1].write(b"PING\r\n")
+            client.connection[1].write(b"PING\r\n")
             await receive(client, b"+PONG\r\n")
             await until(lambda: any(one.sessions for one in partners))
             open_now = sum(len(one.sessions) for one in partners)
@@ -439,7 +441,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",  # whole by its length
         ]
 
-        async def answer(session: Session, request: bytes) -> bytes | None:
+        async def answer(session: Session, _request: bytes) -> bytes | None:
             session.tls.write(replies.pop(0))
             await partner.flush(session)
             return None  # the connection is closed without a word
@@ -449,8 +451,8 @@
         async with running(tmp_path, [partner], PARTNER.format(ca=authority.file)) as (_, client):
             await hand_in(client, "m")
             await until(lambda: not replies)
-            while b'"end"' not in (tmp_path / "state" / "journal").read_bytes():
-                await asyncio.sleep(0.01)
+            journal = tmp_path / "state" / "journal"
+            await poll_condition(lambda: b'"end"' in journal.read_bytes(), interval=0.01)
         (broken,) = log.events("tls.call-broken")
         assert broken["failure"] == "truncated"
 
@@ -464,7 +466,7 @@
         broker, agent = Broker(), await Peer().start()
         broker.secure = server_context(authority.issue())
         await broker.start()
-        ended(broker, {})
+        set_reasons(broker, {})
         client = Client(asyncio.get_running_loop())
         trust = tmp_path / "trust.pem"
         trust.write_bytes(authority.file.read_bytes())
@@ -474,8 +476,8 @@
         async with started(tmp_path, agent.port, [], operator):
             await asyncio.to_thread(client.connect, broker.port)
             await until(lambda: broker.subscribed("n0-intake", "client"))
-            client.hand_in("one", 1)
-            await client.until(1)
+            client.submit("one", 1)
+            await client.wait_for_answers(1)
             before = broker.kept["n0-calls"].writer
             (tmp_path / "other").mkdir()
             other = Authority(tmp_path / "other", "Other CA")
@@ -483,8 +485,8 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: log.events("tls.files-reloaded"))
             await until(lambda: broker.kept["n0-calls"].writer not in (before, None))
-            client.hand_in("two", 1)
-            await client.until(2)
+            client.submit("two", 1)
+            await client.wait_for_answers(2)
         client.paho.disconnect()
         client.paho.loop_stop()
         assert {name: [one["status"] for one in told] for name, told in client.answers.items()} == {
