--- a/honeyhitch/policy/__init__.py
+++ b/honeyhitch/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: which endpoint, when, when again, when to reject. No input or output, no clock."""
+"""Delivery decisions: endpoint choice, send times, retries and rejections, without I/O or a clock."""
--- a/honeyhitch/policy/actions.py
+++ b/honeyhitch/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: the output of the policy, for its caller to carry out. Times and durations are in ns."""
+"""Actions that the policy returns for its caller to carry out. Times and durations are in nanoseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; attempts of a message are numbered from 0 in the order sent."""
+    """Start an attempt; the attempts of a message are numbered from 0 in the order sent."""
 
     message: str
     endpoint: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not delivered; submitting it again after `retry_after` is harmless (rule 2)."""
+    """Final answer: not delivered; submitting the message again after `retry_after` is harmless (rule 2)."""
 
     message: str
     retry_after: int
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; it may or may not have been executed."""
+    """Final answer: failed; the message may or may not have been executed."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Request a TimerFired at this time."""
+    """Request a TimerFired event at time `at`."""
 
     at: int
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnections:
-    """Open connections for so many calls to an endpoint that takes calls on open connections only."""
+    """Open connections for `calls` concurrent calls to an endpoint that requires open connections."""
 
     endpoint: str
     calls: int
--- a/honeyhitch/policy/backoff.py
+++ b/honeyhitch/policy/backoff.py
@@ -7,39 +7,42 @@
 from honeyhitch.time_units import MILLISECOND, SECOND
 
 BACKOFF_STEPS = (250 * MILLISECOND, SECOND, 4 * SECOND, 16 * SECOND)
-JITTER = 0.2  # fraction of a pause, either way
-MAX_ATTEMPTS = 5  # of a message; the settings may allow fewer
+JITTER = 0.2  # fraction by which a pause is lengthened or shortened
+MAX_ATTEMPTS = 5  # per message; the settings may allow fewer
 REJECTION_PAUSE_FACTOR = 2  # for a rejection without Retry-After
 INITIAL_SUBSCRIBE_PAUSE = 500 * MILLISECOND
 MAX_SUBSCRIBE_PAUSE = 5 * SECOND
 
 
 def backoff_pause(failures: int, rejected: bool, rng: Random) -> int:
-    """The jittered pause (ns) after this many earlier failures of a message (claims `backoff`, `jitter`)."""
+    """Return the jittered pause (ns) after `failures` earlier failures (claims `backoff`, `jitter`)."""
     step = BACKOFF_STEPS[min(failures, len(BACKOFF_STEPS) - 1)]
     factor = REJECTION_PAUSE_FACTOR if rejected else 1
     return int(step * factor * rng.uniform(1 - JITTER, 1 + JITTER))
 
 
 def shortest_useful_pause(failures: int) -> int:
-    """The pause (ns) before the present step, 0 at the first: time left beyond it is worth an attempt."""
+    """Return the pause (ns) of the preceding backoff step, 0 at the first step.
+
+    A message with more time left than this gets another attempt.
+    """
     step = min(failures, len(BACKOFF_STEPS) - 1)
     return BACKOFF_STEPS[step - 1] if step else 0
 
 
 class SubscribeBackoff:
-    """The pause before discovery is asked again; it doubles with each failure."""
+    """The pause before the next subscription to discovery; it doubles with each failure."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
         self._pause = INITIAL_SUBSCRIBE_PAUSE
 
     def next_pause(self) -> int:
-        """The jittered pause (ns) after a failure."""
+        """Return the jittered pause (ns) after a failure, and double the next pause up to the maximum."""
         pause = int(self._pause * self._rng.uniform(1 - JITTER, 1))
         self._pause = min(2 * self._pause, MAX_SUBSCRIBE_PAUSE)
         return pause
 
     def reset(self) -> None:
-        """A list was received."""
+        """Return to the initial pause after an endpoint list was received."""
         self._pause = INITIAL_SUBSCRIBE_PAUSE
--- a/honeyhitch/policy/circuit_breaking.py
+++ b/honeyhitch/policy/circuit_breaking.py
@@ -1,4 +1,4 @@
-"""Ejection of an unhealthy destination, recovery probes, and its return."""
+"""Ejection of an unhealthy destination, recovery probes, and the end of the ejection."""
 
 from __future__ import annotations
 
@@ -12,22 +12,27 @@
 from honeyhitch.time_units import MILLISECOND, NEVER, SECOND
 
 CALL_FAILURES_DECAY_TIME = 8 * SECOND
-NON_IDEMPOTENT_FAILURE_FRACTION = 0.35  # from which such messages wait, as they have one attempt
+NON_IDEMPOTENT_FAILURE_FRACTION = 0.35  # above it non-idempotent messages wait, as they get one attempt only
 EJECTION_FAILURE_FRACTION = 0.7
 EJECTION_CONSECUTIVE_FAILURES = 3
-MIN_KNOWN_SUCCESSES = 0.5  # with less known to succeed, one failure ejects
-REJECTING_PERIOD = 2 * SECOND  # nothing but rejections for so long means unavailable
-REJECTING_CALLS = 10  # or for as long as this many calls of the quota take, if that is longer
-UNAVAILABLE_RETRY_AFTER = 3 * SECOND  # a Retry-After from which the destination is unavailable
+MIN_KNOWN_SUCCESSES = 0.5  # decayed count of successes below which a single failure ejects
+REJECTING_PERIOD = (
+    2 * SECOND
+)  # without any success, after which a rejecting destination counts as unavailable
+REJECTING_CALLS = 10  # calls at the quota's rate; the period is as long as they take, if that is longer
+UNAVAILABLE_RETRY_AFTER = 3 * SECOND  # a Retry-After this long or longer means unavailable
 MIN_PROBE_PAUSE = 200 * MILLISECOND
 MAX_PROBE_PAUSE = 16 * SECOND
-MAX_PROBE_PAUSE_PER_INSTANCE = 700 * MILLISECOND  # that all together find a return soon
-FLEET_PROBE_JITTER = 0.5  # fraction; many instances learn of an outage at one moment
-MAX_INSTANCES_IN_STEP = 6  # up to this many each may keep a connection, and probe with little jitter
+MAX_PROBE_PAUSE_PER_INSTANCE = 700 * MILLISECOND  # so that the instances together detect a recovery soon
+FLEET_PROBE_JITTER = 0.5  # fraction; many instances detect an outage at the same time
+MAX_INSTANCES_IN_STEP = 6  # up to this many instances may each keep a connection and probe with little jitter
 
 
 class CircuitBreaker:
-    """Whether calls to a destination fail so much that only single probes go. Times are nanoseconds."""
+    """The circuit breaker of a destination: while it is ejected, only single probes are sent.
+
+    Times are nanoseconds.
+    """
 
     __slots__ = (
         "_failed_at",
@@ -50,32 +55,32 @@
         self._instance_count = settings.instance_count
         self._rng = rng
         self._rate = rate
-        self.consecutive_failures = 0.0  # since the latest success; a burst counts once
+        self.consecutive_failures = 0.0  # since the latest success; a burst of failures counts once
         self._success_sent_at = -NEVER
         self._failure_sent_at = -NEVER
         self._failed_at = -NEVER
         self.call_failures = DecayingCounter(CALL_FAILURES_DECAY_TIME)
         self.ejected = False
         self.ejected_at = 0
-        self.reejected_at = -NEVER  # at the latest ejection or failed probe
+        self.reejected_at = -NEVER  # time of the latest ejection or failed probe
         self.next_probe_at = 0
         self.non_idempotent_threshold = NON_IDEMPOTENT_FAILURE_FRACTION
         many = settings.instance_count > MAX_INSTANCES_IN_STEP
         self.probe_jitter = FLEET_PROBE_JITTER if many else JITTER
 
     def hangs(self, now: int, oldest_sent_at: int, overdue_after: float) -> bool:
-        """Whether nothing sent since the oldest call in flight, which is overdue, was answered."""
+        """Return whether the oldest call in flight is overdue and no call sent since then succeeded."""
         return now - oldest_sent_at > overdue_after and self._success_sent_at < oldest_sent_at
 
     def eject(self, now: int) -> None:
-        """Let only single probes go from now on, at growing, jittered pauses."""
+        """Eject the destination: from now on only single probes are sent, at growing, jittered pauses."""
         if not self.ejected:
             self.ejected_at = now
         self.ejected = True
         self.reejected_at = now
         self._rate.end_slow_start()
         uniform = self._rng.uniform
-        # Every instance learned of it at once: messages that wait for it must not leave together.
+        # All instances detect an outage at about the same time but must not send held messages together.
         self.non_idempotent_threshold = NON_IDEMPOTENT_FAILURE_FRACTION * uniform(
             1 - self.probe_jitter, 1 + JITTER
         )
@@ -83,7 +88,10 @@
         self.next_probe_at = now + int(pause * uniform(1 - self.probe_jitter, 1 + self.probe_jitter))
 
     def _probe_pause(self, outage_duration: int) -> float:
-        """The pause before the next probe: all instances' probes fit a destination in slow start."""
+        """Return the pause (ns) before the next probe.
+
+        The probes of all instances together stay within the rate that a destination in slow start sustains.
+        """
         pause = 0.0
         if outage_duration > MIN_PROBE_PAUSE / 2:
             pause = SECOND / self._rate.slow_start_rate(0, outage_duration)
@@ -91,9 +99,9 @@
         return max(MIN_PROBE_PAUSE, min(pause, longest))
 
     def record_success(self, now: int, call: Call) -> bool:
-        """Count a delivered message; true if the destination recovers by it."""
+        """Record a delivered message; return whether it ends an ejection."""
         self._success_sent_at = max(self._success_sent_at, call.sent_at)
-        if call.sent_at < self._failure_sent_at:  # older than a failure: it proves nothing
+        if call.sent_at < self._failure_sent_at:  # sent before a call that failed: no evidence of recovery
             return False
         self.consecutive_failures = 0.0
         if not self.ejected:
@@ -101,24 +109,24 @@
         self.ejected = False
         if self.reejected_at > self.ejected_at:
             self._rate.start_slow_start(now, now - self.ejected_at)
-        else:  # no probe failed: a single failure is no outage
+        else:  # no probe failed since the ejection: a single failure is no outage
             self._rate.end_slow_start()
         return True
 
     def count_failure(self, now: int, call: Call, rejected: bool) -> bool:
-        """Count a failed or rejected message; false if it belongs to a burst that is counted already."""
+        """Record a failed or rejected message; return False if it belongs to a burst already counted."""
         first_of_burst = call.sent_at >= self._failed_at
-        if first_of_burst:  # a call of many messages that breaks counts once, spread over them
+        if first_of_burst:  # a failed call counts once, in equal parts for each of its messages
             self.consecutive_failures += 1 / (1 if rejected else call.message_count)
         self._failure_sent_at = max(self._failure_sent_at, call.sent_at)
         self._failed_at = now
         return first_of_burst
 
     def should_eject(self, now: int, rejected: bool, retry_after: int) -> bool:
-        """Whether the destination is to be ejected at this failure, or stays ejected."""
+        """Return whether this failure ejects the destination or keeps it ejected."""
         failures = self.consecutive_failures
         many = failures >= EJECTION_CONSECUTIVE_FAILURES
-        # A destination that gets few calls is given longer until one of them succeeds.
+        # A destination with a small quota gets few calls, and so is given longer until one of them succeeds.
         period = max(REJECTING_PERIOD, REJECTING_CALLS * SECOND / self._rate.quota())
         unavailable = retry_after >= UNAVAILABLE_RETRY_AFTER or (
             many and now - self._success_sent_at > period
--- a/honeyhitch/policy/destination.py
+++ b/honeyhitch/policy/destination.py
@@ -1,4 +1,4 @@
-"""One destination: its endpoints, and the messages that wait for it."""
+"""One destination, with its endpoints and its queued messages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class QueueKey(NamedTuple):
-    """What the messages of one queue have in common; any of them may share a call."""
+    """The attributes that all messages of one queue share, so that they may share a call."""
 
     class_index: int
     zone: int | None
@@ -19,7 +19,7 @@
 
 
 class Destination:
-    """What goes to one destination. Times are nanoseconds."""
+    """The endpoints, queues and calls of one destination. Times are nanoseconds."""
 
     __slots__ = (
         "backing_off",
@@ -35,15 +35,16 @@
     def __init__(self) -> None:
         self.queues: dict[QueueKey, MessageQueue[PendingMessage]] = {}
         self.endpoints: dict[str, EndpointState] = {}
-        self.state: DestinationState | None = None  # of the latest endpoint; shared where limits are shared
-        self.backing_off: dict[PendingMessage, None] = {}  # between two attempts
+        # The state of the endpoint added last; all endpoints share it unless limits are per endpoint.
+        self.state: DestinationState | None = None
+        self.backing_off: dict[PendingMessage, None] = {}  # messages that wait for their next attempt
         self.concurrent_calls = 0
         self.max_messages_per_call = 1
         self.next_check_at = 0
-        self.reported_blocked_until = 0  # the latest for which messages ended
+        self.reported_blocked_until = 0  # the latest block for which expiring messages were given up
 
     def enqueue(self, message: PendingMessage, sequence: int) -> None:
-        """Queue a message that may be sent; `sequence` keeps the order of equals."""
+        """Queue a message that may be sent; `sequence` orders messages with the same latency objective."""
         key = QueueKey(message.class_index, message.required_zone(), message.low_priority)
         queue = self.queues.get(key)
         if queue is None:
@@ -52,15 +53,15 @@
         message.queued = True
 
     def queue_length(self) -> int:
-        """How many messages are queued, with those that have ended and are not dropped yet."""
+        """Return the number of queue entries, including those of ended messages that are not dropped yet."""
         return sum(map(len, self.queues.values()))
 
     def blocked_until(self) -> int:
-        """The time before which certainly nothing can be sent; 0 if there is none."""
+        """Return the time before which no listed endpoint can get a call; 0 if no endpoint is listed."""
         listed = (endpoint for endpoint in self.endpoints.values() if endpoint.listed)
         return min((endpoint.blocked_until() for endpoint in listed), default=0)
 
     def recovery_estimate(self) -> int:
-        """When a call may succeed again, as far as is known; 0 if nothing is known."""
+        """Return the earliest time at which a call may succeed again; 0 if no endpoint is listed."""
         listed = (endpoint for endpoint in self.endpoints.values() if endpoint.listed)
         return min((endpoint.recovery_estimate() for endpoint in listed), default=0)
--- a/honeyhitch/policy/destination_state.py
+++ b/honeyhitch/policy/destination_state.py
@@ -1,4 +1,4 @@
-"""The limit and the health of a destination, or of one endpoint where limits are per endpoint."""
+"""The rate limit and health of a destination, or of one endpoint where limits are per endpoint."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from honeyhitch.time_units import NEVER, SECOND
 
 RISK_RECHECK_PAUSE = SECOND  # until a held non-idempotent message is considered again
-MAX_MESSAGES_PER_CALL = 1024  # where no call breaks
-MESSAGES_PER_CALL_GROWTH = 0.5  # with a call that succeeds
+MAX_MESSAGES_PER_CALL = 1024  # while no call fails as a whole
+MESSAGES_PER_CALL_GROWTH = 0.5  # fraction by which the limit grows with each successful call
 
 
 class DestinationState:
-    """Whether, and from when, a destination may get calls. Times are nanoseconds."""
+    """The rate limit, circuit breaker, latency and Retry-After that decide when a destination may get calls.
+
+    Times are nanoseconds.
+    """
 
     __slots__ = (
         "answered_calls",
@@ -41,10 +44,13 @@
         self.retry_after_until = 0
         self.last_sent_at = 0
         self.answered_calls = 0
-        self.max_messages_per_call = float(MAX_MESSAGES_PER_CALL)  # falls where whole calls break
+        self.max_messages_per_call = float(MAX_MESSAGES_PER_CALL)  # lowered when a whole call fails
 
     def ready_at(self, now: int, non_idempotent: bool) -> int:
-        """When it may take a message; NEVER means that an outcome will tell (rules 3 and 4)."""
+        """Return the time from which the destination may take a message (rules 3 and 4).
+
+        NEVER means that the outcome of the probe in flight decides.
+        """
         circuit = self.circuit
         if not circuit.ejected and self.calls_in_flight:
             oldest_sent_at = next(iter(self.calls_in_flight)).sent_at
@@ -60,16 +66,16 @@
         return NEVER if circuit.ejected and self._probe_in_flight() else ready_at
 
     def _probe_in_flight(self) -> bool:
-        """Whether a call was sent since the latest ejection."""
+        """Return whether a call sent since the latest ejection or failed probe is in flight."""
         calls = self.calls_in_flight
         return bool(calls) and next(reversed(calls)).sent_at >= self.circuit.reejected_at
 
     def honor_retry_after(self, until: int) -> None:
-        """Send nothing before `until`, as an endpoint asked for."""
+        """Send nothing before `until`, the end of a Retry-After; a later end already set stays."""
         self.retry_after_until = max(self.retry_after_until, until)
 
     def record_success(self, now: int, call: Call, elapsed: int) -> bool:
-        """Learn from a delivered message; true if the destination recovers by it."""
+        """Record a delivered message; return whether it ends an ejection."""
         count = call.message_count
         self.latency.record(elapsed, count)
         self.rate.record_success(now, count)
@@ -78,7 +84,7 @@
         return self.circuit.record_success(now, call)
 
     def record_failure(self, now: int, call: Call, rejected: bool, retry_after: int) -> None:
-        """Learn from a message that failed, or that was rejected by the destination's limit."""
+        """Record a message that failed, or that the destination rejected because of its rate limit."""
         first_of_burst = self.circuit.count_failure(now, call, rejected)
         if rejected and first_of_burst:
             self.rate.reduce_rate(now)
--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for a message."""
+"""Choice of the endpoint for a message."""
 
 from __future__ import annotations
 
@@ -12,21 +12,25 @@
 from honeyhitch.policy.settings import Settings
 from honeyhitch.time_units import NEVER
 
-HEALTHY_SLOT_FRACTION = 0.75  # of all slots for one destination (claim `dest_cap`)
-UNHEALTHY_SLOT_FRACTION = 0.25  # half of what the claim `isolates` allows
-FAILURE_RANKS = 4  # steps of the failure fraction by which endpoints are compared
+HEALTHY_SLOT_FRACTION = 0.75  # of all slots, the most that one destination uses (claim `dest_cap`)
+UNHEALTHY_SLOT_FRACTION = 0.25  # for an unhealthy one: half of what the claim `isolates` allows
+FAILURE_RANKS = 4  # steps into which failure fractions are rounded down to compare endpoints
 
 
 class EndpointChoice(NamedTuple):
-    """Where a message may go now, or else when to consider it again."""
+    """The endpoint to which a message may be sent now, or else when to consider the message again."""
 
     endpoint: EndpointState | None
-    ready_at: int  # ns; NEVER if an event will tell
-    connect_to: EndpointState | None  # would take the message if it had an open connection
+    ready_at: int  # ns; NEVER if the next event for the destination decides
+    connect_to: EndpointState | None  # the endpoint that would take the message on an open connection
 
 
 def choose_endpoint(message: PendingMessage, now: int, settings: Settings) -> EndpointChoice:
-    """The endpoint that suits a message best among those that may take a call now (rules 2, 3 and 4)."""
+    """Choose the best-ranked endpoint among those that may take a call with the message now.
+
+    Only listed endpoints in the required zone, if there is one, that are ready for calls come into question
+    (rules 2, 3 and 4).
+    """
     destination = message.destination
     zone = message.required_zone()
     soonest = NEVER
@@ -57,7 +61,7 @@
 
 
 def _slots_used_up(endpoint: EndpointState, destination: Destination, now: int, settings: Settings) -> bool:
-    """Whether the destination has its part of all slots (claims `dest_cap` and `isolates`)."""
+    """Return whether the destination uses its whole share of the slots (claims `dest_cap` and `isolates`)."""
     circuit = endpoint.state.circuit
     unhealthy = circuit.ejected or circuit.call_failures.failure_fraction(now) >= EJECTION_FAILURE_FRACTION
     fraction = UNHEALTHY_SLOT_FRACTION if unhealthy else HEALTHY_SLOT_FRACTION
@@ -73,17 +77,17 @@
 def _rank(
     endpoint: EndpointState, message: PendingMessage, now: int, settings: Settings
 ) -> tuple[int, int, int]:
-    """The sort key of an endpoint: failures, load, and how long ago it was used."""
+    """Return the sort key of an endpoint: failure rank, load, and time since its last use."""
     crosses_zones = settings.cross_zone_cost > 0 and endpoint.zone != settings.zone
     repeated = endpoint.name == message.last_endpoint
     failure_fraction = endpoint.failures_by_class[message.class_index].failure_fraction(now)
     load = endpoint.concurrent_calls + crosses_zones + repeated
-    # The latest used is the likeliest to have an open connection.
+    # The endpoint used last is the most likely to have an open connection.
     return int(FAILURE_RANKS * failure_fraction), load, -endpoint.last_used_at
 
 
 def calls_to_open_for(destination: Destination, endpoint: EndpointState, now: int, settings: Settings) -> int:
-    """For how many calls connections to this endpoint are to be opened: one where its rate is limited."""
+    """Return for how many calls to open connections to this endpoint: 1 if it is ejected or rate-limited."""
     if endpoint.state.circuit.ejected or endpoint.state.rate.send_rate(now) < inf:
         return 1
     return min(destination.queue_length(), settings.max_concurrent_calls)
--- a/honeyhitch/policy/endpoint_list.py
+++ b/honeyhitch/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The destinations and their endpoints, as discovery lists them."""
+"""The destinations and their endpoints, as listed by discovery."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EndpointList:
-    """All destinations by number. A missing or old list never stops delivery (rule 3)."""
+    """All destinations by number. A missing or outdated list never stops delivery (rule 3)."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._settings = settings
@@ -27,19 +27,19 @@
         self.destinations: dict[int, Destination] = {}
 
     def destination(self, number: int) -> Destination:
-        """The destination with this number, which is created if nothing was known of it."""
+        """Return the destination with this number; create it if there is none."""
         destination = self.destinations.get(number)
         if destination is None:
             destination = self.destinations[number] = Destination()
         return destination
 
     def endpoints(self) -> Iterator[EndpointState]:
-        """All endpoints of all destinations."""
+        """Iterate over the endpoints of all destinations."""
         for destination in self.destinations.values():
             yield from destination.endpoints.values()
 
     def apply(self, update: EndpointListUpdate) -> list[Destination]:
-        """Take over what discovery sent; the destinations that it names, in its order."""
+        """Apply an update from discovery; return the destination of each of its listings, in their order."""
         if update.mode in COMPLETE_LISTS:
             self._forget_unlisted({listing.endpoint for listing in update.listings})
         return [self._apply_listing(listing) for listing in update.listings]
@@ -50,7 +50,10 @@
             destination.endpoints = kept
 
     def _apply_listing(self, listing: EndpointListing) -> Destination:
-        """An endpoint that drains or is gone gets nothing new (rule 3); its calls in flight go on."""
+        """Apply one listing and return its destination.
+
+        An endpoint that is draining or gone gets no new calls (rule 3); its calls in flight continue.
+        """
         destination = self.destination(listing.destination)
         endpoint = destination.endpoints.get(listing.endpoint)
         if endpoint is None:
@@ -64,7 +67,7 @@
         return destination
 
     def _state_for(self, listing: EndpointListing, destination: Destination) -> DestinationState:
-        """The state of a new endpoint: one of its own where limits are per endpoint, else the shared one."""
+        """Return the state for a new endpoint: a new one if limits are per endpoint, else the shared one."""
         if destination.state is None or self._settings.kind(listing.kind).limits_per_endpoint:
             kind_index = min(listing.kind, len(self._settings.kinds) - 1)
             destination.state = DestinationState(
--- a/honeyhitch/policy/endpoint_state.py
+++ b/honeyhitch/policy/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What is known of one endpoint."""
+"""The state of one endpoint."""
 
 from __future__ import annotations
 
@@ -39,29 +39,30 @@
         self.listed = True
         self.concurrent_calls = 0
         self.last_used_at = -NEVER
-        # The calls that its open connections take.
+        # The number of concurrent calls that its open connections take.
         self.capacity = 0 if listing.requires_open_connection else UNLIMITED_CAPACITY
         self.connect_blocked_until = 0
-        self.connection_limit_failures = 0  # in a row
-        # One class of message alone may fail at an endpoint.
+        self.connection_limit_failures = 0  # consecutive connects rejected at the endpoint's connection limit
+        # Counted by class: an endpoint may fail messages of one class only.
         self.failures_by_class = defaultdict[int, DecayingCounter](
             lambda: DecayingCounter(CLASS_FAILURES_DECAY_TIME)
         )
 
     def back_off_connecting(self, now: int, instance_count: int, rng: Random) -> None:
-        """Open no connection for a jittered pause, as the endpoint has reached its connection limit."""
+        """Open no connection for a jittered pause because the endpoint has reached its connection limit."""
         self.connection_limit_failures = min(self.connection_limit_failures + 1, len(BACKOFF_STEPS))
         step = BACKOFF_STEPS[self.connection_limit_failures - 1]
-        # The more instances there are, the longer: the few that have no connection come up in time.
+        # The longest pause grows with the number of instances; where there are few, an instance without
+        # a connection still gets one in time.
         pause = min(step, MAX_PROBE_PAUSE_PER_INSTANCE * instance_count)
         self.connect_blocked_until = now + int(pause * rng.uniform(1 - self.state.circuit.probe_jitter, 1))
 
     def blocked_until(self) -> int:
-        """The time before which certainly no call can be sent to it."""
+        """Return the time before which no call can be sent to the endpoint."""
         blocked_until = self.state.retry_after_until
         return blocked_until if self.capacity else max(blocked_until, self.connect_blocked_until)
 
     def recovery_estimate(self) -> int:
-        """When a call to it may succeed again, as far as is known."""
+        """Return the time from which a call to the endpoint may succeed again, as far as known."""
         state = self.state
         return max(state.retry_after_until, state.circuit.next_probe_at, self.connect_blocked_until)
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -1,6 +1,6 @@
-"""The delivery policy: which message goes where and when, and when delivery is abandoned.
+"""The delivery policy: which message is sent where and when, and when delivery is abandoned.
 
-It has no input or output and no clock: the caller hands in events with the time, and carries out the actions.
+It has no I/O and no clock: the caller passes in events with the time and carries out the returned actions.
 """
 
 from __future__ import annotations
@@ -59,16 +59,16 @@
 
 
 class Offer(NamedTuple):
-    """A message that may go to an endpoint now; the lowest offer goes first."""
+    """A message that may be sent to an endpoint now; the lowest in tuple order is sent first."""
 
-    negative_value: float  # value for each time and slot, negated
+    negative_value: float  # negated value per slot time, which calls in flight to the destination lower
     sequence: int
     message: PendingMessage
     endpoint: EndpointState
 
 
 class DeliveryPolicy:
-    """All decisions of one instance. Times and durations are integer nanoseconds."""
+    """The delivery decisions of one instance. Times and durations are integer nanoseconds."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -80,7 +80,7 @@
         self.endpoint_list = EndpointList(settings, self.rng)
         self.destinations = self.endpoint_list.destinations
         self.ordered_queues: dict[int, OrderedQueue] = {}
-        self.dispatchable: dict[Destination, None] = {}  # may have messages ready to be sent
+        self.dispatchable: dict[Destination, None] = {}  # destinations that may have messages ready to send
         self.idle_connections = IdleConnections(settings.instance_count, self.rng)
         self.scheduler = Scheduler()
         self.concurrent_calls = 0
@@ -103,7 +103,7 @@
             self.scheduler.schedule(0, self._act, Subscribe())
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Decide on these events at this time; the actions are to be carried out in their order."""
+        """Handle the events at time `now`; return the actions, which are to be carried out in their order."""
         self.now = now
         self._actions = []
         for event in events:
@@ -119,7 +119,11 @@
         return self._actions
 
     def may_start(self, now: int, name: str) -> bool:
-        """The last check before a call's first byte, by all that is known meanwhile (rules 1 to 5)."""
+        """Return whether the call that carries a message may still start, just before its first byte.
+
+        The check covers what happened since the Send (rules 1 to 5): the message may have ended or have too
+        little time left, and the endpoint may be unlisted, under Retry-After or ejected.
+        """
         message = self.messages[name]
         call = message.call
         if call is None or message.ended or not call.endpoint.listed:
@@ -130,11 +134,11 @@
         return not (state.circuit.ejected and state.circuit.reejected_at > call.sent_at)
 
     def limit_concurrent_calls(self, max_concurrent_calls: int) -> None:
-        """Use at most so many slots from now on."""
+        """Use at most `max_concurrent_calls` slots from now on."""
         self.settings = replace(self.settings, max_concurrent_calls=max_concurrent_calls)
 
     def _on_timer(self, _: TimerFired) -> None:
-        self._timer_at = NEVER  # also if it fired early: it is set again
+        self._timer_at = NEVER  # a timer that fired early is set again
 
     def _on_list_update(self, event: EndpointListUpdate) -> None:
         if event.mode is UpdateMode.FAILED:
@@ -146,7 +150,7 @@
             self.dispatchable[destination] = None
 
     def _on_connection_capacity(self, event: ConnectionCapacity) -> None:
-        """A failed handshake is no attempt, yet it tells of the destination."""
+        """Update an endpoint's capacity; a failed connect counts against it, although it is no attempt."""
         destination = self.destinations.get(event.destination)
         endpoint = destination.endpoints.get(event.endpoint) if destination is not None else None
         if destination is None or endpoint is None:
@@ -167,7 +171,7 @@
         if destination is None:
             return
         endpoint = destination.endpoints.get(event.endpoint)
-        # One that is gone asked on behalf of all that are left.
+        # A Retry-After from an endpoint that is gone binds all remaining endpoints.
         bound = [endpoint] if endpoint else destination.endpoints.values()
         for bound_endpoint in bound:
             bound_endpoint.state.honor_retry_after(event.until)
@@ -203,7 +207,7 @@
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         message = self.messages.get(event.message)
         if message is None or message.call is None or event.attempt != message.attempts - 1:
-            return  # late or repeated
+            return  # a late or repeated event
         call = message.call
         message.call = None
         self._release_slot(call, message.destination)
@@ -230,7 +234,7 @@
         self._actions.append(action)
 
     def _enqueue(self, message: PendingMessage) -> None:
-        """Let a message be sent as soon as its turn comes, unless it cannot outlive what blocks it."""
+        """Queue a message for sending; give it up if its destination is blocked for too long."""
         destination = message.destination
         destination.backing_off.pop(message, None)
         last_attempt_at = self._last_attempt_at(message)
@@ -242,7 +246,7 @@
         self.dispatchable[destination] = None
 
     def _advance_ordered(self, key: int) -> None:
-        """Queue the head of a key once all before it have ended and the pause is over (rule 5)."""
+        """Queue the head of an ordering key once all before it have ended and the pause is over (rule 5)."""
         ordered = self.ordered_queues.get(key)
         if ordered is None:
             return
@@ -255,7 +259,7 @@
             self._enqueue(head)
 
     def _last_attempt_at(self, message: PendingMessage) -> int:
-        """The time from which an attempt could not hope for a response any more."""
+        """Return the time from which an attempt could not get a response in time any more."""
         state = message.destination.state
         useful_time = state.latency.min_useful_time() if state else 0
         return message.attempts_allowed_until() - self.deadline_margin - useful_time
@@ -270,7 +274,7 @@
             self.scheduler.schedule(last_attempt_at, self._expire, message)
 
     def _give_up_before(self, until: int, destination: Destination | None = None) -> None:
-        """Give up at once what cannot outlive a time without sends, to one destination or to all."""
+        """Give up the messages of one destination, or of all, that cannot be attempted after `until`."""
         for message in list(self.messages.values()):
             affected = destination is None or message.destination is destination
             if not affected or message.ended or message.call is not None:
@@ -279,7 +283,7 @@
                 self._give_up(message)
 
     def _give_up(self, message: PendingMessage) -> None:
-        """The final answer without success: a rejection where that is true, else a failure (rule 2)."""
+        """End a message with a rejection if submitting it again is harmless, else with a failure (rule 2)."""
         if message.may_reject():
             retry_after = 0
             if self.settings.sends_retry_after:
@@ -300,7 +304,11 @@
                 self._advance_ordered(message.ordering_key)
 
     def _retry(self, message: PendingMessage, event: AttemptEnded, call: Call) -> None:
-        """Attempt again after a pause: Retry-After is honored, and the time left shortens a backoff."""
+        """Schedule the next attempt, or give up.
+
+        The pause is the Retry-After if there is one, else a backoff, which is shortened to the time left. An
+        attempt that was not started is repeated without a pause.
+        """
         if event.not_started:
             self._enqueue(message)
             return
@@ -329,14 +337,16 @@
         if event.connection_limited or event.outcome is Outcome.CONNECT_FAILED:
             endpoint.state.connection_failures.record(self.now, True)
             self.idle_connections.add_kind(self.endpoint_list.endpoints(), endpoint.state.connection_failures)
-        if event.connection_limited:  # that tells nothing of the rate limit or of health
+        if event.connection_limited:  # a connection limit says nothing about the rate limit or health
             endpoint.back_off_connecting(self.now, self.settings.instance_count, self.rng)
         elif learn_from_outcome(event, call, message, self.now):
-            for waiting in list(message.destination.backing_off):  # recovered: no need to wait any longer
+            for waiting in list(
+                message.destination.backing_off
+            ):  # the recovery makes further backoff unnecessary
                 self._enqueue(waiting)
 
     def _send_all(self) -> None:
-        """Give free slots to the messages with the most value for slot time, shared among destinations."""
+        """Fill free slots with the messages of the highest value per slot time, shared among destinations."""
         offers: list[Offer] = []
         if self.concurrent_calls < self.settings.max_concurrent_calls:
             for destination in list(self.dispatchable):
@@ -347,7 +357,7 @@
             self._make_offer(offer.message.destination, offers)
 
     def _make_offer(self, destination: Destination, offers: list[Offer]) -> None:
-        """Add the best message that may go to a destination now, or see to it later."""
+        """Add the most valuable message that may be sent to a destination now, or schedule a later check."""
         now = self.now
         found: list[Offer] = []
         check_at = NEVER
@@ -371,7 +381,7 @@
             self._check_later(destination, check_at)
 
     def _check_later(self, destination: Destination, check_at: int) -> None:
-        """Leave a destination alone until an event concerns it or it may be ready, not at every event."""
+        """Skip a destination until `check_at` or an event that concerns it, instead of checking each time."""
         del self.dispatchable[destination]
         blocked_until = destination.blocked_until()
         if self.now < blocked_until != destination.reported_blocked_until:
@@ -386,7 +396,7 @@
         self.dispatchable[destination] = None
 
     def _send(self, message: PendingMessage, endpoint: EndpointState) -> None:
-        """Start a call with this message, and with more where a call takes several."""
+        """Start a call with this message, and with further messages where a call takes several."""
         destination = message.destination
         state = endpoint.state
         call = Call(endpoint, self.now)
@@ -413,7 +423,7 @@
         endpoint.state.calls_in_flight[call] = None
 
     def _release_slot(self, call: Call, destination: Destination) -> None:
-        """Count one message of a call as ended; the slot is free after the last."""
+        """Count one message of a call as ended; release the slot after the last one."""
         call.pending_messages -= 1
         if call.pending_messages == 0:
             self.concurrent_calls -= 1
--- a/honeyhitch/policy/events.py
+++ b/honeyhitch/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: the input of the policy. Times and durations are integer nanoseconds."""
+"""Events that the policy handles. Times and durations are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """The result of an attempt."""
 
     DELIVERED = "delivered"
     ERROR = "error"  # may have been executed
@@ -20,12 +20,12 @@
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether it proves that the attempt was not executed."""
+        """Whether the outcome proves that the attempt was not executed."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class EndpointStatus(Enum):
-    """State of an endpoint in the list; it says nothing about health."""
+    """State of an endpoint in the list, independent of its health."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -33,7 +33,7 @@
 
 
 class UpdateMode(Enum):
-    """What an update of the list carries."""
+    """The contents of an update of the endpoint list."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewMessage:
-    """A message was accepted: it gets exactly one final answer."""
+    """A message was accepted; it gets exactly one final answer."""
 
     message: str
     class_index: int
@@ -72,65 +72,65 @@
     time_left: int
     ordering_key: int | None = None
     tenant: int = 0
-    expected_work: int = 0  # estimate of the call's duration, 0 if none
+    expected_work: int = 0  # estimated duration of the call, 0 if there is no estimate
     recovered_from_journal: bool = False
     attempts: int = 0  # made before the process restarted
     first_possible_execution: int | None = None  # when an earlier attempt may first have been executed
-    first_execution_zone: int = 0  # and in which zone
-    low_priority: bool = False  # sent only where no other message waits
+    first_execution_zone: int = 0  # zone of that earlier attempt
+    low_priority: bool = False  # sent only if no other message waits for the slot
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has its outcome."""
+    """An attempt ended with an outcome."""
 
     message: str
     attempt: int
     endpoint: str
     outcome: Outcome
     elapsed: int
-    message_concluded: bool  # by this attempt or earlier
+    message_concluded: bool  # by this attempt or before it
     retry_after: int = 0  # 0 if none was received
-    limit_remaining: float = 1.0  # reported fraction of the limit that remains
-    rate_limit: float = 0.0  # reported limit in calls a second, 0 if there is none
-    connection_stale: bool = False  # a pooled connection broke without a response; says nothing about health
-    connection_limited: bool = False  # rejected as it connected: the endpoint's connection limit is reached
-    not_started: bool = False  # no byte was sent: the attempt does not count, and its number is used again
+    limit_remaining: float = 1.0  # reported fraction of the rate limit that remains
+    rate_limit: float = 0.0  # reported rate limit in calls per second, 0 if none was reported
+    connection_stale: bool = False  # a pooled connection broke without a response; not a sign of bad health
+    connection_limited: bool = False  # rejected on connecting: the endpoint's connection limit is reached
+    not_started: bool = False  # no byte was sent: the attempt does not count, and its number is reused
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCapacity:
-    """How many calls the open connections of an endpoint take, and how the latest connect ended.
+    """The concurrent calls that an endpoint's open connections take, and the result of the latest connect.
 
-    Sent for endpoints with `requires_open_connection`; a failed connect is no attempt of any message.
+    It is sent for endpoints with `requires_open_connection`; a failed connect is not an attempt of a message.
     """
 
     endpoint: str
     destination: int
     capacity: int  # concurrent calls, until the next such event
-    connect_failed: bool = False  # as in an outage: no message was attempted
-    elapsed: int = 0  # from the connect to its failure
-    connect_blocked_for: int = 0  # no connection will be opened for so long
-    failure_reason: str = ""  # name of the failure of the latest connect, for logs and metrics
+    connect_failed: bool = False  # the latest connect failed, as in an outage; no message was attempted
+    elapsed: int = 0  # from the start of the connect to its failure
+    connect_blocked_for: int = 0  # duration during which no connection will be opened
+    failure_reason: str = ""  # reason why the latest connect failed, for logs and metrics
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """The client does not want the message delivered any more."""
+    """The client withdrew the message, which is not to be delivered any more."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process is about to stop: nothing is sent for at least `pause`."""
+    """The process is about to stop; no message is sent for at least `pause`."""
 
     pause: int
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfterReceived:
-    """Another process of this dispatcher received Retry-After: send nothing before `until`."""
+    """Another process of this dispatcher received a Retry-After; nothing may be sent before `until`."""
 
     destination: int
     endpoint: str
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer fired that a SetTimer requested."""
+    """A timer requested by SetTimer fired."""
 
 
 Event = (
--- a/honeyhitch/policy/health.py
+++ b/honeyhitch/policy/health.py
@@ -1,4 +1,4 @@
-"""The health of destinations as the policy sees it, for metrics and for resends. It decides nothing."""
+"""The health of destinations as the policy sees it, reported to metrics and resends."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 class DestinationHealth:
     """The health of a destination as the policy sees it. Times are nanoseconds."""
 
-    listed: bool  # it has an endpoint that may get something new
-    unhealthy: bool  # each endpoint is ejected, or many of its calls fail
-    in_slow_start: bool  # an endpoint recovered lately
-    retry_after_until: int  # the earliest end of a Retry-After, 0 if there is none
-    has_queued_messages: bool  # messages other than those of low priority wait for it
-    quota: float  # this instance's quota of its capacity, in calls a second
+    listed: bool  # at least one endpoint may get new messages
+    unhealthy: bool  # every endpoint is ejected or fails many of its calls
+    in_slow_start: bool  # at least one endpoint recovered recently
+    retry_after_until: int  # the earliest end of a Retry-After among healthy endpoints, 0 if there is none
+    has_queued_messages: bool  # messages that are not of low priority are queued
+    quota: float  # this instance's quota of the destination's capacity, in calls per second
     last_sent_at: int
-    concurrent_calls: int  # slots in use, of all destinations
+    concurrent_calls: int  # slots in use by all destinations together
 
 
 def destination_health(policy: DeliveryPolicy, destination: int, now: int) -> DestinationHealth:
-    """The destination's health; one that nothing is known of is not listed. `now` in nanoseconds."""
+    """Return the health of a destination at `now` (ns); an unknown destination counts as not listed."""
     known = policy.destinations.get(destination) or Destination()
     listed = (endpoint for endpoint in known.endpoints.values() if endpoint.listed)
-    states = list({endpoint.state: None for endpoint in listed})  # each once, in the order of the list
+    states = list({endpoint.state: None for endpoint in listed})  # without duplicates, in list order
     healthy = [
         state
         for state in states
@@ -48,7 +48,7 @@
 
 
 def ejected_endpoints(policy: DeliveryPolicy, now: int) -> int:
-    """How many listed endpoints get nothing at present. `now` in nanoseconds."""
+    """Count the listed endpoints that are ejected or blocked by Retry-After or a connect pause at `now`."""
     return sum(
         endpoint.state.circuit.ejected
         or max(endpoint.state.retry_after_until, endpoint.connect_blocked_until) > now
--- a/honeyhitch/policy/idle_connections.py
+++ b/honeyhitch/policy/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections: closed where they use up a connection limit that all instances share."""
+"""Closing of idle connections where they would use up a connection limit that all instances share."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from honeyhitch.policy.decaying_counter import DecayingCounter
 from honeyhitch.policy.endpoint_state import EndpointState
 
-CONNECTION_FAILURE_FRACTION = 0.1  # above it connections are scarce
-ANSWERS_BEFORE_POOLING = 8  # calls answered before an idle connection is kept
-CLOSING_PROBABILITY = 0.1  # of an idle connection after a call: one who keeps it learns of no connect
+CONNECTION_FAILURE_FRACTION = 0.1  # fraction of failed connects above which connections are scarce
+ANSWERS_BEFORE_POOLING = 8  # answered calls before idle connections to an endpoint are kept
+# Probability that an idle connection is closed after a call: an instance that always keeps its connection
+# makes no connects, and so does not learn that connections are scarce.
+CLOSING_PROBABILITY = 0.1
 
 
 class IdleConnections:
-    """The endpoints whose connections may have become idle in this round. Times are nanoseconds."""
+    """The endpoints whose connections may have become idle since the last check. Times are nanoseconds."""
 
     def __init__(self, instance_count: int, rng: Random) -> None:
         self._many_instances = instance_count > MAX_INSTANCES_IN_STEP
@@ -23,23 +25,24 @@
         self._candidates: dict[EndpointState, None] = {}
 
     def add(self, endpoint: EndpointState) -> None:
-        """Consider an endpoint at which a call ended."""
+        """Add an endpoint at which a call ended."""
         self._candidates[endpoint] = None
 
     def add_kind(self, endpoints: Iterable[EndpointState], connection_failures: DecayingCounter) -> None:
-        """Consider all endpoints of a kind, as a connection to one of them failed."""
+        """Add all endpoints of the kind that shares `connection_failures`, after a failed connect."""
         for endpoint in endpoints:
             if endpoint.state.connection_failures is connection_failures:
                 self._candidates[endpoint] = None
 
     def to_close(self, now: int) -> list[str]:
-        """The endpoints whose idle connections are to be closed; none is left to be considered."""
+        """Return the names of the endpoints whose idle connections are to be closed; clear the candidates."""
         closing = [endpoint.name for endpoint in self._candidates if self._closes(endpoint, now)]
         self._candidates.clear()
         return closing
 
     def _closes(self, endpoint: EndpointState, now: int) -> bool:
-        # The draw comes first: the sequence of random numbers does not depend on who is idle.
+        # The random draw precedes the check for idleness, so that the sequence of random numbers does not
+        # depend on which endpoints are idle.
         yields = (
             endpoint.state.connection_failures.failure_fraction(now) > CONNECTION_FAILURE_FRACTION
             or endpoint.state.answered_calls < ANSWERS_BEFORE_POOLING
--- a/honeyhitch/policy/latency.py
+++ b/honeyhitch/policy/latency.py
@@ -6,9 +6,9 @@
 
 INITIAL_LATENCY = 200 * MILLISECOND  # until the first response
 SAMPLE_WEIGHT = 0.1  # of a new sample in the mean
-OVERDUE_FACTOR = 5  # times the mean latency
+OVERDUE_FACTOR = 5  # times the mean latency, after which a response is overdue
 MIN_OVERDUE_AFTER = 700 * MILLISECOND
-MIN_USEFUL_FACTOR = 0.5  # of the mean latency: an attempt with less time left is not made
+MIN_USEFUL_FACTOR = 0.5  # of the mean latency; no attempt is made with less time left
 
 
 class LatencyEstimate:
@@ -20,13 +20,13 @@
         self.mean = float(INITIAL_LATENCY)
 
     def record(self, elapsed: int, message_count: int) -> None:
-        """Add one message's sample; the messages of one call weigh as much as one call."""
+        """Add the sample of one message; all messages of a call together have the weight of one sample."""
         self.mean += SAMPLE_WEIGHT / message_count * (elapsed - self.mean)
 
     def overdue_after(self) -> float:
-        """The duration (ns) after which a response is late."""
+        """Return the duration (ns) after which a response is overdue."""
         return max(MIN_OVERDUE_AFTER, OVERDUE_FACTOR * self.mean)
 
     def min_useful_time(self) -> int:
-        """The time left (ns) below which a response cannot be expected."""
+        """Return the time left (ns) below which no response can be expected."""
         return int(MIN_USEFUL_FACTOR * self.mean)
--- a/honeyhitch/policy/message.py
+++ b/honeyhitch/policy/message.py
@@ -1,4 +1,4 @@
-"""A message that was accepted and has no final answer yet."""
+"""Accepted messages without a final answer."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
     from honeyhitch.policy.call import Call
     from honeyhitch.policy.destination import Destination
 
-LOW_PRIORITY_FACTOR = 1e-6  # of the weight, so that every other message goes first
+LOW_PRIORITY_FACTOR = 1e-6  # applied to the weight, so that all other messages are sent first
 HALVING_RATE = 0.6931  # ln 2, to four digits
 
 
 class Execution(NamedTuple):
-    """A possible execution of a message: when its attempt was sent (ns), and to which zone."""
+    """A possible execution of a message: the time (ns) and the zone to which its attempt was sent."""
 
     sent_at: int
     zone: int
 
 
 class PendingMessage:
-    """One accepted message, with all that the rules need to know of it. Times are nanoseconds."""
+    """One accepted message with the state that the delivery rules use. Times are nanoseconds."""
 
     __slots__ = (
         "attempts",
@@ -69,7 +69,7 @@
             LOW_PRIORITY_FACTOR if event.low_priority else 1
         )
         self._set_objective(event, now)
-        self.call: Call | None = None  # never two at once
+        self.call: Call | None = None  # at most one call carries the message at a time
         self.possible_executions: list[Execution] = []  # oldest first
         if event.first_possible_execution is not None:
             self.possible_executions.append(
@@ -82,7 +82,11 @@
         self.last_endpoint = ""
 
     def _set_objective(self, event: NewMessage, now: int) -> None:
-        """Derive the latency objective; little time left is no age, unless it comes from the journal."""
+        """Set the duration and the end of the latency objective.
+
+        The age of a message recovered from the journal follows from its time left and shortens its objective.
+        The time left of any other message says nothing about its age, so that its objective starts now.
+        """
         message_class = self.message_class
         work_allowance = int(message_class.objective_work_factor * event.expected_work)
         self.objective_duration = min(
@@ -92,14 +96,18 @@
         self.objective_at = min(started_at + self.objective_duration, self.deadline)
 
     def attempts_allowed_until(self) -> int:
-        """The time from which no attempt is allowed: the deadline, or the deduplication window's end."""
+        """Return the time from which no attempt is allowed: the deadline or the deduplication window end."""
         if not (self.has_idempotency_key and self.possible_executions):
             return min(self.deadline, NEVER)
         window_end = self.possible_executions[0].sent_at + self.message_class.deduplication_window
         return min(self.deadline, window_end)
 
     def may_attempt(self, now: int, max_attempts: int) -> bool:
-        """Whether a further attempt is allowed (rules 1 and 2); nothing else decides that."""
+        """Return whether another attempt is allowed now (rules 1 and 2).
+
+        The message must not have ended or be in flight, must have attempts and time left, and must not risk a
+        second execution if it is non-idempotent.
+        """
         if self.ended or self.call is not None:
             return False
         if self.attempts >= max_attempts or now >= self.attempts_allowed_until():
@@ -107,19 +115,19 @@
         return not (self.possible_executions and self.non_idempotent)
 
     def may_reject(self) -> bool:
-        """Whether a rejection is true, as submitting it again is harmless (rule 2)."""
+        """Return whether the message may be rejected, because submitting it again is harmless (rule 2)."""
         if not self.possible_executions or self.message_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         return self.has_idempotency_key and not self.zone_bound
 
     def required_zone(self) -> int | None:
-        """The one zone that it may go to, or None: its idempotency key is known only there (rule 2)."""
+        """Return the only zone where the idempotency key is known (rule 2), or None if any zone will do."""
         if self.zone_bound and self.possible_executions:
             return self.possible_executions[0].zone
         return None
 
     def value(self, at: int, decay: LateDecay) -> float:
-        """Its weight if it is delivered at this time: the full weight up to its objective, then less."""
+        """Return the weight of a delivery at this time: the full weight up to the objective, then less."""
         late_by = max(0, at - self.objective_at)
         least = self.message_class.late_weight_fraction
         if decay is LateDecay.HALVING:
--- a/honeyhitch/policy/message_queue.py
+++ b/honeyhitch/policy/message_queue.py
@@ -1,4 +1,4 @@
-"""The queue of messages for one kind of call, the most urgent first."""
+"""The queue of messages that may share a call, with the most urgent message first."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class QueuedMessage(Protocol):
-    """What a queue needs to know of a message."""
+    """The attributes of a message that the queue uses."""
 
-    queued: bool  # a message that is no longer queued is dropped when it comes to the front
+    queued: bool  # a message with False is dropped when it reaches the head of the queue
     deadline: int  # ns
 
 
@@ -17,9 +17,9 @@
 
 
 class MessageQueue(Generic[M]):
-    """Messages inside their latency objective come first, by objective; then the late ones, freshest first.
+    """Messages inside their latency objective, by its end, followed by late ones, latest deadline first.
 
-    Times are nanoseconds. A sequence number with each message keeps the order of those that are equal.
+    Times are nanoseconds. Messages with equal times are ordered by their sequence number.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self._late: list[tuple[int, int, M]] = []
 
     def __len__(self) -> int:
-        """The number of entries, counting those no longer queued that have not been dropped yet."""
+        """Return the number of entries, including entries no longer queued that are not dropped yet."""
         return len(self._in_time) + len(self._late)
 
     def push(self, objective_at: int, sequence: int, message: M) -> None:
@@ -35,7 +35,7 @@
         heappush(self._in_time, (objective_at, sequence, message))
 
     def head(self, now: int) -> M | None:
-        """The first queued message; it stays in the queue."""
+        """Return the first queued message without removing it, or None if there is none."""
         in_time = self._in_time
         late = self._late
         while in_time and (not in_time[0][2].queued or in_time[0][0] <= now):
@@ -50,7 +50,7 @@
         return late[0][2] if late else None
 
     def _compact(self) -> None:
-        """Drop late entries that are no longer queued, each time the number of entries doubles."""
+        """Drop late entries that are no longer queued each time the number of late entries has doubled."""
         size = len(self._late)
         if size & (size - 1) == 0:
             self._late[:] = sorted(entry for entry in self._late if entry[2].queued)
--- a/honeyhitch/policy/ordering.py
+++ b/honeyhitch/policy/ordering.py
@@ -1,4 +1,4 @@
-"""Messages of one ordering key: strictly one after the other (rule 5)."""
+"""Queues of the messages of one ordering key, sent strictly one after the other (rule 5)."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
             self.messages.popleft()
 
     def startable_head(self) -> PendingMessage | None:
-        """The head if it still has to be queued for its first attempt."""
+        """Return the head if it is still to be queued for its first attempt, else None."""
         if not self.messages:
             return None
         head = self.messages[0]
--- a/honeyhitch/policy/rate_limiting.py
+++ b/honeyhitch/policy/rate_limiting.py
@@ -7,21 +7,21 @@
 from honeyhitch.policy.settings import ListedRateMeaning, Settings
 from honeyhitch.time_units import NEVER, SECOND
 
-ROUGH_RATE_DIVISOR = 1.5  # a rough listed rate may be this much too high
+ROUGH_RATE_DIVISOR = 1.5  # factor by which a rough listed rate may be too high
 MIN_QUOTA_PER_SECOND = 0.001
 MIN_UNLISTED_QUOTA_PER_SECOND = 0.5
-SLOW_START_SAFETY_FACTOR = 0.8  # of the calls that a destination in slow start sustains
-NOTICE_PERIOD = 3 * SECOND  # instances whose calls fell in it learned of an outage together
+SLOW_START_SAFETY_FACTOR = 0.8  # fraction used of the rate that a destination in slow start sustains
+NOTICE_PERIOD = 3 * SECOND  # instances that made a call within it detect an outage together
 REJECTION_FACTOR = 0.5  # applied to the send rate by each further rejection
 FIRST_REJECTION_FACTOR = 0.6  # applied to the measured rate by the first rejection
 RATE_RECOVERY_PER_SECOND = 0.15  # growth of the send rate, as a fraction
-MIN_RATE_FACTOR = 0.5  # of the quota: the send rate falls no lower
-UNLIMITED_FACTOR = 2.0  # of the quota: a send rate that recovered to this is not limited any more
-RATE_PERIOD = 2 * SECOND  # over which the rate of calls is measured
+MIN_RATE_FACTOR = 0.5  # of the quota, the lowest send rate
+UNLIMITED_FACTOR = 2.0  # of the quota, or of the rate before the reduction: above it the limit is lifted
+RATE_PERIOD = 2 * SECOND  # decay time over which the rate of calls is measured
 
 
 class RateLimiter:
-    """How many calls a second one destination gets from this instance (rule 4). Times are nanoseconds."""
+    """The rate of calls that this instance may send to one destination (rule 4). Times are nanoseconds."""
 
     __slots__ = (
         "_outage_duration",
@@ -48,11 +48,11 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether a rejection or a nearly exhausted limit reduced the rate."""
+        """Whether the rate is reduced because of a rejection or a nearly exhausted limit."""
         return self._rate_limit < inf
 
     def quota(self) -> float:
-        """The instance's quota of the destination's capacity, in calls a second."""
+        """Return this instance's quota of the destination's capacity, in calls per second."""
         meaning = self._settings.listed_rate_meaning
         if meaning is ListedRateMeaning.OFF:
             return max(MIN_UNLISTED_QUOTA_PER_SECOND, self._recent_calls * SECOND / RATE_PERIOD)
@@ -61,7 +61,10 @@
         return max(MIN_QUOTA_PER_SECOND, capacity / self._settings.instance_count)
 
     def slow_start_rate(self, recovered_for: int, outage_duration: int) -> float:
-        """Calls a second that a destination in slow start sustains, for all that knew of its outage."""
+        """Return the calls per second that this instance may send to a destination in slow start.
+
+        All instances that detected the outage together stay within the rate that the destination sustains.
+        """
         settings = self._settings
         progress = min(1.0, recovered_for / settings.slow_start_duration)
         fraction = settings.slow_start_fraction + (1 - settings.slow_start_fraction) * progress
@@ -69,27 +72,27 @@
         return SLOW_START_SAFETY_FACTOR * settings.overload_factor * fraction * capacity
 
     def start_slow_start(self, now: int, outage_duration: int) -> None:
-        """The destination recovered now from an outage of this duration."""
+        """Start the slow start of a destination that recovered now from an outage of this duration."""
         self.recovered_at = now
         self._outage_duration = outage_duration
 
     def end_slow_start(self) -> None:
-        """The destination is ejected, or recovered from a failure that was no outage."""
+        """End the slow start: the destination is ejected, or recovered from a failure that was no outage."""
         self.recovered_at = -NEVER
 
     def in_slow_start(self, now: int) -> bool:
-        """Whether the destination recovered so recently that it may not have its full capacity."""
+        """Return whether the destination recovered too recently to be sure of its full capacity."""
         return now - self.recovered_at < self._settings.slow_start_duration
 
     def send_rate(self, now: int) -> float:
-        """Calls a second allowed now, `inf` if not limited; it covers rejections and slow start."""
+        """Return the calls per second allowed now by rejections and slow start; `inf` if not limited."""
         rate = inf if self._rate_limit == inf else self._recovering_rate(now)
         if self.in_slow_start(now):
             return min(rate, self.slow_start_rate(now - self.recovered_at, self._outage_duration))
         return rate
 
     def _recovering_rate(self, now: int) -> float:
-        """The reduced rate as it has grown since; it is dropped where it no longer limits anything."""
+        """Return the reduced rate with its growth since the reduction; lift the limit once recovered."""
         limit = self._rate_limit
         growth = RATE_RECOVERY_PER_SECOND * min(1.0, limit) * (now - self._reduced_at) / SECOND
         quota = self.quota()
@@ -99,7 +102,7 @@
         return rate
 
     def reduce_rate(self, now: int) -> None:
-        """Lower the rate after a rejection, or before one that is to be expected."""
+        """Lower the rate after a rejection, or before an expected one."""
         decayed_calls = self._recent_calls * exp((self._recent_calls_at - now) / RATE_PERIOD)
         measured_rate = decayed_calls * SECOND / RATE_PERIOD
         if self.is_limited:
@@ -110,7 +113,7 @@
         self._reduced_at = now
 
     def record_success(self, now: int, message_count: int) -> None:
-        """Count one delivered message of a call; rates are in calls, as limits are."""
+        """Record one delivered message as its fraction of the call, as limits are in calls."""
         self._recent_calls *= exp((self._recent_calls_at - now) / RATE_PERIOD)
         self._recent_calls += 1 / message_count
         self._recent_calls_at = now
--- a/honeyhitch/policy/settings.py
+++ b/honeyhitch/policy/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the policy, as one instance receives them at its start.
+"""Settings of the policy, which an instance receives when it starts.
 
-Durations are integer nanoseconds. A value that cannot be used raises SettingsError.
+Durations are integer nanoseconds. An invalid value raises SettingsError.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class Idempotency(Enum):
-    """What a repeated execution of a message does at its destination."""
+    """The effect of executing a message repeatedly at its destination."""
 
-    IDEMPOTENT = "safe"  # may be repeated freely
-    IDEMPOTENCY_KEY = "keyed"  # a repeat is dropped inside the deduplication window
+    IDEMPOTENT = "safe"  # may be executed repeatedly
+    IDEMPOTENCY_KEY = "keyed"  # the destination drops a repeat inside the deduplication window
     NON_IDEMPOTENT = "unsafe"  # must never be executed twice
 
 
@@ -29,14 +29,14 @@
 
 
 class LateDecay(Enum):
-    """How the weight of a message falls between its latency objective and its deadline."""
+    """The decay of a message's weight between its latency objective and its deadline."""
 
     LINEAR = "line"
     HALVING = "halves"
 
 
 class ListedRateMeaning(Enum):
-    """What the rate listed with an endpoint means."""
+    """The meaning of the rate that is listed with an endpoint."""
 
     OFF = "off"
     NOMINAL = "nominal"
@@ -44,7 +44,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting has a value that cannot be used; `field` is its name here, `reason` says what is expected."""
+    """A setting has an invalid value; `field` is its name in this module, `reason` says what is expected."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -59,17 +59,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """One class of message. Durations are nanoseconds; a bad value raises SettingsError."""
+    """One class of message. Durations are nanoseconds; an invalid value raises SettingsError."""
 
     idempotency: Idempotency
-    latency_objective: int  # up to which its weight is full
+    latency_objective: int  # duration in which a delivery has the full weight
     deadline: int
     priority_weight: float = 1.0
-    late_weight_fraction: float = 0.0  # of the weight, that is left at the deadline
+    late_weight_fraction: float = 0.0  # fraction of the weight that is left at the deadline
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: int = 0  # from the first execution, with an idempotency key
-    ordered: bool = False  # messages of one ordering key go one after the other
-    objective_work_factor: float = 0.0  # of a message's expected work, added to its objective
+    ordered: bool = False  # messages of one ordering key are sent one after the other
+    objective_work_factor: float = 0.0  # multiple of a message's expected work that is added to its objective
     name: str = ""
 
     def __post_init__(self) -> None:
@@ -93,9 +93,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """One kind of destination. A bad value raises SettingsError."""
+    """One kind of destination. An invalid value raises SettingsError."""
 
-    limits_per_endpoint: bool = False  # each endpoint has its own limit and outages
+    limits_per_endpoint: bool = False  # each endpoint has its own limits and outages
     max_messages_per_call: int = 1
     name: str = ""
 
@@ -124,19 +124,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of an instance. Durations are nanoseconds; a bad value raises SettingsError."""
+    """All settings of an instance. Durations are nanoseconds; an invalid value raises SettingsError."""
 
     classes: tuple[MessageClass, ...]
     kinds: tuple[DestinationKind, ...]
     max_concurrent_calls: int
-    overload_factor: float  # a destination in slow start fails above this multiple of its capacity
-    slow_start_fraction: float  # of its capacity that a recovered destination has at once
-    slow_start_duration: int  # after which it has all of its capacity
-    ordering_pause: int = 0  # of an ordering key, after an attempt that may still be executed
+    overload_factor: float  # multiple of its capacity above which a destination in slow start fails
+    slow_start_fraction: float  # fraction of its capacity that a destination has when it recovers
+    slow_start_duration: int  # time from the recovery to the full capacity
+    ordering_pause: int = 0  # pause of an ordering key after an attempt that may still be executed
     instance_count: int = 1
     zone: int = 0
     max_attempts: int = 5
-    can_cancel: bool = False  # an attempt in flight
+    can_cancel: bool = False  # whether an attempt in flight can be cancelled
     sends_retry_after: bool = True
     max_retry_after: int = 0
     connect_timeout: int = 0
@@ -145,14 +145,14 @@
     late_decay: LateDecay = LateDecay.LINEAR
     listed_rate_meaning: ListedRateMeaning = ListedRateMeaning.OFF
     cross_zone_cost: float = 0.0
-    tenant_rates: tuple[float, ...] = ()  # messages a second, of all instances
-    over_quota_weight: float = 1.0  # factor of the weight beyond a tenant's rate
+    tenant_rates: tuple[float, ...] = ()  # messages per second of each tenant, for all instances together
+    over_quota_weight: float = 1.0  # factor applied to the weight of messages beyond a tenant's rate
     tenant_names: tuple[str, ...] = ()
     zone_names: tuple[str, ...] = ()
     report_fields: tuple[str, ...] = ()
-    max_messages: int = DEFAULT_MAX_MESSAGES  # pending at once
-    connection_idle_timeout: int = 0  # after which an endpoint closes an idle connection; 0 if never
-    drain_grace: int = 2 * SECOND  # for which a draining endpoint may still get calls
+    max_messages: int = DEFAULT_MAX_MESSAGES  # limit of pending messages
+    connection_idle_timeout: int = 0  # time after which an endpoint closes an idle connection; 0 if never
+    drain_grace: int = 2 * SECOND  # time for which a draining endpoint may still get calls
 
     def __post_init__(self) -> None:
         """Check the values."""
@@ -169,9 +169,9 @@
 
     @property
     def class_names(self) -> tuple[str, ...]:
-        """The display name of each class: its index where it has no name."""
+        """The display name of each class: its name, or its index if it has none."""
         return tuple(cls.name or str(number) for number, cls in enumerate(self.classes))
 
     def kind(self, number: int) -> DestinationKind:
-        """The kind with this number; the last one for a number that is too high."""
+        """Return the kind with this number, or the last kind if the number is too high."""
         return self.kinds[min(number, len(self.kinds) - 1)]
--- a/honeyhitch/policy/tenant_quotas.py
+++ b/honeyhitch/policy/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: messages beyond them have little weight."""
+"""Quotas of tenants: messages beyond a quota have a reduced weight."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class _TokenBucket:
-    """Messages that a tenant may still submit with their full weight."""
+    """The number of messages that a tenant may still submit with their full weight."""
 
     def __init__(self) -> None:
         self.tokens = 0.0
@@ -15,7 +15,7 @@
 
 
 class TenantQuotas:
-    """The instance's quota of each tenant's rate, as a token bucket of one second."""
+    """The quota that this instance has of each tenant's rate, as a token bucket with a capacity of one second."""
 
     def __init__(self, settings: Settings) -> None:
         self._rates = [rate / settings.instance_count for rate in settings.tenant_rates]
@@ -23,7 +23,7 @@
         self._buckets = [_TokenBucket() for _ in settings.tenant_rates]
 
     def weight(self, tenant: int, now: int) -> float:
-        """Count a message of this tenant; the factor of its weight: 1 inside the quota."""
+        """Count a message of this tenant; return the factor to apply to its weight, 1 inside the quota."""
         rate = self._rates[tenant]
         bucket = self._buckets[tenant]
         refilled = bucket.tokens + rate * (now - bucket.updated_at + 1) / SECOND
