--- a/honeyhitch/policy/tenant_quotas.py
+++ b/honeyhitch/policy/tenant_quotas.py
@@ -15,7 +15,7 @@
 
 
 class TenantQuotas:
-    """The quota that this instance has of each tenant's rate, as a token bucket with a capacity of one second."""
+    """The share of each tenant's rate that this instance has, as a token bucket of one second."""
 
     def __init__(self, settings: Settings) -> None:
         self._rates = [rate / settings.instance_count for rate in settings.tenant_rates]
