--- a/honeyhitch/dispatcher/__init__.py
+++ b/honeyhitch/dispatcher/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher: admission, rounds of the policy, calls and their outcomes, final answers, recovery."""
+"""The dispatcher: admission, policy rounds, calls and their outcomes, final answers, and recovery."""
--- a/honeyhitch/dispatcher/admission.py
+++ b/honeyhitch/dispatcher/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which messages are accepted, and how an accepted one reaches the policy."""
+"""Admission control: accepts or rejects submitted messages and passes accepted messages to the policy."""
 
 from __future__ import annotations
 
@@ -12,18 +12,22 @@
 from honeyhitch.time_units import MILLISECOND
 
 log = logs.get()
-BUSY_RETRY_AFTER = 500 * MILLISECOND  # for clients that are rejected before the policy hears of their message
+BUSY_RETRY_AFTER = 500 * MILLISECOND  # for messages that are rejected before the policy receives them
 
 
 class AdmissionControl:
-    """Accepts or rejects what frontends and the store of dead letters submit."""
+    """Accepts or rejects messages that frontends and the dead-letter store submit."""
 
     def __init__(self, context: DispatcherContext, endings: Endings) -> None:
         self.context = context
         self.endings = endings
 
     def submit(self, message: Transaction) -> Admission:
-        """Accept a message or reject it at once; one that is held already is not accepted twice."""
+        """Accept or reject a message immediately and return the decision.
+
+        A message that is already held, or concluded and still remembered, is reported as accepted but not
+        accepted a second time.
+        """
         context = self.context
         if context.journal.has_accepted(message.id):
             return Admission(True)
@@ -38,7 +42,9 @@
             log.warning("journal.full", what="message", error=str(error))
             return self._reject(message)
         if self._repeats_delivered_key(message):
-            self.endings.conclude_as_delivered(message)  # as its endpoint would say of a repeat
+            self.endings.conclude_as_delivered(
+                message
+            )  # its endpoint would also report a repeat as delivered
         else:
             self.admit(message)
         return Admission(True)
@@ -57,7 +63,10 @@
         return self.context.messages.first_execution_of_key(message, now) is not None
 
     def submit_resend(self, message: Transaction) -> bool:
-        """Write a resend down; the policy hears of it by `release`, once the store has claimed it."""
+        """Write a resend to the journal and return whether it was accepted.
+
+        `release` passes the resend to the policy once the dead-letter store has claimed it.
+        """
         context = self.context
         if self._is_full() or not context.accepting or context.journal.has_accepted(message.id):
             return False
@@ -69,7 +78,7 @@
         return True
 
     def admit(self, message: Transaction) -> None:
-        """Give an accepted message to the policy, unless a resend of it is in flight or was delivered."""
+        """Pass an accepted message to the policy, unless a resend of it is in flight or was delivered."""
         coordinator = self.context.resend_coordinator
         decision = ArrivalDecision.DELIVER
         if coordinator is not None:
@@ -80,15 +89,15 @@
             self.endings.conclude_as_delivered(message)
 
     def release(self, message: Transaction) -> None:
-        """Give a message that waited for the store of dead letters to the policy."""
+        """Pass a message that waited for the dead-letter store to the policy."""
         if self.context.undecided(message.id):
             self.context.event_queue.enqueue(message, low_priority=message.frontend == RESEND_FRONTEND)
 
     def return_unattempted(self, destination: int, retry_after: int) -> None:
-        """Reject what was certainly never executed at a destination that another instance owns now.
+        """Reject messages that were certainly never executed at a destination that another instance now owns.
 
-        Submitted again after so many nanoseconds, it reaches that instance. What may have been executed, and
-        calls in flight, stay with the policy.
+        A client that submits such a message again after `retry_after` nanoseconds reaches that instance.
+        Messages that may have been executed, and those of calls in flight, stay with the policy.
         """
         for message in list(self.context.messages.by_id.values()):
             attempted = (
--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -1,4 +1,4 @@
-"""Starting calls: sends of a round are grouped into calls, each checked right before its first byte."""
+"""Starts calls: groups the sends of a round into calls and checks each call right before its first byte."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
 from honeyhitch.time_units import MILLISECOND
 
 log = logs.get()
-QUOTA_CHECK_INTERVAL = 250 * MILLISECOND  # until it is checked again whether a quota is held
+QUOTA_CHECK_INTERVAL = 250 * MILLISECOND  # between checks whether this instance holds a quota
 
 
 class CallStarter:
-    """Groups messages into calls, gives these to their transports, and decides what may start."""
+    """Groups messages into calls, passes the calls to their transports, and decides which may start."""
 
     def __init__(self, context: DispatcherContext, outcomes: CallOutcomes) -> None:
         self.context = context
         self.outcomes = outcomes
 
     def send_all(self, sends: list[Send]) -> None:
-        """Send what one round decided: one endpoint's messages share calls, as far as its kind allows."""
+        """Start calls for the sends of one round.
+
+        Messages for the same endpoint share calls, up to the number of messages per call of its kind.
+        """
         by_endpoint: dict[str, list[Send]] = {}
         for send in sends:
             by_endpoint.setdefault(send.endpoint, []).append(send)
@@ -41,7 +44,7 @@
         now = context.scheduler.now()
         call = Call(endpoint, [], [], [], now, [])
         for send in sends:
-            message = context.messages.by_id[send.message]  # the policy sends nothing that it ended
+            message = context.messages.by_id[send.message]  # held: the policy sends no message that it ended
             call.messages.append(message)
             call.attempt_numbers.append(message.attempt_count)
             call.timeouts.append(send.timeout)
@@ -49,19 +52,19 @@
             context.calls_in_flight[message.id] = call
         longest = call.timeout
         for message, timeout in zip(call.messages, call.timeouts, strict=True):
-            if timeout < longest:  # cut to its own deadline: the others may wait longer
+            if timeout < longest:  # limited by this message's deadline; the others may wait longer
                 context.scheduler.call_at(
                     now + timeout, partial(self.outcomes.message_expired, call, message)
                 )
         context.transports[endpoint.transport].start(call)
 
     def start_call(self, call: Call) -> bool:
-        """The last check, right before the first byte of a call: whether any message of it may start.
+        """Check a call right before its first byte and return whether any of its messages may start.
 
-        What starts is written to the journal, and what must not start any more leaves the call, with no
-        attempt used up. A connection takes time to come up, and meanwhile a Retry-After may have been
-        received, the endpoint may drain or be at another address, or the process may have started to shut
-        down.
+        Each message that starts is written to the journal. A message that must not start any more is removed
+        from the call, and no attempt is used up. The check is needed because a connection takes time to open:
+        meanwhile a Retry-After may have been received, the endpoint may have started to drain or moved to
+        another address, or the process may have started to shut down.
         """
         now = self.context.scheduler.now()
         reachable = self._is_reachable(call.endpoint) and self._has_quota(call.endpoint, now)
@@ -85,12 +88,12 @@
             self.context.journal.record_attempt(
                 call.messages[index], now, call.endpoint.zone, call.endpoint.id
             )
-        except JournalFullError as error:  # what cannot be written down must not be sent
+        except JournalFullError as error:  # an attempt that cannot be recorded must not be sent
             log.warning("journal.full", what="attempt", error=str(error))
             self.outcomes.attempt_ended(call, index, Outcome.NOT_SENT, False, CallResult([]))
 
     def _is_reachable(self, endpoint: PoolEndpoint) -> bool:
-        """Whether it is still listed, at the same address and for the same destination."""
+        """Return whether the endpoint is still listed with the same address and destination."""
         listed = self.context.pool.endpoints.get(endpoint.id)
         return (
             listed is not None
@@ -99,7 +102,10 @@
         )
 
     def _has_quota(self, endpoint: PoolEndpoint, now: int) -> bool:
-        """Whether this instance holds a part of the limit; without one the policy checks again soon."""
+        """Return whether this instance holds a quota of the destination's limit.
+
+        Without a quota, the policy is told to wait for `QUOTA_CHECK_INTERVAL` before the next attempt.
+        """
         quota_source = self.context.quota_source
         if quota_source is None or quota_source.quota_fraction(endpoint.destination, now) > 0:
             return True
--- a/honeyhitch/dispatcher/context.py
+++ b/honeyhitch/dispatcher/context.py
@@ -1,4 +1,4 @@
-"""The state and the ports that all parts of a dispatcher share."""
+"""The state and the ports that all components of a dispatcher share."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DispatcherContext:
-    """The policy, the messages held, the calls in flight, and the ports, which are set after construction."""
+    """The policy, the held messages, the calls in flight, and the ports, which are set after construction."""
 
     def __init__(
         self, settings: Settings, seed: int, pool: EndpointPool, journal: Journal, scheduler: Scheduler
@@ -36,9 +36,9 @@
         self.messages = journal.messages
         self.metrics = Metrics(message_class.name for message_class in settings.classes)
         self.event_queue = EventQueue(scheduler, settings.resolution)
-        self.calls_in_flight: dict[str, Call] = {}  # by the id of each message in them
-        self.accepting = True  # new messages
-        self.sending = True  # false from the moment on when nothing more is decided or started
+        self.calls_in_flight: dict[str, Call] = {}  # by message id
+        self.accepting = True  # whether new messages are accepted
+        self.sending = True  # false once no further decision is made and no further call is started
         self.draining = False
         self.transports: dict[str, Transport] = {}
         self.connection_openers: dict[str, ConnectionOpener] = {}
@@ -49,14 +49,14 @@
         self.quota_source: QuotaSource | None = None
 
     def undecided(self, name: str) -> Transaction | None:
-        """The message with this id, if its end is still this process's to decide."""
+        """Return the message with this id if this process still has to decide how it ends, else None."""
         message = self.messages.by_id.get(name)
         if message is None or message.ending is not None or name in self.journal.handed_over:
             return None
         return message
 
     def has_idempotency_key(self, message: Transaction) -> bool:
-        """Whether its endpoint drops a repeat of it by its key."""
+        """Return whether the message's endpoint drops repeats by the idempotency key."""
         if not message.key:
             return False
         return self.settings.classes[message.class_index].idempotency is Idempotency.IDEMPOTENCY_KEY
--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -1,4 +1,4 @@
-"""Values that dispatcher, frontends and transports exchange: admissions, calls and their results."""
+"""Values that the dispatcher, frontends and transports exchange: admissions, calls and their results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Phase(Enum):
-    """Whether a dispatcher accepts new messages."""
+    """The lifecycle phase of a dispatcher: whether it accepts new messages."""
 
     STARTING = "starting"
     READY = "ready"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherState:
-    """The phase, how many messages are held, and how many may be."""
+    """The phase, the number of held messages and its maximum."""
 
     phase: Phase
     message_count: int
@@ -30,43 +30,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether the dispatcher accepted a message: then a final answer follows."""
+    """Whether the dispatcher accepted a message; a final answer follows only if it did."""
 
     accepted: bool
-    retry_after: int = 0  # nanoseconds; of a rejection
+    retry_after: int = 0  # nanoseconds until a rejected message may be submitted again
 
 
 @dataclass(slots=True)
 class CallResult:
-    """How a call ended: an outcome for each of its messages, and what the endpoint reported besides."""
+    """The result of a call: an outcome for each of its messages, and what else the endpoint reported."""
 
-    outcomes: list[tuple[Outcome, bool]]  # and whether the message is concluded by it
+    outcomes: list[tuple[Outcome, bool]]  # each with whether it concludes the message
     retry_after: int = 0  # nanoseconds, 0 if none
     reported: dict[str, float] = field(default_factory=dict)
-    failure_reason: str = ""  # the name of a failure that outcomes do not tell apart
-    connection_stale: bool = False  # a pooled connection broke before any reply
-    connection_limited: bool = False  # a new connection was rejected: the endpoint's limit is reached
+    failure_reason: str = ""  # the name of a failure that the outcomes do not distinguish
+    connection_stale: bool = False  # a pooled connection broke before any reply arrived
+    connection_limited: bool = False  # a new connection was rejected because the endpoint's limit is reached
 
     @classmethod
     def uniform(cls, outcome: Outcome, count: int, concluded: bool = False) -> CallResult:
-        """The same outcome for all messages of the call."""
+        """Return a result with the same outcome for all messages of the call."""
         return cls([(outcome, concluded)] * count)
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call in flight: it uses one slot, shares one fate, and carries one message or several."""
+    """One call in flight: one request that uses one slot and carries one or more messages.
+
+    The messages of a call succeed or fail together.
+    """
 
     endpoint: PoolEndpoint
     messages: list[Transaction]
-    attempt_numbers: list[int]  # one a message
-    timeouts: list[int]  # nanoseconds from `sent_at`, one a message
+    attempt_numbers: list[int]  # one per message
+    timeouts: list[int]  # nanoseconds from `sent_at`, one per message
     sent_at: int
-    pending: list[bool]  # whether a message has no outcome yet
+    pending: list[bool]  # whether the message has no outcome yet, one per message
     started: bool = False  # its first byte may have been written
-    message_expired: bool = False  # since then the time of one of its messages has run out
+    message_expired: bool = False  # one of its messages timed out after the call had started
 
     @property
     def timeout(self) -> int:
-        """How many nanoseconds the call may be in flight."""
+        """The maximum time in flight, in nanoseconds."""
         return max(self.timeouts, default=0)
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -1,7 +1,8 @@
-"""The dispatcher: it feeds events to the delivery policy and carries out its actions through ports.
+"""The dispatcher: passes events to the delivery policy and carries out the policy's actions through ports.
 
-It deals in messages, attempts and outcomes and knows no protocol. Clock and timers are passed in, so that
-tests run it in virtual time. Times are Unix times in nanoseconds, durations nanoseconds.
+The dispatcher handles messages, attempts and outcomes and is independent of any protocol. The clock and the
+timers are passed in, so that tests can run it in virtual time. Times are Unix times in nanoseconds, durations
+are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -27,9 +28,9 @@
 
 
 class Dispatcher(DispatcherContext):
-    """One policy, the messages held, and the ports; all frontends share it.
+    """One policy, the held messages and the ports, shared by all frontends.
 
-    What other packages call; the work is done by the other modules of this package.
+    This class is the interface for other packages; the other modules of this package implement it.
     """
 
     def __init__(
@@ -46,59 +47,73 @@
     # Messages.
 
     def submit(self, transaction: Transaction) -> Admission:
-        """Accept a message or reject it at once; one that is held already is not accepted twice."""
+        """Accept or reject a message immediately and return the decision.
+
+        A message that is already held, or concluded and still remembered, is reported as accepted but not
+        accepted a second time.
+        """
         return self.admission.submit(transaction)
 
     def submit_resend(self, transaction: Transaction) -> bool:
-        """Write a resend down; the policy hears of it by `release`, once the store has claimed it."""
+        """Write a resend to the journal and return whether it was accepted.
+
+        `release` passes the resend to the policy once the dead-letter store has claimed it.
+        """
         return self.admission.submit_resend(transaction)
 
     def release(self, transaction: Transaction) -> None:
-        """Give a message that waited for the store of dead letters to the policy."""
+        """Pass a message that waited for the dead-letter store to the policy."""
         self.admission.release(transaction)
 
     def conclude(self, transaction: Transaction, ending: Ending, retry_after: int = 0) -> None:
-        """End a message that is undecided so; whatever the policy still planned for it is dropped."""
+        """Conclude an undecided message with this ending; the policy drops its further plans for it."""
         self.endings.conclude(transaction, ending, retry_after)
 
     def withdraw(self, name: str) -> None:
-        """The client wants the message no longer: no further attempt is made, and no answer is sent."""
+        """Withdraw a message for its client: no further attempt is made and no answer is sent."""
         self.endings.withdraw(name)
 
     def return_unattempted(self, destination: int, retry_after: int) -> None:
-        """Reject what was certainly never executed at a destination that another instance owns now."""
+        """Reject messages that were certainly never executed at a destination that another instance now owns.
+
+        A client that submits such a message again after `retry_after` nanoseconds reaches that instance.
+        """
         self.admission.return_unattempted(destination, retry_after)
 
     def answer_sent(self, transaction: Transaction) -> None:
-        """A frontend sent the final answer."""
+        """Record that a frontend sent the final answer."""
         self.endings.answer_sent(transaction)
 
     def dead_letter_stored(self, transaction: Transaction) -> None:
-        """The store has a dead letter, or has discarded it."""
+        """Record that the dead-letter store has stored or discarded a dead letter."""
         self.endings.dead_letter_stored(transaction)
 
     # Calls.
 
     def start_call(self, call: Call) -> bool:
-        """The last check, right before the first byte of a call: whether any message of it may start."""
+        """Check a call right before its first byte and return whether any of its messages may start."""
         return self.calls.start_call(call)
 
     def call_written(self, call: Call) -> None:
-        """The last byte of a call was passed to its connection."""
+        """Count the messages of a call whose last byte was passed to its connection."""
         self.metrics.call_written(call.messages)
 
     def call_ended(self, call: Call, result: CallResult) -> None:
-        """A call ended; each one started ends once."""
+        """Process the result of a call; each call passed to a transport ends exactly once."""
         self.outcomes.call_ended(call, result)
 
     def retry_after_received(self, endpoint: PoolEndpoint, duration: int) -> None:
-        """An endpoint asked to be left alone for so many nanoseconds, or not, at 0."""
+        """Apply a Retry-After of `duration` nanoseconds that an endpoint sent; 0 means that it sent none."""
         self.outcomes.retry_after_received(endpoint, duration)
 
-    # What the policy must know of endpoints.
+    # Endpoint changes that the policy needs.
 
     def apply_list_update(self, update: EndpointListUpdate) -> None:
-        """The pool changed; a Retry-After also outlasts the time for which its endpoint was not listed."""
+        """Pass a change of the pool to the policy.
+
+        A Retry-After stays in force when its endpoint leaves the list and returns: it is passed to the policy
+        again.
+        """
         self.event_queue.enqueue(update)
         now = self.scheduler.now()
         retry_after_until = self.journal.retry_after_until
@@ -109,36 +124,39 @@
                 self.event_queue.enqueue(RetryAfterReceived(destination, name, until))
 
     def apply_retry_after(self, events: list[Event]) -> None:
-        """What another process of this dispatcher received before it ended."""
+        """Pass Retry-After events that another process of this dispatcher received before it ended."""
         for event in events:
             self.event_queue.enqueue(event)
 
     def apply_connection_capacity(self, capacity: ConnectionCapacity) -> None:
-        """The connections to an endpoint that takes calls on open connections alone changed."""
+        """Pass on a change of the connections to an endpoint that takes calls only on open connections."""
         self.event_queue.enqueue(capacity)
 
     # Start, shutdown and hand-over.
 
     def recover(self) -> None:
-        """After a start: resume the messages of the journal, and give the store its dead letters."""
+        """Resume the messages of the journal after a start, and pass dead letters to their store."""
         self.recovery.recover()
 
     def take_over(self, pending: list[Transaction], dead_letters: list[Transaction]) -> None:
-        """Resume what a process left: it is in the journal, and no other process resumes it."""
+        """Resume messages that a process left; they are in the journal, and no other process resumes them."""
         self.recovery.take_over(pending, dead_letters)
 
     def stop_deciding(self, pause: int) -> None:
-        """Run the last round: what cannot outlive so many nanoseconds without decisions ends in it."""
+        """Run the last round, which ends messages that cannot wait `pause` nanoseconds for a decision."""
         self.recovery.stop_deciding(pause)
 
     def hand_over(self) -> None:
-        """Start nothing more and leave the rest to the other process; to be called again until the end."""
+        """Start no further call and hand messages over to the other process.
+
+        To be called repeatedly until the process ends.
+        """
         self.recovery.hand_over()
 
-    # What operators see.
+    # State and metrics for operators.
 
     def state(self) -> DispatcherState:
-        """Whether new messages are accepted, and how many are held."""
+        """Return the phase, the number of held messages and its maximum."""
         if not self.sending:
             phase = Phase.DOWN
         elif self.draining:
@@ -148,7 +166,7 @@
         return DispatcherState(phase, len(self.messages), self.settings.max_messages)
 
     def metrics_snapshot(self) -> dict[str, Any]:
-        """The metrics as operators read them; those of messages and calls start at 0 with the process."""
+        """Return the metrics for operators; counters of messages and calls start at 0 with the process."""
         return {
             "responses": self.metrics.snapshot(),
             "tries": sum(counters.attempts for counters in self.metrics.classes),
--- a/honeyhitch/dispatcher/endings.py
+++ b/honeyhitch/dispatcher/endings.py
@@ -1,4 +1,4 @@
-"""Endings: what a message's final answer is, who hears of it, and when it is concluded."""
+"""Endings: decides a message's final answer, has it sent, and concludes the message."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Endings:
-    """Decides each ending once, by the journal, and sends the final answer by the message's frontend."""
+    """Decides each ending once, as recorded in the journal, and has the message's frontend answer."""
 
     def __init__(self, context: DispatcherContext) -> None:
         self.context = context
 
     def conclude(self, message: Transaction, ending: Ending, retry_after: int) -> None:
-        """End a message that is undecided so; whatever the policy still planned for it is dropped."""
+        """Conclude an undecided message with this ending; the policy drops its further plans for it."""
         if self.context.undecided(message.id):
             self.conclude_now(message, ending, retry_after)
             self.context.event_queue.enqueue(
@@ -25,14 +25,17 @@
             )
 
     def conclude_as_delivered(self, message: Transaction) -> None:
-        """It was delivered already; the client hears first that it was accepted."""
+        """Conclude a message whose delivery is already known.
+
+        The ending is applied in the next timer callback, so that the client is told of the acceptance first.
+        """
         name = message.id
         self.context.scheduler.call_at(
             self.context.scheduler.now(), lambda: self.apply_final_answer(name, Ending.DELIVERED, 0)
         )
 
     def withdraw(self, name: str) -> None:
-        """The client wants it no longer: no further attempt is made, and no answer is sent."""
+        """Withdraw a message for its client: no further attempt is made and no answer is sent."""
         message = self.context.undecided(name)
         if message is not None:
             self.context.journal.record_end(message, Ending.UNANSWERED)
@@ -41,13 +44,13 @@
                 self.context.resend_coordinator.message_concluded(message)
 
     def apply_final_answer(self, name: str, ending: Ending, retry_after: int) -> None:
-        """The policy's decision; one that comes too late changes nothing."""
+        """Apply a final answer that the policy decided; does nothing if the ending was decided before."""
         message = self.context.undecided(name)
         if message is not None:
             self.conclude_now(message, ending, retry_after)
 
     def conclude_now(self, message: Transaction, ending: Ending, retry_after: int) -> None:
-        """Write the ending down, answer, and give a dead letter to the store."""
+        """Write the ending to the journal, have the answer sent, and pass a dead letter to the store."""
         context = self.context
         is_dead_letter = self._becomes_dead_letter(message, ending)
         unanswered = ending is Ending.UNANSWERED or (
@@ -66,7 +69,10 @@
             context.resend_coordinator.message_concluded(message)
 
     def _becomes_dead_letter(self, message: Transaction, ending: Ending) -> bool:
-        """Whether the store must hear of it: it ended undelivered, or its delivery settles a dead letter."""
+        """Return whether the dead-letter store must be notified of the ending.
+
+        The store must be notified if the message ended undelivered or if its delivery settles a dead letter.
+        """
         context = self.context
         if message.frontend == RESEND_FRONTEND or context.dead_letter_sink is None:
             return False
@@ -75,12 +81,12 @@
         if ending is Ending.DELIVERED:
             coordinator = context.resend_coordinator
             return coordinator is not None and coordinator.settles_dead_letter(message)
-        if message.key:  # a copy that was delivered meanwhile leaves nothing to keep
+        if message.key:  # no dead letter is kept if a message with the same key was delivered meanwhile
             return context.messages.first_execution_of_key(message, context.scheduler.now()) is None
         return True
 
     def dead_letter_stored(self, message: Transaction) -> None:
-        """The store has it, or has discarded it."""
+        """Record that the dead-letter store has stored or discarded the message."""
         self.context.journal.record_dead_letter_stored(message)
         if self.context.resend_coordinator is not None:
             self.context.resend_coordinator.dead_letter_stored(message)
@@ -90,11 +96,11 @@
         frontend = self.context.frontends.get(message.frontend)
         if frontend is not None:
             frontend.answer(message)
-        else:  # accepted by a frontend that this process was started without: there is no client to notify
+        else:  # its frontend is not enabled in this process, so there is no client to notify
             log.warning("answer.frontend-missing", message=message.id, front=message.frontend)
             self.answer_sent(message)
 
     def answer_sent(self, message: Transaction) -> None:
-        """The final answer was sent."""
+        """Conclude a message whose final answer was sent."""
         if message.ending is not None:
             self.context.journal.record_end(message, message.ending)
--- a/honeyhitch/dispatcher/event_queue.py
+++ b/honeyhitch/dispatcher/event_queue.py
@@ -1,6 +1,6 @@
-"""The events that wait for the next round, and the time of that round.
+"""The queue of events for the next round, and the time of that round.
 
-Events that come within one resolution are handled together, as in the simulator.
+Events that arrive within one resolution are handled together, as in the simulator.
 """
 
 from __future__ import annotations
@@ -29,7 +29,10 @@
         self.last_normal_priority_round_at = 0
 
     def enqueue(self, event: QueuedEvent, low_priority: bool = False) -> None:
-        """Handle it in the next round; one of low-priority events alone does not delay the next."""
+        """Queue an event for the next round.
+
+        A round with only low-priority events does not delay the next round with other events.
+        """
         self.events.append(event)
         if not low_priority:
             self.has_normal_priority_event = True
@@ -40,12 +43,12 @@
             self.scheduler.call_at(at, lambda: self._on_round_due(at))
 
     def run_now(self) -> None:
-        """Start a round with what is queued, without waiting for the resolution."""
+        """Run a round with the queued events immediately, without waiting for the resolution."""
         self.next_round_at = self.scheduler.now()
         self._on_round_due(self.next_round_at)
 
     def _on_round_due(self, at: int) -> None:
-        if at != self.next_round_at:  # an earlier round took the events that this one was to handle
+        if at != self.next_round_at:  # an earlier round has handled the events of this one
             return
         now = self.scheduler.now()
         self.next_round_at = NEVER
--- a/honeyhitch/dispatcher/metrics.py
+++ b/honeyhitch/dispatcher/metrics.py
@@ -1,6 +1,6 @@
-"""Counters of one process; they start at 0 with it.
+"""Counters of one process; they start at 0 when the process starts.
 
-The dispatcher reports what happens to messages and calls, whichever frontend or protocol they belong to.
+The dispatcher counts events of messages and calls, independently of their frontend or protocol.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class ClassMetrics:
-    """Of one message class: messages by how they ended, and messages in calls written to endpoints."""
+    """Counters of one message class: messages by ending, and messages in calls written to endpoints."""
 
     delivered: int = 0
     rejected: int = 0  # submitting them again is harmless
     failed: int = 0
-    attempts: int = 0  # one for each message of a call
+    attempts: int = 0  # one per message of a call
 
     def snapshot(self) -> dict[str, int]:
-        """The counters by their metric names."""
+        """Return the counters by metric name."""
         return {
             "ok": self.delivered,
             "shed": self.rejected,
@@ -39,15 +39,15 @@
         self.classes = [ClassMetrics() for _ in self.names]
 
     def message_rejected(self, transaction: Transaction) -> None:
-        """A message was not accepted."""
+        """Count a message that was not accepted."""
         self.classes[transaction.class_index].rejected += 1
 
     def message_invalid(self, class_index: int) -> None:
-        """A message failed before it was submitted, for a field that cannot be used."""
+        """Count a message that failed before it was submitted because of an invalid field."""
         self.classes[class_index].failed += 1
 
     def message_concluded(self, transaction: Transaction, ending: Ending) -> None:
-        """It was decided how a message ends; one that is not waited for is not counted."""
+        """Count a message by its ending; a message whose client waits for no answer is not counted."""
         counters = self.classes[transaction.class_index]
         match ending:
             case Ending.DELIVERED:
@@ -60,10 +60,10 @@
                 pass
 
     def call_written(self, messages: Iterable[Transaction]) -> None:
-        """A call with these messages was passed completely to its connection."""
+        """Count the messages of a call that was passed completely to its connection."""
         for message in messages:
             self.classes[message.class_index].attempts += 1
 
     def snapshot(self) -> dict[str, dict[str, Any]]:
-        """The counters by the name of the class."""
+        """Return the counters by class name."""
         return {name: counters.snapshot() for name, counters in zip(self.names, self.classes, strict=True)}
--- a/honeyhitch/dispatcher/outcomes.py
+++ b/honeyhitch/dispatcher/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes: what becomes of each message of a call that ended, expired or never started."""
+"""Outcomes: processes the outcome of each message of a call that ended, expired or never started."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Attempt, Ending, Transaction
 from honeyhitch.policy.events import AttemptEnded, Outcome, RetryAfterReceived
 
-LIMIT_REMAINING_FIELD = "x0"  # of a report: the fraction of the limit that is left
-RATE_LIMIT_FIELD = "x1"  # of a report: calls a second
+LIMIT_REMAINING_FIELD = "x0"  # report field: the remaining fraction of the limit
+RATE_LIMIT_FIELD = "x1"  # report field: the limit in calls per second
 
 
 class CallOutcomes:
@@ -21,11 +21,11 @@
         self.endings = endings
 
     def call_ended(self, call: Call, result: CallResult) -> None:
-        """A call ended.
+        """Process the result of a call.
 
-        Its messages share one fate. If its answer comes after one message's time, it is unknown whether it
-        counts for the others (docs/fleet-questions.md): they may have been executed, which says nothing of
-        the endpoint's health.
+        The messages of a call succeed or fail together. If the reply arrives after one of the messages timed
+        out, it is unknown whether the reply counts for the others (docs/fleet-questions.md): they may have
+        been executed, which is no sign of the endpoint's health.
         """
         self.retry_after_received(call.endpoint, result.retry_after)
         if call.message_expired and any(outcome is Outcome.DELIVERED for outcome, _ in result.outcomes):
@@ -37,15 +37,15 @@
                 continue
             if call.started or self.context.sending:
                 self.attempt_ended(call, index, outcome, concluded, result)
-            else:  # it was cancelled, as the process is about to end
+            else:  # the call was cancelled because the process is about to end
                 self.message_not_started(call, index)
         if not self.context.sending:
             self.context.transports[call.endpoint.transport].close_idle(call.endpoint)
 
     def retry_after_received(self, endpoint: PoolEndpoint, duration: int) -> None:
-        """An endpoint asked to be left alone for so many nanoseconds, or not, at 0.
+        """Apply a Retry-After of `duration` nanoseconds that an endpoint sent; 0 means that it sent none.
 
-        That binds its destination, whatever becomes of the messages of the call that brought it.
+        The Retry-After applies to the destination, however the messages of the call that received it end.
         """
         if duration:
             until = self.context.scheduler.now() + duration
@@ -53,7 +53,7 @@
             self.context.event_queue.enqueue(RetryAfterReceived(endpoint.destination, endpoint.id, until))
 
     def message_expired(self, call: Call, message: Transaction) -> None:
-        """The time of one message of a call in flight is over; a call not started goes on without it."""
+        """Time out one message of a call; a call that has not started continues without the message."""
         for index, candidate in enumerate(call.messages):
             if candidate is message and call.pending[index]:
                 if call.started:
@@ -61,11 +61,11 @@
                     self.attempt_ended(call, index, Outcome.TIMEOUT, False, CallResult([]))
                 else:
                     self.message_not_started(call, index)
-                if not any(call.pending):  # its answer is not waited for any more
+                if not any(call.pending):  # no message waits for the reply any more
                     self.context.transports[call.endpoint.transport].cancel(call)
 
     def message_not_started(self, call: Call, index: int) -> None:
-        """A message leaves its call before the first byte: no attempt is used up."""
+        """Remove a message from its call before the first byte; no attempt is used up."""
         self.attempt_ended(call, index, Outcome.NOT_SENT, False, CallResult([]), not_started=True)
 
     def attempt_ended(
@@ -77,7 +77,10 @@
         result: CallResult,
         not_started: bool = False,
     ) -> None:
-        """The attempt of one message has its outcome; `concluded`: the message needs nothing more."""
+        """Process the outcome of one message's attempt.
+
+        `concluded` says that the outcome concludes the message, `not_started` that no attempt was used up.
+        """
         context = self.context
         message = call.messages[index]
         call.pending[index] = False
@@ -125,9 +128,9 @@
             journal.record_outcome(message, attempt)
 
     def _rate_limit(self, call: Call, result: CallResult) -> float:
-        """The quota of a limit that was reported, in calls a second.
+        """Return this instance's quota of the reported limit, in calls per second.
 
-        By a quota that has just run out nothing is sent in any case: the whole limit stands for it.
+        The whole limit is returned for a quota of 0: nothing is sent without a quota in any case.
         """
         limit = result.reported.get(RATE_LIMIT_FIELD, 0.0)
         quota_source = self.context.quota_source
--- a/honeyhitch/dispatcher/recovery.py
+++ b/honeyhitch/dispatcher/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery and hand-over: resuming what the journal holds, and leaving it to the next process."""
+"""Recovery and hand-over: resumes the messages of the journal, and leaves them to the next process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Recovery:
-    """The start and the end of a process's work on the messages of a journal."""
+    """Resumes the messages of a journal at a start, and hands them over or stops at the end of a process."""
 
     def __init__(self, context: DispatcherContext, admission: AdmissionControl, endings: Endings) -> None:
         self.context = context
@@ -22,32 +22,32 @@
         self.endings = endings
 
     def recover(self) -> None:
-        """After a start: resume the messages of the journal, and give the store its dead letters."""
+        """Resume the messages of the journal after a start, and pass dead letters to their store."""
         messages = self.context.messages
         handed_over = self.context.journal.handed_over
         pending = [message for name, message in messages.by_id.items() if name not in handed_over]
         self.take_over(pending, list(messages.pending_dead_letters.values()))
 
     def take_over(self, pending: list[Transaction], dead_letters: list[Transaction]) -> None:
-        """Resume what a process left: it is in the journal, and no other process resumes it."""
+        """Resume messages that a process left; they are in the journal, and no other process resumes them."""
         sink = self.context.dead_letter_sink
         if sink is not None:
             for message in dead_letters:
                 sink.store(message)
-        elif dead_letters:  # they stay for a start with a store
+        elif dead_letters:  # they stay in the journal until a start with a dead-letter store
             log.warning("dead-letter.store-missing", waiting=len(dead_letters))
-        # Resends first: what came later may be a copy of one.
+        # Resends come first, because a message that arrived later may be a copy of a resend.
         for message in sorted(pending, key=lambda message: message.frontend != RESEND_FRONTEND):
             if message.ending is not None:
                 self._resume_decided(message)
             elif message.frontend == RESEND_FRONTEND:
                 self._resume_resend(message)
             else:
-                message.recovered_from_journal = True  # its age is not that of this process
+                message.recovered_from_journal = True  # it may be older than this process
                 self.admission.admit(message)
 
     def _resume_decided(self, message: Transaction) -> None:
-        """Only its answer may not have been sent, and the store may not have it."""
+        """Have a decided answer sent, and pass the message to the store if it is an unstored dead letter."""
         self.endings.answer(message)
         sink = self.context.dead_letter_sink
         if message.is_dead_letter and not message.dead_letter_stored and sink is not None:
@@ -57,15 +57,14 @@
         coordinator = self.context.resend_coordinator
         if coordinator is not None:
             coordinator.recover_resend(message)
-        else:  # the store, where it is missed, will take it for one that may have been executed
+        else:  # the dead-letter store will miss the resend and treat it as one that may have been executed
             log.warning("dead-letter.store-missing", resend=message.id)
             self.context.journal.record_end(message, Ending.UNANSWERED)
 
     def stop_deciding(self, pause: int) -> None:
-        """Run the last round: what cannot outlive so many nanoseconds without decisions is rejected or
-        failed.
+        """Run the last round, which rejects or fails messages that cannot wait `pause` nanoseconds.
 
-        Everything else that is pending is left to the next process, by the journal.
+        All other pending messages stay in the journal for the next process.
         """
         if self.context.sending:
             self.context.event_queue.enqueue(ShutdownStarted(pause))
@@ -73,10 +72,10 @@
             self._stop_sending()
 
     def hand_over(self) -> None:
-        """Start nothing more: calls in flight end here, as do notices, and the other process resumes the
-        rest.
+        """Start no further call, and hand the waiting messages over to the other process.
 
-        Endpoints have few places for connections: none is kept here. To be called again until the end.
+        Calls in flight and notices end in this process. Idle connections are closed, because endpoints accept
+        only few connections. To be called repeatedly until the process ends.
         """
         context = self.context
         if context.sending:
@@ -94,11 +93,13 @@
         ]
         try:
             context.journal.hand_over(waiting, len(calls))
-        except JournalFullError as error:  # the other process finds them once this one has ended
+        except (
+            JournalFullError
+        ) as error:  # the other process takes the messages over once this process has ended
             log.warning("journal.full", what="passed", error=str(error))
 
     def _stop_sending(self) -> None:
-        """Cancel calls whose connection is not up yet: they were not attempted."""
+        """Stop sending, and cancel calls that have not started; their messages were not attempted."""
         self.context.sending = False
         calls = {id(call): call for call in self.context.calls_in_flight.values() if not call.started}
         for call in calls.values():
--- a/honeyhitch/dispatcher/rounds.py
+++ b/honeyhitch/dispatcher/rounds.py
@@ -1,4 +1,4 @@
-"""One round: the policy handles the events that came, and its actions are carried out."""
+"""Rounds: in each round the policy handles the queued events, and its actions are carried out."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RoundRunner:
-    """Feeds events to the policy and carries out its actions in their order; sends come last, in calls."""
+    """Passes events to the policy and carries out its actions in order; sends come last, grouped in calls."""
 
     def __init__(self, context: DispatcherContext, endings: Endings, calls: CallStarter) -> None:
         self.context = context
@@ -31,7 +31,7 @@
     def run(self, queued: list[QueuedEvent]) -> None:
         """Handle these events at the time of the round, unless the process is about to end.
 
-        What is pending then is left to the next process, by the journal.
+        In that case pending messages stay in the journal for the next process.
         """
         context = self.context
         if not context.sending:
@@ -41,7 +41,7 @@
             self._new_message(event, now) if isinstance(event, Transaction) else event for event in queued
         ]
         if context.peer_process is not None:
-            # After the list: a Retry-After counts only where its endpoint is known.
+            # These follow the endpoint list: a Retry-After counts only if its endpoint is known.
             events += context.peer_process.retry_after_events()
         sends: list[Send] = []
         for action in context.policy.handle(now, events):
@@ -66,7 +66,7 @@
                 self._close_idle_connections(name)
             case OpenConnections(name, count):
                 self._open_connections(name, count)
-            case _:  # Subscribe: the discovery's watch is always on
+            case _:  # Subscribe: the watch of discovery is always active
                 pass
 
     def _cancel_call(self, message: str) -> None:
@@ -100,10 +100,13 @@
         )
 
     def _first_execution(self, message: Transaction, now: int) -> Execution | None:
-        """The earliest execution that this message may repeat: its own, its key's, or that of a resend."""
+        """Return the earliest execution that this message may repeat, or None.
+
+        It may be an execution of this message, of a delivered message with its key, or of a resend.
+        """
         first = message.first_possible_execution()
         if first is None and self.context.has_idempotency_key(message):
-            # A copy must keep to the deduplication window of the first one.
+            # A copy must stay within the deduplication window of the first message with its key.
             first = self.context.messages.first_execution_of_key(message, now)
         if message.earlier_execution is not None:
             earlier = Execution(*message.earlier_execution)
--- a/honeyhitch/endpoints/__init__.py
+++ b/honeyhitch/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints that discovery has named."""
+"""The endpoints that discovery has listed."""
--- a/honeyhitch/endpoints/endpoint.py
+++ b/honeyhitch/endpoints/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint of the pool: where it is reached and what is known of it."""
+"""One endpoint of the pool: its address and attributes."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from honeyhitch.policy.events import EndpointListing, EndpointStatus
 
-TLS_TRANSPORT = "tls"  # the transport whose endpoints take calls on connections that are open already
+TLS_TRANSPORT = "tls"  # the transport whose endpoints take calls only on open connections
 
 
 @dataclass(slots=True)
 class PoolEndpoint:
-    """One endpoint; `transport` names what carries calls to it."""
+    """One endpoint; `transport` names the transport that sends calls to it."""
 
     id: str
-    address: str  # HOST:PORT, or what the transport needs in its place
+    address: str  # HOST:PORT, or another form that the transport needs
     destination: int
     kind: int = 0
     zone: int = 0
-    listed_rate: float = 1.0  # calls a second
+    listed_rate: float = 1.0  # calls per second
     status: EndpointStatus = EndpointStatus.READY
     transport: str = "http"
 
     def listing(self) -> EndpointListing:
-        """The endpoint as the policy sees it."""
+        """Return the endpoint in the form that the policy needs."""
         return EndpointListing(
             endpoint=self.id,
             destination=self.destination,
--- a/honeyhitch/endpoints/list_rows.py
+++ b/honeyhitch/endpoints/list_rows.py
@@ -1,4 +1,4 @@
-"""Discovery's lists of endpoints: the only place that knows the field names of their rows (wire page)."""
+"""Endpoint lists from discovery: the only module that knows the field names of their rows (wire page)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 MAX_PORT = (1 << 16) - 1
 MAX_PORT_DIGITS = 5
-DEFAULT_SIZE = 1.0  # calls a second
+DEFAULT_SIZE = 1.0  # calls per second
 NO_DESTINATION = -1
 STATUS_BY_PHASE = {
     "Ready": EndpointStatus.READY,
@@ -23,12 +23,12 @@
 
 
 class PoolError(ValueError):
-    """A list from discovery that cannot be read."""
+    """An endpoint list from discovery is invalid or outdated."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One list or one change, its rows not read yet."""
+    """One complete list or one change, with unparsed rows."""
 
     rows: list[Row]
     revision: int
@@ -36,38 +36,41 @@
 
     @classmethod
     def parse(cls, received: dict[str, Any]) -> EndpointList:
-        """KeyError, TypeError, ValueError or OverflowError if it is no list."""
+        """Parse the outer fields; raise KeyError, TypeError, ValueError or OverflowError if invalid."""
         return cls(received["members"], int(received["revision"]), bool(received.get("complete", False)))
 
 
 def row_id(row: Row) -> str:
-    """The endpoint that a row is about; KeyError or TypeError if it is no row."""
+    """Return the id of a row's endpoint; raise KeyError or TypeError if it is not a row."""
     return str(row["id"])
 
 
 def row_destination(row: Row) -> int | None:
-    """The destination that a row names, if it names one."""
+    """Return the destination that a row names, or None if it names none."""
     cell = row.get("cell")
     return cell if isinstance(cell, int) else None
 
 
 def row_is_known(row: Row, endpoints: dict[str, PoolEndpoint]) -> bool:
-    """Whether a row is about one of these; KeyError or TypeError if it is no row."""
+    """Return whether a row is about one of these endpoints; raise KeyError or TypeError if it is no row."""
     return row["id"] in endpoints
 
 
 class RowParser:
-    """Reads rows, with the operator's names of kinds and zones; an unknown name counts as the first one."""
+    """Parses rows with the operator's names of kinds and zones.
+
+    An unknown name counts as the first kind or zone.
+    """
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
         self.kinds = kinds
         self.zones = zones
 
     def parse(self, row: Row, known: PoolEndpoint | None) -> PoolEndpoint:
-        """The endpoint of a row; what the row leaves out is taken from the `known` one with its id.
+        """Return the endpoint of a row; a missing destination or address is taken from the `known` endpoint.
 
-        PoolError names the field that is unusable. KeyError, TypeError, ValueError or OverflowError if it is
-        no row at all.
+        `known` is the present endpoint with the same id, if there is one. Raise a PoolError that names an
+        invalid field, and KeyError, TypeError, ValueError or OverflowError if it is not a row.
         """
         status = STATUS_BY_PHASE.get(str(row.get("phase", "Ready")), EndpointStatus.READY)
         if status is EndpointStatus.GONE and known is not None:
@@ -100,7 +103,7 @@
 
 def _parse_size(row: Row) -> float:
     size = float(row.get("size", DEFAULT_SIZE))
-    if not 0 <= size < inf:  # nor a NaN, which would spoil every rate computed from it
+    if not 0 <= size < inf:  # also false for NaN, which would make every rate computed from it NaN
         raise PoolError(f"size: expected a number of 0 or more, got {size}")
     return size
 
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""The pool: the endpoints that discovery has listed, and those that the operator set up."""
+"""The pool: the endpoints that discovery has listed, and those that the operator configured."""
 
 from __future__ import annotations
 
@@ -21,36 +21,38 @@
 
 
 class EndpointPool:
-    """Endpoints by id. Those that are gone are forgotten; a call in flight knows its own."""
+    """Endpoints by id. Removed endpoints are dropped; a call in flight holds its own endpoint."""
 
     def __init__(self, settings: Settings) -> None:
         self.kinds = tuple(kind.name for kind in settings.kinds)
         self.zones = settings.zone_names
         self.endpoints: dict[str, PoolEndpoint] = {}
-        self.pinned: dict[str, PoolEndpoint] = {}  # set up by the operator, never in discovery's list
+        self.pinned: dict[str, PoolEndpoint] = {}  # configured by the operator, never listed by discovery
         self.revision = 0
-        self.destinations: set[int] = set()  # each that was ever listed, also while it has no endpoint
+        self.destinations: set[int] = (
+            set()
+        )  # all that were ever listed, including those without an endpoint now
         self.transport_of: Callable[[PoolEndpoint], str] = lambda endpoint: endpoint.transport
-        # Destinations whose endpoints enter the pool, if not all.
+        # Whether endpoints of a destination are added to the pool; None adds all.
         self.accepts_destination: Callable[[int], bool] | None = None
-        # The fraction of a listed rate that this instance may use, 0 to 1.
+        # The fraction of a listed rate that this instance may use, from 0 to 1; None is the whole rate.
         self.quota_fraction: Callable[[int], float] | None = None
         self._parser = RowParser(self.kinds, self.zones)
 
     def has_destination(self, destination: int) -> bool:
-        """Whether there is such a destination; true as long as none was listed."""
+        """Return whether the destination was ever listed; true as long as no destination was listed."""
         return destination in self.destinations or not self.destinations
 
     def pin(self, endpoint: PoolEndpoint) -> None:
-        """Add an endpoint that the operator set up; a complete list from discovery leaves it in place."""
+        """Add an endpoint that the operator configured; a complete list from discovery does not remove it."""
         self.pinned[endpoint.id] = endpoint
         self.endpoints[endpoint.id] = endpoint
         self.destinations.add(endpoint.destination)
 
     def update(self, received: dict[str, Any], cached: bool = False) -> EndpointListUpdate:
-        """Apply one list or one change, in discovery's form, and return what is new.
+        """Apply one complete list or one change from discovery, and return the update for the policy.
 
-        PoolError, and nothing is changed, if it cannot be read or comes late.
+        Raise PoolError and change nothing if it is invalid, or if it is a change older than the last one.
         """
         try:
             listed = EndpointList.parse(received)
@@ -58,7 +60,8 @@
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise PoolError(f"members: {type(error).__name__}: {error}") from error
         if listed.revision < self.revision and not listed.complete:
-            # It would bring back what went since; an agent that counts anew has to send its complete list.
+            # An outdated change would restore endpoints that were removed since. An agent whose revisions
+            # restart has to send a complete list.
             raise PoolError(f"revision: a change of {listed.revision} after {self.revision}")
         endpoints = [
             endpoint
@@ -74,7 +77,10 @@
         return EndpointListUpdate(UpdateMode.CACHED if cached else UpdateMode.FULL, listings)
 
     def accepts_row(self, row: Row, complete: bool = False) -> bool:
-        """Whether a row is kept: one of a destination that is, or a change of an endpoint that was."""
+        """Return whether a row is applied.
+
+        A row is applied if its destination is accepted, or if it is a change of an endpoint in the pool.
+        """
         if self.accepts_destination is None:
             return True
         known = row_is_known(row, self.endpoints)
@@ -84,7 +90,7 @@
         return known and not complete
 
     def changed_listings(self, changed: Callable[[int], bool]) -> EndpointListUpdate:
-        """The listings of destinations whose quota has changed, as a change of the list."""
+        """Return an update with the endpoints of the destinations whose quota has changed."""
         listings = tuple(
             self._listing(endpoint) for endpoint in self.endpoints.values() if changed(endpoint.destination)
         )
@@ -98,7 +104,7 @@
         return endpoint
 
     def _moved_away(self, endpoints: list[PoolEndpoint]) -> list[PoolEndpoint]:
-        """Endpoints listed for another destination than before, as gone from the one that they were of."""
+        """Return the endpoints that changed their destination, marked as gone from the previous one."""
         moved = []
         for endpoint in endpoints:
             known = self.endpoints.get(endpoint.id, endpoint)
@@ -109,7 +115,7 @@
     def _apply(
         self, endpoints: list[PoolEndpoint], listings: tuple[EndpointListing, ...], complete: bool
     ) -> None:
-        if complete:  # what a complete list leaves out is gone as well
+        if complete:  # endpoints that a complete list omits are removed
             named = {listing.endpoint for listing in listings} | self.pinned.keys()
             self.endpoints = {name: endpoint for name, endpoint in self.endpoints.items() if name in named}
         for endpoint in endpoints:
