--- a/honeyhitch/journal/__init__.py
+++ b/honeyhitch/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The journal of accepted messages and what a replay of it gives."""
+"""The journal of accepted messages, and the state that a replay of it restores."""
--- a/honeyhitch/journal/directory.py
+++ b/honeyhitch/journal/directory.py
@@ -1,8 +1,8 @@
-"""The state directory and who holds it: in a hand-over two processes do, each with its journal.
+"""The state directory and its slots: during a hand-over two processes share it, each with its own journal.
 
-A slot is held by a lock that the kernel releases when its process ends, however it ends (flock(2)). The first
-slot's journal is the one that an earlier version reads; the second one's exists only while two processes
-live.
+A process holds a slot by a file lock, which the kernel releases when the process ends in any way (flock(2)).
+An earlier version reads the journal of the first slot; the journal of the second slot exists only while two
+processes run.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 
 class StateDirectoryInUseError(Exception):
-    """Two processes hold the state directory already."""
+    """Two other processes already hold the state directory."""
 
 
 class StateDirectory:
-    """One process's hold on the directory, in the first `slot` that was free.
+    """One process's lock on the state directory, in the first `slot` that was free.
 
-    OSError if the directory cannot be written, StateDirectoryInUseError if no slot is free.
+    Raises OSError if the directory cannot be written, and StateDirectoryInUseError if no slot is free.
     """
 
     def __init__(self, path: Path) -> None:
@@ -44,10 +44,10 @@
 
     @contextmanager
     def exclusive(self) -> Iterator[None]:
-        """Keep other processes from taking a slot or changing theirs meanwhile.
+        """Prevent other processes from locking or releasing slots while this context is open.
 
-        Who takes over holds both slots for some milliseconds, and a start must not take that for two
-        processes.
+        A process that takes over holds both slots for some milliseconds. A starting process must not mistake
+        that for two running processes.
         """
         fd = os.open(self.path / DIRECTORY_LOCK_NAME, os.O_RDWR | os.O_CREAT, OWNER_ONLY)
         try:
@@ -57,7 +57,7 @@
             os.close(fd)
 
     def lock_slot(self, slot: int) -> bool:
-        """Take this slot too; false if a living process has it."""
+        """Lock this slot; return false if another running process holds it."""
         if slot in self.locks:
             return True
         path = self.path / SLOT_LOCK_NAME.format(slot=slot)
@@ -75,15 +75,15 @@
         os.close(self.locks.pop(slot))
 
     def journal_path(self, slot: int) -> Path:
-        """The journal of a slot."""
+        """Return the path of a slot's journal."""
         return self.path / JOURNAL_NAMES[slot]
 
     @property
     def other_slot(self) -> int:
-        """The slot that is not this process's."""
+        """The slot that this process does not use."""
         return FIRST_SLOT + SECOND_SLOT - self.slot
 
     def close(self) -> None:
-        """Release all slots held."""
+        """Release all slots that this process holds."""
         for slot in list(self.locks):
             self.unlock_slot(slot)
--- a/honeyhitch/journal/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -1,4 +1,4 @@
-"""Reads, as it grows, the journal that the other process of a hand-over writes."""
+"""Follows the journal that the other process of a hand-over writes, reading new records as they appear."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class JournalFollower(JournalState):
-    """The state of a file that another process writes, or wrote; the file is never changed here."""
+    """The state of a journal file that another process writes or wrote; the follower only reads the file."""
 
     def __init__(self, path: Path, max_remembered: int, retention: Callable[[Transaction], int]) -> None:
         super().__init__(max_remembered, retention)
@@ -23,10 +23,10 @@
         self.read_bytes = 0  # of complete records
 
     def read(self) -> bool:
-        """Apply the records written since the last call; false if there is no file.
+        """Apply the records written since the last call; return false if there is no file.
 
-        A file that was replaced, or became shorter, is read from its start: it holds everything. If nothing
-        was written, this is two system calls. OSError if the file cannot be read.
+        A file that was replaced or became shorter is read from its start, because it holds the whole state.
+        If nothing was written, the call takes two system calls. Raise OSError if the file cannot be read.
         """
         try:
             found = os.stat(self.path)
@@ -40,7 +40,7 @@
         return True
 
     def reserved_bytes(self) -> int:
-        """Bytes of the disk that the writer uses, with those for a compaction if it may do one."""
+        """Return the bytes of disk that the writer uses, including those of a compaction if it may do one."""
         if self.fd == NO_FILE:
             return 0
         if self.calls_in_flight is None:
@@ -48,7 +48,7 @@
         return self.read_bytes
 
     def close(self) -> None:
-        """Close the file; the state stays."""
+        """Close the file and keep the state."""
         if self.fd != NO_FILE:
             os.close(self.fd)
             self.fd = NO_FILE
@@ -60,7 +60,10 @@
         self.read_bytes = 0
 
     def _read_up_to(self, size: int) -> None:
-        """An incomplete record is read again later: its writer may cut it back."""
+        """Apply the complete records up to this file size.
+
+        An incomplete record is read again later, because its writer may truncate it.
+        """
         complete = 0
         for record, end in decode_records(os.pread(self.fd, size - self.read_bytes, self.read_bytes)):
             self.apply(record)
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -1,7 +1,7 @@
 """The journal: an append-only file with a length and a checksum before each record.
 
-A record is written before the act that it covers. What a write leaves in the file survives the process,
-so nothing is synced. A torn tail is cut when the journal is opened.
+A record is written before the action that it covers. Data that a write has put into the file survives the
+process, so the file is not synced. An incomplete record at the end is truncated when the journal is opened.
 """
 
 from __future__ import annotations
@@ -33,29 +33,31 @@
 from honeyhitch.journal.transactions import Attempt, DeliveredKey, Ending, Transaction
 
 log = logs.get()
-JOURNAL_VERSION = 1  # of the records' form
-DISK_BYTES_PER_REMEMBERED_ID = 600  # of the journal's disk; a remembered id or key takes some 45 of them
-MAX_IDS_PER_RECORD = 1000  # ids or keys, so that no record outgrows what a replay accepts
-DISK_BLOCK_BYTES = 512  # the disk counts files in whole blocks
-SPARE_BLOCKS = 4  # for the rounding of both files and their directory
-ACCEPT_FRACTION = 0.75  # of the disk: beyond it no message is accepted
-WRITE_FRACTION = 0.95  # of the disk: beyond it nothing is written
-COMPACT_FRACTION = 0.3  # of the disk: from here on the file is compacted
-MIN_COMPACTION_GAIN = 0.125  # of the file; a smaller gain is not worth the milliseconds that it takes
+JOURNAL_VERSION = 1  # of the record format
+DISK_BYTES_PER_REMEMBERED_ID = 600  # of `max_bytes`; a remembered id or key takes about 45 of these bytes
+MAX_IDS_PER_RECORD = 1000  # ids or keys; keeps each record below the size limit of a replay
+DISK_BLOCK_BYTES = 512  # disk space is counted in whole blocks per file
+SPARE_BLOCKS = 4  # for rounding up both files and their directory to whole blocks
+ACCEPT_FRACTION = 0.75  # of `max_bytes`; beyond this no message is accepted
+WRITE_FRACTION = 0.95  # of `max_bytes`; beyond this no record is written
+COMPACT_FRACTION = 0.3  # of `max_bytes`; a larger file is compacted
+MIN_COMPACTION_GAIN = (
+    0.125  # of the file size; a smaller gain does not justify the milliseconds of a compaction
+)
 OWNER_ONLY = 0o600  # file mode
 
 
 class JournalVersionError(Exception):
-    """The journal was written in a later form than this program knows."""
+    """The journal was written in a later format version than this program supports."""
 
 
 class JournalFullError(Exception):
-    """There is no room for the record, even after compaction, or the disk failed."""
+    """There is no space for a record, even after compaction, or writing it failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class _SavedState:
-    """What a take-over changes before it is sure of its room on the disk."""
+    """The state that a take-over changes, restored if there is no disk space for the result."""
 
     by_id: dict[str, Transaction]
     concluded: dict[str, int]
@@ -69,11 +71,11 @@
 
 
 class Journal(JournalState):
-    """The file, and the state that a replay of it would give.
+    """A journal file, and the state that a replay of it would give.
 
-    `max_bytes` is the disk that the file and its replacement may use together. In a `detailed` journal the
-    endpoints, outcomes and times of attempts are kept for dead letters. JournalVersionError if the file is of
-    a later form, OSError if it cannot be opened.
+    `max_bytes` is the disk space that the file and its replacement may use together. A `detailed` journal
+    keeps the endpoints, outcomes and times of attempts for dead letters. Raises JournalVersionError if the
+    file has a later format version, and OSError if it cannot be opened.
     """
 
     def __init__(
@@ -89,13 +91,11 @@
         self.path = directory / file_name
         self.new_path = directory / f"{file_name}.new"
         self.max_bytes = max_bytes
-        self.peer_bytes = 0  # bytes that another process uses of the same disk
-        self.compaction_overhead = 0  # bytes of the last compaction's file beyond `live_bytes`
+        self.peer_bytes = 0  # bytes of `max_bytes` that another process uses
+        self.compaction_overhead = 0  # bytes by which the last compacted file exceeded `live_bytes`
         self.clock = clock
         self.detailed = detailed
-        self.new_path.unlink(
-            missing_ok=True
-        )  # a compaction that was cut short; the old file holds everything
+        self.new_path.unlink(missing_ok=True)  # of an interrupted compaction; the old file is complete
         self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, OWNER_ONLY)
         self.size = 0
         self._replay()
@@ -109,22 +109,28 @@
         """Close the file."""
         os.close(self.fd)
 
-    # What is written, each before the act that it covers.
+    # Records, each written before the action that it covers.
 
     def record_accepted(self, transaction: Transaction) -> None:
-        """Before a client hears that its message was accepted; JournalFullError if there is no room."""
+        """Record an accepted message before its client is told.
+
+        Raise JournalFullError if there is no space.
+        """
         self.append(MessageRecord(transaction, self.detailed), ACCEPT_FRACTION)
         self._add_message(transaction)
 
     def record_attempt(self, transaction: Transaction, at: int, zone: int, endpoint: str = "") -> None:
-        """Right before the first byte of a call; JournalFullError if there is no room."""
+        """Record an attempt right before the first byte of its call.
+
+        Raise JournalFullError if there is no space.
+        """
         number = transaction.attempt_count
         known_endpoint = endpoint if self.detailed else None
         self.append(AttemptStarted(transaction.id, number, at, zone, known_endpoint))
         transaction.add_attempt(number, at, zone, known_endpoint)
 
     def record_outcome(self, transaction: Transaction, attempt: Attempt) -> None:
-        """How an attempt ended, for those who read it later; nothing that is decided rests on it."""
+        """Record the outcome of an attempt for the dead letter; no decision depends on it."""
         if not self.detailed:
             return
         self._append_if_possible(AttemptOutcome(transaction.id, attempt))
@@ -132,16 +138,19 @@
         transaction.attempt_history = [*earlier, attempt]
 
     def record_not_executed(self, transaction: Transaction, number: int) -> None:
-        """The outcome of an attempt proves that it was never executed; other outcomes change nothing."""
+        """Record that the outcome of an attempt proves that it was never executed.
+
+        An outcome without that proof needs no record here.
+        """
         self._append_if_possible(AttemptNotExecuted(transaction.id, number))
         transaction.mark_not_executed(number)
 
     def record_decision(
         self, transaction: Transaction, ending: Ending, retry_after: int, is_dead_letter: bool = False
     ) -> None:
-        """Before a final answer is sent: from now on it is this one and no other.
+        """Record the decided ending before the final answer is sent; the ending does not change afterwards.
 
-        A dead letter stays here, also after its answer was sent, until the store has it.
+        A dead letter stays in the journal after its answer was sent, until the store has it.
         """
         if is_dead_letter:
             transaction.ended_at = self.clock()
@@ -153,33 +162,34 @@
         transaction.retry_after = retry_after
 
     def record_dead_letter_stored(self, transaction: Transaction) -> None:
-        """The store has it, or has discarded it: it need not stay here for that any longer."""
+        """Record that the store has stored or discarded a dead letter, which it no longer needs from here."""
         self._append_if_possible(DeadLetterStored(transaction.id, transaction.ended_at))
         self._remove_dead_letter(transaction.id, transaction.ended_at)
 
     def record_end(self, transaction: Transaction, ending: Ending) -> None:
-        """After the final answer was sent: the message is concluded."""
+        """Record after the final answer was sent that the message is concluded."""
         self._append_if_possible(MessageEnded(transaction.id, ending, self.clock()))
         self._end(transaction, ending, self.clock())
 
     def record_owner(self, name: str) -> None:
-        """Write down whose journal it is and in which form, for the next process of a hand-over."""
+        """Record the dispatcher's name and the journal version, for the next process of a hand-over."""
         if (self.name, self.version) != (name, JOURNAL_VERSION):
             self.name = name
             self.version = JOURNAL_VERSION
             self._append_if_possible(JournalOwner(self.version, self.name))
 
     def record_retry_after(self, destination: int, endpoint: str, until: int) -> None:
-        """An endpoint sent Retry-After: the other process of a hand-over heeds it, too."""
+        """Record a Retry-After from an endpoint; the other process of a hand-over observes it as well."""
         self.retry_after_until[destination, endpoint] = until
         self._append_if_possible(RetryAfterNoted(destination, endpoint, until))
 
     def hand_over(self, transactions: list[Transaction], calls_in_flight: int) -> None:
-        """The other process resumes these from the moment of the record, while these calls are in flight
-        here.
+        """Record that the other process resumes these messages, and how many calls are in flight here.
 
-        JournalFullError, and the messages stay, if there is no room. The file is compacted once, before; from
-        then on it only grows, so that the other process need not leave room for a compaction here.
+        The other process owns the messages as soon as the record is written. Raise JournalFullError, and keep
+        the messages that were not recorded, if there is no space. The first hand-over compacts the file
+        beforehand. From then on the file only grows, so that the other process need not reserve space for a
+        compaction of it.
         """
         if self.calls_in_flight is None:
             self.compact()
@@ -190,29 +200,30 @@
         self.record_calls_in_flight(calls_in_flight)
 
     def record_calls_in_flight(self, count: int | None) -> None:
-        """How many calls are in flight in a process that hands over; None as long as it does not."""
+        """Record the number of calls in flight in a process that hands over; None if it does not."""
         if count != self.calls_in_flight:
             self.calls_in_flight = count
             self._append_if_possible(CallsInFlight(count))
 
     def reclaim(self) -> None:
-        """There is no other process any more: what was handed over is this one's own again."""
+        """Own all messages again that were handed over, because the other process has ended."""
         if self.handed_over or self.calls_in_flight is not None:
             self.handed_over = {}
             self.calls_in_flight = None
             self._append_if_possible(HandoverReclaimed())
 
-    # What another process left, once its lock is free.
+    # Take-over of another process's journal, once the lock of its slot is free.
 
     def take_over(
         self, other: JournalState, path: Path, left: Path
     ) -> tuple[list[Transaction], list[Transaction]]:
-        """Hold and remember what another journal does as well.
+        """Merge the messages and remembered ids and keys of another journal into this one.
 
-        Returned are the messages new here, and the dead letters new here that only wait for the store. What
-        was handed over counts as the other one has it; what that does not know comes back, and is new.
-        One file with both replaces `path` atomically, and only then is `left` removed: after a kill in
-        between, the one at `path` counts. JournalFullError, with everything as it was, if there is no room.
+        Return the messages that are new in this journal, and the new dead letters that only wait for the
+        store. For messages that were handed over, the state in the other journal counts; those that the other
+        journal does not contain are owned by this process again and returned as new. One file with both
+        journals replaces `path` atomically, and only then is `left` removed: if the process is killed in
+        between, the file at `path` counts. Raise JournalFullError and change nothing if there is no space.
         """
         saved = self._save()
         returned = self._settle_handed_over(other)
@@ -241,7 +252,7 @@
         return new + returned, pending
 
     def _settle_handed_over(self, other: JournalState) -> list[Transaction]:
-        """Forget what the other process accepted of what it was handed; the rest is returned."""
+        """Drop handed-over messages that the other process accepted, and return the others."""
         accepted = {name for name in self.handed_over if other.has_accepted(name)}
         for name in accepted:
             del self.messages.by_id[name]
@@ -280,22 +291,25 @@
         for record, end in decode_records(data):
             self.apply(record)
             self.size = end
-        if self.size < len(data):  # the torn tail of a process that was killed in a write
+        if self.size < len(data):  # an incomplete record of a process that was killed during a write
             os.ftruncate(self.fd, self.size)
-        self.retry_after_until.clear()  # a restart ends them (protocol page)
+        self.retry_after_until.clear()  # a restart ends each Retry-After (protocol page)
         self.messages.drop_expired(self.clock())
 
     # The file.
 
     def _append_if_possible(self, record: Record) -> None:
-        """A record that only lessens what is pending: without it, for lack of room, a replay is harmless."""
+        """Write a record if there is space.
+
+        Used only for records that reduce the pending work: a replay without such a record is harmless.
+        """
         try:
             self.append(record)
         except JournalFullError as error:
             log.error("journal.failed", error=str(error))
 
     def append(self, record: Record, disk_fraction: float = WRITE_FRACTION) -> None:
-        """Write a record; JournalFullError if the file would use more than this fraction of the disk."""
+        """Write a record; raise JournalFullError if that needs more than this fraction of `max_bytes`."""
         data = encode_record(record)
         if len(data) > MAX_RECORD_BYTES:
             raise JournalFullError("the record is too long")
@@ -304,7 +318,7 @@
             written = os.write(self.fd, data)
         except OSError as error:
             raise JournalFullError(str(error)) from error
-        if written < len(data):  # a disk that filled up midway: leave no torn record in the middle
+        if written < len(data):  # the disk became full; later records must not follow an incomplete one
             os.ftruncate(self.fd, self.size)
             raise JournalFullError("a write was cut short")
         self.size += written
@@ -312,7 +326,7 @@
     def _make_room(self, record_bytes: int, disk_fraction: float) -> None:
         if self.size > max(COMPACT_FRACTION * self.max_bytes, 2 * self.live_bytes):
             self._compact_if_worthwhile(0)
-        # Old and new file lie side by side while one is compacted, so both must always fit.
+        # The old and the new file exist at the same time during a compaction, so both must always fit.
         reserved = self.live_bytes + self.peer_bytes + 2 * record_bytes + SPARE_BLOCKS * DISK_BLOCK_BYTES
         excess = reserved - disk_fraction * self.max_bytes
         if self.size + excess > 0:
@@ -321,23 +335,23 @@
                 raise JournalFullError("the disk's share is used up")
 
     def _compact_if_worthwhile(self, required_bytes: float) -> None:
-        """Compact if that frees as much, and enough to be worth it.
+        """Compact the file if that frees `required_bytes` and at least `MIN_COMPACTION_GAIN` of its size.
 
-        Without the second condition a full journal would be rewritten for every message that it rejects.
+        Without the second condition, a full journal would be compacted for each message that it rejects.
         """
         gain = self.size - self.live_bytes - self.compaction_overhead
         if self.calls_in_flight is None and gain >= max(required_bytes, MIN_COMPACTION_GAIN * self.size):
             self.compact()
 
     def compact(self) -> None:
-        """Write what is still of use to a new file and replace the old one with it atomically."""
+        """Write the live records to a new file and atomically replace the old file with it."""
         data = self.snapshot()
         self.compaction_overhead = len(data) - self.live_bytes
         if len(data) < self.size:
             self.replace_file(data, self.path, self.new_path)
 
     def snapshot(self) -> bytes:
-        """The records of a compacted journal with the present state."""
+        """Return the encoded records of a compacted journal with the present state."""
         now = self.clock()
         self.messages.drop_expired(now)
         self.retry_after_until = {key: until for key, until in self.retry_after_until.items() if until > now}
@@ -364,7 +378,10 @@
             yield RetryAfterNoted(destination, endpoint, until)
 
     def replace_file(self, data: bytes, path: Path, new_path: Path) -> bool:
-        """Put a file with these bytes at `path` atomically and go on writing there; false if that failed."""
+        """Atomically replace `path` with a file of these bytes and continue writing there.
+
+        Return false if that failed, or if there is no space for the file.
+        """
         if self.size + self.peer_bytes + len(data) + SPARE_BLOCKS * DISK_BLOCK_BYTES > self.max_bytes:
             return False
         try:
--- a/honeyhitch/journal/record_codec.py
+++ b/honeyhitch/journal/record_codec.py
@@ -1,8 +1,8 @@
-"""The stored form of the journal's records: the only place that knows its field names.
+"""The stored form of the journal's records: the only module that knows the stored field names.
 
-A record in the file is a header (length and checksum of what follows), the length of its fields, the fields
-as JSON, and the body of the message, if the record has one. Field names and their order never change: an
-earlier version may have to read what this one wrote.
+A record in the file is a header (length and checksum of the data after it), the length of the fields, the
+fields as JSON, and the body of the message if the record has one. Field names and their order never change,
+because an earlier version may have to read the records that this version wrote.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 )
 from honeyhitch.journal.transactions import Attempt, DeliveredKey, Ending, PossibleExecution, Transaction
 
-RECORD_HEADER = struct.Struct("<II")  # length and checksum of what follows
-FIELDS_LENGTH = struct.Struct("<I")  # length of the JSON in a record; the body follows it
-MAX_RECORD_BYTES = 1 << 20  # without the header; a greater length is a torn record
+RECORD_HEADER = struct.Struct("<II")  # length and checksum of the data after it
+FIELDS_LENGTH = struct.Struct("<I")  # length of the JSON in a record; the body follows the JSON
+MAX_RECORD_BYTES = 1 << 20  # without the header; a greater length is read as an incomplete record
 
 Fields = dict[str, Any]
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
@@ -44,16 +44,16 @@
 
 
 def encode_frame(fields: Fields, body: bytes = b"") -> bytes:
-    """One record as it is stored, from its stored fields."""
+    """Return one stored record with these stored fields and this body."""
     text = _encode_json(fields).encode()
     payload = FIELDS_LENGTH.pack(len(text)) + text + body
     return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def decode_frames(data: bytes) -> Iterator[tuple[Fields, bytes, int]]:
-    """The complete records at the start of `data`: stored fields, body, and the offset of each one's end.
+    """Yield the complete records at the start of `data`: stored fields, body, and the end offset of each.
 
-    It stops without an error at the first record that is torn or damaged.
+    Decoding stops without an error at the first record that is incomplete or damaged.
     """
     start = 0
     while start + RECORD_HEADER.size <= len(data):
@@ -74,25 +74,25 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """One record as it is stored."""
+    """Return a record in its stored form."""
     body = record.message.body if isinstance(record, MessageRecord) else b""
     return encode_frame(_ENCODERS[type(record)](record), body)
 
 
 def decode_records(data: bytes) -> Iterator[tuple[Record | None, int]]:
-    """The complete records at the start of `data`, and the offset of each one's end.
+    """Yield the complete records at the start of `data` with the end offset of each.
 
-    A record of a kind that this version does not know is None.
+    A record of a kind that this version does not know is yielded as None.
     """
     for fields, body, end in decode_frames(data):
         decode = _DECODERS.get(fields.get("t", ""))
         yield decode(fields, body) if decode is not None else None, end
 
 
-# Each kind of record: to its stored fields, and back.
+# Conversion of each kind of record to its stored fields, and back.
 
 
-# How fields of a message are called in its stored record, in the order in which they are written.
+# Fields of a message by their names in the stored record, in the order in which they are written.
 _ACCEPTED_FIELDS = {
     "id": "id",
     "cls": "class_index",
@@ -135,7 +135,10 @@
 
 
 def _decode_message(fields: Fields, body: bytes) -> MessageRecord:
-    """A field that an earlier version did not write has its default; KeyError at one that is unknown."""
+    """Decode a message; a field that an earlier version did not write gets its default.
+
+    Raise KeyError for an unknown field.
+    """
     values = {_MESSAGE_FIELDS[name]: value for name, value in fields.items() if name not in _CONVERTED_FIELDS}
     message = Transaction(
         body=body,
--- a/honeyhitch/journal/records.py
+++ b/honeyhitch/journal/records.py
@@ -1,7 +1,8 @@
-"""The records of the journal, as the program knows them; `record_codec` maps them to their stored form.
+"""The records of the journal in memory; `record_codec` converts them to and from their stored form.
 
-Times are Unix times in nanoseconds, durations nanoseconds. Records are not changed once made; they are not
-frozen dataclasses because these take longer to make, and a start makes one for each record of the journal.
+Times are Unix times in nanoseconds, durations are in nanoseconds. Records are not changed after construction.
+They are not frozen dataclasses because those take longer to construct, and a start constructs one for each
+record of the journal.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 @dataclass(slots=True)
 class MessageRecord:
-    """A message was accepted; after compaction also all that later records told of it."""
+    """A message was accepted; after compaction the record includes what later records said of the message."""
 
     message: Transaction
-    detailed: bool = False  # with what dead letters are made of: the time of arrival and the attempts
-    answered: bool = False  # its final answer was sent: it only waits for the store of dead letters
+    detailed: bool = False  # includes the time of arrival and the attempts, which dead letters need
+    answered: bool = False  # its final answer was sent; the message only waits for the dead-letter store
 
 
 @dataclass(slots=True)
@@ -28,12 +29,12 @@
     number: int
     started_at: int
     zone: int
-    endpoint: str | None = None  # known in a detailed journal alone
+    endpoint: str | None = None  # only known in a detailed journal
 
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """An attempt ended; written in a detailed journal alone."""
+    """An attempt ended; only written in a detailed journal."""
 
     message: str
     attempt: Attempt
@@ -49,18 +50,18 @@
 
 @dataclass(slots=True)
 class EndingDecided:
-    """How a message ends was decided; its final answer may not have been sent."""
+    """The ending of a message was decided; its final answer may not have been sent."""
 
     message: str
     ending: Ending
     retry_after: int
-    ended_at: int = 0  # of a dead letter alone
+    ended_at: int = 0  # only set for a dead letter
     is_dead_letter: bool = False
 
 
 @dataclass(slots=True)
 class MessageEnded:
-    """The final answer to a message was sent, or is not waited for."""
+    """The final answer to a message was sent, or no client waits for it."""
 
     message: str
     ending: Ending
@@ -69,7 +70,7 @@
 
 @dataclass(slots=True)
 class DeadLetterStored:
-    """The store of dead letters has a message, or has discarded it."""
+    """The dead-letter store has stored or discarded a message."""
 
     message: str
     ended_at: int
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class RetryAfterNoted:
-    """An endpoint asked to be left alone until then."""
+    """An endpoint sent a Retry-After that ends at `until`."""
 
     destination: int
     endpoint: str
@@ -86,7 +87,7 @@
 
 @dataclass(slots=True)
 class JournalOwner:
-    """Which dispatcher writes the journal, and in which version of its form."""
+    """The name of the dispatcher that writes the journal, and the version of the journal's format."""
 
     version: int
     name: str
@@ -101,21 +102,21 @@
 
 @dataclass(slots=True)
 class CallsInFlight:
-    """How many calls are in flight in a process that hands over; None if it does not."""
+    """The number of calls in flight in a process that hands over; None if it does not hand over."""
 
     count: int | None
 
 
 @dataclass(slots=True)
 class HandoverReclaimed:
-    """What was handed over is the writer's own again."""
+    """The writer owns the messages again that it had handed over."""
 
 
 @dataclass(slots=True)
 class EndedMessages:
-    """What is remembered of messages that ended, for detecting duplicates."""
+    """Ids and keys of ended messages, remembered to detect duplicates."""
 
-    concluded: dict[str, int]  # message: remembered until
+    concluded: dict[str, int]  # end of the retention by message id
     delivered_keys: dict[str, DeliveredKey]
 
 
--- a/honeyhitch/journal/state.py
+++ b/honeyhitch/journal/state.py
@@ -1,6 +1,6 @@
-"""What a journal's records add up to: the messages held, and what is remembered of those that ended.
+"""The state that a journal's records describe: the held messages, and ids and keys of ended messages.
 
-The process that writes a journal keeps this state, and so does one that reads the journal of the other
+The process that writes a journal keeps this state, and so does a process that reads the journal of the other
 process of a hand-over.
 """
 
@@ -27,19 +27,19 @@
 )
 from honeyhitch.journal.transactions import DeliveredKey, Ending, MessageTable, Transaction
 
-ESTIMATED_OVERHEAD_BYTES = 512  # of a message's records, without its body
+ESTIMATED_OVERHEAD_BYTES = 512  # of a message's records, excluding its body
 
 
 def _estimated_bytes(message: Transaction) -> int:
-    """Bytes of a message's record and of those that follow it."""
+    """Return the estimated bytes of a message's record and of later records about the message."""
     return len(message.body) + ESTIMATED_OVERHEAD_BYTES
 
 
 class JournalState:
-    """The result of applying records in order.
+    """The state after applying records in order.
 
-    `retention` gives the nanoseconds for which the id and key of an ended message are remembered;
-    `max_remembered` is a number of ids, and of as many keys.
+    `retention` returns the nanoseconds for which the id and key of an ended message are remembered.
+    `max_remembered` is the maximum number of ids, and also that of keys.
     """
 
     def __init__(self, max_remembered: int, retention: Callable[[Transaction], int]) -> None:
@@ -49,27 +49,27 @@
 
     def _reset(self) -> None:
         self.messages = MessageTable(self.max_remembered)
-        self.live_bytes = 0  # bytes of the records that compaction would keep, estimated
-        self.dead_letter_bytes = 0  # and of these, those of messages that only wait for the store
-        self.sizes: dict[str, int] = {}  # estimated bytes by message
-        # Until when an endpoint of a destination asked to be left alone.
+        self.live_bytes = 0  # estimated bytes of the records that compaction would keep
+        self.dead_letter_bytes = 0  # the part of `live_bytes` of messages that only wait for the store
+        self.sizes: dict[str, int] = {}  # estimated bytes by message id
+        # End of the last Retry-After, by destination and endpoint.
         self.retry_after_until: dict[tuple[int, str], int] = {}
-        # Held here, but resumed by the other process of a hand-over.
+        # Messages in this journal that the other process of a hand-over resumes.
         self.handed_over: dict[str, Transaction] = {}
-        self.calls_in_flight: int | None = None  # in a process that hands over; None in any other
-        self.name = ""  # of the dispatcher
-        self.version = 0  # of the journal's form; 0 before there was one
+        self.calls_in_flight: int | None = None  # None if the writer does not hand over
+        self.name = ""  # the dispatcher's name
+        self.version = 0  # of the journal's format; 0 if no record states it
 
     def has_accepted(self, name: str) -> bool:
-        """Whether this message is held, or was and is remembered."""
+        """Return whether this message is held, or was held and is still remembered."""
         return name in self.messages.by_id or name in self.messages.concluded
 
     def apply(self, record: Record | None) -> None:
-        """Add one record; one of an unknown kind (None), or of a message not held, changes nothing."""
+        """Apply one record; a record of an unknown kind (None), or about no held message, changes nothing."""
         if record is not None:
             self._HANDLERS[type(record)](self, record)
 
-    # One handler a kind of record.
+    # One handler for each kind of record.
 
     def _apply_message(self, record: MessageRecord) -> None:
         if record.answered:
@@ -94,7 +94,7 @@
                 attempt.retry_after = outcome.retry_after
                 attempt.failure_reason = outcome.failure_reason
                 return
-        message.attempt_history.append(outcome)  # it was never started
+        message.attempt_history.append(outcome)  # the attempt was never started
 
     def _apply_not_executed(self, record: AttemptNotExecuted) -> None:
         message = self.messages.by_id.get(record.message)
@@ -155,10 +155,10 @@
         EndedMessages: _apply_ended_messages,
     }
 
-    # Steps that the writer of a journal shares.
+    # Methods shared with the writer of a journal.
 
     def _add_message(self, message: Transaction) -> None:
-        self.live_bytes -= self.sizes.get(message.id, 0)  # one that was handed over may come back
+        self.live_bytes -= self.sizes.get(message.id, 0)  # a message that was handed over may return
         self.handed_over.pop(message.id, None)
         self.messages.by_id[message.id] = message
         size = _estimated_bytes(message)
@@ -166,7 +166,7 @@
         self.live_bytes += size
 
     def _add_pending_dead_letter(self, message: Transaction) -> None:
-        """Its final answer was sent: it only waits for the store."""
+        """Add a message whose final answer was sent and that only waits for the dead-letter store."""
         self.messages.pending_dead_letters[message.id, message.ended_at] = message
         size = _estimated_bytes(message)
         self.live_bytes += size
@@ -175,7 +175,7 @@
     def _remove_dead_letter(self, name: str, ended_at: int) -> None:
         held = self.messages.by_id.get(name)
         if held is not None and held.ended_at == ended_at and held.is_dead_letter:
-            held.dead_letter_stored = True  # its answer is still to be sent
+            held.dead_letter_stored = True  # the final answer has not been sent yet
             return
         pending = self.messages.pending_dead_letters.pop((name, ended_at), None)
         if pending is not None:
@@ -201,6 +201,7 @@
         self.messages.concluded[message.id] = until
         first = message.first_possible_execution()
         if ending is Ending.DELIVERED and message.key and first is not None:
-            # A copy's own first attempt is later: the deduplication window counts from the earliest one.
+            # The first attempt of a copy is later, but the deduplication window starts at the earliest
+            # execution of any message with this key.
             first = min(first, self.messages.first_execution_of_key(message, ended_at) or first)
             self.messages.delivered_keys[self.messages.scoped_key(message)] = DeliveredKey(*first, until)
--- a/honeyhitch/journal/transactions.py
+++ b/honeyhitch/journal/transactions.py
@@ -1,4 +1,4 @@
-"""The messages that a dispatcher holds: each was accepted and gets exactly one final answer."""
+"""The messages that a dispatcher holds: each was accepted and receives exactly one final answer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-RESP_FRONTEND = "resp"  # its clients hear of no delivery
+RESP_FRONTEND = "resp"  # the RESP frontend; its clients are not told of deliveries
 RESEND_FRONTEND = "resend"  # the frontend of messages that the store of dead letters resends
 
 
@@ -14,9 +14,9 @@
     """How a message ended."""
 
     DELIVERED = "delivered"
-    REJECTED = "rejected"  # submitting it again is harmless
+    REJECTED = "rejected"  # may safely be submitted again
     FAILED = "failed"
-    UNANSWERED = "over"  # no answer is waited for
+    UNANSWERED = "over"  # no client waits for an answer
 
 
 class PossibleExecution(NamedTuple):
@@ -28,14 +28,14 @@
 
 
 class Execution(NamedTuple):
-    """When and where a message may have been executed first; the earlier one is the smaller."""
+    """When and where a message may first have been executed; an earlier execution compares as smaller."""
 
     started_at: int  # Unix time in nanoseconds
     zone: int
 
 
 class DeliveredKey(NamedTuple):
-    """What is remembered of an idempotency key whose message was delivered."""
+    """The first execution of a delivered idempotency key, and the end of its retention."""
 
     first_executed_at: int  # Unix time in nanoseconds
     zone: int
@@ -44,20 +44,20 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt, as it is remembered where dead letters are kept. Times in nanoseconds."""
+    """One attempt, recorded only where dead letters are stored. Times and durations are in nanoseconds."""
 
     number: int
     endpoint: str
     started_at: int  # Unix time
-    outcome: str = ""  # none while it is in flight, or if the process died meanwhile
+    outcome: str = ""  # empty while the attempt is in flight, or if the process died during it
     elapsed: int = 0
     retry_after: int = 0  # received with the outcome, 0 if none
-    failure_reason: str = ""  # the name of a failure that outcomes do not tell apart
+    failure_reason: str = ""  # the name of a failure that the outcomes do not distinguish
 
 
 @dataclass(slots=True, eq=False)
 class Transaction:
-    """One message, with what the journal must keep of it. Times are Unix times in nanoseconds."""
+    """One message and its state in the journal. Times are Unix times in nanoseconds."""
 
     id: str
     class_index: int
@@ -68,34 +68,37 @@
     tenant: int = 0
     recovered_from_journal: bool = False
     frontend: str = RESP_FRONTEND  # the frontend that accepted it
-    reply_context: str = ""  # what that frontend needs to answer it later
+    reply_context: str = ""  # data that this frontend needs to send the answer later
     attempt_count: int = 0
     possible_executions: list[PossibleExecution] = field(default_factory=list)
-    ending: Ending | None = None  # decided; the answer may still have to be sent
-    retry_after: int = 0  # nanoseconds from a rejection to the next submission
-    ended_at: int = 0  # when the ending was decided; known of dead letters
-    accepted_at: int = 0  # known, like what follows, where dead letters are kept
+    ending: Ending | None = None  # the decided ending; the answer may not have been sent yet
+    retry_after: int = 0  # nanoseconds that a client waits after a rejection before it submits again
+    ended_at: int = 0  # when the ending was decided; only set for dead letters
+    accepted_at: int = 0  # this and the following fields are only set where dead letters are stored
     attempt_history: list[Attempt] = field(default_factory=list)
-    is_dead_letter: bool = False  # ended undelivered: it stays until the store has it
+    is_dead_letter: bool = False  # ended undelivered; the journal keeps it until the store has it
     dead_letter_stored: bool = False
-    earlier_execution: tuple[int, int] | None = None  # time and zone, of a resend or of what is resent
+    earlier_execution: tuple[int, int] | None = None  # time and zone, of a resend or of the resent message
 
     def first_possible_execution(self) -> Execution | None:
-        """The earliest attempt that may have been executed."""
+        """Return the earliest attempt that may have been executed, or None."""
         return min(
             (Execution(possible.started_at, possible.zone) for possible in self.possible_executions),
             default=None,
         )
 
     def add_attempt(self, number: int, started_at: int, zone: int, endpoint: str | None) -> None:
-        """An attempt starts; `endpoint` is None where no history of attempts is kept."""
+        """Record that an attempt starts; `endpoint` is None where no history of attempts is kept."""
         self.attempt_count = number + 1
         self.possible_executions.append(PossibleExecution(number, started_at, zone))
         if endpoint is not None:
             self.attempt_history.append(Attempt(number, endpoint, started_at))
 
     def mark_not_executed(self, number: int) -> None:
-        """An attempt was certainly not executed; it counts as an attempt, even if it was never started."""
+        """Record that an attempt was certainly not executed.
+
+        It still counts as an attempt, even if it was never started.
+        """
         self.attempt_count = max(self.attempt_count, number + 1)
         self.possible_executions = [
             possible for possible in self.possible_executions if possible.attempt != number
@@ -103,34 +106,37 @@
 
 
 class MessageTable:
-    """All messages held, and for a while the ids and keys of those that ended."""
+    """All held messages, and the ids and keys of ended messages during their retention."""
 
     def __init__(self, max_remembered: int = 10_000) -> None:
         self.by_id: dict[str, Transaction] = {}
-        # Answered, but not in the store yet: by id and time of the end.
+        # Dead letters that were answered but are not in the store yet, by id and time of the ending.
         self.pending_dead_letters: dict[tuple[str, int], Transaction] = {}
-        self.concluded: dict[str, int] = {}  # by id: remembered until
+        self.concluded: dict[str, int] = {}  # end of the retention by id
         self.delivered_keys: dict[str, DeliveredKey] = {}
-        self.max_remembered = max_remembered  # ids, and as many keys
+        self.max_remembered = max_remembered  # maximum number of ids, and also of keys
 
     def __len__(self) -> int:
-        """The number of messages held."""
+        """Return the number of held messages."""
         return len(self.by_id)
 
     @staticmethod
     def scoped_key(transaction: Transaction) -> str:
-        """The idempotency key with its destination: it counts there alone."""
+        """Return the idempotency key with its destination, because a key only counts at its destination."""
         return f"{transaction.destination} {transaction.key}"
 
     def first_execution_of_key(self, transaction: Transaction, now: int) -> Execution | None:
-        """The first execution of a message with this one's key, if one was delivered and is remembered."""
+        """Return the first execution of this message's key, if a delivery of the key is still remembered."""
         delivered = self.delivered_keys.get(self.scoped_key(transaction))
         if delivered is None or delivered.remembered_until <= now:
             return None
         return Execution(delivered.first_executed_at, delivered.zone)
 
     def drop_expired(self, now: int) -> None:
-        """Drop what need not be remembered any longer, and beyond `max_remembered` what would expire next."""
+        """Drop ids and keys whose retention is over, and the excess beyond `max_remembered`.
+
+        Of the excess, the ids that would expire first and the keys remembered first are dropped.
+        """
         latest = sorted(self.concluded.values(), reverse=True)[: self.max_remembered]
         cutoff = latest[-1] if latest else 0
         self.concluded = {
