--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -62,7 +62,9 @@
         if listed.revision < self.revision and not listed.complete:
             # An outdated change would restore endpoints that were removed since. An agent whose revisions
             # restart has to send a complete list.
-            raise PoolError(f"revision: a change of {listed.revision} after {self.revision}")
+            raise PoolError(
+                f"revision: expected a change of revision {self.revision} or later, got {listed.revision}"
+            )
         endpoints = [
             endpoint
             for endpoint in read
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -102,7 +102,7 @@
         if self.version > JOURNAL_VERSION:
             self.close()
             raise JournalVersionError(
-                f"{self.path} has form {self.version}, this program knows {JOURNAL_VERSION} at most"
+                f"{self.path}: format version is {self.version}, highest supported is {JOURNAL_VERSION}"
             )
 
     def close(self) -> None:
@@ -245,7 +245,7 @@
         new_path = path.with_name(f"{path.name}.new")
         if not self.replace_file(self.snapshot(), path, new_path):
             self._restore(saved)
-            raise JournalFullError("no room for what another process left")
+            raise JournalFullError(f"cannot write the merged journal to {path} within {self.max_bytes} bytes")
         self.path = path
         self.new_path = new_path
         left.unlink(missing_ok=True)
@@ -312,7 +312,7 @@
         """Write a record; raise JournalFullError if that needs more than this fraction of `max_bytes`."""
         data = encode_record(record)
         if len(data) > MAX_RECORD_BYTES:
-            raise JournalFullError("the record is too long")
+            raise JournalFullError(f"record has {len(data)} bytes, limit is {MAX_RECORD_BYTES}")
         self._make_room(len(data), disk_fraction)
         try:
             written = os.write(self.fd, data)
@@ -320,7 +320,7 @@
             raise JournalFullError(str(error)) from error
         if written < len(data):  # the disk became full; later records must not follow an incomplete one
             os.ftruncate(self.fd, self.size)
-            raise JournalFullError("a write was cut short")
+            raise JournalFullError(f"only {written} of {len(data)} bytes were written to {self.path}")
         self.size += written
 
     def _make_room(self, record_bytes: int, disk_fraction: float) -> None:
@@ -332,7 +332,9 @@
         if self.size + excess > 0:
             self._compact_if_worthwhile(self.size + excess)
             if self.size + excess > 0:
-                raise JournalFullError("the disk's share is used up")
+                raise JournalFullError(
+                    f"no space for {record_bytes} bytes in {disk_fraction:.0%} of {self.max_bytes} bytes"
+                )
 
     def _compact_if_worthwhile(self, required_bytes: float) -> None:
         """Compact the file if that frees `required_bytes` and at least `MIN_COMPACTION_GAIN` of its size.
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -378,7 +378,7 @@
 def test_a_journal_of_a_later_version_is_refused(tmp_path: Path) -> None:
     journal = open_journal(tmp_path)
     journal.append(JournalOwner(99, "n0"))
-    with pytest.raises(JournalVersionError, match="form 99"):
+    with pytest.raises(JournalVersionError, match="format version is 99"):
         open_journal(tmp_path)
 
 
