--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -33,8 +33,8 @@
         by_endpoint: dict[str, list[Send]] = {}
         for send in sends:
             by_endpoint.setdefault(send.endpoint, []).append(send)
-        for name, group in by_endpoint.items():
-            endpoint = self.context.pool.endpoints[name]
+        for endpoint_id, group in by_endpoint.items():
+            endpoint = self.context.pool.endpoints[endpoint_id]
             max_messages = self.context.settings.kind(endpoint.kind).max_messages_per_call
             for start in range(0, len(group), max_messages):
                 self._send(endpoint, group[start : start + max_messages])
@@ -50,9 +50,9 @@
             call.timeouts.append(send.timeout)
             call.pending.append(True)
             context.calls_in_flight[message.id] = call
-        longest = call.timeout
+        longest_timeout = call.timeout
         for message, timeout in zip(call.messages, call.timeouts, strict=True):
-            if timeout < longest:  # limited by this message's deadline; the others may wait longer
+            if timeout < longest_timeout:  # limited by this message's deadline; the others may wait longer
                 context.scheduler.call_at(
                     now + timeout, partial(self.outcomes.message_expired, call, message)
                 )
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -69,9 +69,9 @@
         """Conclude an undecided message with this ending; the policy drops its further plans for it."""
         self.endings.conclude(transaction, ending, retry_after)
 
-    def withdraw(self, name: str) -> None:
+    def withdraw(self, message_id: str) -> None:
         """Withdraw a message for its client: no further attempt is made and no answer is sent."""
-        self.endings.withdraw(name)
+        self.endings.withdraw(message_id)
 
     def return_unattempted(self, destination: int, retry_after: int) -> None:
         """Reject messages that were certainly never executed at a destination that another instance now owns.
@@ -117,11 +117,11 @@
         self.event_queue.enqueue(update)
         now = self.scheduler.now()
         retry_after_until = self.journal.retry_after_until
-        for (destination, name), until in list(retry_after_until.items()):
+        for (destination, endpoint_id), until in list(retry_after_until.items()):
             if until <= now:
-                del retry_after_until[destination, name]
-            elif name in self.pool.endpoints:
-                self.event_queue.enqueue(RetryAfterReceived(destination, name, until))
+                del retry_after_until[destination, endpoint_id]
+            elif endpoint_id in self.pool.endpoints:
+                self.event_queue.enqueue(RetryAfterReceived(destination, endpoint_id, until))
 
     def apply_retry_after(self, events: list[Event]) -> None:
         """Pass Retry-After events that another process of this dispatcher received before it ended."""
--- a/honeyhitch/dispatcher/endings.py
+++ b/honeyhitch/dispatcher/endings.py
@@ -29,23 +29,23 @@
 
         The ending is applied in the next timer callback, so that the client is told of the acceptance first.
         """
-        name = message.id
+        message_id = message.id
         self.context.scheduler.call_at(
-            self.context.scheduler.now(), lambda: self.apply_final_answer(name, Ending.DELIVERED, 0)
+            self.context.scheduler.now(), lambda: self.apply_final_answer(message_id, Ending.DELIVERED, 0)
         )
 
-    def withdraw(self, name: str) -> None:
+    def withdraw(self, message_id: str) -> None:
         """Withdraw a message for its client: no further attempt is made and no answer is sent."""
-        message = self.context.undecided(name)
+        message = self.context.undecided(message_id)
         if message is not None:
             self.context.journal.record_end(message, Ending.UNANSWERED)
-            self.context.event_queue.enqueue(MessageWithdrawn(name))
+            self.context.event_queue.enqueue(MessageWithdrawn(message_id))
             if self.context.resend_coordinator is not None:
                 self.context.resend_coordinator.message_concluded(message)
 
-    def apply_final_answer(self, name: str, ending: Ending, retry_after: int) -> None:
+    def apply_final_answer(self, message_id: str, ending: Ending, retry_after: int) -> None:
         """Apply a final answer that the policy decided; does nothing if the ending was decided before."""
-        message = self.context.undecided(name)
+        message = self.context.undecided(message_id)
         if message is not None:
             self.conclude_now(message, ending, retry_after)
 
--- a/honeyhitch/dispatcher/event_queue.py
+++ b/honeyhitch/dispatcher/event_queue.py
@@ -36,19 +36,19 @@
         self.events.append(event)
         if not low_priority:
             self.has_normal_priority_event = True
-        last = self.last_round_at if low_priority else self.last_normal_priority_round_at
-        at = max(self.scheduler.now(), last + self.resolution)
-        if at < self.next_round_at:
-            self.next_round_at = at
-            self.scheduler.call_at(at, lambda: self._on_round_due(at))
+        previous_round_at = self.last_round_at if low_priority else self.last_normal_priority_round_at
+        due_at = max(self.scheduler.now(), previous_round_at + self.resolution)
+        if due_at < self.next_round_at:
+            self.next_round_at = due_at
+            self.scheduler.call_at(due_at, lambda: self._on_round_due(due_at))
 
     def run_now(self) -> None:
         """Run a round with the queued events immediately, without waiting for the resolution."""
         self.next_round_at = self.scheduler.now()
         self._on_round_due(self.next_round_at)
 
-    def _on_round_due(self, at: int) -> None:
-        if at != self.next_round_at:  # an earlier round has handled the events of this one
+    def _on_round_due(self, due_at: int) -> None:
+        if due_at != self.next_round_at:  # an earlier round has handled the events of this one
             return
         now = self.scheduler.now()
         self.next_round_at = NEVER
--- a/honeyhitch/dispatcher/metrics.py
+++ b/honeyhitch/dispatcher/metrics.py
@@ -35,8 +35,8 @@
     """Counters for each message class, in the order of the settings."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
-        self.names = tuple(class_names)
-        self.classes = [ClassMetrics() for _ in self.names]
+        self.class_names = tuple(class_names)
+        self.classes = [ClassMetrics() for _ in self.class_names]
 
     def message_rejected(self, transaction: Transaction) -> None:
         """Count a message that was not accepted."""
@@ -66,4 +66,7 @@
 
     def snapshot(self) -> dict[str, dict[str, Any]]:
         """Return the counters by class name."""
-        return {name: counters.snapshot() for name, counters in zip(self.names, self.classes, strict=True)}
+        return {
+            class_name: counters.snapshot()
+            for class_name, counters in zip(self.class_names, self.classes, strict=True)
+        }
--- a/honeyhitch/dispatcher/outcomes.py
+++ b/honeyhitch/dispatcher/outcomes.py
@@ -29,8 +29,10 @@
         """
         self.retry_after_received(call.endpoint, result.retry_after)
         if call.message_expired and any(outcome is Outcome.DELIVERED for outcome, _ in result.outcomes):
-            uncertain = {(Outcome.DELIVERED, True): (Outcome.RESET, False)}
-            result.outcomes = [uncertain.get(reported, reported) for reported in result.outcomes]
+            replacements = {(Outcome.DELIVERED, True): (Outcome.RESET, False)}
+            result.outcomes = [
+                replacements.get(reported_outcome, reported_outcome) for reported_outcome in result.outcomes
+            ]
             result.connection_stale = True
         for index, (outcome, concluded) in enumerate(result.outcomes):
             if not call.pending[index]:
--- a/honeyhitch/dispatcher/ports.py
+++ b/honeyhitch/dispatcher/ports.py
@@ -65,7 +65,7 @@
     def retry_after_events(self) -> list[Event]:
         """Return events for the Retry-After times that the other process received."""
 
-    def has_accepted(self, name: str) -> bool:
+    def has_accepted(self, message_id: str) -> bool:
         """Return whether the other process accepted this message and therefore has to answer it."""
 
 
--- a/honeyhitch/dispatcher/recovery.py
+++ b/honeyhitch/dispatcher/recovery.py
@@ -25,7 +25,7 @@
         """Resume the messages of the journal after a start, and pass dead letters to their store."""
         messages = self.context.messages
         handed_over = self.context.journal.handed_over
-        pending = [message for name, message in messages.by_id.items() if name not in handed_over]
+        pending = [message for message_id, message in messages.by_id.items() if message_id not in handed_over]
         self.take_over(pending, list(messages.pending_dead_letters.values()))
 
     def take_over(self, pending: list[Transaction], dead_letters: list[Transaction]) -> None:
@@ -85,11 +85,11 @@
         calls = {id(call) for call in context.calls_in_flight.values()}
         waiting = [
             message
-            for name, message in context.messages.by_id.items()
+            for message_id, message in context.messages.by_id.items()
             if message.ending is None
             and message.frontend != RESEND_FRONTEND
-            and name not in context.journal.handed_over
-            and name not in context.calls_in_flight
+            and message_id not in context.journal.handed_over
+            and message_id not in context.calls_in_flight
         ]
         try:
             context.journal.hand_over(waiting, len(calls))
--- a/honeyhitch/dispatcher/rounds.py
+++ b/honeyhitch/dispatcher/rounds.py
@@ -53,39 +53,39 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Reject(name, retry_after):
-                self.endings.apply_final_answer(name, Ending.REJECTED, retry_after)
-            case Fail(name):
-                self.endings.apply_final_answer(name, Ending.FAILED, 0)
-            case SetTimer(at):
+            case Reject(message_id, retry_after):
+                self.endings.apply_final_answer(message_id, Ending.REJECTED, retry_after)
+            case Fail(message_id):
+                self.endings.apply_final_answer(message_id, Ending.FAILED, 0)
+            case SetTimer(due_at):
                 queue = self.context.event_queue
-                self.context.scheduler.call_at(at, lambda: queue.enqueue(TimerFired()))
-            case Cancel(name, _):
-                self._cancel_call(name)
-            case CloseIdleConnections(name):
-                self._close_idle_connections(name)
-            case OpenConnections(name, count):
-                self._open_connections(name, count)
+                self.context.scheduler.call_at(due_at, lambda: queue.enqueue(TimerFired()))
+            case Cancel(message_id, _):
+                self._cancel_call(message_id)
+            case CloseIdleConnections(endpoint_id):
+                self._close_idle_connections(endpoint_id)
+            case OpenConnections(endpoint_id, calls):
+                self._open_connections(endpoint_id, calls)
             case _:  # Subscribe: the watch of discovery is always active
                 pass
 
-    def _cancel_call(self, message: str) -> None:
-        call = self.context.calls_in_flight.get(message)
+    def _cancel_call(self, message_id: str) -> None:
+        call = self.context.calls_in_flight.get(message_id)
         if call is not None:
             self.context.transports[call.endpoint.transport].cancel(call)
 
-    def _close_idle_connections(self, name: str) -> None:
-        endpoint = self.context.pool.endpoints.get(name)
+    def _close_idle_connections(self, endpoint_id: str) -> None:
+        endpoint = self.context.pool.endpoints.get(endpoint_id)
         if endpoint is not None:
             self.context.transports[endpoint.transport].close_idle(endpoint)
 
-    def _open_connections(self, name: str, calls: int) -> None:
-        endpoint = self.context.pool.endpoints.get(name)
+    def _open_connections(self, endpoint_id: str, calls: int) -> None:
+        endpoint = self.context.pool.endpoints.get(endpoint_id)
         if endpoint is not None:
             self.context.connection_openers[endpoint.transport].open(endpoint, calls)
 
     def _new_message(self, message: Transaction, now: int) -> NewMessage:
-        first = self._first_execution(message, now)
+        first_execution = self._first_execution(message, now)
         return NewMessage(
             message=message.id,
             class_index=message.class_index,
@@ -94,8 +94,8 @@
             tenant=message.tenant,
             recovered_from_journal=message.recovered_from_journal,
             attempts=message.attempt_count,
-            first_possible_execution=first.started_at if first else None,
-            first_execution_zone=first.zone if first else 0,
+            first_possible_execution=first_execution.started_at if first_execution else None,
+            first_execution_zone=first_execution.zone if first_execution else 0,
             low_priority=message.frontend == RESEND_FRONTEND,
         )
 
@@ -104,11 +104,11 @@
 
         It may be an execution of this message, of a delivered message with its key, or of a resend.
         """
-        first = message.first_possible_execution()
-        if first is None and self.context.has_idempotency_key(message):
+        first_execution = message.first_possible_execution()
+        if first_execution is None and self.context.has_idempotency_key(message):
             # A copy must stay within the deduplication window of the first message with its key.
-            first = self.context.messages.first_execution_of_key(message, now)
+            first_execution = self.context.messages.first_execution_of_key(message, now)
         if message.earlier_execution is not None:
-            earlier = Execution(*message.earlier_execution)
-            first = min(first or earlier, earlier)
-        return first
+            earlier_execution = Execution(*message.earlier_execution)
+            first_execution = min(first_execution or earlier_execution, earlier_execution)
+        return first_execution
--- a/honeyhitch/endpoints/list_rows.py
+++ b/honeyhitch/endpoints/list_rows.py
@@ -11,7 +11,7 @@
 
 MAX_PORT = (1 << 16) - 1
 MAX_PORT_DIGITS = 5
-DEFAULT_SIZE = 1.0  # calls per second
+DEFAULT_LISTED_RATE = 1.0  # calls per second
 NO_DESTINATION = -1
 STATUS_BY_PHASE = {
     "Ready": EndpointStatus.READY,
@@ -47,8 +47,8 @@
 
 def row_destination(row: Row) -> int | None:
     """Return the destination that a row names, or None if it names none."""
-    cell = row.get("cell")
-    return cell if isinstance(cell, int) else None
+    destination = row.get("cell")
+    return destination if isinstance(destination, int) else None
 
 
 def row_is_known(row: Row, endpoints: dict[str, PoolEndpoint]) -> bool:
@@ -66,46 +66,46 @@
         self.kinds = kinds
         self.zones = zones
 
-    def parse(self, row: Row, known: PoolEndpoint | None) -> PoolEndpoint:
-        """Return the endpoint of a row; a missing destination or address is taken from the `known` endpoint.
+    def parse(self, row: Row, known_endpoint: PoolEndpoint | None) -> PoolEndpoint:
+        """Return the endpoint of a row; a missing destination or address is taken from `known_endpoint`.
 
-        `known` is the present endpoint with the same id, if there is one. Raise a PoolError that names an
-        invalid field, and KeyError, TypeError, ValueError or OverflowError if it is not a row.
+        `known_endpoint` is the present endpoint with the same id, if there is one. Raise a PoolError that
+        names an invalid field, and KeyError, TypeError, ValueError or OverflowError if it is not a row.
         """
         status = STATUS_BY_PHASE.get(str(row.get("phase", "Ready")), EndpointStatus.READY)
-        if status is EndpointStatus.GONE and known is not None:
-            return replace(known, status=status)
+        if status is EndpointStatus.GONE and known_endpoint is not None:
+            return replace(known_endpoint, status=status)
         return PoolEndpoint(
             id=row_id(row),
-            destination=_parse_destination(row, known),
-            address=_parse_address(row, known, status),
-            listed_rate=_parse_size(row),
+            destination=_parse_destination(row, known_endpoint),
+            address=_parse_address(row, known_endpoint, status),
+            listed_rate=_parse_listed_rate(row),
             kind=_index_of(self.kinds, row.get("flavor")),
             zone=_index_of(self.zones, row.get("locality")),
             status=status,
         )
 
 
-def _parse_destination(row: Row, known: PoolEndpoint | None) -> int:
-    cell = row.get("cell")
-    if cell is not None:
-        return int(cell)
-    return known.destination if known is not None else NO_DESTINATION
+def _parse_destination(row: Row, known_endpoint: PoolEndpoint | None) -> int:
+    destination = row.get("cell")
+    if destination is not None:
+        return int(destination)
+    return known_endpoint.destination if known_endpoint is not None else NO_DESTINATION
 
 
-def _parse_address(row: Row, known: PoolEndpoint | None, status: EndpointStatus) -> str:
-    address = str(row.get("host_port") or (known.address if known is not None else ""))
+def _parse_address(row: Row, known_endpoint: PoolEndpoint | None, status: EndpointStatus) -> str:
+    address = str(row.get("host_port") or (known_endpoint.address if known_endpoint is not None else ""))
     host, _, port = address.rpartition(":")
     if status is not EndpointStatus.GONE and not (host and _is_port(port)):
         raise PoolError(f"host_port: expected HOST:PORT, got {address!r}")
     return address
 
 
-def _parse_size(row: Row) -> float:
-    size = float(row.get("size", DEFAULT_SIZE))
-    if not 0 <= size < inf:  # also false for NaN, which would make every rate computed from it NaN
-        raise PoolError(f"size: expected a number of 0 or more, got {size}")
-    return size
+def _parse_listed_rate(row: Row) -> float:
+    listed_rate = float(row.get("size", DEFAULT_LISTED_RATE))
+    if not 0 <= listed_rate < inf:  # also false for NaN, which would make every rate computed from it NaN
+        raise PoolError(f"size: expected a number of 0 or more, got {listed_rate}")
+    return listed_rate
 
 
 def _is_port(text: str) -> bool:
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -55,25 +55,31 @@
         Raise PoolError and change nothing if it is invalid, or if it is a change older than the last one.
         """
         try:
-            listed = EndpointList.parse(received)
-            read = [self._read(row) for row in listed.rows if self.accepts_row(row, listed.complete)]
+            endpoint_list = EndpointList.parse(received)
+            parsed_endpoints = [
+                self._parse_row(row)
+                for row in endpoint_list.rows
+                if self.accepts_row(row, endpoint_list.complete)
+            ]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise PoolError(f"members: {type(error).__name__}: {error}") from error
-        if listed.revision < self.revision and not listed.complete:
+        if endpoint_list.revision < self.revision and not endpoint_list.complete:
             # An outdated change would restore endpoints that were removed since. An agent whose revisions
             # restart has to send a complete list.
             raise PoolError(
-                f"revision: expected a change of revision {self.revision} or later, got {listed.revision}"
+                f"revision: expected a change of {self.revision} or later, got {endpoint_list.revision}"
             )
         endpoints = [
             endpoint
-            for endpoint in read
+            for endpoint in parsed_endpoints
             if endpoint.status is not EndpointStatus.GONE or endpoint.id in self.endpoints
         ]
-        listings = tuple(self._listing(endpoint) for endpoint in [*self._moved_away(endpoints), *endpoints])
-        self.revision = listed.revision
-        self._apply(endpoints, listings, listed.complete)
-        if not listed.complete:
+        listings = tuple(
+            self._listing(endpoint) for endpoint in [*self._moved_endpoints(endpoints), *endpoints]
+        )
+        self.revision = endpoint_list.revision
+        self._apply(endpoints, listings, endpoint_list.complete)
+        if not endpoint_list.complete:
             return EndpointListUpdate(UpdateMode.CHANGES, listings)
         listings += tuple(self._listing(endpoint) for endpoint in self.pinned.values())
         return EndpointListUpdate(UpdateMode.CACHED if cached else UpdateMode.FULL, listings)
@@ -85,41 +91,47 @@
         """
         if self.accepts_destination is None:
             return True
-        known = row_is_known(row, self.endpoints)
+        is_known = row_is_known(row, self.endpoints)
         destination = row_destination(row)
         if destination is not None and self.accepts_destination(destination):
             return True
-        return known and not complete
+        return is_known and not complete
 
-    def changed_listings(self, changed: Callable[[int], bool]) -> EndpointListUpdate:
+    def changed_listings(self, quota_changed: Callable[[int], bool]) -> EndpointListUpdate:
         """Return an update with the endpoints of the destinations whose quota has changed."""
         listings = tuple(
-            self._listing(endpoint) for endpoint in self.endpoints.values() if changed(endpoint.destination)
+            self._listing(endpoint)
+            for endpoint in self.endpoints.values()
+            if quota_changed(endpoint.destination)
         )
         return EndpointListUpdate(UpdateMode.CHANGES, listings)
 
-    def _read(self, row: Row) -> PoolEndpoint:
-        known = self.endpoints.get(row_id(row))
-        endpoint = self._parser.parse(row, known)
-        if endpoint.status is not EndpointStatus.GONE or known is None:
+    def _parse_row(self, row: Row) -> PoolEndpoint:
+        known_endpoint = self.endpoints.get(row_id(row))
+        endpoint = self._parser.parse(row, known_endpoint)
+        if endpoint.status is not EndpointStatus.GONE or known_endpoint is None:
             endpoint.transport = self.transport_of(endpoint)
         return endpoint
 
-    def _moved_away(self, endpoints: list[PoolEndpoint]) -> list[PoolEndpoint]:
+    def _moved_endpoints(self, endpoints: list[PoolEndpoint]) -> list[PoolEndpoint]:
         """Return the endpoints that changed their destination, marked as gone from the previous one."""
-        moved = []
+        moved_endpoints = []
         for endpoint in endpoints:
-            known = self.endpoints.get(endpoint.id, endpoint)
-            if known.destination != endpoint.destination:
-                moved.append(replace(known, status=EndpointStatus.GONE))
-        return moved
+            known_endpoint = self.endpoints.get(endpoint.id, endpoint)
+            if known_endpoint.destination != endpoint.destination:
+                moved_endpoints.append(replace(known_endpoint, status=EndpointStatus.GONE))
+        return moved_endpoints
 
     def _apply(
         self, endpoints: list[PoolEndpoint], listings: tuple[EndpointListing, ...], complete: bool
     ) -> None:
         if complete:  # endpoints that a complete list omits are removed
-            named = {listing.endpoint for listing in listings} | self.pinned.keys()
-            self.endpoints = {name: endpoint for name, endpoint in self.endpoints.items() if name in named}
+            listed_ids = {listing.endpoint for listing in listings} | self.pinned.keys()
+            self.endpoints = {
+                endpoint_id: endpoint
+                for endpoint_id, endpoint in self.endpoints.items()
+                if endpoint_id in listed_ids
+            }
         for endpoint in endpoints:
             if endpoint.status is not EndpointStatus.GONE:
                 self.endpoints[endpoint.id] = endpoint
--- a/honeyhitch/journal/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -29,14 +29,18 @@
         If nothing was written, the call takes two system calls. Raise OSError if the file cannot be read.
         """
         try:
-            found = os.stat(self.path)
+            file_status = os.stat(self.path)
         except FileNotFoundError:
             return False
-        opened = os.fstat(self.fd) if self.fd != NO_FILE else None
-        if opened is None or opened.st_ino != found.st_ino or found.st_size < self.read_bytes:
+        open_file_status = os.fstat(self.fd) if self.fd != NO_FILE else None
+        if (
+            open_file_status is None
+            or open_file_status.st_ino != file_status.st_ino
+            or file_status.st_size < self.read_bytes
+        ):
             self._reopen()
-        if found.st_size > self.read_bytes:
-            self._read_up_to(found.st_size)
+        if file_status.st_size > self.read_bytes:
+            self._read_up_to(file_status.st_size)
         return True
 
     def reserved_bytes(self) -> int:
@@ -64,8 +68,8 @@
 
         An incomplete record is read again later, because its writer may truncate it.
         """
-        complete = 0
+        complete_bytes = 0
         for record, end in decode_records(os.pread(self.fd, size - self.read_bytes, self.read_bytes)):
             self.apply(record)
-            complete = end
-        self.read_bytes += complete
+            complete_bytes = end
+        self.read_bytes += complete_bytes
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -67,7 +67,7 @@
     calls_in_flight: int | None
     live_bytes: int
     dead_letter_bytes: int
-    sizes: dict[str, int]
+    message_bytes: dict[str, int]
 
 
 class Journal(JournalState):
@@ -119,23 +119,25 @@
         self.append(MessageRecord(transaction, self.detailed), ACCEPT_FRACTION)
         self._add_message(transaction)
 
-    def record_attempt(self, transaction: Transaction, at: int, zone: int, endpoint: str = "") -> None:
+    def record_attempt(
+        self, transaction: Transaction, started_at: int, zone: int, endpoint: str = ""
+    ) -> None:
         """Record an attempt right before the first byte of its call.
 
         Raise JournalFullError if there is no space.
         """
         number = transaction.attempt_count
-        known_endpoint = endpoint if self.detailed else None
-        self.append(AttemptStarted(transaction.id, number, at, zone, known_endpoint))
-        transaction.add_attempt(number, at, zone, known_endpoint)
+        recorded_endpoint = endpoint if self.detailed else None
+        self.append(AttemptStarted(transaction.id, number, started_at, zone, recorded_endpoint))
+        transaction.add_attempt(number, started_at, zone, recorded_endpoint)
 
     def record_outcome(self, transaction: Transaction, attempt: Attempt) -> None:
         """Record the outcome of an attempt for the dead letter; no decision depends on it."""
         if not self.detailed:
             return
         self._append_if_possible(AttemptOutcome(transaction.id, attempt))
-        earlier = [entry for entry in transaction.attempt_history if entry.number != attempt.number]
-        transaction.attempt_history = [*earlier, attempt]
+        other_attempts = [entry for entry in transaction.attempt_history if entry.number != attempt.number]
+        transaction.attempt_history = [*other_attempts, attempt]
 
     def record_not_executed(self, transaction: Transaction, number: int) -> None:
         """Record that the outcome of an attempt proves that it was never executed.
@@ -215,49 +217,54 @@
     # Take-over of another process's journal, once the lock of its slot is free.
 
     def take_over(
-        self, other: JournalState, path: Path, left: Path
+        self, peer_state: JournalState, path: Path, obsolete_path: Path
     ) -> tuple[list[Transaction], list[Transaction]]:
         """Merge the messages and remembered ids and keys of another journal into this one.
 
         Return the messages that are new in this journal, and the new dead letters that only wait for the
         store. For messages that were handed over, the state in the other journal counts; those that the other
         journal does not contain are owned by this process again and returned as new. One file with both
-        journals replaces `path` atomically, and only then is `left` removed: if the process is killed in
-        between, the file at `path` counts. Raise JournalFullError and change nothing if there is no space.
+        journals replaces `path` atomically, and only then is `obsolete_path` removed: if the process is
+        killed in between, the file at `path` counts. Raise JournalFullError and change nothing if there is no
+        space.
         """
         saved = self._save()
-        returned = self._settle_handed_over(other)
-        known = self.messages
-        known_ids = known.by_id.keys() | known.concluded.keys()
-        new = [message for name, message in other.messages.by_id.items() if name not in known_ids]
-        pending = [
+        returned_messages = self._settle_handed_over(peer_state)
+        own_messages = self.messages
+        own_ids = own_messages.by_id.keys() | own_messages.concluded.keys()
+        new_messages = [
+            message for message_id, message in peer_state.messages.by_id.items() if message_id not in own_ids
+        ]
+        new_dead_letters = [
             message
-            for key, message in other.messages.pending_dead_letters.items()
-            if key not in known.pending_dead_letters
+            for key, message in peer_state.messages.pending_dead_letters.items()
+            if key not in own_messages.pending_dead_letters
         ]
-        for transaction in new:
+        for transaction in new_messages:
             self._add_message(transaction)
-        for transaction in pending:
+        for transaction in new_dead_letters:
             self._add_pending_dead_letter(transaction)
-        self.retry_after_until = other.retry_after_until | self.retry_after_until
-        known.concluded = other.messages.concluded | known.concluded
-        known.delivered_keys = other.messages.delivered_keys | known.delivered_keys
+        self.retry_after_until = peer_state.retry_after_until | self.retry_after_until
+        own_messages.concluded = peer_state.messages.concluded | own_messages.concluded
+        own_messages.delivered_keys = peer_state.messages.delivered_keys | own_messages.delivered_keys
         new_path = path.with_name(f"{path.name}.new")
         if not self.replace_file(self.snapshot(), path, new_path):
             self._restore(saved)
             raise JournalFullError(f"cannot write the merged journal to {path} within {self.max_bytes} bytes")
         self.path = path
         self.new_path = new_path
-        left.unlink(missing_ok=True)
-        return new + returned, pending
+        obsolete_path.unlink(missing_ok=True)
+        return new_messages + returned_messages, new_dead_letters
 
-    def _settle_handed_over(self, other: JournalState) -> list[Transaction]:
+    def _settle_handed_over(self, peer_state: JournalState) -> list[Transaction]:
         """Drop handed-over messages that the other process accepted, and return the others."""
-        accepted = {name for name in self.handed_over if other.has_accepted(name)}
-        for name in accepted:
-            del self.messages.by_id[name]
-            self.live_bytes -= self.sizes.pop(name)
-        returned = [message for name, message in self.handed_over.items() if name not in accepted]
+        accepted_ids = {message_id for message_id in self.handed_over if peer_state.has_accepted(message_id)}
+        for message_id in accepted_ids:
+            del self.messages.by_id[message_id]
+            self.live_bytes -= self.message_bytes.pop(message_id)
+        returned = [
+            message for message_id, message in self.handed_over.items() if message_id not in accepted_ids
+        ]
         self.handed_over = {}
         self.calls_in_flight = None
         return returned
@@ -272,7 +279,7 @@
             calls_in_flight=self.calls_in_flight,
             live_bytes=self.live_bytes,
             dead_letter_bytes=self.dead_letter_bytes,
-            sizes=dict(self.sizes),
+            message_bytes=dict(self.message_bytes),
         )
 
     def _restore(self, saved: _SavedState) -> None:
@@ -284,7 +291,7 @@
         self.calls_in_flight = saved.calls_in_flight
         self.live_bytes = saved.live_bytes
         self.dead_letter_bytes = saved.dead_letter_bytes
-        self.sizes = saved.sizes
+        self.message_bytes = saved.message_bytes
 
     def _replay(self) -> None:
         data = self.path.read_bytes()
@@ -362,18 +369,18 @@
     def _live_records(self) -> Iterator[Record]:
         if self.version:
             yield JournalOwner(self.version, self.name)
-        ended = list(self.messages.concluded.items())
-        keys = list(self.messages.delivered_keys.items())
-        for start in range(0, max(len(ended), len(keys)), MAX_IDS_PER_RECORD):
+        concluded = list(self.messages.concluded.items())
+        delivered_keys = list(self.messages.delivered_keys.items())
+        for start in range(0, max(len(concluded), len(delivered_keys)), MAX_IDS_PER_RECORD):
             end = start + MAX_IDS_PER_RECORD
-            yield EndedMessages(dict(ended[start:end]), dict(keys[start:end]))
+            yield EndedMessages(dict(concluded[start:end]), dict(delivered_keys[start:end]))
         for message in self.messages.by_id.values():
             yield MessageRecord(message, self.detailed)
         for message in self.messages.pending_dead_letters.values():
             yield MessageRecord(message, self.detailed, answered=True)
-        names = list(self.handed_over)
-        for start in range(0, len(names), MAX_IDS_PER_RECORD):
-            yield MessagesHandedOver(names[start : start + MAX_IDS_PER_RECORD])
+        handed_over_ids = list(self.handed_over)
+        for start in range(0, len(handed_over_ids), MAX_IDS_PER_RECORD):
+            yield MessagesHandedOver(handed_over_ids[start : start + MAX_IDS_PER_RECORD])
         if self.calls_in_flight is not None:
             yield CallsInFlight(self.calls_in_flight)
         for (destination, endpoint), until in self.retry_after_until.items():
--- a/honeyhitch/journal/record_codec.py
+++ b/honeyhitch/journal/record_codec.py
@@ -45,8 +45,8 @@
 
 def encode_frame(fields: Fields, body: bytes = b"") -> bytes:
     """Return one stored record with these stored fields and this body."""
-    text = _encode_json(fields).encode()
-    payload = FIELDS_LENGTH.pack(len(text)) + text + body
+    encoded_fields = _encode_json(fields).encode()
+    payload = FIELDS_LENGTH.pack(len(encoded_fields)) + encoded_fields + body
     return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
@@ -114,19 +114,19 @@
 _CONVERTED_FIELDS = frozenset({"t", "ran", "back", "tries", "as", "over"})  # the codec converts their values
 
 
-def _stored(message: Transaction, names: dict[str, str]) -> Fields:
+def _stored_fields(message: Transaction, names: dict[str, str]) -> Fields:
     return {stored: getattr(message, field) for stored, field in names.items()}
 
 
 def _encode_message(record: MessageRecord) -> Fields:
     message = record.message
-    fields = _stored(message, _ACCEPTED_FIELDS)
+    fields = _stored_fields(message, _ACCEPTED_FIELDS)
     fields["t"] = "taken"
-    fields |= _stored(message, _STATE_FIELDS)
+    fields |= _stored_fields(message, _STATE_FIELDS)
     fields["ran"] = message.possible_executions
     fields["back"] = message.retry_after
     if message.is_dead_letter or record.detailed:
-        fields |= _stored(message, _DETAIL_FIELDS)
+        fields |= _stored_fields(message, _DETAIL_FIELDS)
         fields["tries"] = [astuple(attempt) for attempt in message.attempt_history]
     fields["as"] = message.ending.value if message.ending else None
     if record.answered:
@@ -230,11 +230,11 @@
     return MessageEnded(str(fields["id"]), Ending(fields["as"]), int(fields["at"]))
 
 
-def _encode_stored(record: DeadLetterStored) -> Fields:
+def _encode_dead_letter_stored(record: DeadLetterStored) -> Fields:
     return {"t": "kept", "id": record.message, "at": record.ended_at}
 
 
-def _decode_stored(fields: Fields, _: bytes) -> DeadLetterStored:
+def _decode_dead_letter_stored(fields: Fields, _: bytes) -> DeadLetterStored:
     return DeadLetterStored(str(fields["id"]), int(fields["at"]))
 
 
@@ -293,7 +293,7 @@
     AttemptNotExecuted: _encode_not_executed,
     EndingDecided: _encode_decided,
     MessageEnded: _encode_ended,
-    DeadLetterStored: _encode_stored,
+    DeadLetterStored: _encode_dead_letter_stored,
     RetryAfterNoted: _encode_retry_after,
     JournalOwner: _encode_owner,
     MessagesHandedOver: _encode_handed_over,
@@ -308,7 +308,7 @@
     "never": _decode_not_executed,
     "decided": _decode_decided,
     "end": _decode_ended,
-    "kept": _decode_stored,
+    "kept": _decode_dead_letter_stored,
     "wait": _decode_retry_after,
     "born": _decode_owner,
     "passed": _decode_handed_over,
--- a/honeyhitch/journal/state.py
+++ b/honeyhitch/journal/state.py
@@ -51,7 +51,7 @@
         self.messages = MessageTable(self.max_remembered)
         self.live_bytes = 0  # estimated bytes of the records that compaction would keep
         self.dead_letter_bytes = 0  # the part of `live_bytes` of messages that only wait for the store
-        self.sizes: dict[str, int] = {}  # estimated bytes by message id
+        self.message_bytes: dict[str, int] = {}  # estimated bytes by message id
         # End of the last Retry-After, by destination and endpoint.
         self.retry_after_until: dict[tuple[int, str], int] = {}
         # Messages in this journal that the other process of a hand-over resumes.
@@ -60,9 +60,9 @@
         self.name = ""  # the dispatcher's name
         self.version = 0  # of the journal's format; 0 if no record states it
 
-    def has_accepted(self, name: str) -> bool:
+    def has_accepted(self, message_id: str) -> bool:
         """Return whether this message is held, or was held and is still remembered."""
-        return name in self.messages.by_id or name in self.messages.concluded
+        return message_id in self.messages.by_id or message_id in self.messages.concluded
 
     def apply(self, record: Record | None) -> None:
         """Apply one record; a record of an unknown kind (None), or about no held message, changes nothing."""
@@ -125,8 +125,14 @@
         self.version = record.version
 
     def _apply_handed_over(self, record: MessagesHandedOver) -> None:
-        held = self.messages.by_id
-        self.handed_over.update({name: held[name] for name in record.messages if name in held})
+        held_messages = self.messages.by_id
+        self.handed_over.update(
+            {
+                message_id: held_messages[message_id]
+                for message_id in record.messages
+                if message_id in held_messages
+            }
+        )
 
     def _apply_calls_in_flight(self, record: CallsInFlight) -> None:
         self.calls_in_flight = record.count
@@ -158,11 +164,11 @@
     # Methods shared with the writer of a journal.
 
     def _add_message(self, message: Transaction) -> None:
-        self.live_bytes -= self.sizes.get(message.id, 0)  # a message that was handed over may return
+        self.live_bytes -= self.message_bytes.get(message.id, 0)  # a message that was handed over may return
         self.handed_over.pop(message.id, None)
         self.messages.by_id[message.id] = message
         size = _estimated_bytes(message)
-        self.sizes[message.id] = size
+        self.message_bytes[message.id] = size
         self.live_bytes += size
 
     def _add_pending_dead_letter(self, message: Transaction) -> None:
@@ -172,15 +178,15 @@
         self.live_bytes += size
         self.dead_letter_bytes += size
 
-    def _remove_dead_letter(self, name: str, ended_at: int) -> None:
-        held = self.messages.by_id.get(name)
-        if held is not None and held.ended_at == ended_at and held.is_dead_letter:
-            held.dead_letter_stored = True  # the final answer has not been sent yet
+    def _remove_dead_letter(self, message_id: str, ended_at: int) -> None:
+        message = self.messages.by_id.get(message_id)
+        if message is not None and message.ended_at == ended_at and message.is_dead_letter:
+            message.dead_letter_stored = True  # the final answer has not been sent yet
             return
-        pending = self.messages.pending_dead_letters.pop((name, ended_at), None)
-        if pending is not None:
-            pending.dead_letter_stored = True
-            size = _estimated_bytes(pending)
+        dead_letter = self.messages.pending_dead_letters.pop((message_id, ended_at), None)
+        if dead_letter is not None:
+            dead_letter.dead_letter_stored = True
+            size = _estimated_bytes(dead_letter)
             self.live_bytes -= size
             self.dead_letter_bytes -= size
 
@@ -188,7 +194,7 @@
         message.ending = ending
         self.messages.by_id.pop(message.id, None)
         self.handed_over.pop(message.id, None)
-        size = self.sizes.pop(message.id, 0)
+        size = self.message_bytes.pop(message.id, 0)
         if message.is_dead_letter and not message.dead_letter_stored:
             self.messages.pending_dead_letters[message.id, message.ended_at] = message
             self.dead_letter_bytes += size
@@ -197,11 +203,15 @@
         self._remember(message, ending, ended_at)
 
     def _remember(self, message: Transaction, ending: Ending, ended_at: int) -> None:
-        until = ended_at + self.retention(message)
-        self.messages.concluded[message.id] = until
-        first = message.first_possible_execution()
-        if ending is Ending.DELIVERED and message.key and first is not None:
+        remembered_until = ended_at + self.retention(message)
+        self.messages.concluded[message.id] = remembered_until
+        first_execution = message.first_possible_execution()
+        if ending is Ending.DELIVERED and message.key and first_execution is not None:
             # The first attempt of a copy is later, but the deduplication window starts at the earliest
             # execution of any message with this key.
-            first = min(first, self.messages.first_execution_of_key(message, ended_at) or first)
-            self.messages.delivered_keys[self.messages.scoped_key(message)] = DeliveredKey(*first, until)
+            first_execution = min(
+                first_execution, self.messages.first_execution_of_key(message, ended_at) or first_execution
+            )
+            self.messages.delivered_keys[self.messages.scoped_key(message)] = DeliveredKey(
+                *first_execution, remembered_until
+            )
--- a/honeyhitch/journal/transactions.py
+++ b/honeyhitch/journal/transactions.py
@@ -137,10 +137,16 @@
 
         Of the excess, the ids that would expire first and the keys remembered first are dropped.
         """
-        latest = sorted(self.concluded.values(), reverse=True)[: self.max_remembered]
-        cutoff = latest[-1] if latest else 0
+        latest_expiries = sorted(self.concluded.values(), reverse=True)[: self.max_remembered]
+        cutoff = latest_expiries[-1] if latest_expiries else 0
         self.concluded = {
-            name: until for name, until in self.concluded.items() if until > now and until >= cutoff
+            message_id: until
+            for message_id, until in self.concluded.items()
+            if until > now and until >= cutoff
         }
-        remembered = [(key, row) for key, row in self.delivered_keys.items() if row.remembered_until > now]
+        remembered = [
+            (key, delivered_key)
+            for key, delivered_key in self.delivered_keys.items()
+            if delivered_key.remembered_until > now
+        ]
         self.delivered_keys = dict(remembered[-self.max_remembered :])
