--- a/honeyhitch/dispatcher/rounds.py
+++ b/honeyhitch/dispatcher/rounds.py
@@ -1,4 +1,4 @@
-"""One round: the policy handles the events that came, and its actions are carried out."""
+"""Rounds: in each round the policy handles the queued events, and its actions are carried out."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RoundRunner:
-    """Feeds events to the policy and carries out its actions in their order; sends come last, in calls."""
+    """Passes events to the policy and carries out its actions in order; sends come last, grouped in calls."""
 
     def __init__(self, context: DispatcherContext, endings: Endings, calls: CallStarter) -> None:
         self.context = context
@@ -31,7 +31,7 @@
     def run(self, queued: list[QueuedEvent]) -> None:
         """Handle these events at the time of the round, unless the process is about to end.
 
-        What is pending then is left to the next process, by the journal.
+        In that case pending messages stay in the journal for the next process.
         """
         context = self.context
         if not context.sending:
@@ -41,7 +41,7 @@
             self._new_message(event, now) if isinstance(event, Transaction) else event for event in queued
         ]
         if context.peer_process is not None:
-            # After the list: a Retry-After counts only where its endpoint is known.
+            # These follow the endpoint list: a Retry-After counts only if its endpoint is known.
             events += context.peer_process.retry_after_events()
         sends: list[Send] = []
         for action in context.policy.handle(now, events):
@@ -53,39 +53,39 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Reject(name, retry_after):
-                self.endings.apply_final_answer(name, Ending.REJECTED, retry_after)
-            case Fail(name):
-                self.endings.apply_final_answer(name, Ending.FAILED, 0)
-            case SetTimer(at):
+            case Reject(message_id, retry_after):
+                self.endings.apply_final_answer(message_id, Ending.REJECTED, retry_after)
+            case Fail(message_id):
+                self.endings.apply_final_answer(message_id, Ending.FAILED, 0)
+            case SetTimer(due_at):
                 queue = self.context.event_queue
-                self.context.scheduler.call_at(at, lambda: queue.enqueue(TimerFired()))
-            case Cancel(name, _):
-                self._cancel_call(name)
-            case CloseIdleConnections(name):
-                self._close_idle_connections(name)
-            case OpenConnections(name, count):
-                self._open_connections(name, count)
-            case _:  # Subscribe: the discovery's watch is always on
+                self.context.scheduler.call_at(due_at, lambda: queue.enqueue(TimerFired()))
+            case Cancel(message_id, _):
+                self._cancel_call(message_id)
+            case CloseIdleConnections(endpoint_id):
+                self._close_idle_connections(endpoint_id)
+            case OpenConnections(endpoint_id, calls):
+                self._open_connections(endpoint_id, calls)
+            case _:  # Subscribe: the watch of discovery is always active
                 pass
 
-    def _cancel_call(self, message: str) -> None:
-        call = self.context.calls_in_flight.get(message)
+    def _cancel_call(self, message_id: str) -> None:
+        call = self.context.calls_in_flight.get(message_id)
         if call is not None:
             self.context.transports[call.endpoint.transport].cancel(call)
 
-    def _close_idle_connections(self, name: str) -> None:
-        endpoint = self.context.pool.endpoints.get(name)
+    def _close_idle_connections(self, endpoint_id: str) -> None:
+        endpoint = self.context.pool.endpoints.get(endpoint_id)
         if endpoint is not None:
             self.context.transports[endpoint.transport].close_idle(endpoint)
 
-    def _open_connections(self, name: str, calls: int) -> None:
-        endpoint = self.context.pool.endpoints.get(name)
+    def _open_connections(self, endpoint_id: str, calls: int) -> None:
+        endpoint = self.context.pool.endpoints.get(endpoint_id)
         if endpoint is not None:
             self.context.connection_openers[endpoint.transport].open(endpoint, calls)
 
     def _new_message(self, message: Transaction, now: int) -> NewMessage:
-        first = self._first_execution(message, now)
+        first_execution = self._first_execution(message, now)
         return NewMessage(
             message=message.id,
             class_index=message.class_index,
@@ -94,18 +94,21 @@
             tenant=message.tenant,
             recovered_from_journal=message.recovered_from_journal,
             attempts=message.attempt_count,
-            first_possible_execution=first.started_at if first else None,
-            first_execution_zone=first.zone if first else 0,
+            first_possible_execution=first_execution.started_at if first_execution else None,
+            first_execution_zone=first_execution.zone if first_execution else 0,
             low_priority=message.frontend == RESEND_FRONTEND,
         )
 
     def _first_execution(self, message: Transaction, now: int) -> Execution | None:
-        """The earliest execution that this message may repeat: its own, its key's, or that of a resend."""
-        first = message.first_possible_execution()
-        if first is None and self.context.has_idempotency_key(message):
-            # A copy must keep to the deduplication window of the first one.
-            first = self.context.messages.first_execution_of_key(message, now)
+        """Return the earliest execution that this message may repeat, or None.
+
+        It may be an execution of this message, of a delivered message with its key, or of a resend.
+        """
+        first_execution = message.first_possible_execution()
+        if first_execution is None and self.context.has_idempotency_key(message):
+            # A copy must stay within the deduplication window of the first message with its key.
+            first_execution = self.context.messages.first_execution_of_key(message, now)
         if message.earlier_execution is not None:
-            earlier = Execution(*message.earlier_execution)
-            first = min(first or earlier, earlier)
-        return first
+            earlier_execution = Execution(*message.earlier_execution)
+            first_execution = min(first_execution or earlier_execution, earlier_execution)
+        return first_execution
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""The pool: the endpoints that discovery has listed, and those that the operator set up."""
+"""The pool: the endpoints that discovery has listed, and those that the operator configured."""
 
 from __future__ import annotations
 
@@ -21,97 +21,117 @@
 
 
 class EndpointPool:
-    """Endpoints by id. Those that are gone are forgotten; a call in flight knows its own."""
+    """Endpoints by id. Removed endpoints are dropped; a call in flight holds its own endpoint."""
 
     def __init__(self, settings: Settings) -> None:
         self.kinds = tuple(kind.name for kind in settings.kinds)
         self.zones = settings.zone_names
         self.endpoints: dict[str, PoolEndpoint] = {}
-        self.pinned: dict[str, PoolEndpoint] = {}  # set up by the operator, never in discovery's list
+        self.pinned: dict[str, PoolEndpoint] = {}  # configured by the operator, never listed by discovery
         self.revision = 0
-        self.destinations: set[int] = set()  # each that was ever listed, also while it has no endpoint
+        self.destinations: set[int] = (
+            set()
+        )  # all that were ever listed, including those without an endpoint now
         self.transport_of: Callable[[PoolEndpoint], str] = lambda endpoint: endpoint.transport
-        # Destinations whose endpoints enter the pool, if not all.
+        # Whether endpoints of a destination are added to the pool; None adds all.
         self.accepts_destination: Callable[[int], bool] | None = None
-        # The fraction of a listed rate that this instance may use, 0 to 1.
+        # The fraction of a listed rate that this instance may use, from 0 to 1; None is the whole rate.
         self.quota_fraction: Callable[[int], float] | None = None
         self._parser = RowParser(self.kinds, self.zones)
 
     def has_destination(self, destination: int) -> bool:
-        """Whether there is such a destination; true as long as none was listed."""
+        """Return whether the destination was ever listed; true as long as no destination was listed."""
         return destination in self.destinations or not self.destinations
 
     def pin(self, endpoint: PoolEndpoint) -> None:
-        """Add an endpoint that the operator set up; a complete list from discovery leaves it in place."""
+        """Add an endpoint that the operator configured; a complete list from discovery does not remove it."""
         self.pinned[endpoint.id] = endpoint
         self.endpoints[endpoint.id] = endpoint
         self.destinations.add(endpoint.destination)
 
     def update(self, received: dict[str, Any], cached: bool = False) -> EndpointListUpdate:
-        """Apply one list or one change, in discovery's form, and return what is new.
+        """Apply one complete list or one change from discovery, and return the update for the policy.
 
-        PoolError, and nothing is changed, if it cannot be read or comes late.
+        Raise PoolError and change nothing if it is invalid, or if it is a change older than the last one.
         """
         try:
-            listed = EndpointList.parse(received)
-            read = [self._read(row) for row in listed.rows if self.accepts_row(row, listed.complete)]
+            endpoint_list = EndpointList.parse(received)
+            parsed_endpoints = [
+                self._parse_row(row)
+                for row in endpoint_list.rows
+                if self.accepts_row(row, endpoint_list.complete)
+            ]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise PoolError(f"members: {type(error).__name__}: {error}") from error
-        if listed.revision < self.revision and not listed.complete:
-            # It would bring back what went since; an agent that counts anew has to send its complete list.
-            raise PoolError(f"revision: a change of {listed.revision} after {self.revision}")
+        if endpoint_list.revision < self.revision and not endpoint_list.complete:
+            # An outdated change would restore endpoints that were removed since. An agent whose revisions
+            # restart has to send a complete list.
+            raise PoolError(
+                f"revision: expected a change of {self.revision} or later, got {endpoint_list.revision}"
+            )
         endpoints = [
             endpoint
-            for endpoint in read
+            for endpoint in parsed_endpoints
             if endpoint.status is not EndpointStatus.GONE or endpoint.id in self.endpoints
         ]
-        listings = tuple(self._listing(endpoint) for endpoint in [*self._moved_away(endpoints), *endpoints])
-        self.revision = listed.revision
-        self._apply(endpoints, listings, listed.complete)
-        if not listed.complete:
+        listings = tuple(
+            self._listing(endpoint) for endpoint in [*self._moved_endpoints(endpoints), *endpoints]
+        )
+        self.revision = endpoint_list.revision
+        self._apply(endpoints, listings, endpoint_list.complete)
+        if not endpoint_list.complete:
             return EndpointListUpdate(UpdateMode.CHANGES, listings)
         listings += tuple(self._listing(endpoint) for endpoint in self.pinned.values())
         return EndpointListUpdate(UpdateMode.CACHED if cached else UpdateMode.FULL, listings)
 
     def accepts_row(self, row: Row, complete: bool = False) -> bool:
-        """Whether a row is kept: one of a destination that is, or a change of an endpoint that was."""
+        """Return whether a row is applied.
+
+        A row is applied if its destination is accepted, or if it is a change of an endpoint in the pool.
+        """
         if self.accepts_destination is None:
             return True
-        known = row_is_known(row, self.endpoints)
+        is_known = row_is_known(row, self.endpoints)
         destination = row_destination(row)
         if destination is not None and self.accepts_destination(destination):
             return True
-        return known and not complete
+        return is_known and not complete
 
-    def changed_listings(self, changed: Callable[[int], bool]) -> EndpointListUpdate:
-        """The listings of destinations whose quota has changed, as a change of the list."""
+    def changed_listings(self, quota_changed: Callable[[int], bool]) -> EndpointListUpdate:
+        """Return an update with the endpoints of the destinations whose quota has changed."""
         listings = tuple(
-            self._listing(endpoint) for endpoint in self.endpoints.values() if changed(endpoint.destination)
+            self._listing(endpoint)
+            for endpoint in self.endpoints.values()
+            if quota_changed(endpoint.destination)
         )
         return EndpointListUpdate(UpdateMode.CHANGES, listings)
 
-    def _read(self, row: Row) -> PoolEndpoint:
-        known = self.endpoints.get(row_id(row))
-        endpoint = self._parser.parse(row, known)
-        if endpoint.status is not EndpointStatus.GONE or known is None:
+    def _parse_row(self, row: Row) -> PoolEndpoint:
+        known_endpoint = self.endpoints.get(row_id(row))
+        endpoint = self._parser.parse(row, known_endpoint)
+        if endpoint.status is not EndpointStatus.GONE or known_endpoint is None:
             endpoint.transport = self.transport_of(endpoint)
         return endpoint
 
-    def _moved_away(self, endpoints: list[PoolEndpoint]) -> list[PoolEndpoint]:
-        """Endpoints listed for another destination than before, as gone from the one that they were of."""
-        moved = []
+    def _moved_endpoints(self, endpoints: list[PoolEndpoint]) -> list[PoolEndpoint]:
+        """Return the endpoints that changed their destination, marked as gone from the previous one."""
+        moved_endpoints = []
         for endpoint in endpoints:
-            known = self.endpoints.get(endpoint.id, endpoint)
-            if known.destination != endpoint.destination:
-                moved.append(replace(known, status=EndpointStatus.GONE))
-        return moved
+            known_endpoint = self.endpoints.get(endpoint.id, endpoint)
+            if known_endpoint.destination != endpoint.destination:
+                moved_endpoints.append(replace(known_endpoint, status=EndpointStatus.GONE))
+        return moved_endpoints
 
     def _apply(
         self, endpoints: list[PoolEndpoint], listings: tuple[EndpointListing, ...], complete: bool
     ) -> None:
-        if complete:  # what a complete list leaves out is gone as well
-            named = {listing.endpoint for listing in listings} | self.pinned.keys()
-            self.endpoints = {name: endpoint for name, endpoint in self.endpoints.items() if name in named}
+        if complete:  # endpoints that a complete list omits are removed
+            listed_ids = {listing.endpoint for listing in listings} | self.pinned.keys()
+            self.endpoints = {
+                endpoint_id: endpoint
+                for endpoint_id, endpoint in self.endpoints.items()
+                if endpoint_id in listed_ids
+            }
         for endpoint in endpoints:
             if endpoint.status is not EndpointStatus.GONE:
                 self.endpoints[endpoint.id] = endpoint
