--- a/honeyhitch/partitioning/__init__.py
+++ b/honeyhitch/partitioning/__init__.py
@@ -1,4 +1,4 @@
-"""Destinations partitioned over the dispatchers of a fleet: who owns which, and what quota of its limit.
+"""Partitions destinations over the dispatchers of a fleet: which instance owns which, and with what quota.
 
-Nothing here does I/O: clock and view are passed in. See docs/design/partitioning.md.
+This package does no I/O: the time and the view are passed in. See docs/design/partitioning.md.
 """
--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -1,6 +1,6 @@
-"""One instance's state of the fleet: the view in force, the last heartbeat, and what follows from both.
+"""One instance's state of the fleet: the view in force, the last heartbeat, and ownership and quotas.
 
-The clock is passed in with each call, as a Unix time in nanoseconds that never moves back.
+The time is passed in with each call, as a Unix time in nanoseconds that never decreases.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from honeyhitch.partitioning.view import FleetView, FleetViewError, Instance
 from honeyhitch.time_units import MILLISECOND
 
-SAVED_VIEW_VERSION = 1  # the `form` of a saved view
+SAVED_VIEW_VERSION = 1  # value of the field `form` of a saved view
 
 
 class ClockError(FleetViewError):
-    """The control machines' clock and this machine's are further apart than the settings allow."""
+    """The control machines' clock is further ahead of this machine's than the settings allow."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,13 +30,13 @@
     instance_count: int
     ready_count: int
     heartbeat_age: int | None  # ns since the last heartbeat was issued; None before the first
-    held_partitions: int  # of which this instance holds a quota
-    candidate_partitions: int  # whose endpoint lists it keeps
-    problem: str = ""  # why the last update was refused, if it was
+    held_partitions: int  # partitions of which this instance holds a quota
+    candidate_partitions: int  # partitions whose endpoint lists this instance keeps
+    problem: str = ""  # why the last update was rejected; empty if it was not
 
 
 class Fleet:
-    """Which instances own a destination, and which quota of its limit this one may use now.
+    """The fleet as one instance knows it: who owns a destination, and which quota this instance may use.
 
     Times are Unix times in nanoseconds (DESIGN, partitioning).
     """
@@ -58,8 +58,8 @@
     def apply_update(self, update: Mapping[str, Any], now: int) -> None:
         """Apply a list, a change or a bare heartbeat in discovery's form.
 
-        Raises FleetViewError, and changes nothing, for a faulty one; with ClockError the view is applied, and
-        the heartbeat is not.
+        Raises FleetViewError and changes nothing if the update is faulty. If ClockError is raised, the view
+        has been applied, and the heartbeat has not.
         """
         try:
             self._apply_update(update, now)
@@ -105,7 +105,7 @@
             return
         previous = self.view
         self.view = view
-        if previous.instances.keys() == view.instances.keys():  # phases alone change no candidates
+        if previous.instances.keys() == view.instances.keys():  # a change of phases changes no candidates
             return
         for zone, candidates in self._zone_candidates.items():
             candidates.update(instance.name for instance in view.in_zone(zone))
@@ -115,30 +115,30 @@
     # Ownership and quotas.
 
     def partition(self, destination: int) -> int:
-        """The partition of a destination."""
+        """Return the partition of a destination."""
         return partition_of(destination, self.settings.partitions)
 
     def candidates(self, zone: str, partition: int) -> list[Instance]:
-        """The instances of a zone that may own a partition, best first."""
+        """Return the instances of a zone that may own a partition, best first."""
         return [self.view.instances[name] for name in self._zone_candidates[zone].for_partition(partition)]
 
     def is_candidate(self, destination: int) -> bool:
-        """Whether this instance may own a destination, and keeps its entries of endpoint lists."""
+        """Return whether this instance may own a destination, and so keeps its entries of endpoint lists."""
         return self.partition(destination) in self.candidate_partitions
 
     def held_quota(self, partition: int, now: int) -> HeldQuota:
-        """What this instance holds of its zone's quota of a partition."""
+        """Return the parts that this instance holds of its zone's quota of a partition."""
         if partition not in self.candidate_partitions:
             return NO_QUOTA
         candidates = self.candidates(self.settings.zone, partition)
         return held_quota(self.settings, candidates, now, self.last_heartbeat)
 
     def quota_fraction(self, destination: int, now: int) -> float:
-        """The fraction of its zone's quota of a destination that this instance may use, 0 to 1."""
+        """Return the fraction of its zone's quota of a destination that this instance may use, 0 to 1."""
         return self.held_quota(self.partition(destination), now).quota_fraction(self.settings.reserve)
 
     def awaits_lease(self, destination: int, now: int) -> bool:
-        """Whether this instance is the next owner of a destination, once the lease of another one expires."""
+        """Return whether this instance will own a destination once the lease of another instance expires."""
         partition = self.partition(destination)
         if partition not in self.candidate_partitions:
             return False
@@ -146,15 +146,15 @@
         return owner is not None and owner.name == self.settings.name and self.lease_valid(now)
 
     def lease_valid(self, now: int) -> bool:
-        """Whether the last heartbeat is recent enough to hold leased parts."""
+        """Return whether the last heartbeat is recent enough to hold leased parts."""
         if self.last_heartbeat is None:
             return False
         return now < self.last_heartbeat + self.settings.lease - self.settings.clock_skew
 
     def next_quota_change(self, now: int) -> int | None:
-        """The next time at which a quota may change though no update comes, None if there is none.
+        """Return the next time at which a quota may change without an update, or None if there is none.
 
-        A heartbeat received meanwhile may postpone it.
+        A heartbeat received before that time may postpone the change.
         """
         settings = self.settings
         expiries = list[int]()
@@ -172,10 +172,10 @@
         return min((at for at in changes if at > now), default=None)
 
     def owners(self, destination: int, now: int) -> list[Instance]:
-        """Other instances that may accept a message for a destination, in the order in which to ask them.
+        """Return other instances that may accept a message for a destination, in the order to ask them.
 
-        Those of the own zone come first, then of the own region, then of the others. One that still waits
-        for a lease to expire would reject the message, and comes last.
+        Instances of the own zone come first, then those of the own region, then the others. An instance that
+        still waits for a lease to expire would reject the message, and comes last.
         """
         partition = self.partition(destination)
         lease_valid = self.lease_valid(now)
@@ -189,7 +189,7 @@
         return holders + waiting
 
     def status(self, now: int) -> ViewStatus:
-        """The view in force, as it is reported to operators."""
+        """Return the view in force, as it is reported to operators."""
         instances = self.view.instances.values()
         partitions = self.candidate_partitions
         return ViewStatus(
@@ -202,10 +202,10 @@
             problem=self.problem,
         )
 
-    # The saved view: a process that starts while control is silent still knows what it is home to.
+    # The saved view tells a process that starts while control is silent which partitions it is home to.
 
     def snapshot(self) -> dict[str, Any]:
-        """The view and the last heartbeat in discovery's form, as they are saved."""
+        """Return the view and the last heartbeat in discovery's form, as they are saved."""
         saved: dict[str, Any] = {
             "form": SAVED_VIEW_VERSION,
             "revision": self.view.revision,
@@ -217,7 +217,7 @@
         return saved
 
     def restore(self, saved: Mapping[str, Any], now: int) -> None:
-        """Apply what an earlier process saved. Raises FleetViewError where it cannot be read."""
+        """Apply the view that an earlier process saved. Raises FleetViewError if it cannot be read."""
         form = saved.get("form") if isinstance(saved, Mapping) else None
         if form != SAVED_VIEW_VERSION:
             raise FleetViewError(f"form: expected {SAVED_VIEW_VERSION}, got {form!r}")
@@ -225,7 +225,10 @@
 
 
 def _zones_by_distance(settings: FleetSettings) -> list[str]:
-    """All zones: the own one, then those of its region, then the others, each group in the order after it."""
+    """Return all zones: the own one, then those of its region, then the others.
+
+    Each group is in the configured order, which starts at the own zone and wraps around.
+    """
     start = settings.zones.index(settings.zone)
     zones = [*settings.zones[start:], *settings.zones[:start]]
     zones.sort(key=lambda zone: (zone != settings.zone, settings.region_of(zone) != settings.region))
--- a/honeyhitch/partitioning/ownership.py
+++ b/honeyhitch/partitioning/ownership.py
@@ -12,18 +12,18 @@
 from hashlib import blake2b
 
 HASH_BYTES = 8
-Rank = tuple[int, str]  # the hash, and the name where two hashes are equal
+Rank = tuple[int, str]  # the hash, and the name to break ties
 
 
 @lru_cache(maxsize=1 << 14)
 def partition_of(destination: int, partition_count: int) -> int:
-    """The partition of a destination."""
+    """Return the partition of a destination."""
     text = b"destination %d" % destination
     return int.from_bytes(blake2b(text, digest_size=HASH_BYTES).digest()) % partition_count
 
 
 def rank(partition: int, name: str) -> Rank:
-    """The rank of an instance for a partition; the highest comes first."""
+    """Return the rank of an instance for a partition; the highest rank comes first."""
     text = b"%d %s" % (partition, name.encode())
     return int.from_bytes(blake2b(text, digest_size=HASH_BYTES).digest()), name
 
@@ -34,10 +34,10 @@
     def __init__(self, partitions: int, count: int) -> None:
         self.partition_count, self.max_candidates = partitions, count
         self.names: frozenset[str] = frozenset()
-        self._ranks: dict[int, tuple[Rank, ...]] = {}  # by partition, highest first; worked out on demand
+        self._ranks: dict[int, tuple[Rank, ...]] = {}  # by partition, highest first; computed on demand
 
     def update(self, names: Iterable[str]) -> None:
-        """Replace the zone's instances; only ranks that differ are worked out."""
+        """Replace the zone's instances. Only ranks that change are computed again."""
         now = frozenset(names)
         joined, left = now - self.names, self.names - now
         if not joined and not left:
@@ -45,13 +45,13 @@
         self.names = now
         for partition, ranks in list(self._ranks.items()):
             if any(name in left for _, name in ranks):
-                del self._ranks[partition]  # an instance of a lower rank moves up
+                del self._ranks[partition]  # an instance with a lower rank moves up
             elif joined:
                 merged = {*ranks, *(rank(partition, name) for name in joined)}
                 self._ranks[partition] = tuple(sorted(merged, reverse=True)[: self.max_candidates])
 
     def for_partition(self, partition: int) -> tuple[str, ...]:
-        """The candidates for one partition, best first."""
+        """Return the candidates for one partition, best first."""
         ranks = self._ranks.get(partition)
         if ranks is None:
             ranked = sorted((rank(partition, name) for name in self.names), reverse=True)
@@ -59,7 +59,7 @@
         return tuple(name for _, name in ranks)
 
     def partitions_of(self, name: str) -> frozenset[int]:
-        """The partitions for which an instance is a candidate."""
+        """Return the partitions for which an instance is a candidate."""
         return frozenset(
             partition for partition in range(self.partition_count) if name in self.for_partition(partition)
         )
--- a/honeyhitch/partitioning/quotas.py
+++ b/honeyhitch/partitioning/quotas.py
@@ -1,15 +1,16 @@
-"""Which quota of its zone's limit one instance holds, as a function of view, clock and heartbeats.
+"""Computes the quota that one instance holds of its zone's limit, from view, clock and heartbeats.
 
 A destination's limit is divided evenly over all zones. In each zone the quota has two parts:
 
-- the reserved part stays with the home instance: the first candidate of the partition, ready or not. An
-  instance that has joined is home to nothing until the reserve lease of the one before it has expired for
-  certain;
-- the leased part goes with the owner: the first candidate that is ready, once the leases of all possible
-  owners before it have expired for certain.
+- the reserved part belongs to the home instance: the first candidate of the partition, ready or not. An
+  instance that has joined is home to no partition until the reserve lease of the home instance before it
+  has certainly expired;
+- the leased part belongs to the owner: the first candidate that is ready, once the leases of all possible
+  earlier owners have certainly expired.
 
-Each part is held only as long as a heartbeat of the control machines is recent enough. Nothing depends on
-what an instance did or saw before, so that a missed revision cannot break the sum (DESIGN, partitioning).
+Each part is held only as long as a heartbeat of the control machines is recent enough. The
+result does not depend on earlier views or actions of an instance, so that a missed revision cannot raise the
+sum of all quotas above the limit (DESIGN, partitioning).
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
     leased: bool = False
 
     def quota_fraction(self, reserve_fraction: float) -> float:
-        """The fraction of the zone's quota, 0 to 1, where the reserved part is `reserve_fraction` of it."""
+        """Return the held fraction of the zone's quota, 0 to 1; `reserve_fraction` is the reserved part."""
         return reserve_fraction * self.reserved + (1 - reserve_fraction) * self.leased
 
 
@@ -38,7 +39,7 @@
 
 
 class ExpectedHolder(NamedTuple):
-    """Who accepts messages for a partition in a zone, if anyone does, and whether it holds a quota yet."""
+    """The instance of a zone that accepts messages for a partition, and whether it holds a quota yet."""
 
     instance: Instance | None
     holds_quota: bool
@@ -47,10 +48,10 @@
 def held_quota(
     settings: FleetSettings, candidates: Sequence[Instance], now: int, last_heartbeat: int | None
 ) -> HeldQuota:
-    """What the instance `settings.name` holds now.
+    """Return the parts of its zone's quota that the instance `settings.name` holds now.
 
-    `candidates` are those of the partition in its zone, best first. `last_heartbeat` is when the last one
-    received was issued. Times are Unix times in nanoseconds.
+    `candidates` are the candidates of the partition in this zone, best first. `last_heartbeat` is when the
+    last heartbeat received was issued. Times are Unix times in nanoseconds.
     """
     if last_heartbeat is None or not any(candidate.name == settings.name for candidate in candidates):
         return NO_QUOTA
@@ -67,7 +68,7 @@
         home_from = candidate.joined_at + settings.reserve_lease if candidate.joined_at else 0
         if now >= home_from + settings.clock_skew:
             return candidate.name == settings.name
-        if now >= home_from - settings.clock_skew:  # it may be home already, by its own clock
+        if now >= home_from - settings.clock_skew:  # by its own clock, this candidate may already be home
             return False
     return False
 
@@ -80,7 +81,7 @@
 
 
 def _lease_starts_at(settings: FleetSettings, candidates: Sequence[Instance], owner: Instance) -> int:
-    """When the leases of all possible earlier owners have expired for certain."""
+    """Return when the leases of all possible earlier owners have certainly expired; 0 for long ago."""
     last_change = 0
     for candidate in candidates:
         last_change = max(last_change, candidate.phase_since, candidate.joined_at)
@@ -90,17 +91,18 @@
 
 
 def first_ready(candidates: Sequence[Instance]) -> Instance | None:
-    """The owner of a partition's leased part, by the view in force."""
+    """Return the owner of a partition's leased part by the view in force, or None if none is ready."""
     return next((candidate for candidate in candidates if candidate.ready), None)
 
 
 def expected_holder(
     settings: FleetSettings, candidates: Sequence[Instance], now: int, lease_valid: bool
 ) -> ExpectedHolder:
-    """Who accepts messages for a partition in the zone of these candidates, by the view in force.
+    """Return the instance that accepts messages for a partition in the zone of these candidates.
 
-    An owner that waits for another's lease to expire holds no quota; nor does one that is not home while
-    leases are not valid here, as control is silent and may be silent there, too.
+    The owner by the view in force accepts them. It holds no quota while it waits for the lease of another
+    instance to expire. While leases are not valid here, an owner that is not the home instance counts as
+    holding none either: control is silent here and may be silent there, too.
     """
     owner = first_ready(candidates)
     if owner is None:
--- a/honeyhitch/partitioning/settings.py
+++ b/honeyhitch/partitioning/settings.py
@@ -9,7 +9,7 @@
 MAX_PARTITIONS = 1 << 16
 MAX_CANDIDATES = 8
 MAX_PEER_CONNECTIONS = 1024
-MIN_LEASE_SKEWS = 4  # a lease has to be longer than so many clock skews
+MIN_LEASE_SKEWS = 4  # a lease must be longer than this number of clock skews
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,12 +29,12 @@
     view: str  # HOST:PORT of the agent that lists the fleet
     regions: tuple[Region, ...]
     partitions: int = 4096
-    candidates: int = 2  # instances of a zone that may own a partition; the first that is ready does
+    candidates: int = 2  # instances of a zone that may own a partition; the first ready one does
     reserve: float = 0.75  # fraction of a zone's quota that stays with the home instance
     lease: int = 3 * SECOND  # how long a heartbeat of the control machines renews the leased part
-    reserve_lease: int = 2 * HOUR  # how long it renews the reserved part
-    clock_skew: int = SECOND // 4  # by which any two clocks of the fleet may differ at most
-    peer_connections: int = 96  # open to other instances at once
+    reserve_lease: int = 2 * HOUR  # how long a heartbeat renews the reserved part
+    clock_skew: int = SECOND // 4  # the maximum difference between any two clocks of the fleet
+    peer_connections: int = 96  # maximum number open to other instances at once
 
     def __post_init__(self) -> None:
         """Raise ValueError naming the setting at fault."""
@@ -78,7 +78,7 @@
         return self.region_of(self.zone)
 
     def region_of(self, zone: str) -> str:
-        """The region that a zone belongs to. Raises KeyError for a zone of none."""
+        """Return the region of a zone. Raises KeyError if the zone belongs to no region."""
         for region in self.regions:
             if zone in region.zones:
                 return region.name
--- a/honeyhitch/partitioning/view.py
+++ b/honeyhitch/partitioning/view.py
@@ -1,8 +1,9 @@
 """The view of the fleet: a typed, immutable value read from a list or a change in discovery's form.
 
 An entry's `up_since_ms` is when its phase was published, and its optional `joined_ms` when its name was
-first listed; both are Unix times of the control machines' clock, and 0 means long ago. `Gone` is said only of
-an instance whose process is known to have ended; under this name it comes back as one that joins.
+first listed; both are Unix times of the control machines' clock, and 0 means long ago. The phase
+`Gone` is given only to an instance whose process is known to have ended. If its name is listed again, that is
+an instance that joins.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 MAX_INSTANCES = 10_000
 MAX_NAME_LENGTH = 128
-MAX_JSON_INTEGER = 1 << 53  # the largest one that every JSON reader keeps exact
+MAX_JSON_INTEGER = 1 << 53  # the largest integer that every JSON parser keeps exact
 
 
 class FleetViewError(ValueError):
@@ -30,10 +31,10 @@
     """Whether an instance may own partitions."""
 
     READY = "Ready"
-    TERMINATING = "Terminating"  # it drains, restarts or does not answer, and stays a member of the fleet
+    TERMINATING = "Terminating"  # drains, restarts or does not answer; remains an instance of the fleet
 
 
-GONE_PHASE = "Gone"  # of an instance that a change takes off the list
+GONE_PHASE = "Gone"  # the phase of an instance that a change removes from the list
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +51,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it may own partitions."""
+        """Whether this instance may own partitions."""
         return self.phase is InstancePhase.READY
 
 
@@ -62,9 +63,9 @@
     instances: Mapping[str, Instance] = field(default_factory=lambda: MappingProxyType({}))
 
     def updated(self, update: Mapping[str, Any], settings: FleetSettings) -> FleetView:
-        """The view after a list or a change in discovery's form.
+        """Return the view after a list or a change in discovery's form.
 
-        Raises FleetViewError, and changes nothing, for an update that is older than this view or faulty.
+        Raises FleetViewError if the update is faulty or older than this view.
         """
         revision = _parse_integer(update.get("revision"), "revision")
         if revision < self.revision:
@@ -80,7 +81,7 @@
         return FleetView(revision, MappingProxyType(instances))
 
     def _apply_rows(self, rows: list[Any], settings: FleetSettings, complete: bool) -> dict[str, Instance]:
-        """The instances by name after these entries, which are all of them where the list is complete."""
+        """Return the instances by name after these entries; a complete list replaces all earlier ones."""
         instances = {} if complete else dict(self.instances)
         seen = set[str]()
         for number, row in enumerate(rows):
@@ -95,7 +96,7 @@
         return instances
 
     def member_rows(self) -> list[dict[str, Any]]:
-        """All instances in discovery's form, as `updated` reads them."""
+        """Return all instances in discovery's form, as `updated` reads them."""
         return [
             {
                 "id": instance.name,
@@ -110,7 +111,7 @@
         ]
 
     def in_zone(self, zone: str) -> Iterable[Instance]:
-        """The instances of one zone."""
+        """Return the instances of one zone."""
         return (instance for instance in self.instances.values() if instance.zone == zone)
 
 
@@ -121,7 +122,7 @@
 
 
 def _parse_milliseconds(row: Mapping[str, Any], field_name: str, instance: str) -> int:
-    """A time of an entry in nanoseconds; 0 where it is missing."""
+    """Return a time of an entry in nanoseconds, 0 if it is missing."""
     return _parse_integer(row.get(field_name, 0), f"{instance}: {field_name}") * MILLISECOND
 
 
@@ -141,7 +142,9 @@
         raise FleetViewError(f"{name}: locality: unknown zone {zone!r}")
     if region != settings.region_of(str(zone)):
         raise FleetViewError(f"{name}: flavor: {region!r} is not the region of zone {zone!r}")
-    if previous is not None and previous.zone != zone:  # its leases in the other zone would have no holder
+    if (
+        previous is not None and previous.zone != zone
+    ):  # otherwise its leases in the other zone would have no holder
         raise FleetViewError(f"{name}: locality: {zone!r}, but it was in {previous.zone!r}; list it anew")
     return Instance(
         name=name,
--- a/honeyhitch/service/assembly.py
+++ b/honeyhitch/service/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a service from its configuration: what every service has, then each feature that is set up."""
+"""Builds a service from its configuration: the parts of every service, then each configured feature."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from honeyhitch.service import status
 from honeyhitch.service.service import Service
 
-if TYPE_CHECKING:  # a plain start does not load MQTT
+if TYPE_CHECKING:  # a process without MQTT does not import it
     from honeyhitch.transports.mqtt_link import BrokerConnector
 
 
 def assemble(config: Config, listen: bool = True) -> Service:
-    """A service for the running loop, ready to be started; without `listen`, one for callers in this process.
+    """Return a service for the running event loop, ready to be started.
 
-    Raises ConfigError where the configuration cannot be used on this machine.
+    Without `listen`, only callers in this process submit messages to it. Raises ConfigError if the
+    configuration cannot be used on this machine.
     """
     service = Service(config, listen)
     operator = config.operator
@@ -38,7 +39,10 @@
 
 
 def _add_tls(service: Service, operator: OperatorSettings) -> BrokerConnector | None:
-    """Set up TLS where endpoints or the broker are reached by it. Returns what connects to the broker."""
+    """Set up TLS if endpoints or the MQTT broker are reached over it.
+
+    Return the connector to the broker, or None if the broker is not reached over TLS.
+    """
     endpoints_use_tls = operator.tls is not None and bool(operator.tls.partners)
     broker_uses_tls = operator.mqtt is not None and operator.mqtt.tls is not None
     if not endpoints_use_tls and not broker_uses_tls:
--- a/honeyhitch/service/descriptors.py
+++ b/honeyhitch/service/descriptors.py
@@ -1,4 +1,4 @@
-"""How the descriptors that the machine grants are divided."""
+"""Divides the file descriptors that the machine grants to a dispatcher."""
 
 from __future__ import annotations
 
@@ -6,32 +6,33 @@
 
 from honeyhitch.config import RESERVED_DESCRIPTORS, Config
 
-MONITORING_CONNECTIONS = 16  # at once to the agent-check, and as many to health and to management
-CONTROL_DESCRIPTORS = 10  # the listener and its connections
-STORE_DESCRIPTORS = 10  # database, log, lock
-FLEET_DESCRIPTORS = 2  # the view's watch, and its file as it is written
-IDLE_DIVISOR = 4  # a quarter of the free descriptors is for idle connections
+MONITORING_CONNECTIONS = 16  # concurrent; for each of the agent-check, health and management listeners
+CONTROL_DESCRIPTORS = 10  # the control listener and its connections
+STORE_DESCRIPTORS = 10  # the database, its log and its lock
+FLEET_DESCRIPTORS = 2  # the connection that watches the view, and the file that saves it
+IDLE_DIVISOR = 4  # idle connections get a quarter of the free descriptors
 
 
 class DescriptorBudget(NamedTuple):
-    """How many connections there may be apart from those that are always open and the calls in flight."""
+    """The maximum numbers of connections, besides calls in flight and connections that are always open."""
 
     clients: int
-    idle: int  # pooled, to endpoints
+    idle: int  # pooled connections to endpoints
 
 
 class IdleLimits(NamedTuple):
-    """How many idle connections each transport may pool."""
+    """The maximum number of idle connections that each transport may pool."""
 
     http: int
     tls: int
 
 
 def descriptor_budget(config: Config, processes: int = 1) -> DescriptorBudget:
-    """How many clients and how many idle connections to endpoints there may be.
+    """Return the maximum numbers of clients and of idle connections to endpoints for one process.
 
-    With the calls in flight and what is always open they stay under the limit of descriptors. Connections in
-    a TLS handshake count as idle ones. During a hand-over two processes share one limit.
+    Together with the calls in flight and the descriptors that are always open, they stay below the limit on
+    descriptors. Connections in a TLS handshake count as idle connections. During a hand-over two processes
+    share one limit.
     """
     free = config.limits.sockets - config.settings.max_concurrent_calls
     free -= processes * (RESERVED_DESCRIPTORS + _feature_descriptors(config))
@@ -41,7 +42,7 @@
 
 
 def _feature_descriptors(config: Config) -> int:
-    """The descriptors of one process for the features that are set up."""
+    """Return the number of descriptors that one process needs for its configured features."""
     operator = config.operator
     listeners = (operator.agent_check, operator.health, config.management)
     count = MONITORING_CONNECTIONS * sum(address is not None for address in listeners)
@@ -55,6 +56,6 @@
 
 
 def idle_limits(config: Config, max_idle: int) -> IdleLimits:
-    """Divide idle connections between plain and TLS endpoints, where there are both."""
+    """Divide the idle connections between plain and TLS endpoints if TLS is configured."""
     http = max(1, max_idle // 2) if config.operator.tls is not None else max_idle
     return IdleLimits(http, tls=max(1, max_idle - http))
--- a/honeyhitch/service/features/__init__.py
+++ b/honeyhitch/service/features/__init__.py
@@ -1,5 +1,5 @@
-"""The features that are off unless the operator's file asks for them: one module assembles each.
+"""Features that are off unless the operator's file configures them, with one module for each.
 
-`assembly` and `start` import a module of these only for a feature that is set up, so that a plain `serve`
-loads none of what they need.
+`assembly` and `start` import a module only if its feature is configured, so that a `serve` without features
+loads none of their dependencies.
 """
--- a/honeyhitch/service/features/control.py
+++ b/honeyhitch/service/features/control.py
@@ -1,4 +1,4 @@
-"""The control socket, by which an operator's commands reach the running process."""
+"""The control socket, through which an operator's commands reach the running process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def open_control_socket(service: Service, settings: ControlSettings) -> None:
-    """Listen on the control socket. Where that fails it is logged, and messages are served all the same."""
+    """Listen on the control socket. If this fails, log the error and serve messages without the socket."""
     try:
         service.control = ControlServer(
             settings.path_in(service.config.state), service.commands, service.tasks
--- a/honeyhitch/service/features/fleet.py
+++ b/honeyhitch/service/features/fleet.py
@@ -9,15 +9,15 @@
 from honeyhitch.service.fleet import MAX_SAVED_VIEW_BYTES, FleetService
 from honeyhitch.service.service import Service
 
-FLEET_SEED = 0xF1EE7  # mixed into the dispatcher's seed, so that each random stream is its own
+FLEET_SEED = 0xF1EE7  # mixed into the dispatcher's seed for a random stream of its own
 RESERVED_BYTES = 2 * MAX_SAVED_VIEW_BYTES  # the saved view, and the file that replaces it
 BYTES_PER_MEGABYTE = 1e6
 
 
 def add_fleet(service: Service, settings: FleetSettings, listen: bool) -> None:
-    """Take part in a fleet. Raises ConfigError where the process or its disk limit does not allow it.
+    """Take part in a fleet. Raises ConfigError if `listen` is false or the disk limit is too low.
 
-    Without `listen` messages come from callers in this process, who cannot be sent to another instance.
+    Without `listen`, messages come from callers in this process, who cannot be sent to another instance.
     """
     config = service.config
     if not listen:
--- a/honeyhitch/service/features/mqtt.py
+++ b/honeyhitch/service/features/mqtt.py
@@ -16,7 +16,7 @@
 def add_mqtt(service: Service, settings: MqttSettings, connector: BrokerConnector | None) -> None:
     """Accept messages from the broker, and send calls to endpoints behind it.
 
-    `connector` opens the connections to the broker; without one they are plain TCP.
+    `connector` opens the connections to the broker; without a connector they are plain TCP.
     """
     dispatcher = service.dispatcher
     context = MqttContext(settings, dispatcher, service.scheduler, service.tasks, connector)
--- a/honeyhitch/service/features/tls.py
+++ b/honeyhitch/service/features/tls.py
@@ -13,13 +13,13 @@
 from honeyhitch.transports.tls_broker import TlsConnector
 from honeyhitch.transports.tls_transport import TlsTransport
 
-TLS_SEED = 0x715  # mixed into the dispatcher's seed, so that each random stream is its own
+TLS_SEED = 0x715  # mixed into the dispatcher's seed for a random stream of its own
 
 
 def add_tls(service: Service, operator: OperatorSettings, max_idle: int) -> TlsConnector | None:
     """Send calls to the partners that `operator` names over TLS, with at most `max_idle` idle connections.
 
-    Returns what connects to the MQTT broker, where that is reached over TLS.
+    Return the connector to the MQTT broker, or None if the broker is not reached over TLS.
     """
     broker = operator.mqtt.tls if operator.mqtt is not None else None
     endpoint_partners = operator.tls.partners if operator.tls is not None else ()
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -1,4 +1,4 @@
-"""Partitioned destinations in one process: the watch of the fleet's view, routing, and changes of quota."""
+"""Partitioned destinations in one process: watches the fleet's view, routes messages, applies quotas."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 log = logs.get()
 VIEW_FILE_NAME = "fleet-view.json"  # in the state directory
 MAX_SAVED_VIEW_BYTES = 250_000
-SAVE_INTERVAL = 60 * SECOND  # a restart while control is silent counts its leases from the last save
+SAVE_INTERVAL = 60 * SECOND  # after a restart while control is silent, leases count from the last save
 REFRESH_CHECK_SECONDS = 0.25  # between checks for quotas that change with time
 NO_OWNER_REPLY = busy_reply(BUSY_RETRY_AFTER)
 
@@ -34,7 +34,7 @@
 class FleetService:
     """Keeps the view, routes messages, and applies this instance's quotas to the dispatcher.
 
-    It is the client sessions' `Router` and the dispatcher's `QuotaSource` (DESIGN, partitioning).
+    It implements `Router` for client sessions and `QuotaSource` for the dispatcher (DESIGN, partitioning).
     """
 
     retry_after = BUSY_RETRY_AFTER
@@ -49,7 +49,11 @@
         rng: Random,
         refetch: Callable[[], None],
     ) -> None:
-        """`refetch` asks discovery for its complete list, as this instance becomes a candidate for more."""
+        """Create the service of one instance.
+
+        `refetch` requests discovery's complete list. It is called when this instance becomes a candidate for
+        more partitions.
+        """
         self.fleet = Fleet(settings)
         self.settings = settings
         self.dispatcher = dispatcher
@@ -67,10 +71,10 @@
             scheduler.now,
             NO_OWNER_REPLY,
         )
-        self.lost_partitions = set[int]()  # partitions without a quota, of which messages are held
+        self.lost_partitions = set[int]()  # partitions without a quota whose messages are still held
         self._quota_fractions: dict[int, float] = {}  # by partition, as last applied to the dispatcher
         self._saved_at = 0
-        self._refresh_at: int | None = 0  # when a quota may change though no update comes
+        self._refresh_at: int | None = 0  # when a quota may next change without an update
         self._lease_was_valid = False  # at the last refresh
         dispatcher.quota_source = self
         dispatcher.pool.accepts_destination = self.fleet.is_candidate
@@ -80,32 +84,41 @@
 
     @property
     def ready(self) -> bool:
-        """Whether there is a view, of this process or of one before it."""
+        """Whether there is a view, received by this process or saved by an earlier one."""
         return bool(self.fleet.view.instances)
 
     def quota_fraction(self, destination: int, now: int) -> float:
-        """The part of its zone's limit that this instance may use, 0 to 1; `now` is in nanoseconds."""
+        """Return the fraction of its zone's quota of a destination that this instance may use, 0 to 1.
+
+        `now` is a Unix time in nanoseconds.
+        """
         return self.fleet.quota_fraction(destination, now)
 
     def _current_quota_fraction(self, destination: int) -> float:
         return self.quota_fraction(destination, self.scheduler.now())
 
     def has_destination(self, destination: int) -> bool:
-        """Whether there is such a destination; what this instance is no candidate for, its owners decide."""
+        """Return whether a destination exists.
+
+        The result is True for a destination that this instance is no candidate for: its owners check it.
+        """
         return not self.fleet.is_candidate(destination) or self.dispatcher.pool.has_destination(destination)
 
     def route(self, transaction: Transaction, forwarded: bool) -> Route:
-        """Where a message goes. One that is held here already stays: it is answered as accepted."""
+        """Return where a message goes.
+
+        A message that this process has accepted before stays here and is answered as accepted.
+        """
         if self.dispatcher.journal.has_accepted(transaction.id):
             return Route.LOCAL
         if self._current_quota_fraction(transaction.destination) > 0:
             return Route.LOCAL
         if forwarded or not self.ready:
             return Route.REJECT
-        return Route.FORWARD  # where there is no owner to ask, the forwarder rejects it as well
+        return Route.FORWARD  # if there is no owner to ask, the forwarder rejects the message too
 
     def describe(self) -> dict[str, Any]:
-        """The view in force, as the management call `fleet` reports it."""
+        """Return the view in force, as the management call `fleet` reports it."""
         status = self.fleet.status(self.scheduler.now())
         age = status.heartbeat_age
         return {
@@ -123,7 +136,7 @@
         }
 
     def describe_owners(self, destination: int) -> dict[str, Any]:
-        """The owners of a destination by zone, as the management call `owner` reports them."""
+        """Return the owners of a destination by zone, as the management call `owner` reports them."""
         partition = self.fleet.partition(destination)
         candidates = {
             zone: [
@@ -156,7 +169,7 @@
             log.warning("fleet.saved-view-rejected", error=str(error))
 
     async def watch(self) -> None:
-        """Watch the view until cancelled; the one in force stays while its agent is silent."""
+        """Watch the view until cancelled. The view in force stays valid while its agent is silent."""
         instance_count = max(1, len(self.fleet.view.instances))
         backoff = WatchBackoff(
             self.rng,
@@ -178,7 +191,7 @@
         now = self.scheduler.now()
         try:
             self.fleet.apply_update(update, now)
-        except ClockError as error:  # the view is good, the heartbeat is not
+        except ClockError as error:  # the view was applied, the heartbeat was not
             log.warning("fleet.clock-rejected", error=str(error), key=self.settings.view)
         view = self.fleet.view
         if previous_view.revision != view.revision:
@@ -206,19 +219,19 @@
     # Quotas that change.
 
     async def watch_expiry(self) -> None:
-        """Follow what changes with time alone, until cancelled: leases that expire or begin."""
+        """Refresh the quotas as leases begin or expire without an update, until cancelled."""
         while True:
             await asyncio.sleep(REFRESH_CHECK_SECONDS)
             self.refresh_if_due()
 
     def refresh_if_due(self) -> None:
-        """Refresh if a quota may have changed with time, or if messages of lost partitions are held."""
+        """Refresh the quotas if one may have changed with time, or messages of lost partitions are held."""
         due = self._refresh_at is not None and self.scheduler.now() >= self._refresh_at
         if due or self.lost_partitions:
             self.refresh_quotas()
 
     def refresh_quotas(self) -> None:
-        """Apply changed quotas to the dispatcher, and return messages that are another instance's now."""
+        """Apply changed quotas to the dispatcher, and return the messages of partitions that were lost."""
         now = self.scheduler.now()
         self._refresh_at = self.fleet.next_quota_change(now)
         self._lease_was_valid = self.fleet.lease_valid(now)
@@ -232,7 +245,7 @@
             self._return_lost_messages(now)
 
     def _update_quota_fractions(self, now: int) -> set[int]:
-        """Work the quotas out as of now; the partitions whose quota is another one than before."""
+        """Recompute the quotas as of `now`, and return the partitions whose quota has changed."""
         changed = set[int]()
         for partition in self.fleet.candidate_partitions | self._quota_fractions.keys():
             fraction = self.fleet.held_quota(partition, now).quota_fraction(self.settings.reserve)
@@ -250,7 +263,7 @@
             self.dispatcher.apply_list_update(update)
 
     def _return_lost_messages(self, now: int) -> None:
-        """Return messages of lost partitions unattempted; forget the partitions of which none is held."""
+        """Return unattempted messages of lost partitions, and forget lost partitions without messages."""
         messages = self.dispatcher.messages.by_id.values()
         held = {message.destination for message in messages}
         partition = self.fleet.partition
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -20,7 +20,7 @@
 
 log = logs.get()
 PEER_POLL_SECONDS = 0.02  # between checks while a peer runs
-IDLE_POLL_SECONDS = 0.25  # between checks while there is none
+IDLE_POLL_SECONDS = 0.25  # between checks while no peer runs
 
 PeerChanged = Callable[[bool, int | None], None]
 
@@ -28,7 +28,7 @@
 class ProcessHandover:
     """Follows the peer, receives the messages it hands over, and takes its journal over once it has ended.
 
-    For the dispatcher it is the `PeerProcess` as long as the peer runs.
+    It is the dispatcher's `PeerProcess` while the peer runs.
     """
 
     def __init__(
@@ -38,8 +38,10 @@
         dispatcher: Dispatcher,
         on_change: PeerChanged,
     ) -> None:
-        """`on_change` is called with whether a peer runs, and with how many calls it has in flight, which is
-        None as long as it does not hand over its messages.
+        """Create the hand-over for a process that has locked its slot of the state directory.
+
+        `on_change` is called with whether a peer runs and with the number of calls that the peer has in
+        flight, which is None until the peer hands over its messages.
         """
         self.state_directory = state_directory
         self.journal = journal
@@ -47,7 +49,7 @@
         self.on_change = on_change
         self.follower = self._new_follower()
         self.peer_running = False
-        self.peer_calls_in_flight: int | None = None  # None as long as the peer does not hand over
+        self.peer_calls_in_flight: int | None = None  # None until the peer hands over
         self.recovered = False  # whether the dispatcher has resumed the messages of the journal
 
     def _new_follower(self) -> JournalFollower:
@@ -55,11 +57,11 @@
         return JournalFollower(path, self.journal.messages.max_remembered, self.journal.retention)
 
     def start(self) -> None:
-        """The first check, before the dispatcher resumes the messages of the journal."""
+        """Check for a peer for the first time, before the dispatcher resumes the messages of the journal."""
         self.check_peer()
         if not self.peer_running:
             self.journal.reclaim()
-        # An earlier process in this slot may have recorded that it hands over.
+        # An earlier process in this slot may have recorded that it was handing over.
         self.journal.record_calls_in_flight(None)
 
     async def watch(self) -> None:
@@ -69,7 +71,7 @@
             self.check_peer()
 
     def check_peer(self) -> None:
-        """Find out whether a peer holds the other slot; take over what one that has ended left there."""
+        """Check whether a peer holds the other slot, and take over the journal of a peer that has ended."""
         if self._no_second_slot():
             self._set_peer_running(False)
             return
@@ -85,7 +87,7 @@
             self._receive_messages()
 
     def _no_second_slot(self) -> bool:
-        """Whether this process holds the first slot and no other one has written to the second."""
+        """Return whether this process holds the first slot and no process has written to the second."""
         directory = self.state_directory
         return directory.slot == FIRST_SLOT and not directory.journal_path(SECOND_SLOT).exists()
 
@@ -102,7 +104,7 @@
         self.on_change(running, None)
 
     def _receive_messages(self) -> None:
-        """Resume the messages that the peer hands over, each once it is in this process's own journal."""
+        """Record the messages that the peer hands over in this process's journal, then resume them."""
         if self.follower.calls_in_flight != self.peer_calls_in_flight:
             self.peer_calls_in_flight = self.follower.calls_in_flight
             self.on_change(True, self.peer_calls_in_flight)
@@ -112,7 +114,7 @@
                 copy = _copy(message)
                 try:
                     self.journal.record_accepted(copy)
-                except JournalFullError as error:  # room comes as messages of this process end
+                except JournalFullError as error:  # space is freed as messages of this process end
                     log.warning("handover.journal-full", error=str(error))
                     break
                 received.append(copy)
@@ -122,9 +124,9 @@
             self.dispatcher.take_over(received, [])
 
     def _returned_messages(self) -> dict[str, Transaction]:
-        """Messages handed over to the peer that it never accepted, once it hands over itself.
+        """Return messages handed over to the peer that the peer never accepted, once it hands over itself.
 
-        From then on it accepts none, so that they are this process's again.
+        From then on the peer accepts no message, so these messages belong to this process again.
         """
         if self.follower.calls_in_flight is None:
             return {}
@@ -135,7 +137,7 @@
         }
 
     def _take_over_journal(self) -> None:
-        """Merge the journal of a peer that has ended. Its lock is held, so that no process writes to it."""
+        """Merge the journal of a peer that has ended. Its lock is held here, so no process writes to it."""
         directory = self.state_directory
         self.follower.read()
         self.journal.peer_bytes = self.follower.read_bytes
@@ -143,7 +145,7 @@
             messages, dead_letters = self.journal.take_over(
                 self.follower, directory.journal_path(FIRST_SLOT), directory.journal_path(SECOND_SLOT)
             )
-        except JournalFullError as error:  # room comes as messages of this process end
+        except JournalFullError as error:  # space is freed as messages of this process end
             log.error("handover.journal-full", error=str(error))
             return
         directory.slot = FIRST_SLOT
@@ -163,17 +165,18 @@
         """Close the peer's journal."""
         self.follower.close()
 
-    # What the dispatcher asks while a peer runs.
+    # The methods of `PeerProcess`, which the dispatcher calls while a peer runs.
 
     def retry_after_events(self) -> list[Event]:
-        """Each Retry-After that the peer has received and that still holds: its endpoint may be listed here
-        only now.
+        """Return each Retry-After that the peer has received and that has not expired.
+
+        The endpoint of a Retry-After may be listed in this process only after the peer received it.
         """
         self._read_peer_journal()
         return self._retry_after_events()
 
     def has_accepted(self, message_id: str) -> bool:
-        """Whether the peer has accepted this message."""
+        """Return whether the peer has accepted this message."""
         self.follower.read()
         return self.follower.has_accepted(message_id)
 
@@ -191,7 +194,7 @@
 
 
 def _copy(message: Transaction) -> Transaction:
-    """A copy that this process may change: the follower goes on reading the original."""
+    """Return a copy that this process may change; the follower keeps using the original."""
     return replace(
         message,
         possible_executions=list(message.possible_executions),
--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -1,4 +1,4 @@
-"""The addresses at which a service listens: for clients, and for those who monitor and manage it."""
+"""Opens the listeners of a service, for clients and for monitoring and management."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def listen_for_clients(service: Service) -> None:
-    """Accept messages by RESP2. Raises ConfigError where the address cannot be had."""
+    """Accept messages over RESP2. Raises ConfigError if the address cannot be bound."""
     dispatcher = service.dispatcher
     fleet = service.fleet
     has_destination = dispatcher.pool.has_destination if fleet is None else fleet.has_destination
@@ -48,9 +48,9 @@
 
 
 def listen_for_monitoring(service: Service) -> None:
-    """Answer agent-checks, health checks and management calls at the addresses that are set up for them.
+    """Answer agent-checks, health checks and management calls at their configured addresses.
 
-    Raises ConfigError where one of the addresses cannot be had.
+    Raises ConfigError if one of the addresses cannot be bound.
     """
     config = service.config
     dispatcher = service.dispatcher
@@ -84,7 +84,11 @@
     reuse_port: bool = False,
     forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
 ) -> ClientServer:
-    """Listen at an address; `setting` is its key in the configuration, by which an error names it."""
+    """Listen at an address and serve its connections.
+
+    `setting` is the key of the address in the configuration. Raises ConfigError with this key if the address
+    cannot be bound.
+    """
     try:
         server = ClientServer(
             (address.host, address.port),
--- a/honeyhitch/service/reload.py
+++ b/honeyhitch/service/reload.py
@@ -1,4 +1,4 @@
-"""What changes in a running service as its configuration is read again."""
+"""Applies a new configuration to a running service."""
 
 from __future__ import annotations
 
@@ -22,21 +22,22 @@
     "operator",
 )
 
-ConfigReader = Callable[[Config], Config]  # reads the configuration again, given the one in force
+ConfigReader = Callable[[Config], Config]  # reads the configuration again; called with the one in force
 
 
 def reload(service: Service, read: ConfigReader) -> None:
-    """Apply a new configuration. No message is lost, and with a faulty configuration all stays as it is.
+    """Apply a new configuration without losing a message. A faulty configuration changes nothing.
 
-    Files of TLS partners are read again in any case; those that cannot be used stay as they were, too.
+    The files of TLS partners are read again in any case; if a file cannot be used, the one read before stays
+    in force.
     """
     if service.reload_certificates is not None:
         service.tasks.start(service.reload_certificates(True))
     try:
         config = read(service.config)
-    except Exception as error:  # noqa: BLE001  # no fault of a file may end a process that serves
+    except Exception as error:  # noqa: BLE001  # a faulty file must not end a running process
         reason = str(error) if isinstance(error, ConfigError) else repr(error)
-        log.error("reload.rejected", error=reason, kept="the configuration as it was")
+        log.error("reload.rejected", error=reason, kept="the configuration in force")
         return
     _apply_discovery_address(service, config)
     _apply_resend_rules(service, config)
@@ -52,7 +53,7 @@
 
 
 def _apply_resend_rules(service: Service, config: Config) -> None:
-    """Rules for dead letters change at once; the rest of that table needs a restart."""
+    """Apply changed resend rules at once. Other changes in the table of dead letters need a restart."""
     before = service.config.operator.dead_letters
     after = config.operator.dead_letters
     if service.dead_letters is None or before is None or after is None:
--- a/honeyhitch/service/run.py
+++ b/honeyhitch/service/run.py
@@ -1,4 +1,4 @@
-"""The life of a dispatcher process, from its configuration to the signal that stops it."""
+"""Runs a dispatcher process until a signal stops it."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 async def run(config: Config, read: ConfigReader) -> None:
     """Serve until SIGTERM or SIGINT, then drain and stop; on SIGHUP `read` reads the configuration again.
 
-    Raises ConfigError where the service cannot start with this configuration.
+    Raises ConfigError if the service cannot start with this configuration.
     """
     loop = asyncio.get_running_loop()
-    # Handlers come first: signals that arrive while the service is assembled wait for it.
+    # Installed first, so that signals that arrive during assembly are handled after it.
     on_reload(loop, lambda: reload(service, read))
     stop = StopSignal(loop, (signal.SIGTERM, signal.SIGINT))
     service = assemble(config)
@@ -34,6 +34,6 @@
 
 
 def serve(config: Config, read: ConfigReader) -> None:
-    """Run on uvloop until a signal stops the process. Raises ConfigError as `run` does."""
+    """Call `run` on a uvloop event loop. Raises ConfigError if the service cannot start."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run(config, read))
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -24,20 +24,20 @@
 from honeyhitch.transports.http_transport import HttpTransport
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
-if TYPE_CHECKING:  # a plain start does not load these
+if TYPE_CHECKING:  # loaded only for configured features
     from honeyhitch.dead_letters.service import DeadLetterService
     from honeyhitch.service.fleet import FleetService
     from honeyhitch.transports.control import ControlServer
 
-BROKER_REDELIVERY = 10 * MINUTE  # a broker may deliver a message again so long after; its id is remembered
-DISCOVERY_SEED = 0xD15C  # mixed into the dispatcher's seed, so that each random stream is its own
+BROKER_REDELIVERY = 10 * MINUTE  # how long a broker may redeliver a message; its id is kept as long
+DISCOVERY_SEED = 0xD15C  # mixed into the dispatcher's seed for a random stream of its own
 
 
 class Service:
     """One dispatcher with its transports, journal and listeners. It belongs to the running event loop."""
 
     def __init__(self, config: Config, listen: bool = True) -> None:
-        """Build what every service has. Raises ConfigError where the state directory cannot be used."""
+        """Build the parts of every service. Raises ConfigError if the state directory cannot be used."""
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.tasks = Tasks(self.loop)
@@ -54,7 +54,7 @@
         self.max_clients = budget.clients
         self.idle_limits = idle_limits(config, budget.idle)
         http = HttpTransport(self.dispatcher, self.scheduler, self.tasks, self.idle_limits.http)
-        self.idle_pools = [http]  # the transports that keep idle connections to endpoints, in equal numbers
+        self.idle_pools = [http]  # transports that pool idle connections to endpoints, with equal limits
         discovery_rng = Random(config.seed ^ DISCOVERY_SEED)
         self.discovery = Discovery(str(config.discovery), self.dispatcher, self.tasks, discovery_rng)
         self.dispatcher.transports["http"] = http
@@ -65,7 +65,7 @@
             self.handover.watch,
         ]
         self.servers: list[ClientServer] = []
-        self.clients: ClientServer | None = None  # the one of the servers that clients submit messages to
+        self.clients: ClientServer | None = None  # the server to which clients submit messages
         self.commands = CommandRegistry()
         self.control: ControlServer | None = None
         self.dead_letters: DeadLetterService | None = None
@@ -73,10 +73,10 @@
         self.reload_certificates: Callable[[bool], Coroutine[Any, Any, None]] | None = None
 
     def divide_limits(self, peer_running: bool, peer_calls_in_flight: int | None) -> None:
-        """Divide calls and descriptors evenly, as another process of this dispatcher starts or ends.
+        """Divide call slots and descriptors evenly when another process of this dispatcher starts or ends.
 
-        `peer_calls_in_flight` is None until that process hands over its messages; from then on this one may
-        use every call slot that is not in use there.
+        `peer_calls_in_flight` is None until the other process hands over its messages. From then on this
+        process may use every call slot that the other one does not use.
         """
         call_slots = self.config.settings.max_concurrent_calls
         if peer_calls_in_flight is None:
@@ -91,13 +91,16 @@
             self.clients.set_max_clients(self.max_clients)
 
     def servers_settled(self) -> bool:
-        """Whether no client of this process has a request in progress."""
+        """Return whether no client of this process has a request in progress."""
         return self.clients is None or self.clients.quiescent
 
 
 def _open_state_directory(config: Config, listen: bool) -> StateDirectory:
-    """Lock a slot of the state directory. The holder of the first slot must find its address unused: who
-    listens there without a slot is a version that shares neither of them, or another dispatcher.
+    """Lock a slot of the state directory and return the directory.
+
+    The process in the first slot must find its address unused. A process that listens there without a slot is
+    another dispatcher, or a version that shares neither the directory nor the address. Raises ConfigError if
+    the directory or the address cannot be used.
     """
     try:
         directory = StateDirectory(config.state)
@@ -116,7 +119,10 @@
     longest_deadline = max(message_class.deadline for message_class in config.settings.classes)
 
     def retention(message: Transaction) -> int:
-        """How long the id of an ended message is remembered: clients send one again at once or never."""
+        """Return for how many nanoseconds the id of an ended message is remembered.
+
+        Clients send a message again at once or never; a broker may redeliver one for longer.
+        """
         if message.frontend == "mqtt":
             return max(longest_deadline, BROKER_REDELIVERY)
         return longest_deadline
@@ -135,7 +141,7 @@
 
 
 async def report_suppressed_events() -> None:
-    """Log from time to time how many repeated events were left out."""
+    """Log periodically how many repeated events were suppressed."""
     while True:
         await asyncio.sleep(logs.BURST_SECONDS)
         logs.flush()
--- a/honeyhitch/service/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -1,4 +1,4 @@
-"""The time between the signal to stop and the end of the process."""
+"""Drains and closes a service between the signal to stop and the end of the process."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from honeyhitch.service.service import Service
 from honeyhitch.time_units import SECOND
 
-# Seconds after SIGTERM. SIGKILL follows after 3.7 at the soonest, and the next process starts 0.6 later.
+# Seconds after SIGTERM. SIGKILL follows after 3.7 s at the earliest; the next process starts 0.6 s later.
 STOP_ACCEPTING_SECONDS = 0.6
 STOP_SENDING_SECONDS = 2.8
 EXIT_SECONDS = 3.3
 SUCCESSOR_SECONDS = 4.3
-POLL_SECONDS = 0.02  # between checks of what is still in flight
+POLL_SECONDS = 0.02  # between checks for unfinished work
 
 
 async def drain_and_stop(service: Service) -> None:
-    """Let messages finish for a bounded time; the journal keeps the rest, or the next process takes it over.
+    """Let messages finish for a bounded time. The next process takes over the rest, or the journal keeps it.
 
-    New connections are still accepted for a moment. Their messages are accepted as long as there is time to
-    deliver them, and rejected after that.
+    New connections are still accepted for a short time. Their messages are accepted as long as there is time
+    to deliver them, and rejected after that.
     """
     began = service.loop.time()
     service.dispatcher.draining = True
@@ -33,7 +33,7 @@
 
 
 async def _hand_over(service: Service, began: float) -> bool:
-    """Hand messages over as long as there is a next process; whether all that is left here has finished."""
+    """Hand messages over while a next process runs. Return whether the work left here has finished."""
     while service.handover.peer_running and service.loop.time() - began < EXIT_SECONDS:
         service.dispatcher.hand_over()
         if _calls_and_notices_finished(service) and service.servers_settled():
@@ -43,7 +43,7 @@
 
 
 async def _drain(service: Service, began: float) -> None:
-    """Deliver, then stop accepting, then stop starting calls; return once nothing is left, or time is up."""
+    """Deliver messages, stop accepting, then stop starting calls; return once all is done or time is up."""
     dispatcher = service.dispatcher
     while (elapsed := service.loop.time() - began) < EXIT_SECONDS:
         dispatcher.accepting = elapsed <= STOP_ACCEPTING_SECONDS
@@ -61,7 +61,7 @@
 
 
 async def close(service: Service) -> None:
-    """Release everything at once, as the end of the process by SIGKILL would."""
+    """Release all resources at once, as the end of the process by SIGKILL would."""
     service.dispatcher.accepting = False
     service.dispatcher.sending = False
     for server in service.servers:
--- a/honeyhitch/service/signals.py
+++ b/honeyhitch/service/signals.py
@@ -1,4 +1,4 @@
-"""Signals that ask the process to stop, or to read its configuration again."""
+"""Handlers of the signals that stop the process or reload its configuration."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StopSignal:
-    """`received` is set by the first of the signals; a second one changes nothing."""
+    """The request to stop: the first of the signals sets `received`, and later ones change nothing."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, signals: Iterable[signal.Signals]) -> None:
         self.received = asyncio.Event()
@@ -17,5 +17,5 @@
 
 
 def on_reload(loop: asyncio.AbstractEventLoop, callback: Callable[[], None]) -> None:
-    """Call `callback` on each SIGHUP, which would end the process otherwise."""
+    """Call `callback` on each SIGHUP, which would end the process if it were not handled."""
     loop.add_signal_handler(signal.SIGHUP, callback)
--- a/honeyhitch/service/start.py
+++ b/honeyhitch/service/start.py
@@ -1,4 +1,4 @@
-"""The start of an assembled service: restore what an earlier process left, then listen and work."""
+"""Starts an assembled service: restores the state that an earlier process left, then serves."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def start(service: Service, listen: bool = True) -> None:
     """Recover the journal, then serve. Without `listen` only callers in this process submit messages.
 
-    Raises ConfigError where an address cannot be had, or a running process allows no second one.
+    Raises ConfigError if an address cannot be bound, or if no second process may run beside the peer.
     """
     if service.fleet is not None:
         service.fleet.restore()
@@ -33,12 +33,12 @@
         open_control_socket(service, control)
     for task in service.background_tasks:
         service.tasks.run_forever(task)
-    # Before a fleet's first view no entry of a list would be kept: the view's arrival starts the watch.
+    # Without a view an instance of a fleet would keep no entry of a list. Its first view starts the watch.
     service.discovery.start(watch=service.fleet is None or service.fleet.ready)
 
 
 def _apply_known_list(service: Service) -> None:
-    """Use the endpoints of the configuration file until discovery's first list comes."""
+    """Use the endpoints of the configuration file until discovery sends its first list."""
     dispatcher = service.dispatcher
     try:
         dispatcher.apply_list_update(dispatcher.pool.update(service.config.known, cached=True))
@@ -47,8 +47,11 @@
 
 
 def _check_peer(service: Service) -> None:
-    """Refuse to start as the second process of another dispatcher, or with what two processes cannot share:
-    a store, the control socket, a broker's session, or a fleet's quota, which each would use in full.
+    """Raise ConfigError if no second process may run beside the peer.
+
+    The peer may belong to another dispatcher, or a feature that two processes cannot share is configured: the
+    store of dead letters, the control socket, the session at the MQTT broker, or the quota of a fleet, which
+    each process would use in full.
     """
     config = service.config
     peer_name = service.handover.follower.name
@@ -66,7 +69,7 @@
 
 
 def _recover_messages(service: Service) -> None:
-    """Resume the journal's messages once the dead letters are known, as a client may send a copy of one."""
+    """Resume the journal's messages once the dead letters are known: a client may send one of these again."""
     if service.dead_letters is None:
         _resume(service)
         return
--- a/honeyhitch/service/status.py
+++ b/honeyhitch/service/status.py
@@ -1,4 +1,4 @@
-"""Whether a service accepts new work, as its listeners and its control socket report it."""
+"""Reports whether a service accepts new work, for its listeners and its control socket."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def service_state(service: Service) -> DispatcherState:
-    """Whether it accepts new work. A fleet's instance does not until it knows which destinations it owns."""
+    """Return the state that tells whether a service accepts new work.
+
+    An instance of a fleet is starting until it knows which destinations it owns.
+    """
     state = service.dispatcher.state()
     if service.fleet is not None and not service.fleet.ready and state.phase is Phase.READY:
         return replace(state, phase=Phase.STARTING)
@@ -20,7 +23,7 @@
 
 
 async def state_report(service: Service) -> dict[str, Any]:
-    """The reply to `GET /state` on the control socket."""
+    """Return the reply to `GET /state` on the control socket."""
     state = service.dispatcher.state()
     report: dict[str, Any] = {
         "phase": state.phase.value,
