--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -168,8 +168,8 @@
                 expiries.append(instance.joined_at + settings.lease)
                 expiries.append(instance.joined_at + settings.reserve_lease)
         skew = settings.clock_skew
-        changes = (at for expiry in expiries for at in (expiry - skew, expiry + skew))
-        return min((at for at in changes if at > now), default=None)
+        changes = (change for expiry in expiries for change in (expiry - skew, expiry + skew))
+        return min((change for change in changes if change > now), default=None)
 
     def owners(self, destination: int, now: int) -> list[Instance]:
         """Return other instances that may accept a message for a destination, in the order to ask them.
@@ -229,7 +229,7 @@
 
     Each group is in the configured order, which starts at the own zone and wraps around.
     """
-    start = settings.zones.index(settings.zone)
-    zones = [*settings.zones[start:], *settings.zones[:start]]
+    own_index = settings.zones.index(settings.zone)
+    zones = [*settings.zones[own_index:], *settings.zones[:own_index]]
     zones.sort(key=lambda zone: (zone != settings.zone, settings.region_of(zone) != settings.region))
     return zones
--- a/honeyhitch/partitioning/ownership.py
+++ b/honeyhitch/partitioning/ownership.py
@@ -31,18 +31,18 @@
 class ZoneCandidates:
     """The candidates for each partition in one zone, kept up to date as instances join and leave."""
 
-    def __init__(self, partitions: int, count: int) -> None:
-        self.partition_count, self.max_candidates = partitions, count
+    def __init__(self, partition_count: int, max_candidates: int) -> None:
+        self.partition_count, self.max_candidates = partition_count, max_candidates
         self.names: frozenset[str] = frozenset()
         self._ranks: dict[int, tuple[Rank, ...]] = {}  # by partition, highest first; computed on demand
 
     def update(self, names: Iterable[str]) -> None:
         """Replace the zone's instances. Only ranks that change are computed again."""
-        now = frozenset(names)
-        joined, left = now - self.names, self.names - now
+        new_names = frozenset(names)
+        joined, left = new_names - self.names, self.names - new_names
         if not joined and not left:
             return
-        self.names = now
+        self.names = new_names
         for partition, ranks in list(self._ranks.items()):
             if any(name in left for _, name in ranks):
                 del self._ranks[partition]  # an instance with a lower rank moves up
--- a/honeyhitch/service/features/fleet.py
+++ b/honeyhitch/service/features/fleet.py
@@ -23,8 +23,8 @@
     if not listen:
         raise ConfigError("fleet: cannot be had by a library's dispatcher, which nothing is handed in to")
     if config.limits.disk_bytes < 2 * RESERVED_BYTES:
-        least = 2 * RESERVED_BYTES / BYTES_PER_MEGABYTE
-        raise ConfigError(f"limits.disk_mb: expected {least:g} at least with [fleet]")
+        min_megabytes = 2 * RESERVED_BYTES / BYTES_PER_MEGABYTE
+        raise ConfigError(f"limits.disk_mb: expected {min_megabytes:g} at least with [fleet]")
     service.journal.max_bytes -= RESERVED_BYTES
     service.fleet = FleetService(
         settings,
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -265,13 +265,15 @@
     def _return_lost_messages(self, now: int) -> None:
         """Return unattempted messages of lost partitions, and forget lost partitions without messages."""
         messages = self.dispatcher.messages.by_id.values()
-        held = {message.destination for message in messages}
+        held_destinations = {message.destination for message in messages}
         partition = self.fleet.partition
-        lost = {destination for destination in held if partition(destination) in self.lost_partitions}
-        for destination in lost:
+        lost_destinations = {
+            destination for destination in held_destinations if partition(destination) in self.lost_partitions
+        }
+        for destination in lost_destinations:
             if not self.fleet.awaits_lease(destination, now):
                 self.dispatcher.return_unattempted(destination, BUSY_RETRY_AFTER)
-        self.lost_partitions = {partition(destination) for destination in lost}
+        self.lost_partitions = {partition(destination) for destination in lost_destinations}
 
     def close(self) -> None:
         """Close the connections to other instances."""
--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -26,19 +26,19 @@
     dispatcher = service.dispatcher
     fleet = service.fleet
     has_destination = dispatcher.pool.has_destination if fleet is None else fleet.has_destination
-    fields = TransactionParser(service.config.settings, has_destination, dispatcher.metrics.message_invalid)
+    parser = TransactionParser(service.config.settings, has_destination, dispatcher.metrics.message_invalid)
 
     def ready() -> bool:
         return service_state(service).phase is Phase.READY
 
-    def session() -> resp.Session:
-        return resp.Session(fields, dispatcher.submit, ready, service.scheduler.now, fleet)
+    def new_session() -> resp.Session:
+        return resp.Session(parser, dispatcher.submit, ready, service.scheduler.now, fleet)
 
     service.clients = _listen(
         service,
         "listen",
         service.config.listen,
-        session,
+        new_session,
         service.max_clients,
         reuse_port=True,
         forward=None if fleet is None else fleet.forwarder.forward,
@@ -58,7 +58,7 @@
     def state() -> DispatcherState:
         return service_state(service)
 
-    def management() -> ManagementSession:
+    def new_management_session() -> ManagementSession:
         return ManagementSession(state, dispatcher.metrics_snapshot, service.fleet)
 
     if config.operator.agent_check is not None:
@@ -69,7 +69,12 @@
         _listen(service, "beside.health", address, lambda: HealthSession(state), MONITORING_CONNECTIONS)
     if config.management is not None:
         _listen(
-            service, "management", config.management, management, MONITORING_CONNECTIONS, single_request=True
+            service,
+            "management",
+            config.management,
+            new_management_session,
+            MONITORING_CONNECTIONS,
+            single_request=True,
         )
 
 
@@ -77,7 +82,7 @@
     service: Service,
     setting: str,
     address: Address,
-    session: Callable[[], ServerSession],
+    new_session: Callable[[], ServerSession],
     max_connections: int,
     *,
     single_request: bool = False,
@@ -92,7 +97,7 @@
     try:
         server = ClientServer(
             (address.host, address.port),
-            session,
+            new_session,
             max_connections,
             service.tasks,
             single_request,
--- a/honeyhitch/service/reload.py
+++ b/honeyhitch/service/reload.py
@@ -25,7 +25,7 @@
 ConfigReader = Callable[[Config], Config]  # reads the configuration again; called with the one in force
 
 
-def reload(service: Service, read: ConfigReader) -> None:
+def reload(service: Service, read_config: ConfigReader) -> None:
     """Apply a new configuration without losing a message. A faulty configuration changes nothing.
 
     The files of TLS partners are read again in any case; if a file cannot be used, the one read before stays
@@ -34,7 +34,7 @@
     if service.reload_certificates is not None:
         service.tasks.start(service.reload_certificates(True))
     try:
-        config = read(service.config)
+        config = read_config(service.config)
     except Exception as error:  # noqa: BLE001  # a faulty file must not end a running process
         reason = str(error) if isinstance(error, ConfigError) else repr(error)
         log.error("reload.rejected", error=reason, kept="the configuration in force")
@@ -54,18 +54,18 @@
 
 def _apply_resend_rules(service: Service, config: Config) -> None:
     """Apply changed resend rules at once. Other changes in the table of dead letters need a restart."""
-    before = service.config.operator.dead_letters
-    after = config.operator.dead_letters
-    if service.dead_letters is None or before is None or after is None:
+    old = service.config.operator.dead_letters
+    new = config.operator.dead_letters
+    if service.dead_letters is None or old is None or new is None:
         return
-    if after.rules != before.rules:
-        service.dead_letters.resend_scheduler.replace_rules(after.rules)
-        log.info("reload.rules-replaced", rules=len(after.rules))
-    operator = replace(service.config.operator, dead_letters=replace(before, rules=after.rules))
+    if new.rules != old.rules:
+        service.dead_letters.resend_scheduler.replace_rules(new.rules)
+        log.info("reload.rules-replaced", rules=len(new.rules))
+    operator = replace(service.config.operator, dead_letters=replace(old, rules=new.rules))
     service.config = replace(service.config, operator=operator)
 
 
-def _warn_of_restart(before: Config, after: Config) -> None:
+def _warn_of_restart(old: Config, new: Config) -> None:
     for setting in RESTART_REQUIRED:
-        if getattr(after, setting) != getattr(before, setting):
+        if getattr(new, setting) != getattr(old, setting):
             log.warning("reload.restart-required", setting=setting, key=setting)
--- a/honeyhitch/service/run.py
+++ b/honeyhitch/service/run.py
@@ -15,14 +15,14 @@
 from honeyhitch.service.start import start
 
 
-async def run(config: Config, read: ConfigReader) -> None:
-    """Serve until SIGTERM or SIGINT, then drain and stop; on SIGHUP `read` reads the configuration again.
+async def run(config: Config, read_config: ConfigReader) -> None:
+    """Serve until SIGTERM or SIGINT, then drain and stop.
 
-    Raises ConfigError if the service cannot start with this configuration.
+    On SIGHUP, apply the configuration that `read_config` returns. Raises ConfigError if the service cannot start with this configuration.
     """
     loop = asyncio.get_running_loop()
     # Installed first, so that signals that arrive during assembly are handled after it.
-    on_reload(loop, lambda: reload(service, read))
+    on_reload(loop, lambda: reload(service, read_config))
     stop = StopSignal(loop, (signal.SIGTERM, signal.SIGINT))
     service = assemble(config)
     try:
@@ -33,7 +33,7 @@
         await close(service)
 
 
-def serve(config: Config, read: ConfigReader) -> None:
+def serve(config: Config, read_config: ConfigReader) -> None:
     """Call `run` on a uvloop event loop. Raises ConfigError if the service cannot start."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(run(config, read))
+        runner.run(run(config, read_config))
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -90,7 +90,7 @@
         if self.clients is not None:
             self.clients.set_max_clients(self.max_clients)
 
-    def servers_settled(self) -> bool:
+    def client_requests_finished(self) -> bool:
         """Return whether no client of this process has a request in progress."""
         return self.clients is None or self.clients.quiescent
 
--- a/honeyhitch/service/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -22,36 +22,36 @@
     New connections are still accepted for a short time. Their messages are accepted as long as there is time
     to deliver them, and rejected after that.
     """
-    began = service.loop.time()
+    started_at = service.loop.time()
     service.dispatcher.draining = True
     for server in service.servers:
         server.drain()
     service.handover.check_peer()
-    if await _hand_over(service, began):
+    if await _hand_over(service, started_at):
         return
-    await _drain(service, began)
+    await _drain(service, started_at)
 
 
-async def _hand_over(service: Service, began: float) -> bool:
+async def _hand_over(service: Service, started_at: float) -> bool:
     """Hand messages over while a next process runs. Return whether the work left here has finished."""
-    while service.handover.peer_running and service.loop.time() - began < EXIT_SECONDS:
+    while service.handover.peer_running and service.loop.time() - started_at < EXIT_SECONDS:
         service.dispatcher.hand_over()
-        if _calls_and_notices_finished(service) and service.servers_settled():
+        if _calls_and_notices_finished(service) and service.client_requests_finished():
             return True
         await asyncio.sleep(POLL_SECONDS)
     return False
 
 
-async def _drain(service: Service, began: float) -> None:
+async def _drain(service: Service, started_at: float) -> None:
     """Deliver messages, stop accepting, then stop starting calls; return once all is done or time is up."""
     dispatcher = service.dispatcher
-    while (elapsed := service.loop.time() - began) < EXIT_SECONDS:
+    while (elapsed := service.loop.time() - started_at) < EXIT_SECONDS:
         dispatcher.accepting = elapsed <= STOP_ACCEPTING_SECONDS
         finished = not dispatcher.messages.by_id
         if elapsed > STOP_SENDING_SECONDS:
             dispatcher.stop_deciding(int((SUCCESSOR_SECONDS - elapsed) * SECOND))
             finished = _calls_and_notices_finished(service)
-        if elapsed > STOP_ACCEPTING_SECONDS and finished and service.servers_settled():
+        if elapsed > STOP_ACCEPTING_SECONDS and finished and service.client_requests_finished():
             return
         await asyncio.sleep(POLL_SECONDS)
 
