--- a/honeyhitch/service/features/fleet.py
+++ b/honeyhitch/service/features/fleet.py
@@ -21,10 +21,13 @@
     """
     config = service.config
     if not listen:
-        raise ConfigError("fleet: cannot be had by a library's dispatcher, which nothing is handed in to")
+        raise ConfigError("fleet: expected a dispatcher that listens for clients, got one run as a library")
     if config.limits.disk_bytes < 2 * RESERVED_BYTES:
         min_megabytes = 2 * RESERVED_BYTES / BYTES_PER_MEGABYTE
-        raise ConfigError(f"limits.disk_mb: expected {min_megabytes:g} at least with [fleet]")
+        raise ConfigError(
+            f"limits.disk_mb: expected at least {min_megabytes:g} with [fleet],"
+            f" got {config.limits.disk_bytes / BYTES_PER_MEGABYTE:g}"
+        )
     service.journal.max_bytes -= RESERVED_BYTES
     service.fleet = FleetService(
         settings,
--- a/honeyhitch/service/run.py
+++ b/honeyhitch/service/run.py
@@ -18,7 +18,8 @@
 async def run(config: Config, read_config: ConfigReader) -> None:
     """Serve until SIGTERM or SIGINT, then drain and stop.
 
-    On SIGHUP, apply the configuration that `read_config` returns. Raises ConfigError if the service cannot start with this configuration.
+    On SIGHUP, apply the configuration that `read_config` returns. Raises ConfigError if the service cannot
+    start with `config`.
     """
     loop = asyncio.get_running_loop()
     # Installed first, so that signals that arrive during assembly are handled after it.
