--- a/.ci/start_run.py
+++ b/.ci/start_run.py
@@ -1,4 +1,4 @@
-"""Starts the real program by the command given, waits till it serves, and ends it with SIGTERM."""
+"""Starts the program with the given command, waits until it serves, and ends it with SIGTERM."""
 
 import json
 import os
--- a/tests/agent.py
+++ b/tests/agent.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's agent: it lists endpoints, serves watches, and receives notices."""
+"""A test double of the platform's agent: it lists endpoints, serves watches, and receives notices."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Agent:
-    """It answers immediately; `notices` are stored by the id of the message, where each must come once."""
+    """An agent that answers at once. `notices` holds notices by message id; each must come once."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.members = members
@@ -23,12 +23,12 @@
         self.on_watch: Callable[[], None] = lambda: None  # called when a watch is opened
         self.duplicate_notices: list[str] = []
         self.on_notice: Callable[[], None] = lambda: None  # called after each notice
-        # What every list, change and heartbeat carries besides.
+        # Returns additional fields of every list, change and heartbeat.
         self.extra_fields: Callable[[], dict[str, Any]] = dict
         self.heartbeat_seconds = 2.0
 
     async def start(self) -> Agent:
-        """Listen, at the same address again after `go_down`."""
+        """Listen; after `go_down`, at the same address as before."""
         self.server = await asyncio.start_server(self._client, "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -71,7 +71,11 @@
                 else:
                     listed = self.complete_list()
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(listed), listed))
-        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):  # the last: the loop ends
+        except (
+            OSError,
+            asyncio.IncompleteReadError,
+            asyncio.CancelledError,
+        ):  # CancelledError: the event loop ends
             writer.close()
         finally:
             self.connections.discard(writer)
--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -1,8 +1,8 @@
-"""A stand-in for the control machines, and instances that receive their updates late and by other clocks.
+"""A test double of the control machines, and instances that receive updates late and by other clocks.
 
-Virtual time. The control machines publish phases with the time of each, and stamp heartbeats with the time at
-which they were issued. Each instance has a stream from them that keeps its order, and may be delayed, cut, or
-opened anew.
+It runs in virtual time. The control machines publish each phase with its time, and stamp each heartbeat with
+the time at which it was issued. Each instance reads an ordered stream from them, which may be delayed, cut or
+reopened.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def fleet_settings(name: str, zone: str, **more: Any) -> FleetSettings:
-    """Settings of one instance, with a small fleet's figures."""
+    """Return the settings of one instance of a small fleet."""
     given: dict[str, Any] = {
         "partitions": 16,
         "lease": LEASE,
@@ -34,7 +34,7 @@
 
 
 def entry(name: str, zone: str, phase: str = "Ready", since: int = 0, joined: int = 0) -> dict[str, Any]:
-    """One instance in discovery's form; times in nanoseconds."""
+    """Return one instance in discovery's form; `since` and `joined` are Unix times in nanoseconds."""
     region = next(region.name for region in REGIONS if zone in region.zones)
     times = {"up_since_ms": since // MS, "joined_ms": joined // MS}
     return {
@@ -49,17 +49,17 @@
 
 @dataclass
 class InstanceProcess:
-    """A process of one instance: its state, and the lines that it has not read yet."""
+    """A process of one instance: its state, and the updates that it has not read yet."""
 
     fleet: Fleet
     clock_offset: int  # ns, from the control machines' clock
     stream: list[dict[str, Any]] = field(default_factory=list)
     disconnected: bool = False
-    watching: bool = False  # it has a watch, and all that was sent before
+    watching: bool = False  # it has an open watch, and got all that was sent before
 
 
 class ControlPlane:
-    """The control machines, and all processes of the fleet, alive or ended."""
+    """The control machines and all processes of the fleet, with the saved views of those that ended."""
 
     def __init__(self, seed: int = 1, per_zone: int = 3) -> None:
         self.now = START
@@ -82,7 +82,7 @@
     # Processes.
 
     def start(self, name: str) -> None:
-        """A process starts with what the last one of its name saved, and opens a watch."""
+        """Start a process from the view that the last process of its name saved, and open a watch."""
         fleet = Fleet(fleet_settings(name, self.entries[name]["locality"]))
         process = self.processes[name] = InstanceProcess(fleet, self.rng.randint(-SKEW // 2, SKEW // 2))
         if name in self.saved:
@@ -90,13 +90,13 @@
         self.open_watch(name)
 
     def kill(self, name: str) -> None:
-        """It ends; what it saved last stays."""
+        """End a process; its last saved view stays."""
         process = self.processes.pop(name)
         if process.fleet.view.instances:
             self.saved[name] = process.fleet.snapshot()
 
     def open_watch(self, name: str) -> None:
-        """A new watch: what is on its way on the old one is lost, and the complete list comes."""
+        """Open a new watch, which sends the complete list. Unread updates of the old watch are lost."""
         process = self.processes[name]
         process.stream.clear()
         process.watching = self.up and not process.disconnected
@@ -105,7 +105,7 @@
             process.stream.append(self.stamp({"complete": True, "members": members}))
 
     def apply_line(self, process: InstanceProcess, line: dict[str, Any]) -> None:
-        """A process reads one line. It rejects an old revision, which changes nothing, and no other."""
+        """Apply one update to a process. Only an old revision may be rejected, which changes nothing."""
         try:
             process.fleet.apply_update(line, self.now + process.clock_offset)
         except FleetViewError as error:
@@ -113,7 +113,7 @@
                 raise
 
     def read_lines(self, name: str, count: int) -> None:
-        """A process reads so many lines of its stream."""
+        """Apply the next `count` updates of a process's stream to it."""
         process = self.processes[name]
         for _ in range(min(count, len(process.stream))):
             self.apply_line(process, process.stream.pop(0))
@@ -121,45 +121,45 @@
     # The control machines.
 
     def stamp(self, update: dict[str, Any]) -> dict[str, Any]:
-        """With the revision and the time, as it is issued now."""
+        """Return the update with the revision and the time, as if issued now."""
         return {"revision": self.revision, "issued_ms": self.now // MS, "lease_ms": LEASE // MS, **update}
 
     def publish(self, row: dict[str, Any]) -> None:
-        """A change, sent on every watch that is not cut. A cut one has to be opened anew."""
+        """Send a change on every open watch. A watch that was cut has to be reopened."""
         self.revision += 1
         for process in self.processes.values():
             if process.watching:
                 process.stream.append(self.stamp({"complete": False, "members": [row]}))
 
     def disconnect(self, name: str) -> None:
-        """Nothing more comes to a process; what is on its way may still arrive."""
+        """Cut off a process: nothing more is sent to it, but updates already sent may still be read."""
         self.processes[name].disconnected = True
         self.processes[name].watching = False
 
     def reconnect(self, name: str) -> None:
-        """It is reached again."""
+        """Make a process reachable again, with a new watch."""
         self.processes[name].disconnected = False
         self.open_watch(name)
 
     def stop(self) -> None:
-        """All control machines are gone: watches end, what is on its way may still arrive."""
+        """Stop all control machines: watches end, but updates already sent may still be read."""
         self.up = False
         for process in self.processes.values():
             process.watching = False
 
     def resume(self) -> None:
-        """They are there again, and all who can reach them watch anew."""
+        """Start the control machines again; every process that can reach them opens a new watch."""
         self.up = True
         for name in self.processes:
             self.open_watch(name)
 
     def set_phase(self, name: str, phase: str) -> None:
-        """An instance drains, is taken for dead, or is back."""
+        """Publish a phase of an instance: it drains, is considered dead, or is ready again."""
         self.entries[name] = {**self.entries[name], "phase": phase, "up_since_ms": self.now // MS}
         self.publish(self.entries[name])
 
     def join(self, zone: str) -> str:
-        """A new instance is listed and started."""
+        """List and start a new instance, and return its name."""
         self.serial += 1
         name = f"{zone}-n{self.serial}"
         self.entries[name] = entry(name, zone, since=self.now, joined=self.now)
@@ -168,7 +168,7 @@
         return name
 
     def remove(self, name: str) -> None:
-        """An instance is known to have ended, and is listed no more."""
+        """Remove an instance from the list, as its process is known to have ended."""
         if name in self.processes:
             self.kill(name)
         self.saved.pop(name, None)
@@ -176,15 +176,15 @@
         self.publish(removed)
 
     def send_heartbeat(self) -> None:
-        """A heartbeat on every watch that is not cut."""
+        """Send a heartbeat on every open watch."""
         for process in self.processes.values():
             if process.watching:
                 process.stream.append(self.stamp({"complete": False, "members": []}))
 
-    # What must hold.
+    # The invariant.
 
     def quota_totals(self, partition: int) -> dict[str, float]:
-        """By zone, the sum of what all live processes hold of the zone's quota of a partition."""
+        """Return, by zone, the sum of what all live processes hold of the zone's quota of a partition."""
         total: dict[str, float] = {}
         for process in self.processes.values():
             zone = process.fleet.settings.zone
--- a/tests/polling.py
+++ b/tests/polling.py
@@ -1,4 +1,4 @@
-"""Waiting in tests: for an event where there is one, and by polling where another process has the state."""
+"""Helpers to wait in tests: for an event, or by polling if another process holds the state."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import os
 from collections.abc import Awaitable, Callable
 
-LIMIT_SECONDS = float(os.environ.get("PLAY_TIMEOUT", "60"))  # as long as a whole test may take
+LIMIT_SECONDS = float(os.environ.get("PLAY_TIMEOUT", "60"))  # the time limit of a whole test
 INTERVAL_SECONDS = 0.02
 
 
@@ -17,12 +17,12 @@
         self.changed = asyncio.Event()
 
     def notify(self) -> None:
-        """Have everyone who waits check their condition again."""
+        """Make every waiting task check its condition again."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Return once the condition holds. The test's own limit ends a wait that is in vain."""
+        """Return once the condition holds. If it never holds, the time limit of the test ends the wait."""
         while not condition():
             await self.changed.wait()
 
@@ -48,7 +48,7 @@
     interval: float = INTERVAL_SECONDS,
     limit: float = LIMIT_SECONDS,
 ) -> None:
-    """Check the state of this process every `interval` seconds until it holds; 0 is each turn of the loop.
+    """Check the state of this process every `interval` seconds until it holds; 0 is every loop turn.
 
     Raises TimeoutError after `limit` seconds.
     """
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -19,14 +19,14 @@
 ROOT = Path(__file__).parent.parent
 EPHEMERAL_PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 LISTENING_PORT_COUNT = 12_000
-USED_PORTS = set[int]()  # given by this process
+USED_PORTS = set[int]()  # returned by `listening_port` in this process
 PING, PONG = b"PING\r\n", b"+PONG\r\n"
 
 
 def listening_port() -> int:
-    """A free port that was not given before, below the ephemeral ports of outgoing connections.
+    """Return a free port that was not returned before, below the range of ephemeral ports.
 
-    One of those could be taken by another process of a test between its choice and its use.
+    An ephemeral port could be taken by an outgoing connection of another test process before it is used.
     """
     lowest = int(EPHEMERAL_PORT_RANGE.read_text().split()[0])
     while True:
@@ -40,18 +40,19 @@
 
 
 async def spawn(path: str, descriptors: int | None = None, operator: str | None = None) -> Process:
-    """A real process with this configuration, and with this limit of descriptors if there is one."""
+    """Start `serve` with the configuration at `path`, and with a limit on descriptors if one is given."""
     limit = f"ulimit -n {descriptors}; " if descriptors is not None else ""
     arguments = [sys.executable, "-m", "honeyhitch", "serve", "--config", path]
     arguments += ["--operator", operator] if operator is not None else []
     program = shlex.join(arguments)
-    with Path(path).with_suffix(".log").open("ab") as log:  # to be read where a test fails
+    with Path(path).with_suffix(".log").open("ab") as log:  # for the analysis of a failed test
         return await asyncio.create_subprocess_shell(f"{limit}exec {program}", cwd=ROOT, stderr=log)
 
 
 async def request_line(port: int, request: bytes) -> bytes:
-    """The first line of the reply. Where the connection is closed before the request on it was read, as the
-    protocol allows, another one is opened.
+    """Send a request and return the first line of the reply.
+
+    The protocol allows a connection to be closed before its request is read; then a new one is opened.
     """
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -63,7 +64,7 @@
 
 
 async def until_ready(process: Process, port: int) -> None:
-    """Wait until it answers PING with PONG. Raises AssertionError where it ends before."""
+    """Wait until the process answers PING with PONG. Raises AssertionError if it ends before."""
 
     async def ready() -> bool:
         assert process.returncode is None, f"it ended with {process.returncode}"
@@ -77,7 +78,7 @@
 
 @contextlib.asynccontextmanager
 async def killed_at_end(processes: list[Process]) -> AsyncIterator[None]:
-    """Whatever still runs at the end is killed, by its id."""
+    """Kill each process that still runs at the end, by its id."""
     try:
         yield
     finally:
@@ -88,10 +89,10 @@
 
 
 class CountingEndpoint:
-    """An endpoint of every destination: it counts calls by their message, and replies to all or none."""
+    """An endpoint of every destination that counts calls by message id, and replies to all or none."""
 
     def __init__(self, on_call: Callable[[], None], replies: bool = True) -> None:
-        """`told` is called with each call that has come."""
+        """`on_call` is called after each call received."""
         self.on_call, self.replies, self.port = on_call, replies, 0
         self.calls = Counter[str]()
 
--- a/tests/program.py
+++ b/tests/program.py
@@ -46,7 +46,7 @@
 
 
 def play(work: Coroutine[Any, Any, None]) -> None:
-    """Run a test on uvloop; it fails rather than hangs."""
+    """Run a test on uvloop; fail it if it takes longer than PLAY_TIMEOUT seconds, which is 60 by default."""
 
     async def bounded() -> None:
         async with asyncio.timeout(float(os.environ.get("PLAY_TIMEOUT", "60"))):
@@ -57,13 +57,13 @@
 
 
 def enqueue(name: str, left: int = 8000) -> bytes:
-    """One message for destination 1 as a client submits it; `left` in milliseconds."""
+    """Return a client's command that submits a message for destination 1; `left` is its time left in ms."""
     arguments = [b"ENQUEUE", b"0", name.encode(), b"c=standard,t=studio,d=%d,k=k,dest=1" % left, b"body"]
     return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(value), value) for value in arguments)
 
 
 class Peer:
-    """A scripted party: it listens, and returns its connections in the order of their arrival."""
+    """A scripted peer that listens and returns its connections in the order of their arrival."""
 
     def __init__(self) -> None:
         self.connections: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
@@ -85,14 +85,14 @@
 
 
 def free_port() -> int:
-    """A port that was free a moment ago."""
+    """Return a port that was free when it was checked."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 async def is_ready(port: int, task: asyncio.Future[None]) -> bool:
-    """Whether the program on this port accepts messages; its task must not have ended before."""
+    """Return whether the program on this port accepts messages; its task must not have ended."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -117,14 +117,14 @@
     stopped: bool = False,
     **file_fields: Any,
 ) -> AsyncIterator[int]:
-    """The program, ready to serve, on this port; it is cancelled at the end, as abruptly as a kill."""
+    """Run the program and yield its port once it is ready. At the end cancel it, as abruptly as a kill."""
     port = port or free_port()
     path = write(folder, port, discovery, members, operator, **file_fields)
     task = asyncio.ensure_future(run(config.read({}, *path), lambda now: config.read({}, *path, now)))
     try:
         await poll_until(lambda: is_ready(port, task), interval=0.01)
         yield port
-        if stopped:  # it was signalled to stop, and must end by itself
+        if stopped:  # the test sent a signal to stop, and the program must end by itself
             await task
     finally:
         task.cancel()
@@ -139,7 +139,7 @@
     operator: str | None = None,
     **more: Any,
 ) -> tuple[str, str | None]:
-    """Write the configuration's files; their paths."""
+    """Write the configuration files and return their paths."""
     fields = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown: requests that are being received get their reply, and messages not attempted their call later."""
+"""A shutdown replies to requests being received; messages not attempted get their call after the restart."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def test_a_request_half_received_gets_its_complete_reply_before_the_process_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, held: bool
 ) -> None:
-    """The process may end early if it holds no message, and at a later time in any case."""
+    """The process may end early if it holds no message. It ends after a bounded time in any case."""
     monkeypatch.setattr(shutdown, "STOP_ACCEPTING_SECONDS", -1.0)
     if held:
         monkeypatch.setattr(shutdown, "STOP_SENDING_SECONDS", -1.0)
@@ -35,7 +35,7 @@
         members = [endpoint_row("s-1", 1)]
         async with started(tmp_path, agent.port, members, stopped=True) as port:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            if held:  # its endpoint's port is closed: it waits for the next attempt
+            if held:  # the port of its endpoint is closed, so the message waits for the next attempt
                 writer.write(enqueue("held"))
                 assert await reader.readline() == b"+OK\r\n"
             request = enqueue("id")
@@ -54,11 +54,11 @@
 @pytest.mark.parametrize("how", ["kill", "shutdown"])
 @pytest.mark.parametrize("seed", range(4))
 def test_a_start_attempts_messages_that_were_not_attempted(tmp_path: Path, how: str, seed: int) -> None:
-    """No call was made before the shutdown; after the start each message with time left gets its call."""
+    """No call is made before the process ends. After the restart every message gets its call in time."""
     rng = Random(seed)
     more: dict[str, Any] = {"max_messages": 400, "max_concurrent_calls": 12}
     rig = DispatcherRig(tmp_path, **more)
-    # As if calls that never end used all slots.
+    # Simulate calls that never end and use all slots.
     rig.dispatcher.policy.concurrent_calls = rig.settings.max_concurrent_calls
     names = [f"m{i}" for i in range(300)]
     for name in names:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A plain `serve` is started by the hundred at once: it loads nothing that it does not use."""
+"""A `serve` without features imports no module that it does not use: hundreds may start at once."""
 
 from __future__ import annotations
 
