--- a/.ci/start_run.py
+++ b/.ci/start_run.py
@@ -15,14 +15,14 @@
 
 with tempfile.TemporaryDirectory() as folder, socket.create_server(("127.0.0.1", 0)) as discovery:
     port = free_port()
-    told = {
+    config = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "discovery": f"127.0.0.1:{discovery.getsockname()[1]}",
         "state": f"{folder}/state",
         "settings": SETTINGS,
     }
-    Path(folder, "config.json").write_text(json.dumps(told))
+    Path(folder, "config.json").write_text(json.dumps(config))
     environ = {**os.environ, "ROUTER_CONFIG": f"{folder}/config.json", "TMPDIR": folder}
     program = subprocess.Popen(["/bin/sh", "-c", sys.argv[1]], env=environ)
     answer = b""
--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -22,15 +22,15 @@
 LEASE, RESERVE_LEASE, SKEW = 3 * SECOND, 20 * SECOND, SECOND // 4
 
 
-def fleet_settings(name: str, zone: str, **more: Any) -> FleetSettings:
+def fleet_settings(name: str, zone: str, **overrides: Any) -> FleetSettings:
     """Return the settings of one instance of a small fleet."""
-    given: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "partitions": 16,
         "lease": LEASE,
         "reserve_lease": RESERVE_LEASE,
         "clock_skew": SKEW,
     }
-    return FleetSettings(name, zone, "127.0.0.1:1", REGIONS, **{**given, **more})
+    return FleetSettings(name, zone, "127.0.0.1:1", REGIONS, **{**defaults, **overrides})
 
 
 def entry(name: str, zone: str, phase: str = "Ready", since: int = 0, joined: int = 0) -> dict[str, Any]:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -63,7 +63,7 @@
                 return line
 
 
-async def until_ready(process: Process, port: int) -> None:
+async def wait_until_serving(process: Process, port: int) -> None:
     """Wait until the process answers PING with PONG. Raises AssertionError if it ends before."""
 
     async def ready() -> bool:
@@ -105,9 +105,9 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\nbody")).decode()
-                found = re.search(r"x-txn: (\S+)", head, re.I)
-                assert found is not None
-                self.calls[found[1]] += 1
+                match = re.search(r"x-txn: (\S+)", head, re.I)
+                assert match is not None
+                self.calls[match[1]] += 1
                 self.on_call()
                 if self.replies:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/tests/program.py
+++ b/tests/program.py
@@ -119,8 +119,10 @@
 ) -> AsyncIterator[int]:
     """Run the program and yield its port once it is ready. At the end cancel it, as abruptly as a kill."""
     port = port or free_port()
-    path = write(folder, port, discovery, members, operator, **file_fields)
-    task = asyncio.ensure_future(run(config.read({}, *path), lambda now: config.read({}, *path, now)))
+    paths = write(folder, port, discovery, members, operator, **file_fields)
+    task = asyncio.ensure_future(
+        run(config.read({}, *paths), lambda previous: config.read({}, *paths, previous))
+    )
     try:
         await poll_until(lambda: is_ready(port, task), interval=0.01)
         yield port
@@ -137,7 +139,7 @@
     discovery: int,
     members: list[dict[str, Any]],
     operator: str | None = None,
-    **more: Any,
+    **overrides: Any,
 ) -> tuple[str, str | None]:
     """Write the configuration files and return their paths."""
     fields = {
@@ -148,7 +150,7 @@
         "seed": "8c1f30d27a5be964",
         "known": {"revision": 1, "complete": True, "members": members},
         "settings": SETTINGS,
-        **more,
+        **overrides,
     }
     (folder / "config.json").write_text(json.dumps(fields))
     if operator is not None:
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -22,7 +22,7 @@
     listening_port,
     request_line,
     spawn,
-    until_ready,
+    wait_until_serving,
 )
 from .program import enqueue, play, write
 from .rig import endpoint_row
@@ -56,7 +56,7 @@
         path, _ = write(tmp_path, port, agent.port, agent.members, limits={"sockets": SOCKETS})
         process = await spawn(path, SOCKETS)
         async with killed_at_end([process]):
-            await until_ready(process, port)
+            await wait_until_serving(process, port)
             await events.wait_until(lambda: bool(agent.watches))
             agent.go_down()
             watches = len(agent.watches)
@@ -97,7 +97,7 @@
         processes = [await spawn(path) for path in paths.values()]
         async with killed_at_end(processes):
             for process, port in zip(processes, paths, strict=True):
-                await until_ready(process, port)
+                await wait_until_serving(process, port)
                 for number in range(MESSAGES_EACH):
                     assert await request_line(port, enqueue(f"{port}-{number}", left=20_000)) == b"+OK\r\n"
             for process in processes:
@@ -109,7 +109,7 @@
             processes[:] = [await spawn(path) for path in paths.values()]
 
             async def timed(process: Process, port: int) -> None:
-                await until_ready(process, port)
+                await wait_until_serving(process, port)
                 start_times.append(time.monotonic() - started_at)
 
             await asyncio.gather(
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -26,7 +26,7 @@
 
 from .agent import Agent
 from .polling import Changes, poll_until
-from .processes import CountingEndpoint, listening_port, request_line, spawn, until_ready
+from .processes import CountingEndpoint, listening_port, request_line, spawn, wait_until_serving
 from .program import enqueue, play, write
 from .rig import endpoint_row
 
@@ -102,7 +102,7 @@
 
     async def wait_until_ready(self, name: str) -> None:
         """Until it answers, and has the complete list, which it asks for again once the view has come."""
-        await until_ready(self.processes[name], self.ports[name])
+        await wait_until_serving(self.processes[name], self.ports[name])
         number = self.destination_owned_by(name)
 
         async def accepted() -> bool:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -56,8 +56,8 @@
 def test_a_start_attempts_messages_that_were_not_attempted(tmp_path: Path, how: str, seed: int) -> None:
     """No call is made before the process ends. After the restart every message gets its call in time."""
     rng = Random(seed)
-    more: dict[str, Any] = {"max_messages": 400, "max_concurrent_calls": 12}
-    rig = DispatcherRig(tmp_path, **more)
+    limits: dict[str, Any] = {"max_messages": 400, "max_concurrent_calls": 12}
+    rig = DispatcherRig(tmp_path, **limits)
     # Simulate calls that never end and use all slots.
     rig.dispatcher.policy.concurrent_calls = rig.settings.max_concurrent_calls
     names = [f"m{i}" for i in range(300)]
@@ -69,7 +69,7 @@
         rig.dispatcher.stop_deciding(int(1.5 * SECOND))
     assert not rig.answers, "none is rejected early"
     rig.time.time += int(rng.uniform(0.6, 2.0) * SECOND)
-    restarted = DispatcherRig(tmp_path, rig.time, **more)
+    restarted = DispatcherRig(tmp_path, rig.time, **limits)
     attempted: set[str] = set()
     call_duration = 40 * MS
     for _ in range(int(20 * SECOND / call_duration)):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,10 +17,10 @@
 
 @pytest.fixture(scope="module")
 def loaded() -> set[str]:
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", PRINT_LOADED_MODULES], capture_output=True, check=True, timeout=60
     )
-    return set(json.loads(told.stdout))
+    return set(json.loads(result.stdout))
 
 
 @pytest.mark.parametrize(
@@ -57,6 +57,6 @@
 @pytest.mark.parametrize("name", sorted(COMMAND_MODULES))
 def test_each_command_group_is_listed_and_loaded_on_use(name: str) -> None:
     assert name in CliRunner().invoke(main, ["--help"]).output
-    told = CliRunner().invoke(main, [name, "--help"])
-    assert told.exit_code == 0
-    assert "Commands:" in told.output or "--json" in told.output
+    result = CliRunner().invoke(main, [name, "--help"])
+    assert result.exit_code == 0
+    assert "Commands:" in result.output or "--json" in result.output
