--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -1,7 +1,7 @@
 """A fleet of real processes on loopback: requests that are forwarded, and owners that die, hang or drain.
 
-The endpoint counts each call by its message's id. Whatever happens, a message whose client got `+OK` is
-delivered once, and none is sent twice.
+The endpoint counts each call by its message's id. In all cases a message whose client got `+OK` is delivered
+once, and none is sent twice.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         self.paths: dict[str, tuple[str, str | None]] = {}
 
     def view_entry(self, name: str, phase: str = "Ready", phase_since: int = 0) -> dict[str, Any]:
-        """One instance, as the view lists it; `phase_since` in milliseconds."""
+        """Return one instance, as the view lists it; `phase_since` is a Unix time in milliseconds."""
         zone = INSTANCES[name]
         region = next(region.name for region in REGIONS if zone in region.zones)
         times = {"up_since_ms": phase_since, "joined_ms": 0}
@@ -93,7 +93,7 @@
             await self.spawn(name)
         for name in INSTANCES:
             await self.wait_until_ready(name)
-        for name in INSTANCES:  # the messages of that wait are counted before a test reads any figure
+        for name in INSTANCES:  # the messages of this wait are counted before a test reads a counter
             await self.wait_until_idle(name)
 
     async def spawn(self, name: str) -> None:
@@ -101,7 +101,7 @@
         self.processes[name] = await spawn(path, operator=operator)
 
     async def wait_until_ready(self, name: str) -> None:
-        """Until it answers, and has the complete list, which it asks for again once the view has come."""
+        """Wait until the instance answers and has the complete list, requested again after the view."""
         await wait_until_serving(self.processes[name], self.ports[name])
         number = self.destination_owned_by(name)
 
@@ -112,7 +112,7 @@
         await poll_until(accepted)
 
     async def wait_until_idle(self, name: str) -> None:
-        """Until the instance holds no message any more, and has counted the ends of all that it held."""
+        """Wait until the instance holds no message and has counted the end of each message that it held."""
 
         async def idle() -> bool:
             return bool((await self.management_call(name, "stats"))["active"] == 0)
@@ -120,7 +120,7 @@
         await poll_until(idle)
 
     def destination_owned_by(self, name: str) -> int:
-        """A destination that an instance is home to."""
+        """Return a destination that an instance is home to."""
         settings = FleetSettings(name, INSTANCES[name], "127.0.0.1:1", REGIONS, partitions=PARTITIONS)
         fleet = Fleet(settings)
         members = [self.view_entry(instance) for instance in INSTANCES]
@@ -132,7 +132,7 @@
         raise AssertionError(f"no destination of {len(DESTINATIONS)} has {name} as its home")
 
     async def submit(self, name: str, message: str, destination: int, more: bytes = b"") -> bytes:
-        """The reply of an instance to one message, empty where it gave none."""
+        """Submit one message to an instance and return the reply, which is empty if there was none."""
         request = enqueue(message)
         field = b"c=standard,t=studio,d=8000,k=k-%s,dest=%d%s" % (message.encode(), destination, more)
         old = b"c=standard,t=studio,d=8000,k=k,dest=1"
@@ -144,12 +144,12 @@
         return b""
 
     async def management_call(self, name: str, call: str) -> dict[str, Any]:
-        """Figures from the management address."""
+        """Return the JSON reply to a management call."""
         line = await request_line(self.management[name], call.encode() + b"\r\n")
         return dict(json.loads(line))
 
     async def wait_for_quota(self, name: str, destination: int, quota_fraction: float) -> None:
-        """Until the instance may use this fraction of its zone's quota of a destination."""
+        """Wait until the instance may use this fraction of its zone's quota of a destination."""
 
         async def reached() -> bool:
             return bool(
@@ -159,7 +159,7 @@
         await poll_until(reached)
 
     async def wait_until_delivered(self, *messages: str) -> None:
-        """Until each was delivered; and no message was sent twice."""
+        """Wait until each message is delivered, and assert that no message was sent twice."""
         await self.progress.wait_until(lambda: all(self.endpoint.calls[message] for message in messages))
         assert max(self.endpoint.calls.values()) == 1
 
@@ -184,10 +184,12 @@
             before = (await rig.management_call("x", "stats"))["responses"]
             assert await rig.submit("x", "one", number) == b"+OK\r\n"
             assert await rig.submit("y", "two", number) == b"+OK\r\n"
-            assert await rig.submit("z", "three", number) == b"+OK\r\n"  # its own zone's share
+            assert (
+                await rig.submit("z", "three", number) == b"+OK\r\n"
+            )  # accepted within its own zone's quota
             await rig.wait_until_delivered("one", "two", "three")
             assert (await rig.management_call("x", "stats"))["responses"] == before, "x took none on"
-            # What the owner says is relayed, be it an error.
+            # The owner's reply is relayed, even if it is an error.
             assert (await rig.submit("x", "no", 9_999_999)).startswith(b"-ERR dest: no such destination")
             shown = CliRunner().invoke(main, ["fleet", "show", "--at", f"127.0.0.1:{rig.management['x']}"])
             assert "3, of which 3 ready" in shown.output, shown.output
@@ -218,11 +220,11 @@
             number = rig.destination_owned_by("y")
             rig.processes["y"].kill()
             await rig.processes["y"].wait()
-            assert await rig.submit("x", "one", number) == b"+OK\r\n"  # z, of the other zone
+            assert await rig.submit("x", "one", number) == b"+OK\r\n"  # accepted by z, in the other zone
             since = time.time_ns() // 10**6
             rig.control.members[1] = rig.view_entry("y", "Terminating", since)
             rig.control.change(rig.control.members[1])
-            await rig.wait_for_quota("x", number, 0.25)  # the leased part, after y's lease
+            await rig.wait_for_quota("x", number, 0.25)  # the leased part, once y's lease has expired
             assert time.time_ns() // 10**6 >= since + LEASE_MS
             assert await rig.submit("x", "two", number) == b"+OK\r\n"
             await rig.wait_until_delivered("one", "two")
@@ -238,7 +240,7 @@
 def test_a_request_written_to_an_owner_that_does_not_reply_is_accepted_nowhere_else(
     tmp_path: Path, ended: str
 ) -> None:
-    """The client gets what a dispatcher that did not answer gives: the end of its connection."""
+    """The connection of the client is closed, as by a dispatcher that does not answer."""
 
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
@@ -263,7 +265,7 @@
 
 
 def has_unread_bytes(port: int) -> bool:
-    """Whether a connection with unread bytes stands at a port, as the system tells."""
+    """Return whether the system reports a connection with unread bytes at a port."""
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
         if fields[1].endswith(f":{port:04X}") and int(fields[4].split(":")[1], 16) > 0:
@@ -284,8 +286,8 @@
             await rig.processes["y"].wait()
             told = Counter(answers.values())
             assert told.keys() <= {b"+OK\r\n", b"-BUSY 500\r\n", b""}, told
-            # Only the one that was written as the owner's process ended may have no answer: nobody can tell
-            # from a connection's end whether it was accepted.
+            # Only the request that was written while the owner's process ended may have no reply: the end
+            # of a connection does not tell whether the request was accepted.
             assert told[b""] <= 1, told
             assert await rig.submit("x", "after", number) == b"+OK\r\n"
             taken = [name for name, answer in answers.items() if answer == b"+OK\r\n"]
@@ -306,7 +308,8 @@
             await rig.wait_for_quota("x", number, 0.75)
             assert await rig.submit("x", "one", number) == b"+OK\r\n"
             assert await rig.submit("y", "two", number) == b"+OK\r\n"
-            # A call whose end is not recorded as its process is killed is sent again, as the class allows.
+            # If a process is killed before it records the end of a call, the call is sent again, as the
+            # class allows.
             await rig.wait_until_delivered("one", "two")
             await rig.wait_until_idle("x")
             rig.processes["x"].kill()
--- a/tests/test_partitioning_quotas.py
+++ b/tests/test_partitioning_quotas.py
@@ -1,4 +1,4 @@
-"""The sum of all quotas of a limit stays within it, whatever views, leases, clocks and disconnections do."""
+"""The sum of all quotas of a limit never exceeds it, for any views, leases, clocks and disconnections."""
 
 from __future__ import annotations
 
@@ -133,13 +133,16 @@
     stateful_step_count=60,
     deadline=None,
     derandomize=True,
-    phases=(Phase.explicit, Phase.generate),  # a run that fails is printed as it was: shrinking takes minutes
+    phases=(
+        Phase.explicit,
+        Phase.generate,
+    ),  # no shrinking, which takes minutes: a failing run is printed as it is
     suppress_health_check=list(HealthCheck),
 )
 
 
 def run_without_faults(control: ControlPlane, seconds: int = 8) -> None:
-    """Time passes without a fault."""
+    """Let time pass without a fault, with one heartbeat per second that every process reads."""
     for _ in range(seconds):
         control.send_heartbeat()
         for name in control.processes:
@@ -148,7 +151,7 @@
 
 
 def quota_fractions(control: ControlPlane, partition: int) -> dict[str, float]:
-    """What each live process holds, where it holds anything."""
+    """Return the quota fraction of each live process that holds any quota of a partition."""
     found = {}
     for name, one in control.processes.items():
         held = one.fleet.held_quota(partition, control.now + one.clock_offset)
@@ -170,7 +173,7 @@
     control = ControlPlane()
     run_without_faults(control)
     (name,) = [name for name in quota_fractions(control, 3) if name.startswith("a1")]
-    control.disconnect(name)  # it runs on, and does not hear that it was given up
+    control.disconnect(name)  # it keeps running, and does not learn that it is listed as Terminating
     control.set_phase(name, "Terminating")
     published, seen = control.now, dict[str, int]()
     while control.now < published + 3 * LEASE:
@@ -192,7 +195,7 @@
     run_without_faults(control)
     control.stop()
     control.now += seconds * SECOND
-    for name in list(control.processes):  # all restart meanwhile, too
+    for name in list(control.processes):  # all processes also restart
         control.kill(name)
         control.start(name)
     for partition in range(PARTITIONS):
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -1,4 +1,4 @@
-"""What one dispatcher does as its quotas come and go: virtual time, stand-in ports, no socket."""
+"""Changes of one dispatcher's quotas, in virtual time, with test doubles of its ports and no socket."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class FleetServiceRig(DispatcherRig):
-    """One dispatcher of a fleet; its heartbeats come when a test says so."""
+    """One dispatcher of a fleet; the test sends its heartbeats."""
 
     refetched = 0
 
     def prepare(self) -> None:
         self.dispatcher.scheduler = self.time
-        loop = cast(Any, None)  # of the connections to other instances, which are not used here
+        loop = cast(Any, None)  # for connections to other instances, which these tests do not use
         self.fleet = FleetService(
             fleet_settings(NAME, "a1"),
             self.dispatcher,
@@ -59,7 +59,7 @@
     def receive_update(
         self, revision: int = 1, complete: bool = True, members: Any = ROWS, **more: Any
     ) -> None:
-        """A list, a change or a heartbeat comes from the control machines."""
+        """Receive a list, a change or a heartbeat from the control machines."""
         told = {"revision": revision, "complete": complete, "members": members, "issued_ms": self.now // MS}
         self.fleet.apply_update({**told, **more})
 
@@ -68,14 +68,17 @@
         return self.time.time
 
     def run_with_heartbeats(self, seconds: int, revision: int = 1) -> None:
-        """Time passes with a heartbeat in each second."""
+        """Let time pass with a heartbeat in each second."""
         for _ in range(seconds):
             self.receive_update(revision, False, [])
             self.time.run(1)
             self.fleet.refresh_if_due()
 
     def destination_with_home(self, second: str | None = None) -> int:
-        """A destination that this instance is home to, or the second candidate of, behind that one."""
+        """Return a destination that this instance is home to.
+
+        With `second`, the home instance is the one of that name, and this instance is the second candidate.
+        """
         for number in range(1, 60):
             names = [
                 one.name for one in self.fleet.fleet.candidates("a1", self.fleet.fleet.partition(number))
@@ -89,7 +92,7 @@
 
 
 def restarted_rig(folder: Path, **more: Any) -> FleetServiceRig:
-    """With the view of an earlier process at hand, as after a restart."""
+    """Return a rig that restored the view of an earlier process, as after a restart."""
     first = FleetServiceRig(folder / "first", **more)
     first.receive_update()
     saved = (folder / "first" / VIEW_FILE_NAME).read_bytes()
@@ -145,7 +148,7 @@
 def test_nothing_is_sent_once_the_quota_has_expired_and_unattempted_messages_are_returned(
     tmp_path: Path,
 ) -> None:
-    """The second candidate owns the leased part while the first one is away, until control falls silent."""
+    """The second candidate owns the leased part while the first one is away, until control is silent."""
     one = restarted_rig(tmp_path)
     number = one.destination_with_home(second="a1-1")
     away = entry("a1-1", "a1", "Terminating", since=one.now)
@@ -251,7 +254,7 @@
 
 
 def test_the_view_that_a5e6918_saved_is_saved_with_the_same_bytes(tmp_path: Path) -> None:
-    """An earlier version, which a deployment may go back to, reads what it wrote itself."""
+    """A deployment may go back to an earlier version, which reads what it wrote itself."""
     one = FleetServiceRig(tmp_path / "first")
     one.receive_update(7)
     away = entry("a1-1", "a1", "Terminating", since=START + 5 * SECOND)
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -1,4 +1,4 @@
-"""Views and ownership: bad input has one clear error and changes nothing; balance and movement are exact."""
+"""Views and ownership: faulty input raises one error and changes nothing; balance and moves are exact."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def view_update(**told: Any) -> dict[str, Any]:
-    """A complete list as the control machines send it, with changes."""
+    """Return a complete list as the control machines send it, with some fields replaced."""
     return {"revision": 5, "complete": True, "members": ROWS, "issued_ms": START // MS, **told}
 
 
@@ -82,11 +82,11 @@
         one.apply_update(view_update(revision=6, issued_ms=ahead // MS), START)
     assert one.view.revision == 6
     assert one.last_heartbeat == START
-    one.apply_update(view_update(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # inside the skew
+    one.apply_update(view_update(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # within the skew
     assert one.last_heartbeat == START + SECOND // 8
     one.apply_update(
         view_update(revision=6, issued_ms=START // MS), START
-    )  # one that was overtaken takes nothing back
+    )  # an older heartbeat does not shorten the lease
     assert one.last_heartbeat == START + SECOND // 8
     assert not one.problem
 
@@ -156,7 +156,7 @@
         FleetSettings(**{**given, **changes})
 
 
-NAMES = [f"d{number}" for number in range(77)]  # a zone of 770 dispatchers in ten
+NAMES = [f"d{number}" for number in range(77)]  # one of the ten zones of 770 dispatchers
 PARTITIONS = 4096
 
 
