--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -1,4 +1,4 @@
-"""The addresses at which a service listens: for clients, and for those who monitor and manage it."""
+"""Opens the listeners of a service, for clients and for monitoring and management."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 
 def listen_for_clients(service: Service) -> None:
-    """Accept messages by RESP2. Raises ConfigError where the address cannot be had."""
+    """Accept messages over RESP2. Raises ConfigError if the address cannot be bound."""
     dispatcher = service.dispatcher
     fleet = service.fleet
     has_destination = dispatcher.pool.has_destination if fleet is None else fleet.has_destination
-    fields = TransactionParser(service.config.settings, has_destination, dispatcher.metrics.message_invalid)
+    parser = TransactionParser(service.config.settings, has_destination, dispatcher.metrics.message_invalid)
 
     def ready() -> bool:
         return service_state(service).phase is Phase.READY
 
-    def session() -> resp.Session:
-        return resp.Session(fields, dispatcher.submit, ready, service.scheduler.now, fleet)
+    def new_session() -> resp.Session:
+        return resp.Session(parser, dispatcher.submit, ready, service.scheduler.now, fleet)
 
     service.clients = _listen(
         service,
         "listen",
         service.config.listen,
-        session,
+        new_session,
         service.max_clients,
         reuse_port=True,
         forward=None if fleet is None else fleet.forwarder.forward,
@@ -48,9 +48,9 @@
 
 
 def listen_for_monitoring(service: Service) -> None:
-    """Answer agent-checks, health checks and management calls at the addresses that are set up for them.
+    """Answer agent-checks, health checks and management calls at their configured addresses.
 
-    Raises ConfigError where one of the addresses cannot be had.
+    Raises ConfigError if one of the addresses cannot be bound.
     """
     config = service.config
     dispatcher = service.dispatcher
@@ -58,7 +58,7 @@
     def state() -> DispatcherState:
         return service_state(service)
 
-    def management() -> ManagementSession:
+    def new_management_session() -> ManagementSession:
         return ManagementSession(state, dispatcher.metrics_snapshot, service.fleet)
 
     if config.operator.agent_check is not None:
@@ -69,7 +69,12 @@
         _listen(service, "beside.health", address, lambda: HealthSession(state), MONITORING_CONNECTIONS)
     if config.management is not None:
         _listen(
-            service, "management", config.management, management, MONITORING_CONNECTIONS, single_request=True
+            service,
+            "management",
+            config.management,
+            new_management_session,
+            MONITORING_CONNECTIONS,
+            single_request=True,
         )
 
 
@@ -77,18 +82,22 @@
     service: Service,
     setting: str,
     address: Address,
-    session: Callable[[], ServerSession],
+    new_session: Callable[[], ServerSession],
     max_connections: int,
     *,
     single_request: bool = False,
     reuse_port: bool = False,
     forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
 ) -> ClientServer:
-    """Listen at an address; `setting` is its key in the configuration, by which an error names it."""
+    """Listen at an address and serve its connections.
+
+    `setting` is the key of the address in the configuration. Raises ConfigError with this key if the address
+    cannot be bound.
+    """
     try:
         server = ClientServer(
             (address.host, address.port),
-            session,
+            new_session,
             max_connections,
             service.tasks,
             single_request,
--- a/honeyhitch/service/run.py
+++ b/honeyhitch/service/run.py
@@ -1,4 +1,4 @@
-"""The life of a dispatcher process, from its configuration to the signal that stops it."""
+"""Runs a dispatcher process until a signal stops it."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from honeyhitch.service.start import start
 
 
-async def run(config: Config, read: ConfigReader) -> None:
-    """Serve until SIGTERM or SIGINT, then drain and stop; on SIGHUP `read` reads the configuration again.
+async def run(config: Config, read_config: ConfigReader) -> None:
+    """Serve until SIGTERM or SIGINT, then drain and stop.
 
-    Raises ConfigError where the service cannot start with this configuration.
+    On SIGHUP, apply the configuration that `read_config` returns. Raises ConfigError if the service cannot
+    start with `config`.
     """
     loop = asyncio.get_running_loop()
-    # Handlers come first: signals that arrive while the service is assembled wait for it.
-    on_reload(loop, lambda: reload(service, read))
+    # Installed first, so that signals that arrive during assembly are handled after it.
+    on_reload(loop, lambda: reload(service, read_config))
     stop = StopSignal(loop, (signal.SIGTERM, signal.SIGINT))
     service = assemble(config)
     try:
@@ -33,7 +34,7 @@
         await close(service)
 
 
-def serve(config: Config, read: ConfigReader) -> None:
-    """Run on uvloop until a signal stops the process. Raises ConfigError as `run` does."""
+def serve(config: Config, read_config: ConfigReader) -> None:
+    """Call `run` on a uvloop event loop. Raises ConfigError if the service cannot start."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(run(config, read))
+        runner.run(run(config, read_config))
--- a/honeyhitch/service/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -1,4 +1,4 @@
-"""The time between the signal to stop and the end of the process."""
+"""Drains and closes a service between the signal to stop and the end of the process."""
 
 from __future__ import annotations
 
@@ -8,50 +8,50 @@
 from honeyhitch.service.service import Service
 from honeyhitch.time_units import SECOND
 
-# Seconds after SIGTERM. SIGKILL follows after 3.7 at the soonest, and the next process starts 0.6 later.
+# Seconds after SIGTERM. SIGKILL follows after 3.7 s at the earliest; the next process starts 0.6 s later.
 STOP_ACCEPTING_SECONDS = 0.6
 STOP_SENDING_SECONDS = 2.8
 EXIT_SECONDS = 3.3
 SUCCESSOR_SECONDS = 4.3
-POLL_SECONDS = 0.02  # between checks of what is still in flight
+POLL_SECONDS = 0.02  # between checks for unfinished work
 
 
 async def drain_and_stop(service: Service) -> None:
-    """Let messages finish for a bounded time; the journal keeps the rest, or the next process takes it over.
+    """Let messages finish for a bounded time. The next process takes over the rest, or the journal keeps it.
 
-    New connections are still accepted for a moment. Their messages are accepted as long as there is time to
-    deliver them, and rejected after that.
+    New connections are still accepted for a short time. Their messages are accepted as long as there is time
+    to deliver them, and rejected after that.
     """
-    began = service.loop.time()
+    started_at = service.loop.time()
     service.dispatcher.draining = True
     for server in service.servers:
         server.drain()
     service.handover.check_peer()
-    if await _hand_over(service, began):
+    if await _hand_over(service, started_at):
         return
-    await _drain(service, began)
+    await _drain(service, started_at)
 
 
-async def _hand_over(service: Service, began: float) -> bool:
-    """Hand messages over as long as there is a next process; whether all that is left here has finished."""
-    while service.handover.peer_running and service.loop.time() - began < EXIT_SECONDS:
+async def _hand_over(service: Service, started_at: float) -> bool:
+    """Hand messages over while a next process runs. Return whether the work left here has finished."""
+    while service.handover.peer_running and service.loop.time() - started_at < EXIT_SECONDS:
         service.dispatcher.hand_over()
-        if _calls_and_notices_finished(service) and service.servers_settled():
+        if _calls_and_notices_finished(service) and service.client_requests_finished():
             return True
         await asyncio.sleep(POLL_SECONDS)
     return False
 
 
-async def _drain(service: Service, began: float) -> None:
-    """Deliver, then stop accepting, then stop starting calls; return once nothing is left, or time is up."""
+async def _drain(service: Service, started_at: float) -> None:
+    """Deliver messages, stop accepting, then stop starting calls; return once all is done or time is up."""
     dispatcher = service.dispatcher
-    while (elapsed := service.loop.time() - began) < EXIT_SECONDS:
+    while (elapsed := service.loop.time() - started_at) < EXIT_SECONDS:
         dispatcher.accepting = elapsed <= STOP_ACCEPTING_SECONDS
         finished = not dispatcher.messages.by_id
         if elapsed > STOP_SENDING_SECONDS:
             dispatcher.stop_deciding(int((SUCCESSOR_SECONDS - elapsed) * SECOND))
             finished = _calls_and_notices_finished(service)
-        if elapsed > STOP_ACCEPTING_SECONDS and finished and service.servers_settled():
+        if elapsed > STOP_ACCEPTING_SECONDS and finished and service.client_requests_finished():
             return
         await asyncio.sleep(POLL_SECONDS)
 
@@ -61,7 +61,7 @@
 
 
 async def close(service: Service) -> None:
-    """Release everything at once, as the end of the process by SIGKILL would."""
+    """Release all resources at once, as the end of the process by SIGKILL would."""
     service.dispatcher.accepting = False
     service.dispatcher.sending = False
     for server in service.servers:
