--- a/honeyhitch/__init__.py
+++ b/honeyhitch/__init__.py
@@ -1,4 +1,4 @@
-"""honeyhitch: the decisions of a dispatcher of notifications to outside receivers."""
+"""honeyhitch: the delivery policy of a dispatcher of notifications to outside receivers."""
 
 from honeyhitch.policy.engine import DeliveryPolicy
 from honeyhitch.policy.settings import Settings
--- a/honeyhitch/__main__.py
+++ b/honeyhitch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m honeyhitch`."""
+"""Entry point of `python -m honeyhitch`."""
 
 from honeyhitch.cli.main import main
 
--- a/honeyhitch/addresses.py
+++ b/honeyhitch/addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses as HOST:PORT: the form of the operator's file, of discovery and of a fleet's view."""
+"""Network addresses in the form HOST:PORT, as in the operator's file, in discovery and in a fleet's view."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def split_host_port(address: str, *, min_port: int = 1, max_digits: int | None = None) -> tuple[str, int]:
-    """The host, and the port as a number. The host may hold colons, as IPv6 addresses do.
+    """Return the host, and the port as a number. The host may contain colons, as IPv6 addresses do.
 
-    Raises ValueError where the host is missing, or the port is no decimal number from `min_port` to 65535 or
-    is written with more than `max_digits` digits.
+    Raises ValueError if the host is missing, if the port is not a decimal number from `min_port` to 65535, or
+    if the port has more than `max_digits` digits.
     """
     host, _, digits = address.rpartition(":")
     is_decimal = digits.isascii() and digits.isdigit()
--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -1,11 +1,12 @@
-"""Structured events: the one place where logging is set up, and the one way in which modules log.
+"""Structured logging: the only setup of logging, and the only interface through which modules log.
 
-An event has a name in dots, such as `accept.failed`, and named fields. It is written to standard error as a
-line for people (`console`) or as one JSON object (`json`). Nothing is logged for a message that is delivered.
+An event has a dotted name, such as `accept.failed`, and named fields. It is written to standard error as a
+human-readable line (`console`) or as one JSON object (`json`). Nothing is logged for a message that is
+delivered.
 
-Events that repeat are limited by name and by the field `key`: of each, `BURST_EVENTS` pass in
-`BURST_SECONDS`. The next one that passes, or `flush`, says in a field `left_out` how many did not. The table
-of names and keys is bounded.
+Repeated events are rate-limited per event name and value of the field `key`: for each pair, `BURST_EVENTS`
+events are logged in `BURST_SECONDS`. The first event that is logged after a burst, or `flush`, states in the
+field `left_out` how many events were suppressed. The table of names and keys is bounded.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 
 FORMATS = ("console", "json")
 LEVELS = ("debug", "info", "warning", "error")
-BURST_EVENTS = 5  # of one name and key that pass in a burst
+BURST_EVENTS = 5  # events of one name and key that are logged in a burst
 BURST_SECONDS = 10.0
-MAX_KEYS = 1024  # names and keys that are counted; the one used least recently is dropped first
+MAX_KEYS = 1024  # pairs of name and key that are counted; the least recently used pair is dropped first
 
 Event = structlog.typing.EventDict
 
 
 class SuppressedEvents(NamedTuple):
-    """How many events of one name and key did not pass."""
+    """The number of events of one name and key that were not logged."""
 
     name: str
     key: str
@@ -39,7 +40,7 @@
 
 @dataclass(slots=True)
 class _Burst:
-    """The events of one name and key since `started_at`, in seconds of the limiter's clock."""
+    """The counts of events of one name and key since `started_at`, in seconds of the limiter's clock."""
 
     started_at: float
     passed: int = 0
@@ -47,7 +48,7 @@
 
 
 class EventLimiter:
-    """Lets the first events of each name and key pass, and counts the rest. It is a structlog processor."""
+    """A structlog processor that passes the first events of each name and key, and counts the rest."""
 
     def __init__(
         self,
@@ -55,14 +56,14 @@
         burst: int = BURST_EVENTS,
         burst_seconds: float = BURST_SECONDS,
     ) -> None:
-        """`clock` gives seconds; `burst` events pass in `burst_seconds`."""
+        """Let `burst` events of each name and key pass in `burst_seconds`; `clock` returns seconds."""
         self.clock = clock
         self.burst = burst
         self.burst_seconds = burst_seconds
         self.bursts: OrderedDict[tuple[str, str], _Burst] = OrderedDict()
 
     def __call__(self, _logger: Any, _method: str, event: Event) -> Event:
-        """The event, with the count of those left out before it. Raises DropEvent for one too many."""
+        """Return the event with the count of events suppressed before it. Raises DropEvent over the limit."""
         now = self.clock()
         name_and_key = str(event.get("event", "")), str(event.get("key", ""))
         burst = self.bursts.get(name_and_key)
@@ -80,7 +81,10 @@
         return event
 
     def take_suppressed(self, everything: bool = False) -> list[SuppressedEvents]:
-        """What was left out in bursts that are over, or in all of them; each is reported once."""
+        """Remove and return the counts of suppressed events in bursts that are over.
+
+        With `everything` the bursts that are not over are included, too. Each count is returned once.
+        """
         now = self.clock()
         suppressed: list[SuppressedEvents] = []
         for (name, key), burst in list(self.bursts.items()):
@@ -95,9 +99,9 @@
 
 
 def setup(log_format: str = "console", level: str = "info", stream: TextIO | None = None) -> None:
-    """Write events in this format from this level on, to `stream` (standard error unless given).
+    """Log events of this level and above in this format to `stream` (standard error unless given).
 
-    Raises ValueError for a format or level that does not exist.
+    Raises ValueError for an unknown format or level.
     """
     if log_format not in FORMATS:
         raise ValueError(f"log format: expected one of {', '.join(FORMATS)}, got {log_format!r}")
@@ -129,13 +133,16 @@
 
 
 def get(**fields: Any) -> structlog.typing.FilteringBoundLogger:
-    """A logger that adds these fields to each of its events."""
+    """Return a logger that adds these fields to each of its events."""
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger(**fields)
     return logger
 
 
 def flush(everything: bool = False) -> None:
-    """Log how many events were left out in bursts that are over, or in all of them, as at the end."""
+    """Log how many events were suppressed in bursts that are over.
+
+    With `everything`, as at the end of the process, the bursts that are not over are included, too.
+    """
     for name, key, count in _limiter.take_suppressed(everything):
         get().info(name, key=key, left_out=count)
 
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -1,4 +1,4 @@
-"""ASGI middleware: runs a dispatcher over an application's lifespan, and lets its handlers send messages.
+"""ASGI middleware: runs a dispatcher during an application's lifespan and lets its handlers send messages.
 
 An application in the same process submits messages without a socket and waits for their delivery:
 
@@ -24,9 +24,9 @@
 from honeyhitch.service.start import start
 from honeyhitch.time_units import MILLISECOND, SECOND
 
-FRONTEND = "app"  # the name under which messages of the application are journalled
-STATE_KEY = "honeyhitch"  # of the frontend, in the state of each ASGI scope
-ID_BYTES = 8  # of a message's id, which is random
+FRONTEND = "app"  # the name of this frontend in the journal
+STATE_KEY = "honeyhitch"  # key of the frontend in the state of each ASGI scope
+ID_BYTES = 8  # random bytes in a message id
 MILLISECONDS_PER_SECOND = SECOND // MILLISECOND
 
 Message = MutableMapping[str, Any]
@@ -36,7 +36,7 @@
 
 
 class RejectedError(Exception):
-    """The message was not executed. Submitting it again after `retry_after` seconds is harmless."""
+    """Raised for a message that was not executed; it may be submitted again after `retry_after` seconds."""
 
     def __init__(self, retry_after: float) -> None:
         super().__init__(f"rejected; come back after {retry_after:g} s")
@@ -44,11 +44,11 @@
 
 
 class UndeliverableError(Exception):
-    """The message failed for good; its id is the exception's argument."""
+    """Raised for a message that failed permanently. The exception's argument is the message id."""
 
 
 class AppFrontend:
-    """The frontend of an application in the same process: it submits messages and waits for their ends."""
+    """The frontend of an application in the same process: submits messages and awaits their final answers."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
@@ -56,7 +56,10 @@
         self.pending: dict[str, asyncio.Future[Transaction]] = {}
 
     def answer(self, transaction: Transaction) -> None:
-        """A final answer. After a restart of the process there is no caller left to receive it."""
+        """Pass a final answer to the caller that waits for it, and record the answer as sent.
+
+        After a restart of the process no caller waits, and the answer is only recorded as sent.
+        """
         waiter = self.pending.pop(transaction.id, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(transaction)
@@ -72,10 +75,10 @@
         tenant: str | None = None,
         time_left: float | None = None,
     ) -> str:
-        """Submit a message without waiting for its end; returns its id.
+        """Submit a message without waiting for its final answer; return its id.
 
         Unless given, `cls` is the first class of the settings, `tenant` the first tenant, `key` the id, and
-        `time_left`, in seconds, the deadline of the first class. Raises RejectedError where the dispatcher
+        `time_left`, in seconds, the deadline of the first class. Raises RejectedError if the dispatcher
         does not accept the message, and ValueError naming an invalid field.
         """
         settings = self.dispatcher.settings
@@ -100,11 +103,11 @@
         return message_id
 
     async def deliver(self, destination: int, body: bytes, **options: Any) -> str:
-        """Submit a message and wait until it is delivered; returns its id.
+        """Submit a message and wait until it is delivered; return its id.
 
-        `options` are those of `submit`. Raises RejectedError where it was not executed and may be submitted
-        again, UndeliverableError where it failed for good, and ValueError naming an invalid field. A caller
-        that is cancelled withdraws the message: no further attempt is made.
+        `options` are those of `submit`. Raises RejectedError if the message was not executed and may be
+        submitted again, UndeliverableError if it failed permanently, and ValueError naming an invalid field.
+        Cancelling the caller withdraws the message: no further attempt is made.
         """
         message_id = self.submit(destination, body, **options)
         waiter = self.pending[message_id] = asyncio.get_running_loop().create_future()
@@ -123,7 +126,7 @@
 
 
 class DispatcherMiddleware:
-    """Wraps an ASGI application. In it, `scope["state"]["honeyhitch"]` is the `AppFrontend`.
+    """An ASGI application wrapped with a dispatcher; its `scope["state"]["honeyhitch"]` is the `AppFrontend`.
 
     The dispatcher starts before the application's own startup and stops after its shutdown. If the
     application raises RejectedError before its response has begun, the client gets 503 with Retry-After. Add
@@ -132,7 +135,11 @@
     """
 
     def __init__(self, app: App, config: configuration.Config | None = None, listen: bool = False) -> None:
-        """Without `config` the environment names it, as for `serve`; with `listen` clients are served too."""
+        """Wrap `app`.
+
+        Without `config` the dispatcher reads its configuration as `serve` does, from the files that the
+        environment names. With `listen` it also accepts clients on its listening address.
+        """
         self.app = app
         self.config = config
         self.listen = listen
@@ -140,7 +147,7 @@
         self.frontend: AppFrontend | None = None
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
-        """Handle one ASGI scope. Raises RuntimeError where the server did not run the lifespan."""
+        """Handle one ASGI scope. Raises RuntimeError if the server has not run the lifespan protocol."""
         if scope["type"] == "lifespan":
             await _Lifespan(self, scope, receive, send).run()
             return
@@ -168,7 +175,7 @@
             await _send_unavailable(send, error.retry_after)
 
     async def start(self) -> None:
-        """Start the dispatcher. Raises ConfigError where its configuration cannot be used."""
+        """Start the dispatcher. Raises ConfigError if its configuration cannot be used."""
         service = assemble(self.config or configuration.read(os.environ), self.listen)
         frontend = AppFrontend(service.dispatcher)
         service.dispatcher.frontends[FRONTEND] = frontend
@@ -181,7 +188,7 @@
         self.frontend = frontend
 
     async def stop(self) -> None:
-        """Drain and stop the dispatcher, if it runs."""
+        """Drain and stop the dispatcher if it is running."""
         service = self.service
         self.service = None
         self.frontend = None
@@ -191,7 +198,7 @@
 
 
 class _Lifespan:
-    """Runs the application's own lifespan, if it has one, inside the dispatcher's."""
+    """The lifespan of the dispatcher, around the lifespan of the application if the application has one."""
 
     def __init__(
         self, middleware: DispatcherMiddleware, scope: Message, receive: Receive, send: Send
@@ -205,7 +212,7 @@
         self.finished = False
 
     async def run(self) -> None:
-        """Until the server has shut the application down, or its startup has failed."""
+        """Run until the server has shut the application down or the startup has failed."""
         try:
             await self.middleware.app(self.scope, self._receive_startup, self._observe_events)
         except Exception as error:
@@ -219,7 +226,7 @@
             await self._run_without_application()
 
     def _dispatcher_failed(self) -> bool:
-        """Whether the dispatcher could not start."""
+        """Return whether the dispatcher could not start."""
         return self.startup_received and self.middleware.service is None and not self.finished
 
     async def _receive_startup(self) -> Message:
@@ -239,7 +246,7 @@
         await self.send(message)
 
     async def _run_without_application(self) -> None:
-        """The application has no lifespan; the dispatcher has one all the same."""
+        """Answer the server's lifespan events for an application that does not handle them."""
         if not self.startup_received:
             await self._receive_startup()
         await self.send({"type": "lifespan.startup.complete"})
@@ -249,7 +256,7 @@
 
 
 async def _send_unavailable(send: Send, retry_after: float) -> None:
-    """Reply 503; `retry_after` is in seconds, which the header gives rounded up, as 1 at least."""
+    """Reply 503 with `retry_after` seconds in the Retry-After header, rounded up to at least 1."""
     headers = [
         (b"retry-after", str(max(1, math.ceil(retry_after))).encode()),
         (b"content-type", b"text/plain"),
--- a/honeyhitch/simulator_host/__init__.py
+++ b/honeyhitch/simulator_host/__init__.py
@@ -1,1 +1,1 @@
-"""The policy on a simulator's standard input and output: a parser of its lines, and the host of instances."""
+"""Runs the policy for a simulator over standard input and output: a line parser and a host of instances."""
--- a/honeyhitch/simulator_host/host.py
+++ b/honeyhitch/simulator_host/host.py
@@ -1,4 +1,4 @@
-"""Hosts instances of the policy for a simulator: collects the events of a batch, and writes their actions."""
+"""Hosts policy instances for a simulator: collects the events of a batch and writes the resulting actions."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 )
 
 log = logs.get()
-PAGES = 16
-MAX_QUOTED_LENGTH = 80  # characters of a wrong line in its error
+PAGES = 16  # number of endpoint-list pages that `ledger` lines may define
+MAX_QUOTED_LENGTH = 80  # characters of an invalid line that its error quotes
 
 
 class Instance:
-    """One hosted policy, and what is remembered for it."""
+    """A hosted policy with its report fields and the events that it has not handled yet."""
 
     def __init__(self, policy: DeliveryPolicy, report_fields: tuple[str, ...]) -> None:
         self.policy = policy
@@ -47,15 +47,15 @@
 
 
 class Batch(NamedTuple):
-    """The batch that is being read."""
+    """The batch whose lines are being read."""
 
-    now: int  # ns
-    number: str  # as it was written
+    now: int  # the simulator's clock in nanoseconds
+    number: str  # as written in the `tick` line
 
 
 @dataclass
 class IncompletePage:
-    """A page of the endpoint list whose lines are being read."""
+    """A page of the endpoint list that still lacks some of its `endpoint` lines."""
 
     number: int
     size: int
@@ -63,22 +63,19 @@
 
     @property
     def missing(self) -> int:
-        """How many lines are still to come."""
+        """The number of `endpoint` lines that have not been read yet."""
         return self.size - len(self.listings)
 
 
 class LineReader(NamedTuple):
-    """What reads the lines of one name."""
+    """The number of values of a line with a given name, and the function that handles them."""
 
     value_count: int
     read: Callable[[list[str]], object]
 
 
 class Host:
-    """All instances of this process; it reads batches and writes replies.
-
-    `handle_line` raises ConfigError, or its subclass WireError, for a line that the wire does not allow.
-    """
+    """All policy instances of this process. It reads batches of events and writes replies to `output`."""
 
     def __init__(self, output: TextIO) -> None:
         self.instances: dict[str, Instance] = {}
@@ -87,7 +84,7 @@
         self._incomplete_page: IncompletePage | None = None
         self._batch: Batch | None = None
         self._clock = 0
-        self._addressed: dict[str, None] = {}  # instances with an event in this batch, in order
+        self._addressed: dict[str, None] = {}  # names of instances that decide in this batch, in order
         self._readers = {
             "ledger": LineReader(2, self._start_page),
             "endpoint": LineReader(7, self._add_listing),
@@ -104,11 +101,14 @@
 
     @property
     def in_batch(self) -> bool:
-        """Whether a batch was started and not committed."""
+        """Whether a batch has been started and not committed yet."""
         return self._batch is not None
 
     def handle_line(self, line: str) -> None:
-        """Handle one line of input."""
+        """Handle one line of input.
+
+        Raises ConfigError, or its subclass WireError, for a line that the wire does not allow.
+        """
         name, *values = line.split(" ")
         if self._batch is None:
             if line:
@@ -143,7 +143,10 @@
         self._batch = Batch(now, number)
 
     def _address(self, name: str) -> Instance:
-        """The running instance of this name, which may act in this batch."""
+        """Return the running instance of this name and let it decide when the batch is committed.
+
+        Raises WireError if no instance of this name is running.
+        """
         instance = self.instances.get(name)
         if instance is None:
             raise WireError(f"expected the name of a running instance, got {name!r}")
@@ -207,7 +210,7 @@
         check_health_result(values)
 
     def _commit(self, batch: Batch) -> None:
-        """Let each instance with an event decide, and write the reply."""
+        """Let each selected instance handle its events, write the reply and end the batch."""
         lines: list[str] = []
         for name in self._addressed:
             lines += self._decide(name, batch.now)
@@ -225,14 +228,17 @@
         try:
             for action in instance.policy.handle(now, events):
                 lines.append(format_action(name, action))
-        except Exception as error:  # the wire reports whatever a policy raises, and goes on
+        except Exception as error:  # any error of a policy is reported on the wire; the host continues
             log.exception("policy.failed", instance=name)
             lines.append(format_policy_error(name, error))
         return lines
 
 
 def main() -> int:
-    """Run until the input ends; 0 at the end of a batch, 1 on a line that the wire does not allow."""
+    """Handle standard input until it ends.
+
+    Returns 0 if the input ended between batches, and 1 if it ended inside a batch or held an invalid line.
+    """
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     host = Host(sys.stdout)
--- a/honeyhitch/simulator_host/lines.py
+++ b/honeyhitch/simulator_host/lines.py
@@ -1,7 +1,7 @@
-"""The lines of the simulator's wire: its words are mapped to the policy's terms here, and nowhere else.
+"""Parser and formatter of the simulator's lines: the only module that maps their words to the policy's terms.
 
-Each `parse_` function takes the values of a line, without its name. All of them raise ConfigError, or
-WireError, for a value that the wire does not allow.
+Each `parse_` function takes the values of a line, without the line's name, and raises ConfigError or its
+subclass WireError for a value that the wire does not allow.
 """
 
 from __future__ import annotations
@@ -48,14 +48,14 @@
 ENDPOINT_STATUSES = {status.value: status for status in EndpointStatus}
 FLAGS = {"1": True, "0": False}
 ABSENT = "-"
-EXPECTED_WORK_VALID = 1  # bits of an arrival's marks
-RECOVERED_FROM_JOURNAL = 2 | 16
-LIMIT_REMAINING_FIELD = "x0"  # fields of an attempt's report
+EXPECTED_WORK_VALID = 1  # bit of the marks of an `arrival` line
+RECOVERED_FROM_JOURNAL = 2 | 16  # bits of the same marks; either is enough
+LIMIT_REMAINING_FIELD = "x0"  # names of figures in the report of an attempt
 RATE_LIMIT_FIELD = "x1"
 
 
 class WireError(ConfigError):
-    """A line that the wire does not allow."""
+    """Raised for a line that the wire does not allow, or an action that the wire cannot express."""
 
 
 def _optional_integer(text: str, name: str) -> int:
@@ -63,7 +63,7 @@
 
 
 def parse_listing(values: list[str]) -> EndpointListing:
-    """The values of an `endpoint` line."""
+    """Return the list entry that the values of an `endpoint` line describe."""
     return EndpointListing(
         endpoint=values[0],
         listed_rate=parse_number(values[1], "scale"),
@@ -75,12 +75,12 @@
 
 
 def parse_update_mode(text: str) -> UpdateMode:
-    """The mode of a `membership` line."""
+    """Return the update mode that a `membership` line names."""
     return parse_choice(UPDATE_MODES, text, "mode")
 
 
 def parse_arrival(values: list[str]) -> NewMessage:
-    """The values of an `arrival` line."""
+    """Return the message that the values of an `arrival` line describe."""
     marks = _optional_integer(values[8], "marks")
     return NewMessage(
         message=values[1],
@@ -95,7 +95,10 @@
 
 
 def parse_attempt_ended(values: list[str], report_fields: tuple[str, ...]) -> AttemptEnded:
-    """The values of a `returned` line; `report_fields` names the figures of its report, in their order."""
+    """Return the end of an attempt that the values of a `returned` line describe.
+
+    `report_fields` names the figures of the report in the line, in their order.
+    """
     outcome = parse_choice(OUTCOMES, values[4], "outcome")
     wait = _optional_integer(values[7], "wait-ms") if outcome is Outcome.REJECTED else 0
     report = dict(zip(report_fields, _parse_report(values[8]), strict=False))
@@ -119,13 +122,13 @@
 
 
 def check_health_result(values: list[str]) -> None:
-    """Check the values of a `health_result` line, which the policy does not use."""
+    """Check the values of a `health_result` line. The policy does not use them."""
     parse_choice(OUTCOMES, values[2], "outcome")
     parse_integer(values[3], "rtt")
 
 
 def format_action(instance: str, action: Action) -> str:
-    """The line of an action. Raises WireError for one that the wire does not have."""
+    """Return the line of an action. Raises WireError for an action that the wire cannot express."""
     match action:
         case Send(message, endpoint, timeout):
             return f"route {instance} {message} {timeout} {endpoint}"
@@ -146,11 +149,11 @@
 
 
 def format_policy_error(instance: str, error: Exception) -> str:
-    """The line that reports an exception of an instance's policy."""
+    """Return the line that reports an exception of an instance's policy."""
     reason = f"{type(error).__name__}: {error}".replace("\n", " ")
     return f"bug {instance} {reason}"
 
 
 def format_ready(batch_number: str) -> str:
-    """The line that ends the reply to a batch."""
+    """Return the line that ends the reply to a batch, with its line break."""
     return f"ready {batch_number}\n"
--- a/honeyhitch/time_units.py
+++ b/honeyhitch/time_units.py
@@ -1,4 +1,4 @@
-"""Units of time: the program counts in integer nanoseconds, in the Unix epoch where it is a time of day."""
+"""Units of time: times are integer nanoseconds, and a time of day is counted from the Unix epoch."""
 
 MILLISECOND = 10**6
 SECOND = 10**9
@@ -6,4 +6,4 @@
 HOUR = 60 * MINUTE
 DAY = 24 * HOUR
 
-NEVER = 1 << 62  # later than any time that is handled
+NEVER = 1 << 62  # later than any time that occurs
--- a/honeyhitch/wirehost.py
+++ b/honeyhitch/wirehost.py
@@ -1,4 +1,4 @@
-"""Entry point of `python -m honeyhitch.wirehost`, which the deploy file names; see `simulator_host`."""
+"""Entry point of `python -m honeyhitch.wirehost`, named in the deploy file; see `simulator_host`."""
 
 import sys
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Hypothesis runs the same examples every time."""
+"""Configures Hypothesis to run the same examples every time."""
 
 from hypothesis import settings
 
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""HOST:PORT is read by one parser; what cannot be used is named."""
+"""The parser of HOST:PORT, and its errors for invalid addresses."""
 
 from __future__ import annotations
 
--- a/tests/test_log_events_page.py
+++ b/tests/test_log_events_page.py
@@ -1,4 +1,4 @@
-"""The operators' page lists each log event of the package, and no other."""
+"""The operators' page lists every log event of the package and no other event."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent
 EVENT = re.compile(r"[a-z-]+\.[a-z-]+")
 LEVELS = {"debug", "info", "warning", "error", "exception"}
-LOGGING_METHODS = LEVELS | {"_log"}  # the TLS transport adds fields of its own
+LOGGING_METHODS = LEVELS | {"_log"}  # `_log` is a method of the TLS transport that adds fields
 
 
 def _event_names(node: ast.expr) -> set[str]:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Events: their two forms, the limit on what repeats, and silence while all goes well."""
+"""Log events: both formats, the limit on repeated events, and no events for a delivered message."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
             while b'"end"' not in (tmp_path / "state" / "journal").read_bytes():
                 client.connection[1].write(b"PING\r\n")
                 await receive(client, b"+PONG\r\n")
-            # The scripted agent says nothing, which is the only thing worth an event here.
+            # The only event expected here reports that the scripted agent does not answer.
             assert [one for one in events(stream) if one.get("work") != "Discovery.watch"] == []
 
     play(work())
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -1,4 +1,4 @@
-"""The ASGI middleware round a Starlette application and round a bare one."""
+"""The ASGI middleware around a Starlette application and around an application without a lifespan."""
 
 from __future__ import annotations
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The library example in the README runs as printed."""
+"""The library example in the README runs and prints what the README shows."""
 
 from __future__ import annotations
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The simulator host: lines in, lines out, as a process and in this one."""
+"""The simulator host's input and output lines, tested in a subprocess and in this process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def run(lines: list[str]) -> subprocess.CompletedProcess[str]:
-    """Feed lines to the module that the deploy file starts."""
+    """Run the module that the deploy file starts, with these lines as its input."""
     text = "".join(line + "\n" for line in lines)
     command = [sys.executable, "-m", "honeyhitch.wirehost"]
     return subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, check=False)
