--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -39,7 +39,7 @@
     """Raised for a message that was not executed; it may be submitted again after `retry_after` seconds."""
 
     def __init__(self, retry_after: float) -> None:
-        super().__init__(f"rejected; come back after {retry_after:g} s")
+        super().__init__(f"message rejected; retry after {retry_after:g} s")
         self.retry_after = retry_after
 
 
@@ -152,7 +152,9 @@
             await _Lifespan(self, scope, receive, send).run()
             return
         if self.frontend is None:
-            raise RuntimeError("the dispatcher is not running: the server must run the lifespan")
+            raise RuntimeError(
+                "the dispatcher is not running: the ASGI server must run the lifespan protocol"
+            )
         scope.setdefault("state", {})[STATE_KEY] = self.frontend
         if scope["type"] == "http":
             await self._handle_request(scope, receive, send)
--- a/honeyhitch/simulator_host/host.py
+++ b/honeyhitch/simulator_host/host.py
@@ -119,7 +119,7 @@
             raise WireError(f"expected {missing} more 'endpoint' lines, got {line[:MAX_QUOTED_LENGTH]!r}")
         if name == "commit":
             if values:
-                raise WireError("expected 'commit' alone")
+                raise WireError(f"commit: expected no values, got {len(values)}")
             self._commit(self._batch)
         elif name == "power_on":
             self._start(values)
@@ -138,7 +138,7 @@
         number = values[1]
         parse_integer(number, "batch number")
         if now < self._clock:
-            raise WireError("clock: expected a time not before the last batch's")
+            raise WireError(f"clock: expected at least {self._clock}, the last batch's clock, got {now}")
         self._clock = now
         self._batch = Batch(now, number)
 
@@ -158,7 +158,7 @@
 
     def _start(self, values: list[str]) -> None:
         if len(values) < 2:
-            raise WireError("power_on: expected an instance, a seed and settings")
+            raise WireError(f"power_on: expected an instance, a seed and settings, got {len(values)} values")
         name, seed, *pairs = values
         try:
             settings = SettingsReader.from_pairs(pairs).settings()
@@ -178,14 +178,16 @@
         page = parse_integer(values[0], "page")
         size = parse_integer(values[1], "hosts")
         if not 0 <= page < PAGES or size < 0:
-            raise WireError(f"ledger: expected a page from 0 to {PAGES - 1} and a count, got {page} {size}")
+            raise WireError(
+                f"ledger: expected a page from 0 to {PAGES - 1} and a size from 0, got {page} {size}"
+            )
         self._pages[page] = ()
         self._incomplete_page = IncompletePage(page, size) if size else None
 
     def _add_listing(self, values: list[str]) -> None:
         page = self._incomplete_page
         if page is None:
-            raise WireError("endpoint: expected only inside a ledger")
+            raise WireError("endpoint: expected a 'ledger' line before it that announces this endpoint")
         page.listings.append(parse_listing(values))
         if not page.missing:
             self._pages[page.number] = tuple(page.listings)
@@ -198,7 +200,7 @@
             return
         page = parse_integer(values[2], "page")
         if page not in self._pages:
-            raise WireError(f"membership: expected the page of an earlier ledger, got {page}")
+            raise WireError(f"membership: expected a page that an earlier 'ledger' line defined, got {page}")
         self._add(values[0], EndpointListUpdate(mode, self._pages[page]))
 
     def _end_attempt(self, values: list[str]) -> None:
@@ -247,7 +249,7 @@
         for line_number, line in enumerate(sys.stdin, 1):
             host.handle_line(line.rstrip("\n"))
         if host.in_batch:
-            raise WireError("the input ended inside a batch, expected 'commit'")
+            raise WireError("end of input inside a batch: expected 'commit'")
     except (ConfigError, UnicodeDecodeError) as error:
         log.error("input.line-rejected", line=line_number, error=str(error))
         return 1
