--- a/honeyhitch/simulator_host/host.py
+++ b/honeyhitch/simulator_host/host.py
@@ -33,7 +33,7 @@
 )
 
 log = logs.get()
-PAGES = 16  # number of endpoint-list pages that `ledger` lines may define
+PAGE_COUNT = 16  # number of endpoint-list pages that `ledger` lines may define
 MAX_QUOTED_LENGTH = 80  # characters of an invalid line that its error quotes
 
 
@@ -67,11 +67,11 @@
         return self.size - len(self.listings)
 
 
-class LineReader(NamedTuple):
+class LineHandler(NamedTuple):
     """The number of values of a line with a given name, and the function that handles them."""
 
     value_count: int
-    read: Callable[[list[str]], object]
+    handle: Callable[[list[str]], object]
 
 
 class Host:
@@ -84,19 +84,21 @@
         self._incomplete_page: IncompletePage | None = None
         self._batch: Batch | None = None
         self._clock = 0
-        self._addressed: dict[str, None] = {}  # names of instances that decide in this batch, in order
-        self._readers = {
-            "ledger": LineReader(2, self._start_page),
-            "endpoint": LineReader(7, self._add_listing),
-            "down": LineReader(1, self._stop),
-            "membership": LineReader(4, self._update_list),
-            "arrival": LineReader(9, lambda values: self._add(values[0], parse_arrival(values))),
-            "returned": LineReader(9, self._end_attempt),
-            "abandoned": LineReader(2, lambda values: self._add(values[0], MessageWithdrawn(values[1]))),
-            "fired": LineReader(2, lambda values: self._add(values[0], TimerFired())),
-            "accepted": LineReader(5, lambda values: self._address(values[0])),
-            "health_result": LineReader(5, self._read_health_result),
-            "note_from": LineReader(3, lambda values: self._address(values[0])),
+        self._deciding_instances: dict[str, None] = {}  # names, in the order of their first line in a batch
+        self._line_handlers = {
+            "ledger": LineHandler(2, self._start_page),
+            "endpoint": LineHandler(7, self._add_listing),
+            "down": LineHandler(1, self._stop_instance),
+            "membership": LineHandler(4, self._queue_list_update),
+            "arrival": LineHandler(9, lambda values: self._queue_event(values[0], parse_arrival(values))),
+            "returned": LineHandler(9, self._queue_attempt_end),
+            "abandoned": LineHandler(
+                2, lambda values: self._queue_event(values[0], MessageWithdrawn(values[1]))
+            ),
+            "fired": LineHandler(2, lambda values: self._queue_event(values[0], TimerFired())),
+            "accepted": LineHandler(5, lambda values: self._select_instance(values[0])),
+            "health_result": LineHandler(5, self._check_health_result),
+            "note_from": LineHandler(3, lambda values: self._select_instance(values[0])),
         }
 
     @property
@@ -122,12 +124,12 @@
                 raise WireError(f"commit: expected no values, got {len(values)}")
             self._commit(self._batch)
         elif name == "power_on":
-            self._start(values)
-        elif name in self._readers:
-            reader = self._readers[name]
-            if len(values) != reader.value_count:
-                raise WireError(f"{name}: expected {reader.value_count} values, got {len(values)}")
-            reader.read(values)
+            self._start_instance(values)
+        elif name in self._line_handlers:
+            handler = self._line_handlers[name]
+            if len(values) != handler.value_count:
+                raise WireError(f"{name}: expected {handler.value_count} values, got {len(values)}")
+            handler.handle(values)
         else:
             raise WireError(f"expected an event or 'commit', got {line[:MAX_QUOTED_LENGTH]!r}")
 
@@ -142,7 +144,7 @@
         self._clock = now
         self._batch = Batch(now, number)
 
-    def _address(self, name: str) -> Instance:
+    def _select_instance(self, name: str) -> Instance:
         """Return the running instance of this name and let it decide when the batch is committed.
 
         Raises WireError if no instance of this name is running.
@@ -150,13 +152,13 @@
         instance = self.instances.get(name)
         if instance is None:
             raise WireError(f"expected the name of a running instance, got {name!r}")
-        self._addressed[name] = None
+        self._deciding_instances[name] = None
         return instance
 
-    def _add(self, name: str, event: Event) -> None:
-        self._address(name).events.append(event)
+    def _queue_event(self, name: str, event: Event) -> None:
+        self._select_instance(name).events.append(event)
 
-    def _start(self, values: list[str]) -> None:
+    def _start_instance(self, values: list[str]) -> None:
         if len(values) < 2:
             raise WireError(f"power_on: expected an instance, a seed and settings, got {len(values)} values")
         name, seed, *pairs = values
@@ -166,20 +168,20 @@
             raise WireError(f"power_on: {error}") from error
         policy = DeliveryPolicy(settings, parse_integer(seed, "seed"))
         self.instances[name] = Instance(policy, settings.report_fields)
-        self._addressed[name] = None
+        self._deciding_instances[name] = None
 
-    def _stop(self, values: list[str]) -> None:
+    def _stop_instance(self, values: list[str]) -> None:
         name = values[0]
-        self._address(name)
+        self._select_instance(name)
         del self.instances[name]
-        del self._addressed[name]
+        del self._deciding_instances[name]
 
     def _start_page(self, values: list[str]) -> None:
         page = parse_integer(values[0], "page")
         size = parse_integer(values[1], "hosts")
-        if not 0 <= page < PAGES or size < 0:
+        if not 0 <= page < PAGE_COUNT or size < 0:
             raise WireError(
-                f"ledger: expected a page from 0 to {PAGES - 1} and a size from 0, got {page} {size}"
+                f"ledger: expected a page from 0 to {PAGE_COUNT - 1} and a size from 0, got {page} {size}"
             )
         self._pages[page] = ()
         self._incomplete_page = IncompletePage(page, size) if size else None
@@ -193,34 +195,34 @@
             self._pages[page.number] = tuple(page.listings)
             self._incomplete_page = None
 
-    def _update_list(self, values: list[str]) -> None:
+    def _queue_list_update(self, values: list[str]) -> None:
         mode = parse_update_mode(values[1])
         if mode is UpdateMode.FAILED:
-            self._add(values[0], EndpointListUpdate(mode))
+            self._queue_event(values[0], EndpointListUpdate(mode))
             return
         page = parse_integer(values[2], "page")
         if page not in self._pages:
             raise WireError(f"membership: expected a page that an earlier 'ledger' line defined, got {page}")
-        self._add(values[0], EndpointListUpdate(mode, self._pages[page]))
+        self._queue_event(values[0], EndpointListUpdate(mode, self._pages[page]))
 
-    def _end_attempt(self, values: list[str]) -> None:
-        instance = self._address(values[0])
+    def _queue_attempt_end(self, values: list[str]) -> None:
+        instance = self._select_instance(values[0])
         instance.events.append(parse_attempt_ended(values, instance.report_fields))
 
-    def _read_health_result(self, values: list[str]) -> None:
-        self._address(values[0])
+    def _check_health_result(self, values: list[str]) -> None:
+        self._select_instance(values[0])
         check_health_result(values)
 
     def _commit(self, batch: Batch) -> None:
         """Let each selected instance handle its events, write the reply and end the batch."""
         lines: list[str] = []
-        for name in self._addressed:
+        for name in self._deciding_instances:
             lines += self._decide(name, batch.now)
         lines.append(format_ready(batch.number))
         self._output.write("\n".join(lines))
         self._output.flush()
         self._batch = None
-        self._addressed = {}
+        self._deciding_instances = {}
 
     def _decide(self, name: str, now: int) -> list[str]:
         instance = self.instances[name]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture(autouse=True)
-def as_before() -> Iterator[None]:
+def restore_log_setup() -> Iterator[None]:
     yield
     logs.setup()
 
@@ -44,19 +44,19 @@
         raise RuntimeError("a fault")
     except RuntimeError:
         logs.get().exception("call.failed", member="one")
-    first = stream.getvalue().splitlines()[0]
-    assert "call.failed" in first
-    assert "member=one" in first
+    first_line = stream.getvalue().splitlines()[0]
+    assert "call.failed" in first_line
+    assert "member=one" in first_line
     assert "RuntimeError: a fault" in stream.getvalue()
 
 
-@pytest.mark.parametrize(("form", "level"), [("xml", "info"), ("json", "loud")])
-def test_an_unknown_format_or_level_is_refused(form: str, level: str) -> None:
+@pytest.mark.parametrize(("log_format", "level"), [("xml", "info"), ("json", "loud")])
+def test_an_unknown_format_or_level_is_refused(log_format: str, level: str) -> None:
     with pytest.raises(ValueError, match="expected one of"):
-        logs.setup(form, level)
-    told = CliRunner().invoke(main, ["serve", "--log-format", form, "--log-level", level])
-    assert told.exit_code == 2
-    assert "xml" in told.output or "loud" in told.output
+        logs.setup(log_format, level)
+    result = CliRunner().invoke(main, ["serve", "--log-format", log_format, "--log-level", level])
+    assert result.exit_code == 2
+    assert "xml" in result.output or "loud" in result.output
 
 
 def test_repeats_are_limited_by_name_and_key_and_counted() -> None:
@@ -94,9 +94,9 @@
     for _ in range(logs.BURST_EVENTS + 7):
         logs.get().warning("accept.failed", error="no descriptor")
     logs.flush(everything=True)
-    told = events(stream)
-    assert len(told) == logs.BURST_EVENTS + 1
-    assert told[-1]["left_out"] == 7
+    logged = events(stream)
+    assert len(logged) == logs.BURST_EVENTS + 1
+    assert logged[-1]["left_out"] == 7
 
 
 def test_nothing_is_logged_for_a_message_that_is_delivered(tmp_path: Path) -> None:
@@ -104,15 +104,15 @@
     logs.setup("json", "debug", stream)
 
     async def work() -> None:
-        agent, member, client = await Peer().start(), await Peer().start(), Peer()
-        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
-        async with started(tmp_path, agent.port, members) as port:
+        agent, endpoint, client = await Peer().start(), await Peer().start(), Peer()
+        endpoint_rows = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
+        async with started(tmp_path, agent.port, endpoint_rows) as port:
             stream.truncate(0)
             await client.dial(port)
             assert client.connection is not None
             client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
-            reader, writer = await member.accepted()
+            reader, writer = await endpoint.accepted()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             client.connection[1].write(b"PING\r\n")
@@ -121,6 +121,6 @@
                 client.connection[1].write(b"PING\r\n")
                 await receive(client, b"+PONG\r\n")
             # The only event expected here reports that the scripted agent does not answer.
-            assert [one for one in events(stream) if one.get("work") != "Discovery.watch"] == []
+            assert [event for event in events(stream) if event.get("work") != "Discovery.watch"] == []
 
     play(work())
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -23,13 +23,15 @@
 
 
 async def deliver(request: Request) -> Response:
-    left = float(request.query_params.get("left", "20"))
-    dest = int(request.query_params.get("dest", "1"))
-    await request.state.honeyhitch.deliver(dest, await request.body(), tenant="studio", time_left=left)
+    time_left = float(request.query_params.get("left", "20"))
+    destination = int(request.query_params.get("dest", "1"))
+    await request.state.honeyhitch.deliver(
+        destination, await request.body(), tenant="studio", time_left=time_left
+    )
     return PlainTextResponse("delivered")
 
 
-async def bare(scope: Any, _receive: Any, _send: Any) -> None:
+async def app_without_lifespan(scope: Any, _receive: Any, _send: Any) -> None:
     assert scope["type"] == "http", "it knows no lifespan"
     await scope["state"]["honeyhitch"].deliver(9, b"", time_left=0.1)
 
@@ -37,22 +39,22 @@
 @contextlib.asynccontextmanager
 async def lifespan(app: Any) -> AsyncIterator[list[dict[str, Any]]]:
     sent: list[dict[str, Any]] = []
-    inbox: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
-    came = asyncio.Event()
+    received: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
+    message_sent = asyncio.Event()
 
     async def send(message: Any) -> None:
         sent.append(message)
-        came.set()
+        message_sent.set()
 
-    task = asyncio.ensure_future(app({"type": "lifespan", "state": {}}, inbox.get, send))
-    inbox.put_nowait({"type": "lifespan.startup"})
-    await came.wait()
+    task = asyncio.ensure_future(app({"type": "lifespan", "state": {}}, received.get, send))
+    received.put_nowait({"type": "lifespan.startup"})
+    await message_sent.wait()
     yield sent
-    inbox.put_nowait({"type": "lifespan.shutdown"})
+    received.put_nowait({"type": "lifespan.shutdown"})
     await task
 
 
-async def ask(app: Any, query: str, body: bytes = b"hi") -> tuple[int, dict[bytes, bytes]]:
+async def post(app: Any, query: str, body: bytes = b"hi") -> tuple[int, dict[bytes, bytes]]:
     sent: list[dict[str, Any]] = []
 
     async def receive() -> dict[str, Any]:
@@ -66,55 +68,55 @@
     return sent[0]["status"], dict(sent[0]["headers"])
 
 
-def configured(folder: Path, agent: Peer, member: Peer) -> config.Config:
-    members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
-    members.append(endpoint_row("leaving", 9, phase="Terminating"))
-    return config.read({}, *write(folder, free_port(), agent.port, members))
+def make_config(folder: Path, agent: Peer, endpoint: Peer) -> config.Config:
+    endpoint_rows = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
+    endpoint_rows.append(endpoint_row("leaving", 9, phase="Terminating"))
+    return config.read({}, *write(folder, free_port(), agent.port, endpoint_rows))
 
 
 def test_an_application_delivers_and_a_reject_becomes_503(tmp_path: Path) -> None:
     async def work() -> None:
-        agent, member = await Peer().start(), await Peer().start()
-        made: list[DispatcherMiddleware] = []
+        agent, endpoint = await Peer().start(), await Peer().start()
+        middlewares: list[DispatcherMiddleware] = []
 
         def middleware(inner: Any) -> DispatcherMiddleware:
-            made.append(DispatcherMiddleware(inner, configured(tmp_path, agent, member)))
-            return made[-1]
+            middlewares.append(DispatcherMiddleware(inner, make_config(tmp_path, agent, endpoint)))
+            return middlewares[-1]
 
         routes = [Route("/", deliver, methods=["POST"])]
         app = Starlette(routes=routes, middleware=[Middleware(middleware)])
         async with lifespan(app) as sent:
             assert sent == [{"type": "lifespan.startup.complete"}]
-            asked = asyncio.ensure_future(ask(app, ""))
-            reader, writer = await member.accepted()
+            response = asyncio.ensure_future(post(app, ""))
+            reader, writer = await endpoint.accepted()
             assert (await reader.readuntil(b"\r\n\r\nhi")).startswith(b"POST /v1/messages ")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            assert (await asked)[0] == 200
-            status, headers = await ask(app, "dest=9&left=0.2")
+            assert (await response)[0] == 200
+            status, headers = await post(app, "dest=9&left=0.2")
             assert status == 503
             assert int(headers[b"retry-after"]) >= 1
-            gone = asyncio.ensure_future(ask(app, ""))
+            cancelled_request = asyncio.ensure_future(post(app, ""))
             await reader.readuntil(b"\r\n\r\nhi")
-            gone.cancel()
+            cancelled_request.cancel()
             assert await reader.read(1) == b"", "nobody waits any more: the call is given up"
-            service = made[0].service
+            service = middlewares[0].service
             assert service is not None
             assert not service.dispatcher.messages.by_id
         assert sent[-1] == {"type": "lifespan.shutdown.complete"}
-        assert made[0].service is None
+        assert middlewares[0].service is None
 
     play(work())
 
 
 def test_an_application_without_a_lifespan_is_given_one(tmp_path: Path) -> None:
     async def work() -> None:
-        agent, member = await Peer().start(), await Peer().start()
-        app = DispatcherMiddleware(bare, configured(tmp_path, agent, member))
+        agent, endpoint = await Peer().start(), await Peer().start()
+        app = DispatcherMiddleware(app_without_lifespan, make_config(tmp_path, agent, endpoint))
         with pytest.raises(RuntimeError, match="lifespan"):
-            await ask(app, "")
+            await post(app, "")
         async with lifespan(app) as sent:
             assert sent == [{"type": "lifespan.startup.complete"}]
-            assert (await ask(app, ""))[0] == 503
+            assert (await post(app, ""))[0] == 503
         assert sent[-1] == {"type": "lifespan.shutdown.complete"}
 
     play(work())
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -32,7 +32,7 @@
 ARRIVAL = "arrival dispatcher-0 r-a - - 8000000000 0 - 7 0"
 
 
-def run(lines: list[str]) -> subprocess.CompletedProcess[str]:
+def run_simulator_host(lines: list[str]) -> subprocess.CompletedProcess[str]:
     """Run the module that the deploy file starts, with these lines as its input."""
     text = "".join(line + "\n" for line in lines)
     command = [sys.executable, "-m", "honeyhitch.wirehost"]
@@ -41,25 +41,27 @@
 
 def test_a_message_is_sent_and_delivered() -> None:
     outcome = "returned dispatcher-0 r-a 0 10.0.0.1:80 pass 1000 1 - -"
-    done = run([*START, "tick 2000 2", ARRIVAL, "commit", "tick 3000 3", outcome, "commit"])
-    assert done.returncode == 0
-    assert done.stderr == ""
-    lines = done.stdout.splitlines()
+    result = run_simulator_host([*START, "tick 2000 2", ARRIVAL, "commit", "tick 3000 3", outcome, "commit"])
+    assert result.returncode == 0
+    assert result.stderr == ""
+    lines = result.stdout.splitlines()
     assert lines[0] == "ready 1"
     assert lines[-1] == "ready 3"
     assert any(line.startswith("route dispatcher-0 r-a ") for line in lines)
 
 
 def test_retry_after_is_read_in_milliseconds() -> None:
-    rejected = "returned dispatcher-0 r-a 0 10.0.0.1:80 no_room 1000 0 1500 -"
-    other = "arrival dispatcher-0 r-b - - 8000000000 0 - 7 0"
-    done = run([*START, "tick 2000 2", ARRIVAL, "commit", "tick 3000 3", rejected, other, "commit"])
-    assert "route dispatcher-0 r-b" not in done.stdout
-    assert done.returncode == 0
+    rejection = "returned dispatcher-0 r-a 0 10.0.0.1:80 no_room 1000 0 1500 -"
+    second_arrival = "arrival dispatcher-0 r-b - - 8000000000 0 - 7 0"
+    result = run_simulator_host(
+        [*START, "tick 2000 2", ARRIVAL, "commit", "tick 3000 3", rejection, second_arrival, "commit"]
+    )
+    assert "route dispatcher-0 r-b" not in result.stdout
+    assert result.returncode == 0
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "expected_text"),
     [
         ("arrival dispatcher-9 r-a - - 8 0 - 7 0", "dispatcher-9"),
         ("arrival dispatcher-0 r-a - - 8 0 - 7", "values"),
@@ -72,25 +74,25 @@
         ("noise", "noise"),
     ],
 )
-def test_a_malformed_line_ends_the_process_and_is_named(line: str, named: str) -> None:
-    done = run([*START, "tick 2000 2", line, "commit"])
-    assert done.returncode == 1
-    assert done.stderr.count("\n") == 1
-    assert "input.line-rejected" in done.stderr
-    assert "line=8" in done.stderr
-    assert named in done.stderr
-    assert done.stdout == "ready 1\n" or "ready 2" not in done.stdout
+def test_a_malformed_line_ends_the_process_and_is_named(line: str, expected_text: str) -> None:
+    result = run_simulator_host([*START, "tick 2000 2", line, "commit"])
+    assert result.returncode == 1
+    assert result.stderr.count("\n") == 1
+    assert "input.line-rejected" in result.stderr
+    assert "line=8" in result.stderr
+    assert expected_text in result.stderr
+    assert result.stdout == "ready 1\n" or "ready 2" not in result.stdout
 
 
 def test_input_that_ends_inside_a_batch_is_an_error() -> None:
-    assert run(START).returncode == 0
-    assert run(START[:-1]).returncode == 1
+    assert run_simulator_host(START).returncode == 0
+    assert run_simulator_host(START[:-1]).returncode == 1
 
 
 def test_settings_out_of_range_name_the_field() -> None:
-    done = run([START[0], START[1].replace("call-slots=4", "call-slots=0"), "commit"])
-    assert done.returncode == 1
-    assert "slots" in done.stderr
+    result = run_simulator_host([START[0], START[1].replace("call-slots=4", "call-slots=0"), "commit"])
+    assert result.returncode == 1
+    assert "slots" in result.stderr
 
 
 def test_an_exception_in_the_policy_is_reported(
@@ -100,10 +102,10 @@
     for line in START:
         host.handle_line(line)
 
-    def broken(*_: object) -> None:
+    def raise_error(*_: object) -> None:
         raise RuntimeError("torn\napart")
 
-    monkeypatch.setattr(host.instances["dispatcher-0"].policy, "handle", broken)
+    monkeypatch.setattr(host.instances["dispatcher-0"].policy, "handle", raise_error)
     for line in ["tick 2000 2", ARRIVAL, "commit"]:
         host.handle_line(line)
     out, err = capsys.readouterr()
