--- a/honeyhitch/config/__init__.py
+++ b/honeyhitch/config/__init__.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given its defaults."""
+"""Reads and checks the configuration and fills in its defaults. No other package does so."""
 
 from honeyhitch.config.deployment import Address, ConfigError
 from honeyhitch.config.file import RESERVED_DESCRIPTORS, Config, read
--- a/honeyhitch/config/dead_letters.py
+++ b/honeyhitch/config/dead_letters.py
@@ -1,4 +1,4 @@
-"""The tables `[undelivered]` and `[[undelivered.rule]]` of the operator's file."""
+"""Parser of the tables `[undelivered]` and `[[undelivered.rule]]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 MAX_CAPACITY_FRACTION = 0.5
 MAX_NAME_LENGTH = 64
 MAX_RESENDS = 1000
-MIN_RATE = 0.001  # resends a second
-MAX_RATE = 1000
+MIN_RATE = 0.001  # resends per second
+MAX_RATE = 1000  # resends per second
 FRONTENDS = ("resp", "mqtt", "app")
 ENDINGS = ("failed", "rejected")
 REASONS = (
@@ -34,7 +34,7 @@
 
 
 def parse_dead_letters(value: object, settings: Settings) -> DeadLetterSettings:
-    """The settings of `[undelivered]`; such a table turns the store on. Raises ConfigError."""
+    """Return the settings of `[undelivered]`, a table that enables the store. Raises ConfigError."""
     table = ConfigTable(value, "undelivered")
     defaults = DeadLetterSettings()
     directory = table.optional("folder", str)
@@ -67,7 +67,7 @@
 
 
 def _parse_duration(table: ConfigTable, key: str, default: int, min_seconds: float = 0.0) -> int:
-    """A duration in nanoseconds, from seconds; the default is in nanoseconds."""
+    """Return a duration in nanoseconds. The file gives it in seconds; the default is in nanoseconds."""
     seconds = table.seconds(key, default)
     if not min_seconds <= seconds <= MAX_DURATION_SECONDS:
         raise table.invalid(
@@ -96,7 +96,7 @@
 
 
 def _parse_rules(rows: list[Any], settings: Settings) -> tuple[Rule, ...]:
-    """The rules in the order of the file. One that no record could reach is an error."""
+    """Return the rules in the order of the file. Raises ConfigError for a rule that no record can reach."""
     rules = list[Rule]()
     for index, row in enumerate(rows):
         table = ConfigTable(row, f"undelivered.rule.{index}")
@@ -148,7 +148,7 @@
 
 
 def _parse_list(table: ConfigTable, key: str) -> list[Any]:
-    """A list, also where a single value stands for one."""
+    """Return the value as a list; a single value becomes a list of one item."""
     value = table.unread.pop(key, [])
     return value if isinstance(value, list) else [value]
 
@@ -170,8 +170,8 @@
 
 
 def _check_extra() -> None:
-    """Raise ConfigError unless the libraries of the store are installed."""
+    """Raise ConfigError unless the libraries that the store needs are installed."""
     try:
-        import honeyhitch.dead_letters.store  # noqa: F401 imported for its libraries alone
+        import honeyhitch.dead_letters.store  # noqa: F401 imported only to check that its libraries are installed
     except ImportError as error:
         raise ConfigError(f"undelivered: needs the extra honeyhitch[undelivered] ({error})") from error
--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -1,6 +1,6 @@
-"""What a deployment sets up, as typed values, and the error of a value that cannot be used.
+"""Typed values of a deployment's configuration, and the error for a value that cannot be used.
 
-The other modules of this package read the files; whoever uses a value imports its type from here.
+The other modules of this package read the files; code that uses a value imports its type from this module.
 """
 
 from __future__ import annotations
@@ -15,55 +15,55 @@
 
 
 class ConfigError(Exception):
-    """A value that cannot be used; the message names its key."""
+    """Raised for a value that cannot be used. The message names the value's key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where something listens, or is reached."""
+    """A host and a port to listen on or to connect to."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: object, name: str) -> Address:
-        """From HOST:PORT; `name` is its key. Raises ConfigError."""
+        """Parse HOST:PORT. Raises ConfigError, which calls the value `name`."""
         try:
             return cls(*split_host_port(str(text)))
         except ValueError:
             raise ConfigError(f"{name}: expected HOST:PORT, got {text!r}") from None
 
     def __str__(self) -> str:
-        """HOST:PORT."""
+        """Return the address as HOST:PORT."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What the machine grants to the process; it must not use more."""
+    """The limits on resources that the process must not exceed."""
 
-    sockets: int = 1024  # file descriptors
-    disk_bytes: int = 3_000_000  # in the state directory
+    sockets: int = 1024  # number of file descriptors
+    disk_bytes: int = 3_000_000  # size of the files in the state directory
 
 
 @dataclass(frozen=True, slots=True)
 class MqttEndpoint:
-    """An endpoint of the pool that is reached through the broker."""
+    """An endpoint of the pool that is reached through the MQTT broker."""
 
     id: str
     topic: str
     destination: int
     kind: str = ""
     zone: str = ""
-    rate: float = 1.0  # as an endpoint of a list states it
+    rate: float = 1.0  # the listed rate, as in the endpoint list of discovery
 
 
 @dataclass(frozen=True, slots=True)
 class MqttSettings:
-    """The MQTT frontend and transport, as the operator's file sets them up."""
+    """The settings of the MQTT frontend and transport in the operator's file."""
 
     broker: str  # HOST:PORT
-    intake: str  # the topic filter of submitted messages
+    intake: str  # topic filter on which messages are submitted
     client_id: str
     keep_alive_seconds: int = 20
     session_expiry_seconds: int = 3600
@@ -75,18 +75,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlSettings:
-    """The control socket."""
+    """The settings of the control socket."""
 
-    path: Path | None = None  # `control.sock` in the state directory where it is not set
+    path: Path | None = None  # if None, `control.sock` in the state directory
 
     def path_in(self, state_directory: Path) -> Path:
-        """The path of the socket."""
+        """Return the path of the socket for this state directory."""
         return self.path if self.path is not None else state_directory / "control.sock"
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """What an operator's file adds; nothing of it is on by itself."""
+    """The settings of the operator's file. Every feature is off unless the file enables it."""
 
     mqtt: MqttSettings | None = None
     agent_check: Address | None = None
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -1,4 +1,4 @@
-"""The configuration as a whole: the platform's file and variables, and the operator's file."""
+"""Reads the whole configuration: the JSON file, the environment variables and the operator's file."""
 
 from __future__ import annotations
 
@@ -14,12 +14,19 @@
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.policy.settings import Settings
 
-INSTANCE_KEYS = ("name", "listen", "discovery", "management", "state")  # each has a variable, too
+INSTANCE_KEYS = (
+    "name",
+    "listen",
+    "discovery",
+    "management",
+    "state",
+)  # each key also has an environment variable
 ADDRESS_KEYS = ("listen", "discovery", "management")
 OPTIONAL_KEYS = ("management",)
-RESERVED_DESCRIPTORS = 32  # standard streams, loop, journal, listeners, discovery, broker, one just accepted
-MIN_CALL_DESCRIPTORS = 16  # for calls, clients and idle connections together
-MAX_SOCKET_PATH_BYTES = 107  # of a Unix-domain socket (unix(7))
+# For standard streams, event loop, journal, listeners, discovery, broker and a connection just accepted.
+RESERVED_DESCRIPTORS = 32
+MIN_CALL_DESCRIPTORS = 16  # shared by calls, clients and idle connections
+MAX_SOCKET_PATH_BYTES = 107  # limit of a Unix domain socket's path (unix(7))
 DEFAULT_SOCKETS = 1024
 BYTES_PER_MEGABYTE = 1_000_000
 DEFAULT_DISK_MEGABYTES = 3
@@ -27,19 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What one dispatcher is given at its start; what the policy needs of it is in `settings`."""
+    """The configuration with which a dispatcher starts. `settings` holds the policy's part of it."""
 
     name: str
     listen: Address
     discovery: Address
-    management: Address | None  # where operators call
+    management: Address | None  # address that operators' commands call
     state: Path  # the state directory
     seed: int
     limits: ResourceLimits
-    known: dict[str, Any]  # endpoints to use until discovery answers, in the form of its list
+    known: dict[str, Any]  # endpoints to use until discovery answers, as a list in discovery's form
     settings: Settings
     operator: OperatorSettings
-    file_values: dict[str, Any]  # of INSTANCE_KEYS, as the file had them at the start
+    file_values: dict[str, Any]  # values of INSTANCE_KEYS in the file when the process started
 
 
 def read(
@@ -48,11 +55,13 @@
     operator: str | None = None,
     previous: Config | None = None,
 ) -> Config:
-    """The configuration: the file named in ROUTER_CONFIG, the other variables in preference to its values,
-    and the operator's file where ROUTER_OPERATOR or the command line names one.
+    """Return the configuration. Raises ConfigError.
 
-    With `previous` it is read again by a running process. Its variables are as old as its start and cannot
-    follow a new file: where the file no longer says what it said then, the file wins. Raises ConfigError.
+    It consists of the JSON file at `path` or in ROUTER_CONFIG, of the environment variables, which take
+    precedence over the file's values, and of the operator's file if `operator` or ROUTER_OPERATOR names one.
+
+    With `previous`, a running process reads its configuration again. Its variables date from its start and
+    cannot follow a new file, so a value that has changed in the file since then takes precedence over them.
     """
     document = _read_json(path or environ.get("ROUTER_CONFIG", ""))
     file_values = {key: document.get(key) for key in INSTANCE_KEYS}
@@ -64,7 +73,7 @@
     known = _read_known(document)
     name = str(values["name"])
     operator_settings = read_operator(operator or environ.get("ROUTER_OPERATOR", ""), name, settings, environ)
-    if operator_settings.fleet is not None:  # each zone has an owner of a destination, with its quota
+    if operator_settings.fleet is not None:  # each zone has one owner of a destination, with its own quota
         settings = replace(settings, instance_count=len(operator_settings.fleet.zones))
     state = Path(str(values["state"]))
     _check_control_path(operator_settings, state)
@@ -102,7 +111,11 @@
 def _instance_values(
     file_values: dict[str, Any], first_values: dict[str, Any], environ: Mapping[str, str]
 ) -> dict[str, Any]:
-    """The values of INSTANCE_KEYS: the file's where it has changed since the start, else the variable's."""
+    """Return the values of INSTANCE_KEYS.
+
+    A value that has changed in the file since the start comes from the file; otherwise the variable takes
+    precedence over the file. Raises ConfigError for a required key without a value.
+    """
     values = dict[str, Any]()
     for key, file_value in file_values.items():
         changed = file_value and file_value != first_values[key]
@@ -137,7 +150,10 @@
 
 
 def _limit_calls(settings: Settings, limits: ResourceLimits) -> Settings:
-    """The settings with no more concurrent calls than half the free descriptors, as each call takes one."""
+    """Return the settings with the number of concurrent calls limited to half the available descriptors.
+
+    Each call takes one descriptor. Raises ConfigError if the limit leaves too few descriptors.
+    """
     available = limits.sockets - RESERVED_DESCRIPTORS
     if available < MIN_CALL_DESCRIPTORS:
         minimum = RESERVED_DESCRIPTORS + MIN_CALL_DESCRIPTORS
--- a/honeyhitch/config/fleet.py
+++ b/honeyhitch/config/fleet.py
@@ -1,4 +1,4 @@
-"""The table `[fleet]` of the operator's file, which turns partitioned destinations on."""
+"""Parser of the table `[fleet]` of the operator's file, which enables partitioned destinations."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def parse_fleet(value: object, name: str) -> FleetSettings:
-    """The table's settings; `name` is the instance's, by which the view lists it. Raises ConfigError."""
+    """Return the table's settings. `name` is the instance's name in the view. Raises ConfigError."""
     table = ConfigTable(value, "fleet")
     view = Address.parse(table.get("view", str), "fleet.view")
     zone = table.get("zone", str)
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -1,6 +1,6 @@
-"""The settings of an instance, in both of their forms: nested JSON, and the words of a line.
+"""Reads the settings of an instance from either form: nested JSON, or path=value pairs of a simulator line.
 
-This module alone knows the keys of both forms; the policy has other names for them.
+Only this module knows the keys of the two forms; the policy uses other names for the same settings.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     "side_effect": Idempotency.NON_IDEMPOTENT,
 }
 
-# How each field that the policy checks is named in an error about a deployment's settings.
+# The name in an error about a deployment's settings, for each field that the policy checks.
 NAME_IN_ERRORS = {
     "classes.latency_objective": "classes.aim",
     "classes.priority_weight": "classes.worth",
@@ -51,7 +51,7 @@
 
 
 def _flatten(value: object, path: str, values: dict[str, str]) -> None:
-    """Add the value below this path: paths are joined by dots, lists of objects get a count."""
+    """Add `value` to `values` below this path: paths are joined by dots, lists of objects get a count."""
     if isinstance(value, dict):
         for name, inner in value.items():
             _flatten(inner, f"{path}.{name}" if path else str(name), values)
@@ -70,9 +70,9 @@
 
 
 class SettingsReader:
-    """The path=value pairs of an instance's settings; unknown paths are ignored.
+    """The path=value pairs of an instance's settings. Unknown paths are ignored.
 
-    Its methods raise ConfigError, which names the path.
+    The methods raise ConfigError, which names the path at fault.
     """
 
     def __init__(self, values: dict[str, str]) -> None:
@@ -80,7 +80,7 @@
 
     @classmethod
     def from_pairs(cls, pairs: list[str]) -> SettingsReader:
-        """From the words of a line, each path=value."""
+        """Read the words of a simulator line, each of the form path=value."""
         values = dict[str, str]()
         for pair in pairs:
             path, _, value = pair.partition("=")
@@ -89,44 +89,44 @@
 
     @classmethod
     def from_nested(cls, value: object) -> SettingsReader:
-        """From nested JSON: paths are joined by dots, plain lists by commas, lists of objects get a count."""
+        """Read nested JSON: paths are joined by dots, plain lists by commas, lists of objects get a count."""
         values = dict[str, str]()
         _flatten(value, "", values)
         return cls(values)
 
     def text(self, path: str, default: str | None = None) -> str:
-        """The value of a path; one without a default must be there."""
+        """Return the value of a path. Raises ConfigError if both the value and a default are missing."""
         value = self.values.get(path, default)
         if value is None:
             raise ConfigError(f"{path}: this setting is missing")
         return value
 
     def integer(self, path: str, default: str | None = None) -> int:
-        """The value as a whole number."""
+        """Return the value as a whole number."""
         return parse_integer(self.text(path, default), path)
 
     def positive_integer(self, path: str, default: str | None = None) -> int:
-        """The value as a whole number of at least 1."""
+        """Return the value as a whole number of at least 1."""
         value = self.integer(path, default)
         if value < 1:
             raise ConfigError(f"{path}: must be at least 1, got {value}")
         return value
 
     def number(self, path: str, default: str | None = None) -> float:
-        """The value as a number."""
+        """Return the value as a number."""
         return parse_number(self.text(path, default), path)
 
     def flag(self, path: str, default: str | None = None) -> bool:
-        """The value as true or false."""
+        """Return the value as a boolean."""
         return parse_choice(TRUTH_VALUES, self.text(path, default), path)
 
     def items(self, path: str) -> list[str]:
-        """The value as a list of plain values."""
+        """Return the items of a comma-separated value; a missing value has no items."""
         text = self.text(path, "")
         return text.split(",") if text else []
 
     def message_class(self, index: int) -> MessageClass:
-        """The class with this index."""
+        """Return the message class with this index."""
         prefix = f"classes.{index}."
         semantics = self.text(prefix + "semantics")
         return MessageClass(
@@ -147,7 +147,7 @@
         return DeduplicationScope.ALL if in_all_zones else DeduplicationScope.ZONE
 
     def kinds(self) -> tuple[DestinationKind, ...]:
-        """The kinds of destination; a list that is shorter than the longest is filled up with defaults."""
+        """Return the kinds of destination. Lists shorter than the longest one are padded with defaults."""
         own_limits = [text in ("true", "1") for text in self.items("family-info.own-limits")]
         sizes = [parse_integer(text, "family-info.per-call") for text in self.items("family-info.per-call")]
         names = self.items("shapes")
@@ -158,7 +158,7 @@
         return tuple(DestinationKind(*values) for values in zip(own_limits, sizes, names, strict=True))
 
     def settings(self) -> Settings:
-        """All of it, in the policy's terms."""
+        """Return all settings in the policy's terms. Raises ConfigError for an invalid value."""
         try:
             return self._settings()
         except SettingsError as error:
--- a/honeyhitch/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -1,4 +1,4 @@
-"""The table `[mqtt]` of the operator's file, which turns the MQTT frontend and transport on."""
+"""Parser of the table `[mqtt]` of the operator's file, which enables the MQTT frontend and transport."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def parse_mqtt(value: object, name: str, settings: Settings, environ: Mapping[str, str]) -> MqttSettings:
-    """The frontend, its session and the endpoints behind the broker. Raises ConfigError.
+    """Return the settings of the frontend, its session and the endpoints behind the broker.
 
-    `name` is the instance's, and the client id where none is given.
+    `name` is the name of the instance, and the default client id. Raises ConfigError.
     """
     table = ConfigTable(value, "mqtt")
     rows = table.get("member", list, [])
--- a/honeyhitch/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -1,4 +1,4 @@
-"""The operator's file, in TOML: what is off unless it asks for it."""
+"""Reads the operator's TOML file, which enables features that are off by default."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 def read_tls(path: str, environ: Mapping[str, str]) -> list[Partner]:
-    """The TLS partners of the file at this path, and the broker, without an instance's settings.
+    """Return the TLS partners in the file at this path, including the MQTT broker.
 
-    Raises ConfigError.
+    The partners are read without an instance's settings. Raises ConfigError.
     """
     document = _read_toml(path)
     partners = list[Partner]()
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Tables:
-    """The file's tables of features, before they are read; None where one is missing."""
+    """The tables of features in the file before they are parsed; None for a missing table."""
 
     tls: object
     mqtt: object
@@ -52,9 +52,9 @@
 
 
 def read(path: str, name: str, settings: Settings, environ: Mapping[str, str]) -> OperatorSettings:
-    """The settings of the file at this path, or the defaults where the path is empty.
+    """Return the settings of the file at this path, or the defaults if the path is empty.
 
-    `name` is the instance's. Raises ConfigError.
+    `name` is the name of the instance. Raises ConfigError.
     """
     if not path:
         return OperatorSettings()
@@ -100,7 +100,7 @@
 
 
 def _parse_log(document: ConfigTable) -> tuple[str, str]:
-    """The format and the level of the log."""
+    """Return the format and the level of the log."""
     table = ConfigTable(document.get("log", dict, {}), "log")
     log_format = table.choice("format", logs.FORMATS, "console")
     log_level = table.choice("level", logs.LEVELS, "info")
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -1,4 +1,4 @@
-"""The tables `[tls]`, `[[tls.partner]]` and `[mqtt.tls]` of the operator's file."""
+"""Parser of the tables `[tls]`, `[[tls.partner]]` and `[mqtt.tls]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -21,21 +21,23 @@
 )  # fmt: skip
 PARTNER_SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
 MAX_DURATION_SECONDS = DAY // SECOND
-MAX_NAME_LENGTH = 253  # of a host name (RFC 1035)
-PIN_BYTES = 32  # of a SHA-256
+MAX_NAME_LENGTH = 253  # characters of a host name (RFC 1035)
+PIN_BYTES = 32  # length of a SHA-256 digest
 PIN_HEX_DIGITS = 2 * PIN_BYTES
 
 
 def parse_tls(value: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
-    """`[tls]` with its partners; the defaults are in `[tls]` itself. Raises ConfigError.
+    """Return the settings of `[tls]` with its partners. Raises ConfigError.
 
-    Without settings, no kind is known to be wrong.
+    Terms in `[tls]` itself are defaults for each partner. Without `settings`, kinds are not checked.
     """
     table = ConfigTable(value, "tls")
     rows = table.get("partner", list, [])
     defaults = {key: table.unread.pop(key) for key in TERM_KEYS if key in table.unread}
     table.reject_unknown_keys()
-    _parse_terms(ConfigTable(dict(defaults), "tls"))  # an error in the defaults is named as theirs
+    _parse_terms(
+        ConfigTable(dict(defaults), "tls")
+    )  # reports an error in the defaults under `[tls]`, not under a partner
     partners = list[Partner]()
     for index, row in enumerate(rows):
         partner_table = ConfigTable(row, f"tls.partner.{index}")
@@ -57,14 +59,14 @@
 
 
 def parse_broker_tls(value: object, environ: Mapping[str, str]) -> Partner:
-    """`[mqtt.tls]`, with the same keys as a partner's table. Raises ConfigError."""
+    """Return the broker's partner from `[mqtt.tls]`, which has a partner's keys. Raises ConfigError."""
     partner = Partner(Scope.BROKER, "mqtt", _parse_terms(ConfigTable(value, "mqtt.tls")))
     check_files(partner, "mqtt.tls", environ)
     return partner
 
 
 def check_files(partner: Partner, path: str, environ: Mapping[str, str]) -> None:
-    """Raise ConfigError where a partner's files cannot be used, naming the key and the file."""
+    """Raise ConfigError, naming the key and the file, if a partner's files cannot be used."""
     try:
         from honeyhitch.tls import material
     except ImportError as error:
@@ -76,7 +78,7 @@
 
 
 def _parse_scope(table: ConfigTable, settings: Settings | None) -> tuple[Scope, str]:
-    """By what a partner's table is matched, and the value that it matches."""
+    """Return the scope of a partner's table and the value that it matches in that scope."""
     scopes = [scope for scope in PARTNER_SCOPES if scope.value in table.unread]
     if len(scopes) != 1:
         raise ConfigError(f"{table.path}: expected exactly one of member, dest and kind")
@@ -135,7 +137,7 @@
 
 
 def _parse_duration(table: ConfigTable, key: str, default: int) -> int:
-    """A duration in nanoseconds, from seconds; the default is in nanoseconds."""
+    """Return a duration in nanoseconds. The file gives it in seconds; the default is in nanoseconds."""
     seconds = table.seconds(key, default)
     if not 0 < seconds <= MAX_DURATION_SECONDS:
         raise table.invalid(key, f"expected seconds above 0 and at most a day, got {seconds:g}")
@@ -156,7 +158,7 @@
 
 
 def _parse_pin(value: object, path: str) -> bytes:
-    """SHA-256 in base64 or hexadecimal digits, with or without `sha256/` before it."""
+    """Return the bytes of a SHA-256 digest given in base64 or hexadecimal, with an optional `sha256/`."""
     text = value.removeprefix("sha256/") if isinstance(value, str) else ""
     try:
         is_hex = len(text) == PIN_HEX_DIGITS
--- a/honeyhitch/config/values.py
+++ b/honeyhitch/config/values.py
@@ -1,4 +1,4 @@
-"""Reading single values, and the tables of the operator's file; every error names its key."""
+"""Parsers of single values and of the operator's tables. Every error names the key at fault."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def parse_integer(text: str, name: str) -> int:
-    """A whole number in decimal digits. Raises ConfigError."""
+    """Return a whole number given in decimal digits. Raises ConfigError, which calls the value `name`."""
     digits = text.removeprefix("-")
     if not digits.isascii() or not digits.isdigit():
         raise ConfigError(f"{name}: expected a whole number, got {text!r}")
@@ -21,7 +21,7 @@
 
 
 def parse_number(text: str, name: str) -> float:
-    """A finite number. Raises ConfigError."""
+    """Return a finite number. Raises ConfigError, which calls the value `name`."""
     try:
         value = float(text)
     except ValueError:
@@ -32,28 +32,28 @@
 
 
 def parse_choice(choices: dict[str, T], text: str, name: str) -> T:
-    """The value that one of these words stands for. Raises ConfigError."""
+    """Return the value of the choice that `text` names. Raises ConfigError, which calls it `name`."""
     if text not in choices:
         raise ConfigError(f"{name}: expected one of {', '.join(choices)}, got {text!r}")
     return choices[text]
 
 
 class ConfigTable:
-    """One table of the operator's file. A key that nothing reads is an error."""
+    """A table of the operator's file. `reject_unknown_keys` raises an error for keys that were not read."""
 
     def __init__(self, value: object, path: str) -> None:
-        """`path` names the table in errors. Raises ConfigError if the value is no table."""
+        """Wrap a table; `path` names it in errors. Raises ConfigError if the value is not a table."""
         if not isinstance(value, dict):
             raise ConfigError(f"{path}: expected a table")
         self.unread = dict(value)
         self.path = path
 
     def invalid(self, name: str, problem: str) -> ConfigError:
-        """The error of one key, to be raised."""
+        """Return the error of one key, for the caller to raise."""
         return ConfigError(f"{self.path}.{name}: {problem}")
 
     def get(self, name: str, value_type: type[T], default: T | None = None) -> T:
-        """A value of this type; one without a default must be there. Raises ConfigError."""
+        """Return a value of this type. Raises ConfigError for another type, or without a value or default."""
         value = self.unread.pop(name, default)
         if value_type is float and isinstance(value, int):
             value = float(value)
@@ -63,19 +63,19 @@
         raise self.invalid(name, "missing" if value is None else f"expected {value_type.__name__}")
 
     def optional(self, name: str, value_type: type[T]) -> T | None:
-        """A value of this type, or None where the key is missing. Raises ConfigError."""
+        """Return a value of this type, or None if the key is missing. Raises ConfigError."""
         return self.get(name, value_type) if name in self.unread else None
 
     def choice(self, name: str, choices: Iterable[str], default: str) -> str:
-        """One of these texts. Raises ConfigError."""
+        """Return a text that is one of the choices. Raises ConfigError."""
         text = self.get(name, str, default)
         return parse_choice({choice: choice for choice in choices}, text, f"{self.path}.{name}")
 
     def seconds(self, name: str, default: int) -> float:
-        """A duration in seconds; the default is in nanoseconds. Raises ConfigError."""
+        """Return a duration in seconds; the default is in nanoseconds. Raises ConfigError."""
         return self.get(name, float, default / SECOND)
 
     def reject_unknown_keys(self) -> None:
-        """Raise ConfigError if a key is left that nothing has read."""
+        """Raise ConfigError if the table has a key that has not been read."""
         for name in self.unread:
             raise self.invalid(name, "no such key")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: one reader for both forms, defaults, and errors that name the faulty key."""
+"""Configuration: both forms give the same settings, defaults apply, and errors name the faulty key."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def faulty(path: str, value: object) -> dict[str, Any]:
-    """The settings with one value changed, or removed where it is None."""
+    """Return the settings with the value at `path` changed, or removed if the new value is None."""
     settings: Any = json.loads(json.dumps(SETTINGS))
     *parents, key = path.split(".")
     parent = settings
@@ -148,7 +148,7 @@
 
 
 def _named(read: config.Config, kind: str) -> Settings:
-    """The settings with a kind of destination of this name."""
+    """Return the settings with a single kind of destination, which has this name."""
     kinds = (dataclasses.replace(read.settings.kinds[0], name=kind),)
     return dataclasses.replace(read.settings, kinds=kinds)
 
@@ -172,7 +172,7 @@
 
 
 def fleet_file(regions: str = 'east = ["a", "b"]', **changes: Any) -> str:
-    """An operator's file with `[fleet]`; a key that is None is left out."""
+    """Return an operator's file with `[fleet]`; keys whose value is None are left out."""
     values = {**FLEET, **changes}
     lines = [f"{key} = {json.dumps(value)}" for key, value in values.items() if value is not None]
     return "\n".join(["[fleet]", *lines, "[fleet.regions]", regions])
