--- a/honeyhitch/config/dead_letters.py
+++ b/honeyhitch/config/dead_letters.py
@@ -54,7 +54,7 @@
     if not 0 < days <= MAX_DAYS:
         raise table.invalid("max-days", f"expected above 0 and at most {MAX_DAYS}, got {days:g}")
     if compress_min_bytes < 0:
-        raise table.invalid("compress-from", "must not be negative")
+        raise table.invalid("compress-from", f"must not be negative, got {compress_min_bytes}")
     rules = _parse_rules(rule_rows, settings)
     _check_extra()
     return DeadLetterSettings(
@@ -106,7 +106,7 @@
             if earlier.name == rule.name:
                 raise table.invalid("name", f"{rule.name!r} is the name of {earlier_path}, too")
             if earlier.covers(rule):
-                raise ConfigError(f"{table.path}: never reached, {earlier_path} matches whatever it does")
+                raise ConfigError(f"{table.path}: never reached, {earlier_path} matches each of its records")
         rules.append(rule)
     return tuple(rules)
 
@@ -138,7 +138,7 @@
 
 def _check_rule(table: ConfigTable, rule: Rule) -> None:
     if not rule.name or len(rule.name) > MAX_NAME_LENGTH:
-        raise table.invalid("name", f"expected 1 to {MAX_NAME_LENGTH} characters")
+        raise table.invalid("name", f"expected 1 to {MAX_NAME_LENGTH} characters, got {rule.name!r}")
     if not 1 <= rule.max_resends <= MAX_RESENDS:
         raise table.invalid("most-times", f"expected 1 to {MAX_RESENDS}, got {rule.max_resends}")
     if not MIN_RATE <= rule.rate_per_second <= MAX_RATE:
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -96,7 +96,7 @@
 
 def _read_json(path: str) -> dict[str, Any]:
     if not path:
-        raise ConfigError("ROUTER_CONFIG: this variable is missing; it names the configuration's JSON file")
+        raise ConfigError("ROUTER_CONFIG: missing; this variable must name the configuration's JSON file")
     try:
         value = json.loads(Path(path).read_bytes())
     except OSError as error:
@@ -104,7 +104,7 @@
     except ValueError as error:
         raise ConfigError(f"ROUTER_CONFIG: {path} is not JSON: {error}") from error
     if not isinstance(value, dict):
-        raise ConfigError(f"ROUTER_CONFIG: expected an object in {path}")
+        raise ConfigError(f"ROUTER_CONFIG: expected a JSON object in {path}")
     return value
 
 
@@ -164,7 +164,7 @@
 def _read_known(document: dict[str, Any]) -> dict[str, Any]:
     known = document.get("known") or {"revision": 0, "complete": True, "members": []}
     if not isinstance(known, dict):
-        raise ConfigError("known: expected an object in discovery's form")
+        raise ConfigError("known: expected an object that lists endpoints in discovery's form")
     return known
 
 
--- a/honeyhitch/config/fleet.py
+++ b/honeyhitch/config/fleet.py
@@ -38,7 +38,7 @@
     regions = list[Region]()
     for name, zones in tables.items():
         if not isinstance(zones, list) or not zones or not all(isinstance(zone, str) for zone in zones):
-            raise ConfigError(f"fleet.regions.{name}: expected a list of the names of its zones")
+            raise ConfigError(f"fleet.regions.{name}: expected a list of zone names, got {zones!r}")
         regions.append(Region(name, tuple(zones)))
     return tuple(regions)
 
--- a/honeyhitch/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -113,7 +113,7 @@
         return
     for key, table in (("mqtt", tables.mqtt), ("undelivered", tables.undelivered)):
         if table is not None:
-            raise ConfigError(f"{key}: cannot be had beside [fleet] yet")
+            raise ConfigError(f"{key}: cannot be combined with [fleet] yet")
 
 
 def _parse_control(value: object) -> ControlSettings | None:
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -46,7 +46,7 @@
         partner_table.unread = {**defaults, **partner_table.unread}
         partners.append(Partner(scope, matched, _parse_terms(partner_table)))
     if not partners:
-        raise ConfigError("tls.partner: at least one is needed; [tls] alone turns nothing on")
+        raise ConfigError("tls.partner: at least one is needed; [tls] alone does not enable TLS")
     for index, partner in enumerate(partners):
         check_files(partner, f"tls.partner.{index}", environ)
     return TlsSettings(tuple(partners))
@@ -124,9 +124,11 @@
     if terms.handshakes < 1:
         raise table.invalid("handshakes", f"expected at least 1, got {terms.handshakes}")
     if not 0 < terms.handshake_rate < math.inf:
-        raise table.invalid("handshake-rate", f"expected more than 0, got {terms.handshake_rate:g}")
+        raise table.invalid(
+            "handshake-rate", f"expected more than 0 and finite, got {terms.handshake_rate:g}"
+        )
     if terms.warn_days < 0:
-        raise table.invalid("warn-days", "must not be negative")
+        raise table.invalid("warn-days", f"must not be negative, got {terms.warn_days}")
 
 
 def _parse_path(table: ConfigTable, key: str) -> Path | None:
