--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -65,8 +65,8 @@
     """
     document = _read_json(path or environ.get("ROUTER_CONFIG", ""))
     file_values = {key: document.get(key) for key in INSTANCE_KEYS}
-    first_values = previous.file_values if previous is not None else file_values
-    values = _instance_values(file_values, first_values, environ)
+    start_values = previous.file_values if previous is not None else file_values
+    values = _instance_values(file_values, start_values, environ)
     instance_settings = _read_settings(document)
     limits = _read_limits(document.get("limits"))
     settings = _limit_calls(instance_settings, limits)
@@ -90,7 +90,7 @@
         known=known,
         settings=settings,
         operator=operator_settings,
-        file_values=first_values,
+        file_values=start_values,
     )
 
 
@@ -109,7 +109,7 @@
 
 
 def _instance_values(
-    file_values: dict[str, Any], first_values: dict[str, Any], environ: Mapping[str, str]
+    file_values: dict[str, Any], start_values: dict[str, Any], environ: Mapping[str, str]
 ) -> dict[str, Any]:
     """Return the values of INSTANCE_KEYS.
 
@@ -118,7 +118,7 @@
     """
     values = dict[str, Any]()
     for key, file_value in file_values.items():
-        changed = file_value and file_value != first_values[key]
+        changed = file_value and file_value != start_values[key]
         values[key] = file_value if changed else environ.get(f"ROUTER_{key.upper()}") or file_value
     for key, value in values.items():
         if not value and key not in OPTIONAL_KEYS:
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -53,14 +53,14 @@
 def _flatten(value: object, path: str, values: dict[str, str]) -> None:
     """Add `value` to `values` below this path: paths are joined by dots, lists of objects get a count."""
     if isinstance(value, dict):
-        for name, inner in value.items():
-            _flatten(inner, f"{path}.{name}" if path else str(name), values)
-    elif isinstance(value, list) and any(isinstance(inner, dict) for inner in value):
+        for name, item in value.items():
+            _flatten(item, f"{path}.{name}" if path else str(name), values)
+    elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         values[f"{path}.count"] = str(len(value))
-        for index, inner in enumerate(value):
-            _flatten(inner, f"{path}.{index}", values)
+        for index, item in enumerate(value):
+            _flatten(item, f"{path}.{index}", values)
     elif isinstance(value, list):
-        values[path] = ",".join(_format(inner) for inner in value)
+        values[path] = ",".join(_format(item) for item in value)
     elif value is not None:
         values[path] = _format(value)
 
@@ -143,8 +143,8 @@
         )
 
     def _deduplication_scope(self, prefix: str) -> DeduplicationScope:
-        in_all_zones = self.text(prefix + "group", "all") == "all"
-        return DeduplicationScope.ALL if in_all_zones else DeduplicationScope.ZONE
+        covers_all_zones = self.text(prefix + "group", "all") == "all"
+        return DeduplicationScope.ALL if covers_all_zones else DeduplicationScope.ZONE
 
     def kinds(self) -> tuple[DestinationKind, ...]:
         """Return the kinds of destination. Lists shorter than the longest one are padded with defaults."""
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -41,10 +41,10 @@
     partners = list[Partner]()
     for index, row in enumerate(rows):
         partner_table = ConfigTable(row, f"tls.partner.{index}")
-        scope, matched = _parse_scope(partner_table, settings)
-        _check_unique(partner_table, scope, matched, partners)
+        scope, scope_value = _parse_scope(partner_table, settings)
+        _check_unique(partner_table, scope, scope_value, partners)
         partner_table.unread = {**defaults, **partner_table.unread}
-        partners.append(Partner(scope, matched, _parse_terms(partner_table)))
+        partners.append(Partner(scope, scope_value, _parse_terms(partner_table)))
     if not partners:
         raise ConfigError("tls.partner: at least one is needed; [tls] alone does not enable TLS")
     for index, partner in enumerate(partners):
@@ -52,10 +52,10 @@
     return TlsSettings(tuple(partners))
 
 
-def _check_unique(table: ConfigTable, scope: Scope, matched: str, partners: list[Partner]) -> None:
+def _check_unique(table: ConfigTable, scope: Scope, scope_value: str, partners: list[Partner]) -> None:
     for index, other in enumerate(partners):
-        if (other.scope, other.value) == (scope, matched):
-            raise table.invalid(scope.value, f"{matched} is matched by tls.partner.{index}, too")
+        if (other.scope, other.value) == (scope, scope_value):
+            raise table.invalid(scope.value, f"{scope_value} is matched by tls.partner.{index}, too")
 
 
 def parse_broker_tls(value: object, environ: Mapping[str, str]) -> Partner:
@@ -85,13 +85,13 @@
     scope = scopes[0]
     if scope is Scope.DEST:
         return scope, str(table.get("dest", int))
-    matched = table.get(scope.value, str)
-    kinds = [kind.name for kind in settings.kinds] if settings is not None else [matched]
-    if scope is Scope.KIND and matched not in kinds:
-        raise table.invalid("kind", f"not a kind in the settings: {matched!r}")
-    if not matched:
+    scope_value = table.get(scope.value, str)
+    kinds = [kind.name for kind in settings.kinds] if settings is not None else [scope_value]
+    if scope is Scope.KIND and scope_value not in kinds:
+        raise table.invalid("kind", f"not a kind in the settings: {scope_value!r}")
+    if not scope_value:
         raise table.invalid(scope.value, "must not be empty")
-    return scope, matched
+    return scope, scope_value
 
 
 def _parse_terms(table: ConfigTable) -> Terms:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def faulty(path: str, value: object) -> dict[str, Any]:
+def settings_with(path: str, value: object) -> dict[str, Any]:
     """Return the settings with the value at `path` changed, or removed if the new value is None."""
     settings: Any = json.loads(json.dumps(SETTINGS))
     *parents, key = path.split(".")
@@ -45,7 +45,7 @@
 )
 def test_a_faulty_setting_is_named(tmp_path: Path, path: str, value: object, message: str) -> None:
     file = Path(write(tmp_path, 6379, 8500, [])[0])
-    file.write_text(json.dumps({**json.loads(file.read_text()), "settings": faulty(path, value)}))
+    file.write_text(json.dumps({**json.loads(file.read_text()), "settings": settings_with(path, value)}))
     with pytest.raises(config.ConfigError) as error:
         config.read({}, str(file))
     assert str(error.value).startswith(message)
@@ -115,22 +115,22 @@
 
 def test_variables_win_over_the_file_and_the_shipped_files_are_sound() -> None:
     example = str(ROOT / "example" / "config.json")
-    read = config.read({"ROUTER_LISTEN": "127.0.0.2:7", "ROUTER_STATE": "elsewhere"}, example)
-    assert (str(read.listen), str(read.state)) == ("127.0.0.2:7", "elsewhere")
-    assert read.operator.mqtt is None, "nothing is on by itself"
-    assert read.operator.health is None, "nothing is on by itself"
-    operator = (ROOT / "deploy" / "mqtt.toml").read_text()
+    loaded = config.read({"ROUTER_LISTEN": "127.0.0.2:7", "ROUTER_STATE": "elsewhere"}, example)
+    assert (str(loaded.listen), str(loaded.state)) == ("127.0.0.2:7", "elsewhere")
+    assert loaded.operator.mqtt is None, "nothing is on by itself"
+    assert loaded.operator.health is None, "nothing is on by itself"
+    operator_file = (ROOT / "deploy" / "mqtt.toml").read_text()
     operator_settings = config.read_operator(
-        str(ROOT / "deploy" / "mqtt.toml"), "n", _named(read, "small-partner"), {}
+        str(ROOT / "deploy" / "mqtt.toml"), "n", _with_kind(loaded, "small-partner"), {}
     )
     assert operator_settings.mqtt is not None
-    assert "print-shop" in operator
+    assert "print-shop" in operator_file
     assert operator_settings.mqtt.endpoints[0].destination == 7
 
 
 def test_the_shipped_tls_file_is_sound() -> None:
-    read = config.read({}, str(ROOT / "example" / "config.json"))
-    tls = config.read_operator(str(ROOT / "deploy" / "tls.toml"), "n", _named(read, "partner"), {}).tls
+    loaded = config.read({}, str(ROOT / "example" / "config.json"))
+    tls = config.read_operator(str(ROOT / "deploy" / "tls.toml"), "n", _with_kind(loaded, "partner"), {}).tls
     assert tls is not None
     assert tls.partners[0].terms.handshakes == 6
 
@@ -147,33 +147,33 @@
     assert config.read(environ, *path, second) == second, "and goes on saying it"
 
 
-def _named(read: config.Config, kind: str) -> Settings:
+def _with_kind(loaded: config.Config, kind: str) -> Settings:
     """Return the settings with a single kind of destination, which has this name."""
-    kinds = (dataclasses.replace(read.settings.kinds[0], name=kind),)
-    return dataclasses.replace(read.settings, kinds=kinds)
+    kinds = (dataclasses.replace(loaded.settings.kinds[0], name=kind),)
+    return dataclasses.replace(loaded.settings, kinds=kinds)
 
 
 def test_the_command_line() -> None:
     runner = CliRunner()
     assert runner.invoke(main, ["version"]).output.strip().count(".") == 2
-    shown = runner.invoke(main, ["check", "--config", str(ROOT / "example" / "config.json")])
-    assert shown.exit_code == 0
-    assert "listens on 127.0.0.1:6379" in shown.output
-    wrong = runner.invoke(main, ["check", "--config", "absent.json"])
-    assert wrong.exit_code == 2
-    assert "ROUTER_CONFIG: cannot read absent.json" in wrong.output
-    nobody = runner.invoke(main, ["send", "127.0.0.1:1", "--dest", "1", "hi"])
-    assert nobody.exit_code == 1
-    assert nobody.output.startswith("Error: ")
-
-
-FLEET = {"view": "127.0.0.1:8600", "zone": "a"}
+    checked = runner.invoke(main, ["check", "--config", str(ROOT / "example" / "config.json")])
+    assert checked.exit_code == 0
+    assert "listens on 127.0.0.1:6379" in checked.output
+    unreadable = runner.invoke(main, ["check", "--config", "absent.json"])
+    assert unreadable.exit_code == 2
+    assert "ROUTER_CONFIG: cannot read absent.json" in unreadable.output
+    unreachable = runner.invoke(main, ["send", "127.0.0.1:1", "--dest", "1", "hi"])
+    assert unreachable.exit_code == 1
+    assert unreachable.output.startswith("Error: ")
+
+
+FLEET_TABLE = {"view": "127.0.0.1:8600", "zone": "a"}
 RESERVE_LEASE: dict[str, Any] = {"reserve-lease": 1}  # shorter than `lease`
 
 
 def fleet_file(regions: str = 'east = ["a", "b"]', **changes: Any) -> str:
     """Return an operator's file with `[fleet]`; keys whose value is None are left out."""
-    values = {**FLEET, **changes}
+    values = {**FLEET_TABLE, **changes}
     lines = [f"{key} = {json.dumps(value)}" for key, value in values.items() if value is not None]
     return "\n".join(["[fleet]", *lines, "[fleet.regions]", regions])
 
@@ -214,6 +214,6 @@
 
 def test_the_fleet_example_can_be_read(tmp_path: Path) -> None:
     path, _ = write(tmp_path, 6379, 8500, [])
-    read = config.read({}, path, str(ROOT / "deploy" / "fleet.toml"))
-    assert read.operator.fleet is not None
-    assert len(read.operator.fleet.zones) == 10
+    loaded = config.read({}, path, str(ROOT / "deploy" / "fleet.toml"))
+    assert loaded.operator.fleet is not None
+    assert len(loaded.operator.fleet.zones) == 10
