--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -1,4 +1,4 @@
-"""The tables `[tls]`, `[[tls.partner]]` and `[mqtt.tls]` of the operator's file."""
+"""Parser of the tables `[tls]`, `[[tls.partner]]` and `[mqtt.tls]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -21,50 +21,52 @@
 )  # fmt: skip
 PARTNER_SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
 MAX_DURATION_SECONDS = DAY // SECOND
-MAX_NAME_LENGTH = 253  # of a host name (RFC 1035)
-PIN_BYTES = 32  # of a SHA-256
+MAX_NAME_LENGTH = 253  # characters of a host name (RFC 1035)
+PIN_BYTES = 32  # length of a SHA-256 digest
 PIN_HEX_DIGITS = 2 * PIN_BYTES
 
 
 def parse_tls(value: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
-    """`[tls]` with its partners; the defaults are in `[tls]` itself. Raises ConfigError.
+    """Return the settings of `[tls]` with its partners. Raises ConfigError.
 
-    Without settings, no kind is known to be wrong.
+    Terms in `[tls]` itself are defaults for each partner. Without `settings`, kinds are not checked.
     """
     table = ConfigTable(value, "tls")
     rows = table.get("partner", list, [])
     defaults = {key: table.unread.pop(key) for key in TERM_KEYS if key in table.unread}
     table.reject_unknown_keys()
-    _parse_terms(ConfigTable(dict(defaults), "tls"))  # an error in the defaults is named as theirs
+    _parse_terms(
+        ConfigTable(dict(defaults), "tls")
+    )  # reports an error in the defaults under `[tls]`, not under a partner
     partners = list[Partner]()
     for index, row in enumerate(rows):
         partner_table = ConfigTable(row, f"tls.partner.{index}")
-        scope, matched = _parse_scope(partner_table, settings)
-        _check_unique(partner_table, scope, matched, partners)
+        scope, scope_value = _parse_scope(partner_table, settings)
+        _check_unique(partner_table, scope, scope_value, partners)
         partner_table.unread = {**defaults, **partner_table.unread}
-        partners.append(Partner(scope, matched, _parse_terms(partner_table)))
+        partners.append(Partner(scope, scope_value, _parse_terms(partner_table)))
     if not partners:
-        raise ConfigError("tls.partner: at least one is needed; [tls] alone turns nothing on")
+        raise ConfigError("tls.partner: at least one is needed; [tls] alone does not enable TLS")
     for index, partner in enumerate(partners):
         check_files(partner, f"tls.partner.{index}", environ)
     return TlsSettings(tuple(partners))
 
 
-def _check_unique(table: ConfigTable, scope: Scope, matched: str, partners: list[Partner]) -> None:
+def _check_unique(table: ConfigTable, scope: Scope, scope_value: str, partners: list[Partner]) -> None:
     for index, other in enumerate(partners):
-        if (other.scope, other.value) == (scope, matched):
-            raise table.invalid(scope.value, f"{matched} is matched by tls.partner.{index}, too")
+        if (other.scope, other.value) == (scope, scope_value):
+            raise table.invalid(scope.value, f"{scope_value} is matched by tls.partner.{index}, too")
 
 
 def parse_broker_tls(value: object, environ: Mapping[str, str]) -> Partner:
-    """`[mqtt.tls]`, with the same keys as a partner's table. Raises ConfigError."""
+    """Return the broker's partner from `[mqtt.tls]`, which has a partner's keys. Raises ConfigError."""
     partner = Partner(Scope.BROKER, "mqtt", _parse_terms(ConfigTable(value, "mqtt.tls")))
     check_files(partner, "mqtt.tls", environ)
     return partner
 
 
 def check_files(partner: Partner, path: str, environ: Mapping[str, str]) -> None:
-    """Raise ConfigError where a partner's files cannot be used, naming the key and the file."""
+    """Raise ConfigError, naming the key and the file, if a partner's files cannot be used."""
     try:
         from honeyhitch.tls import material
     except ImportError as error:
@@ -76,20 +78,20 @@
 
 
 def _parse_scope(table: ConfigTable, settings: Settings | None) -> tuple[Scope, str]:
-    """By what a partner's table is matched, and the value that it matches."""
+    """Return the scope of a partner's table and the value that it matches in that scope."""
     scopes = [scope for scope in PARTNER_SCOPES if scope.value in table.unread]
     if len(scopes) != 1:
         raise ConfigError(f"{table.path}: expected exactly one of member, dest and kind")
     scope = scopes[0]
     if scope is Scope.DEST:
         return scope, str(table.get("dest", int))
-    matched = table.get(scope.value, str)
-    kinds = [kind.name for kind in settings.kinds] if settings is not None else [matched]
-    if scope is Scope.KIND and matched not in kinds:
-        raise table.invalid("kind", f"not a kind in the settings: {matched!r}")
-    if not matched:
+    scope_value = table.get(scope.value, str)
+    kinds = [kind.name for kind in settings.kinds] if settings is not None else [scope_value]
+    if scope is Scope.KIND and scope_value not in kinds:
+        raise table.invalid("kind", f"not a kind in the settings: {scope_value!r}")
+    if not scope_value:
         raise table.invalid(scope.value, "must not be empty")
-    return scope, matched
+    return scope, scope_value
 
 
 def _parse_terms(table: ConfigTable) -> Terms:
@@ -122,9 +124,11 @@
     if terms.handshakes < 1:
         raise table.invalid("handshakes", f"expected at least 1, got {terms.handshakes}")
     if not 0 < terms.handshake_rate < math.inf:
-        raise table.invalid("handshake-rate", f"expected more than 0, got {terms.handshake_rate:g}")
+        raise table.invalid(
+            "handshake-rate", f"expected more than 0 and finite, got {terms.handshake_rate:g}"
+        )
     if terms.warn_days < 0:
-        raise table.invalid("warn-days", "must not be negative")
+        raise table.invalid("warn-days", f"must not be negative, got {terms.warn_days}")
 
 
 def _parse_path(table: ConfigTable, key: str) -> Path | None:
@@ -135,7 +139,7 @@
 
 
 def _parse_duration(table: ConfigTable, key: str, default: int) -> int:
-    """A duration in nanoseconds, from seconds; the default is in nanoseconds."""
+    """Return a duration in nanoseconds. The file gives it in seconds; the default is in nanoseconds."""
     seconds = table.seconds(key, default)
     if not 0 < seconds <= MAX_DURATION_SECONDS:
         raise table.invalid(key, f"expected seconds above 0 and at most a day, got {seconds:g}")
@@ -156,7 +160,7 @@
 
 
 def _parse_pin(value: object, path: str) -> bytes:
-    """SHA-256 in base64 or hexadecimal digits, with or without `sha256/` before it."""
+    """Return the bytes of a SHA-256 digest given in base64 or hexadecimal, with an optional `sha256/`."""
     text = value.removeprefix("sha256/") if isinstance(value, str) else ""
     try:
         is_hex = len(text) == PIN_HEX_DIGITS
--- a/honeyhitch/simulator_host/host.py
+++ b/honeyhitch/simulator_host/host.py
@@ -1,4 +1,4 @@
-"""Hosts instances of the policy for a simulator: collects the events of a batch, and writes their actions."""
+"""Hosts policy instances for a simulator: collects the events of a batch and writes the resulting actions."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 )
 
 log = logs.get()
-PAGES = 16
-MAX_QUOTED_LENGTH = 80  # characters of a wrong line in its error
+PAGE_COUNT = 16  # number of endpoint-list pages that `ledger` lines may define
+MAX_QUOTED_LENGTH = 80  # characters of an invalid line that its error quotes
 
 
 class Instance:
-    """One hosted policy, and what is remembered for it."""
+    """A hosted policy with its report fields and the events that it has not handled yet."""
 
     def __init__(self, policy: DeliveryPolicy, report_fields: tuple[str, ...]) -> None:
         self.policy = policy
@@ -47,15 +47,15 @@
 
 
 class Batch(NamedTuple):
-    """The batch that is being read."""
+    """The batch whose lines are being read."""
 
-    now: int  # ns
-    number: str  # as it was written
+    now: int  # the simulator's clock in nanoseconds
+    number: str  # as written in the `tick` line
 
 
 @dataclass
 class IncompletePage:
-    """A page of the endpoint list whose lines are being read."""
+    """A page of the endpoint list that still lacks some of its `endpoint` lines."""
 
     number: int
     size: int
@@ -63,22 +63,19 @@
 
     @property
     def missing(self) -> int:
-        """How many lines are still to come."""
+        """The number of `endpoint` lines that have not been read yet."""
         return self.size - len(self.listings)
 
 
-class LineReader(NamedTuple):
-    """What reads the lines of one name."""
+class LineHandler(NamedTuple):
+    """The number of values of a line with a given name, and the function that handles them."""
 
     value_count: int
-    read: Callable[[list[str]], object]
+    handle: Callable[[list[str]], object]
 
 
 class Host:
-    """All instances of this process; it reads batches and writes replies.
-
-    `handle_line` raises ConfigError, or its subclass WireError, for a line that the wire does not allow.
-    """
+    """All policy instances of this process. It reads batches of events and writes replies to `output`."""
 
     def __init__(self, output: TextIO) -> None:
         self.instances: dict[str, Instance] = {}
@@ -87,28 +84,33 @@
         self._incomplete_page: IncompletePage | None = None
         self._batch: Batch | None = None
         self._clock = 0
-        self._addressed: dict[str, None] = {}  # instances with an event in this batch, in order
-        self._readers = {
-            "ledger": LineReader(2, self._start_page),
-            "endpoint": LineReader(7, self._add_listing),
-            "down": LineReader(1, self._stop),
-            "membership": LineReader(4, self._update_list),
-            "arrival": LineReader(9, lambda values: self._add(values[0], parse_arrival(values))),
-            "returned": LineReader(9, self._end_attempt),
-            "abandoned": LineReader(2, lambda values: self._add(values[0], MessageWithdrawn(values[1]))),
-            "fired": LineReader(2, lambda values: self._add(values[0], TimerFired())),
-            "accepted": LineReader(5, lambda values: self._address(values[0])),
-            "health_result": LineReader(5, self._read_health_result),
-            "note_from": LineReader(3, lambda values: self._address(values[0])),
+        self._deciding_instances: dict[str, None] = {}  # names, in the order of their first line in a batch
+        self._line_handlers = {
+            "ledger": LineHandler(2, self._start_page),
+            "endpoint": LineHandler(7, self._add_listing),
+            "down": LineHandler(1, self._stop_instance),
+            "membership": LineHandler(4, self._queue_list_update),
+            "arrival": LineHandler(9, lambda values: self._queue_event(values[0], parse_arrival(values))),
+            "returned": LineHandler(9, self._queue_attempt_end),
+            "abandoned": LineHandler(
+                2, lambda values: self._queue_event(values[0], MessageWithdrawn(values[1]))
+            ),
+            "fired": LineHandler(2, lambda values: self._queue_event(values[0], TimerFired())),
+            "accepted": LineHandler(5, lambda values: self._select_instance(values[0])),
+            "health_result": LineHandler(5, self._check_health_result),
+            "note_from": LineHandler(3, lambda values: self._select_instance(values[0])),
         }
 
     @property
     def in_batch(self) -> bool:
-        """Whether a batch was started and not committed."""
+        """Whether a batch has been started and not committed yet."""
         return self._batch is not None
 
     def handle_line(self, line: str) -> None:
-        """Handle one line of input."""
+        """Handle one line of input.
+
+        Raises ConfigError, or its subclass WireError, for a line that the wire does not allow.
+        """
         name, *values = line.split(" ")
         if self._batch is None:
             if line:
@@ -119,15 +121,15 @@
             raise WireError(f"expected {missing} more 'endpoint' lines, got {line[:MAX_QUOTED_LENGTH]!r}")
         if name == "commit":
             if values:
-                raise WireError("expected 'commit' alone")
+                raise WireError(f"commit: expected no values, got {len(values)}")
             self._commit(self._batch)
         elif name == "power_on":
-            self._start(values)
-        elif name in self._readers:
-            reader = self._readers[name]
-            if len(values) != reader.value_count:
-                raise WireError(f"{name}: expected {reader.value_count} values, got {len(values)}")
-            reader.read(values)
+            self._start_instance(values)
+        elif name in self._line_handlers:
+            handler = self._line_handlers[name]
+            if len(values) != handler.value_count:
+                raise WireError(f"{name}: expected {handler.value_count} values, got {len(values)}")
+            handler.handle(values)
         else:
             raise WireError(f"expected an event or 'commit', got {line[:MAX_QUOTED_LENGTH]!r}")
 
@@ -138,24 +140,27 @@
         number = values[1]
         parse_integer(number, "batch number")
         if now < self._clock:
-            raise WireError("clock: expected a time not before the last batch's")
+            raise WireError(f"clock: expected at least {self._clock}, the last batch's clock, got {now}")
         self._clock = now
         self._batch = Batch(now, number)
 
-    def _address(self, name: str) -> Instance:
-        """The running instance of this name, which may act in this batch."""
+    def _select_instance(self, name: str) -> Instance:
+        """Return the running instance of this name and let it decide when the batch is committed.
+
+        Raises WireError if no instance of this name is running.
+        """
         instance = self.instances.get(name)
         if instance is None:
             raise WireError(f"expected the name of a running instance, got {name!r}")
-        self._addressed[name] = None
+        self._deciding_instances[name] = None
         return instance
 
-    def _add(self, name: str, event: Event) -> None:
-        self._address(name).events.append(event)
+    def _queue_event(self, name: str, event: Event) -> None:
+        self._select_instance(name).events.append(event)
 
-    def _start(self, values: list[str]) -> None:
+    def _start_instance(self, values: list[str]) -> None:
         if len(values) < 2:
-            raise WireError("power_on: expected an instance, a seed and settings")
+            raise WireError(f"power_on: expected an instance, a seed and settings, got {len(values)} values")
         name, seed, *pairs = values
         try:
             settings = SettingsReader.from_pairs(pairs).settings()
@@ -163,59 +168,61 @@
             raise WireError(f"power_on: {error}") from error
         policy = DeliveryPolicy(settings, parse_integer(seed, "seed"))
         self.instances[name] = Instance(policy, settings.report_fields)
-        self._addressed[name] = None
+        self._deciding_instances[name] = None
 
-    def _stop(self, values: list[str]) -> None:
+    def _stop_instance(self, values: list[str]) -> None:
         name = values[0]
-        self._address(name)
+        self._select_instance(name)
         del self.instances[name]
-        del self._addressed[name]
+        del self._deciding_instances[name]
 
     def _start_page(self, values: list[str]) -> None:
         page = parse_integer(values[0], "page")
         size = parse_integer(values[1], "hosts")
-        if not 0 <= page < PAGES or size < 0:
-            raise WireError(f"ledger: expected a page from 0 to {PAGES - 1} and a count, got {page} {size}")
+        if not 0 <= page < PAGE_COUNT or size < 0:
+            raise WireError(
+                f"ledger: expected a page from 0 to {PAGE_COUNT - 1} and a size from 0, got {page} {size}"
+            )
         self._pages[page] = ()
         self._incomplete_page = IncompletePage(page, size) if size else None
 
     def _add_listing(self, values: list[str]) -> None:
         page = self._incomplete_page
         if page is None:
-            raise WireError("endpoint: expected only inside a ledger")
+            raise WireError("endpoint: expected a 'ledger' line before it that announces this endpoint")
         page.listings.append(parse_listing(values))
         if not page.missing:
             self._pages[page.number] = tuple(page.listings)
             self._incomplete_page = None
 
-    def _update_list(self, values: list[str]) -> None:
+    def _queue_list_update(self, values: list[str]) -> None:
         mode = parse_update_mode(values[1])
         if mode is UpdateMode.FAILED:
-            self._add(values[0], EndpointListUpdate(mode))
+            self._queue_event(values[0], EndpointListUpdate(mode))
             return
         page = parse_integer(values[2], "page")
         if page not in self._pages:
-            raise WireError(f"membership: expected the page of an earlier ledger, got {page}")
-        self._add(values[0], EndpointListUpdate(mode, self._pages[page]))
+            raise WireError(f"membership: expected a page that an earlier 'ledger' line defined, got {page}")
+        self._queue_event(values[0], EndpointListUpdate(mode, self._pages[page]))
 
-    def _end_attempt(self, values: list[str]) -> None:
-        instance = self._address(values[0])
+    def _queue_attempt_end(self, values: list[str]) -> None:
+        instance = self._select_instance(values[0])
         instance.events.append(parse_attempt_ended(values, instance.report_fields))
 
-    def _read_health_result(self, values: list[str]) -> None:
-        self._address(values[0])
+    def _check_health_result(self, values: list[str]) -> None:
+        self._select_instance(values[0])
         check_health_result(values)
 
     def _commit(self, batch: Batch) -> None:
-        """Let each instance with an event decide, and write the reply."""
+        """Let each selected instance handle its events, write the reply and end the batch."""
         lines: list[str] = []
-        for name in self._addressed:
+        for name in self._deciding_instances:
             lines += self._decide(name, batch.now)
         lines.append(format_ready(batch.number))
         self._output.write("\n".join(lines))
         self._output.flush()
         self._batch = None
-        self._addressed = {}
+        self._deciding_instances = {}
 
     def _decide(self, name: str, now: int) -> list[str]:
         instance = self.instances[name]
@@ -225,14 +232,17 @@
         try:
             for action in instance.policy.handle(now, events):
                 lines.append(format_action(name, action))
-        except Exception as error:  # the wire reports whatever a policy raises, and goes on
+        except Exception as error:  # any error of a policy is reported on the wire; the host continues
             log.exception("policy.failed", instance=name)
             lines.append(format_policy_error(name, error))
         return lines
 
 
 def main() -> int:
-    """Run until the input ends; 0 at the end of a batch, 1 on a line that the wire does not allow."""
+    """Handle standard input until it ends.
+
+    Returns 0 if the input ended between batches, and 1 if it ended inside a batch or held an invalid line.
+    """
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     host = Host(sys.stdout)
@@ -241,7 +251,7 @@
         for line_number, line in enumerate(sys.stdin, 1):
             host.handle_line(line.rstrip("\n"))
         if host.in_batch:
-            raise WireError("the input ended inside a batch, expected 'commit'")
+            raise WireError("end of input inside a batch: expected 'commit'")
     except (ConfigError, UnicodeDecodeError) as error:
         log.error("input.line-rejected", line=line_number, error=str(error))
         return 1
