--- a/honeyhitch/protocols/__init__.py
+++ b/honeyhitch/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Wire protocols as sans-I/O state machines: they are fed bytes, and open no socket."""
+"""Wire protocols as sans-I/O state machines, which are fed bytes and never open a socket."""
--- a/honeyhitch/protocols/agent_check.py
+++ b/honeyhitch/protocols/agent_check.py
@@ -16,20 +16,23 @@
 
 
 def weight_percent(state: DispatcherState) -> int:
-    """The unused part of the message limit; at least 1 per cent, as 0 would mean drain."""
+    """Return the unused percentage of the message limit, at least 1 because HAProxy takes 0 for a drain."""
     used = PERCENT * state.message_count // max(1, state.max_messages)
     return max(1, PERCENT - used)
 
 
 def encode_agent_state(state: DispatcherState) -> bytes:
-    """The line of HAProxy's agent-check: `ready` ends an earlier drain, the percentage sets the weight."""
+    """Return the agent-check reply line.
+
+    For HAProxy `ready` ends an earlier drain, and the percentage sets the weight of the server.
+    """
     if state.phase is Phase.READY:
         return b"up ready %d%%\n" % weight_percent(state)
     return b"down #not serving\n" if state.phase is Phase.DOWN else b"drain\n"
 
 
 class AgentSession:
-    """One agent-check: a line at once, whatever was sent, then the connection is closed."""
+    """One agent-check connection: it sends the state immediately, ignores all input, and is closed."""
 
     forward = None
 
@@ -40,13 +43,16 @@
         self.has_partial_request = False
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Input is discarded."""
+        """Discard the input and return no reply."""
         buffer.consume_all()
         return b""
 
 
 class HealthSession:
-    """Health over HTTP: `/health` says whether to send messages here, `/live` that the process runs."""
+    """One connection for health checks over HTTP.
+
+    `/health` returns 200 if this instance accepts messages and 503 if not; `/live` always returns 200.
+    """
 
     greeting = b""
     forward = None
@@ -56,13 +62,13 @@
         self.closing = False
         self.has_more_requests = False
         self.has_partial_request = False
-        self.request_bytes = 0  # since the last complete request
+        self.request_bytes = 0  # bytes received since the last complete request
         self.parser = httptools.HttpRequestParser(self)
         self.path = b""
         self.replies: list[bytes] = []
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Responses to the complete requests."""
+        """Return the responses to the requests that are complete."""
         data = buffer.consume_all()
         self.request_bytes += len(data)
         try:
@@ -90,14 +96,14 @@
         head = "\r\n".join([*lines, "", ""]).encode()
         self.replies.append(head + (body if with_body else b""))
 
-    # Callbacks of httptools.
+    # Callbacks that httptools calls by name.
 
     def on_url(self, url: bytes) -> None:
-        """Some bytes of the request target."""
+        """Append a part of the request target."""
         self.path += url
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Respond to a request that is complete."""
         path = self.path.partition(b"?")[0]
         self.path = b""
         self.request_bytes = 0
--- a/honeyhitch/protocols/buffer.py
+++ b/honeyhitch/protocols/buffer.py
@@ -1,20 +1,20 @@
-"""The receive buffer of a connection: it grows on demand and is compacted in place."""
+"""The receive buffer of a connection, which grows on demand and is compacted in place."""
 
 from __future__ import annotations
 
 INITIAL_CAPACITY = 4096  # bytes
-MIN_READ_SPACE = 2048  # bytes that every read is offered at least
-DEFAULT_LIMIT = 1 << 20  # bytes that a connection may leave unread
+MIN_READ_SPACE = 2048  # minimum number of free bytes offered to a read
+DEFAULT_LIMIT = 1 << 20  # maximum number of unread bytes of a connection
 
 
 class BufferOverflowError(Exception):
-    """The connection holds more unread bytes than its limit allows."""
+    """The unread bytes of a connection have reached the limit of its buffer."""
 
 
 class Buffer:
-    """Received bytes that are not consumed yet: `data[start:end]`.
+    """Received bytes that are not consumed yet, in `data[start:end]`.
 
-    `limit` is the largest number of bytes that it holds.
+    `limit` is the maximum number of bytes that the buffer holds.
     """
 
     __slots__ = ("data", "end", "limit", "start")
@@ -26,13 +26,14 @@
         self.limit = limit
 
     def __len__(self) -> int:
-        """The number of unread bytes."""
+        """Return the number of unread bytes."""
         return self.end - self.start
 
     def free_space(self) -> memoryview:
-        """Writable space after the unread bytes, for a read to fill; call `advance` afterwards.
+        """Return the writable space after the unread bytes; the caller fills it and then calls `advance`.
 
-        Release the view before the buffer is used again. Raises BufferOverflowError at the limit.
+        The caller must release the view before it uses the buffer again. Raise BufferOverflowError if the
+        limit is reached.
         """
         if len(self.data) - self.end < MIN_READ_SPACE and self.start:
             unread = self.end - self.start
@@ -46,11 +47,11 @@
         return memoryview(self.data)[self.end :]
 
     def advance(self, count: int) -> None:
-        """Count as received the first `count` bytes of the free space."""
+        """Add the first `count` bytes of the free space to the unread bytes."""
         self.end += count
 
     def feed(self, data: bytes) -> None:
-        """Append bytes, for protocols that are layered on another one, and for tests."""
+        """Append bytes that were not read from a socket (protocols layered on another one, tests)."""
         while data:
             with self.free_space() as space:
                 count = min(len(space), len(data))
@@ -59,26 +60,26 @@
             data = data[count:]
 
     def find(self, pattern: bytes, offset: int = 0, limit: int | None = None) -> int:
-        """The position of `pattern` among the unread bytes, or -1.
+        """Return the position of `pattern` relative to the first unread byte, or -1.
 
-        The search starts at `offset` and covers `limit` bytes, or all.
+        The search starts at `offset` and covers `limit` bytes, or all remaining bytes.
         """
         end = self.end if limit is None else min(self.end, self.start + offset + limit)
         position = self.data.find(pattern, self.start + offset, end)
         return position - self.start if position >= 0 else -1
 
     def peek(self, offset: int, count: int) -> bytes:
-        """A copy of up to `count` unread bytes from `offset`, which stay in the buffer."""
+        """Return a copy of up to `count` unread bytes from `offset`; the bytes stay in the buffer."""
         return bytes(self.data[self.start + offset : min(self.end, self.start + offset + count)])
 
     def consume(self, count: int) -> None:
-        """Discard `count` bytes from the start."""
+        """Discard the first `count` unread bytes."""
         self.start += count
         if self.start >= self.end:
             self.start = self.end = 0
 
     def consume_all(self) -> bytes:
-        """All unread bytes; the buffer is empty afterwards."""
+        """Return all unread bytes and empty the buffer."""
         data = self.peek(0, len(self))
         self.consume(len(self))
         return data
--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -1,6 +1,6 @@
 """Calls to endpoints over HTTP: encodes one message or a batch, and interprets the response as outcomes.
 
-The header and status names of the platform's protocol are mapped to the program's terms here.
+This module maps the header and status names of the platform's protocol to the terms of this program.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from honeyhitch.protocols import http1
 from honeyhitch.time_units import HOUR, MILLISECOND, SECOND
 
-MAX_RETRY_AFTER = HOUR  # ns; a longer Retry-After is reduced to this
+MAX_RETRY_AFTER = HOUR  # ns; a longer Retry-After is reduced to this limit
 SERVICE_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE.value
 OUTCOME_BY_STATUS = {
     http1.OK: Outcome.DELIVERED,
@@ -23,8 +23,8 @@
     HTTPStatus.GATEWAY_TIMEOUT.value: Outcome.NOT_SENT,
     HTTPStatus.GONE.value: Outcome.NOT_SENT,
 }
-FINAL_STATUSES = (http1.OK, HTTPStatus.GONE.value)  # no further attempt is due
-# The outcome of one message of a batch, and whether no further attempt is due.
+FINAL_STATUSES = (http1.OK, HTTPStatus.GONE.value)  # the message is concluded: no further attempt is made
+# The outcome of one message of a batch, and whether it concludes the message (no further attempt is made).
 BATCH_RESULT_BY_STATUS = {
     "accepted": (Outcome.DELIVERED, True),
     "fault": (Outcome.ERROR, False),
@@ -33,13 +33,17 @@
     "no_more": (Outcome.NOT_SENT, False),
 }
 UNKNOWN_BATCH_RESULT = (Outcome.ERROR, False)
-# Decimals are not limited: a float that is written out may have 17 of them, and more.
-LOAD_FIGURE = re.compile(r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII)  # a larger number is not a load figure
-RETRY_AFTER_SECONDS = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)  # any length: a huge pause is still one
+# The number of decimals is not limited: the text of a float may have 17 of them, and more.
+LOAD_FIGURE = re.compile(
+    r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII
+)  # a number of more than 12 digits is not a load figure
+RETRY_AFTER_SECONDS = re.compile(
+    r"\d+(\.\d*)?|\.\d+", re.ASCII
+)  # any length: a very long pause is valid, too
 
 
 def encode_call(messages: list[Transaction], timeout: int, host: str) -> bytes:
-    """The request of one call; `timeout` in nanoseconds is announced to the endpoint."""
+    """Return the request of one call, which announces `timeout` (in nanoseconds) to the endpoint."""
     headers = {"X-Remaining": f"{max(1, timeout // MILLISECOND)}m"}
     if len(messages) > 1:
         return http1.encode_request("POST", "/v1/messages:batch", host, headers, encode_batch_body(messages))
@@ -51,7 +55,7 @@
 
 
 def encode_batch_body(messages: list[Transaction]) -> bytes:
-    """Several messages, each as a line `id key length` and its body."""
+    """Return a batch body: for each message a line `id key length`, followed by its body."""
     return b"".join(
         f"{message.id} {message.key or '-'} {len(message.body)}\r\n".encode() + message.body + b"\r\n"
         for message in messages
@@ -59,7 +63,10 @@
 
 
 def parse_retry_after(headers: dict[str, str]) -> int:
-    """Retry-After in nanoseconds, 0 if it is missing or malformed. Header names are in lower case."""
+    """Return Retry-After in nanoseconds, or 0 if it is missing or malformed.
+
+    The names in `headers` are in lower case.
+    """
     text = headers.get("retry-after", "").strip()
     if not RETRY_AFTER_SECONDS.fullmatch(text):
         return 0
@@ -67,7 +74,7 @@
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """The figures of a load report `name=number,...`; malformed ones are skipped."""
+    """Return the figures of a load report `name=number,...`; malformed figures are skipped."""
     fields = (field.strip().partition("=") for field in text.split(","))
     return {name: float(value) for name, _, value in fields if LOAD_FIGURE.fullmatch(value)}
 
@@ -75,7 +82,7 @@
 def interpret_response(
     response: http1.Response, messages: list[Transaction], first_on_connection: bool = False
 ) -> CallResult:
-    """What a response says of each message of the call.
+    """Return the result of a call from its response, with an outcome for each message.
 
     `first_on_connection`: the call was the first on its connection. Only then can a rejection mean that the
     endpoint's connection limit is reached.
@@ -88,7 +95,7 @@
     if status == http1.OK and len(messages) > 1:
         result.outcomes = _batch_outcomes(response.body, messages)
     if response.has_trailing_data:
-        # A malformed length looks the same, so a statement that nothing was executed proves nothing.
+        # A wrong body length also causes trailing data, so an outcome of "not executed" is not reliable.
         result.outcomes = [
             (Outcome.RESET, False) if outcome.proves_not_executed else (outcome, final)
             for outcome, final in result.outcomes
@@ -101,7 +108,10 @@
 
 
 def _batch_outcomes(body: bytes, messages: list[Transaction]) -> list[tuple[Outcome, bool]]:
-    """The outcomes in the order of `messages`; one that the response omits may have been executed."""
+    """Return the outcomes of a batch in the order of `messages`.
+
+    A message that the response omits may have been executed, so it counts as an error.
+    """
     lines = (line.split() for line in body.decode("latin-1").splitlines())
     statuses = {fields[0]: fields[1] for fields in lines if len(fields) >= 2}
     return [
@@ -110,16 +120,20 @@
 
 
 def _is_connection_limited(response: http1.Response, result: CallResult) -> bool:
-    """Only an endpoint without room for the connection itself closes it and has no load to report."""
+    """Return whether the endpoint rejected the connection because of its connection limit.
+
+    Only such a rejection closes the connection without a Retry-After and without a load report.
+    """
     closes = response.headers.get("connection", "").strip().lower() == "close"
     says_nothing_else = not result.retry_after and not result.reported
     return response.status == SERVICE_UNAVAILABLE and closes and says_nothing_else
 
 
 def interpret_failure(status: int, messages: list[Transaction], outcome: Outcome) -> CallResult:
-    """The result of a call without a complete response, which may have been executed.
+    """Return the result of a call that may have been executed but has no complete response.
 
-    `status` is that of an incomplete response, or 0. Only a 200 for a single message counts.
+    `status` is the status code of the incomplete response, or 0 if none was received. A 200 for a call with a
+    single message counts as delivered; otherwise every message has the given `outcome`.
     """
     if status == http1.OK and len(messages) == 1:
         return CallResult.uniform(Outcome.DELIVERED, 1, True)
--- a/honeyhitch/protocols/control.py
+++ b/honeyhitch/protocols/control.py
@@ -1,4 +1,4 @@
-"""The server's side of the control socket's protocol: HTTP/1.1 (RFC 9112) with JSON, without I/O.
+"""The server side of the control socket's protocol, without I/O: HTTP/1.1 (RFC 9112) with JSON bodies.
 
 Features add commands by registering a method, a path and a handler in a `CommandRegistry`.
 """
@@ -13,14 +13,14 @@
 
 import httptools
 
-MAX_HEAD_BYTES = 16_384  # bytes of a request's first line and headers
+MAX_HEAD_BYTES = 16_384  # bytes of the request line and the headers
 MAX_BODY_BYTES = 1 << 20
-MAX_LENGTH_DIGITS = 20  # of a Content-Length that are looked at
+MAX_LENGTH_DIGITS = 20  # digits of a Content-Length that are parsed; any further ones are ignored
 RESPONSE_HEADERS = {"Content-Type": "application/json", "Cache-Control": "no-store"}
 
 
 class ControlError(Exception):
-    """A request that is answered with this HTTP status and reason."""
+    """An error that is sent to the client of the control socket as an HTTP status and a reason."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlRequest:
-    """One request; `actor` is the name of the user at the other end of the socket."""
+    """One request; `actor` is the name of the user who connected to the socket."""
 
     method: str
     path: str
@@ -48,14 +48,17 @@
         self.handlers: dict[str, dict[str, Handler]] = {}
 
     def add(self, method: str, path: str, handler: Handler) -> None:
-        """Register a handler. Raises ValueError if the method and path have one already."""
+        """Register a handler. Raise ValueError if the method and path already have a handler."""
         by_method = self.handlers.setdefault(path, {})
         if method in by_method:
             raise ValueError(f"{method} {path}: is there already")
         by_method[method] = handler
 
     async def execute(self, request: ControlRequest) -> dict[str, Any]:
-        """Run the handler of a request. Raises ControlError, and whatever the handler raises."""
+        """Run the handler of a request and return its result.
+
+        Raise ControlError if no handler matches; exceptions of the handler are passed to the caller.
+        """
         by_method = self.handlers.get(request.path)
         if by_method is None:
             raise ControlError(HTTPStatus.NOT_FOUND, f"{request.path}: no such path")
@@ -67,7 +70,7 @@
 
 
 def encode_response(status: HTTPStatus, content: dict[str, Any], close: bool = False) -> bytes:
-    """One response; `close` announces that the connection is closed after it."""
+    """Return one encoded response; `close` announces that the connection is closed afterwards."""
     body = json.dumps(content, separators=(",", ":")).encode() + b"\n"
     lines = [f"HTTP/1.1 {status.value} {status.phrase}"]
     lines += [f"{name}: {value}" for name, value in RESPONSE_HEADERS.items()]
@@ -78,12 +81,12 @@
 
 
 class ControlRequestParser:
-    """Parses the requests of one connection; `requests` holds the complete ones, oldest first."""
+    """Parses the requests of one connection; `requests` holds the complete requests, oldest first."""
 
     def __init__(self, actor: str) -> None:
         self.actor = actor
         self.requests: list[ControlRequest] = []
-        self.closing = False  # no further request is read
+        self.closing = False  # no further request is parsed, and the connection has to be closed
         self.parser = httptools.HttpRequestParser(self)
         self._reset()
 
@@ -94,12 +97,16 @@
         self.body_size = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse received bytes. After a ControlError the connection is answered and closed."""
+        """Parse received bytes and append the complete requests to `requests`.
+
+        Raise ControlError for an invalid request; the caller sends it as the response, and closes the
+        connection.
+        """
         self.bytes_received += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # Not offered: this request is answered, and no other (RFC 9110, 7.8).
+            # The upgrade is ignored: this request is answered, and no further one is read (RFC 9110, 7.8).
             self.closing = True
         except httptools.HttpParserCallbackError as error:
             if isinstance(error.__context__, ControlError):
@@ -120,27 +127,27 @@
             reason = f"body: over {MAX_BODY_BYTES} bytes"
             raise self._close_with(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, reason)
 
-    # Callbacks of httptools.
+    # Callbacks that httptools calls by name.
 
     def on_url(self, url: bytes) -> None:
-        """Some bytes of the request target."""
+        """Append a part of the request target. Raise ControlError if the target is too long."""
         self.url += url
         if len(self.url) > MAX_HEAD_BYTES:
             raise self._close_with(HTTPStatus.REQUEST_URI_TOO_LONG, "request: its path is too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field; a body that is announced as too long is rejected at once."""
+        """Raise ControlError if Content-Length is too long, without waiting for the body."""
         if name.lower() == b"content-length" and value.isdigit():
             self._check_body_size(int(value[:MAX_LENGTH_DIGITS]))
 
     def on_body(self, body: bytes) -> None:
-        """Some bytes of the body."""
+        """Append a part of the body. Raise ControlError if the body is too long."""
         self.body_size += len(body)
         self._check_body_size(self.body_size)
         self.body_chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Append the complete request to `requests`. Raise ControlError if its body is not a JSON object."""
         method = self.parser.get_method().decode("latin-1")
         path = self.url.partition(b"?")[0].decode("latin-1")
         text = b"".join(self.body_chunks)
--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery's endpoint list and its watch: encodes the requests, and parses lists and changes from JSON.
+"""Discovery's endpoint list and watch: encodes the requests, and parses lists and changes from JSON.
 
-A list is the body of one response; a watch is a response that stays open and carries one object after
-another.
+A list is the body of one response. A watch is a response that stays open and carries a
+stream of JSON objects.
 """
 
 from __future__ import annotations
@@ -18,14 +18,17 @@
 MAX_QUOTED_LENGTH = 80  # bytes of malformed input that are quoted in an error
 JSON_TOKEN = re.compile(
     rb'"(?:[^"\\]|\\.)*"|[{}\[\]]'
-)  # strings and brackets: enough to find an object's end
+)  # only strings and brackets are needed to find the end of an object
 OPENING_BRACKETS = b"{["
 CLOSING_BRACKETS = b"}]"
 ACCEPT_JSON = {"Accept": "application/json"}
 
 
 class WatchError(Exception):
-    """A malformed or ended list or watch; `status` is the HTTP status, or 0 if that is not the reason."""
+    """A list or watch that is malformed or has ended.
+
+    `status` is the HTTP status if the error is about a response with that status, otherwise 0.
+    """
 
     def __init__(self, message: str, status: int = 0) -> None:
         super().__init__(message)
@@ -33,17 +36,20 @@
 
 
 def encode_list_request(host: str) -> bytes:
-    """The request for the complete list."""
+    """Return the request for the complete list."""
     return http1.encode_request("GET", "/api/targets", host, ACCEPT_JSON)
 
 
 def encode_watch_request(host: str, revision: int) -> bytes:
-    """The request for a watch on all changes after a revision."""
+    """Return the request for a watch on all changes after `revision`."""
     return http1.encode_request("GET", f"/api/targets?stream=1&index={revision}", host, ACCEPT_JSON)
 
 
 def parse_complete_list(response: http1.Response) -> dict[str, Any]:
-    """The list that a response holds, in discovery's form. Raises WatchError."""
+    """Return the list of a response, as decoded from discovery's JSON.
+
+    Raise WatchError for another status than 200, and for a body that is not a JSON object.
+    """
     if response.status != http1.OK:
         raise WatchError(f"list: answered {response.status}", response.status)
     return _parse_object(response.body, "list")
@@ -60,23 +66,28 @@
 
 
 class WatchParser:
-    """Parses one watch: fed bytes, it returns the lists and changes that they complete.
+    """Parses the response of one watch into lists and changes.
 
-    An object may stand on one line or span several lines, none of them empty; empty lines are heartbeats.
-    With `keep_member`, lists may be of any length, and only the members for which it is true are kept.
+    An object may span several lines, none of which is empty; an empty line is a heartbeat. With
+    `keep_member`, a list may have any length, and only the elements of its `members` array for which
+    `keep_member` returns true are kept.
     """
 
     def __init__(self, keep_member: Callable[[dict[str, Any]], bool] | None = None) -> None:
         self.list_parser = ListParser(keep_member) if keep_member is not None else None
         self.partial_line = bytearray()
         self.partial_object = bytearray()
-        self.bracket_depth = 0  # brackets open in the partial object
+        self.bracket_depth = 0  # number of open brackets in the partial object
         self.updates: list[dict[str, Any]] = []
-        self.complete = False  # the response has ended, and its last object was returned
+        self.complete = False  # the response has ended, and its last object has been returned
         self.response_parser = http1.ResponseParser(self._on_body_chunk)
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """Parse received bytes; returns the lists and changes that are complete now. Raises WatchError."""
+        """Parse received bytes and return the lists and changes that they complete.
+
+        Raise WatchError for a malformed response, for another status than 200, and if the response ends
+        without a further object.
+        """
         self.updates = []
         try:
             response = self.response_parser.feed(data)
--- a/honeyhitch/protocols/forwarding.py
+++ b/honeyhitch/protocols/forwarding.py
@@ -1,7 +1,7 @@
-"""Forwarding a message to the instance that owns its destination: the request, and the possible outcomes.
+"""Forwarding of a message to the instance that owns its destination: the request and the possible outcomes.
 
-The request is the `ENQUEUE` that clients send, with the time left for the message and the field `via`, which
-tells the next instance not to forward it again. The owner's reply is relayed unchanged.
+The request is the `ENQUEUE` command that clients send, with the remaining time of the message and the field
+`via`, which tells the owner not to forward the message again. The owner's reply is relayed unchanged.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 from honeyhitch.protocols.resp import FORWARDED_BY_FIELD, MAX_LINE_BYTES
 from honeyhitch.time_units import MILLISECOND
 
-UNUSED_KEY = b"0" * 16  # the first argument, which has no meaning
+UNUSED_KEY = b"0" * 16  # the key argument of ENQUEUE, which has no meaning
 MAX_QUOTED_LENGTH = 40  # bytes of a malformed reply that are quoted in an error
 
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """The owner's reply, with its line end."""
+    """The owner replied; `reply` includes the line end."""
 
     reply: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class NothingWritten:
-    """No byte of the request was written: another instance may be asked."""
+    """No byte of the request was written, so the message may be forwarded to another instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """Some of the request was written and no reply came: the owner may have accepted the message."""
+    """Part of the request may have been written and no reply was received: the owner may have accepted it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """The request was written to a reused connection, which ended without a byte of a reply.
+    """The request was written to a reused connection, which ended before any byte of a reply.
 
-    A dispatcher may close a connection between two requests. Where the close crosses a request that it has
-    not read, the request is sent once more on a new connection (protocol page). The owner recognizes the
-    message by its id if it has accepted it, so only this owner may be asked again.
+    A dispatcher may close a connection between two requests. If it does so while a request is in transit, the
+    request is sent once more on a new connection (protocol page). The owner recognizes the id of a message
+    that it has accepted already, so the request may be repeated to this owner only.
     """
 
 
@@ -48,9 +48,9 @@
 
 
 def encode_request(settings: Settings, transaction: Transaction, instance: str, now: int) -> bytes | None:
-    """The request as forwarded by `instance`, or None if the message has no time left.
+    """Return the request as forwarded by `instance`, or None if the deadline of the message has passed.
 
-    `now` is a Unix time in nanoseconds; the time since the client submitted the message counts against `d`.
+    `now` is a Unix time in nanoseconds. The field `d` is the time that remains of the client's time limit.
     """
     time_left = (transaction.deadline - now) // MILLISECOND
     if time_left < 1:
@@ -74,13 +74,16 @@
 
 
 class ReplyReader:
-    """Parses the reply of an owner: one line, a simple string or an error."""
+    """Parses the reply of an owner: one line with a RESP simple string or error."""
 
     def __init__(self) -> None:
         self._data = b""
 
     def feed(self, data: bytes) -> bytes | None:
-        """The reply, or None while it is incomplete. Raises ValueError for a malformed one."""
+        """Add received bytes; return the reply once it is complete, before that None.
+
+        Raise ValueError for a malformed reply.
+        """
         self._data += data
         quoted = self._data[:MAX_QUOTED_LENGTH]
         if self._data[:1] not in (b"+", b"-"):
