--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -125,8 +125,8 @@
     Only such a rejection closes the connection without a Retry-After and without a load report.
     """
     closes = response.headers.get("connection", "").strip().lower() == "close"
-    says_nothing_else = not result.retry_after and not result.reported
-    return response.status == SERVICE_UNAVAILABLE and closes and says_nothing_else
+    reports_no_load = not result.retry_after and not result.reported
+    return response.status == SERVICE_UNAVAILABLE and closes and reports_no_load
 
 
 def interpret_failure(status: int, messages: list[Transaction], outcome: Outcome) -> CallResult:
--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -121,8 +121,8 @@
             if line.strip():
                 self._add_line(line)
             elif self.partial_object:
-                begin = bytes(self.partial_object[:MAX_QUOTED_LENGTH])
-                raise WatchError(f"watch: an object that does not end: {begin!r}")
+                excerpt = bytes(self.partial_object[:MAX_QUOTED_LENGTH])
+                raise WatchError(f"watch: an object that does not end: {excerpt!r}")
 
     def _add_line(self, line: bytes) -> None:
         for token in JSON_TOKEN.findall(line):
