--- a/honeyhitch/protocols/buffer.py
+++ b/honeyhitch/protocols/buffer.py
@@ -42,7 +42,7 @@
             self.end = unread
         if len(self.data) - self.end < MIN_READ_SPACE:
             if len(self.data) >= self.limit:
-                raise BufferOverflowError(f"over {self.limit} bytes are unread")
+                raise BufferOverflowError(f"receive buffer: {len(self)} bytes are unread, limit {self.limit}")
             self.data.extend(bytes(min(len(self.data), self.limit - len(self.data))))
         return memoryview(self.data)[self.end :]
 
--- a/honeyhitch/protocols/control.py
+++ b/honeyhitch/protocols/control.py
@@ -51,7 +51,7 @@
         """Register a handler. Raise ValueError if the method and path already have a handler."""
         by_method = self.handlers.setdefault(path, {})
         if method in by_method:
-            raise ValueError(f"{method} {path}: is there already")
+            raise ValueError(f"{method} {path}: a handler is already registered")
         by_method[method] = handler
 
     async def execute(self, request: ControlRequest) -> dict[str, Any]:
--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -51,7 +51,7 @@
     Raise WatchError for another status than 200, and for a body that is not a JSON object.
     """
     if response.status != http1.OK:
-        raise WatchError(f"list: answered {response.status}", response.status)
+        raise WatchError(f"list: expected HTTP status {http1.OK}, got {response.status}", response.status)
     return _parse_object(response.body, "list")
 
 
@@ -114,7 +114,7 @@
     def _split_lines(self, data: bytes) -> None:
         self.partial_line += data
         if len(self.partial_line) + len(self.partial_object) > MAX_LIST_BYTES:
-            raise WatchError("watch: a line is too long")
+            raise WatchError(f"watch: an object is longer than {MAX_LIST_BYTES} bytes")
         *lines, remainder = bytes(self.partial_line).split(b"\n")
         self.partial_line = bytearray(remainder)
         for line in lines:
