--- a/honeyhitch/protocols/discovery_backoff.py
+++ b/honeyhitch/protocols/discovery_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff for requests to discovery, with jitter. Times are in seconds.
+"""Backoff for requests to discovery, with jitter. Times are in seconds; the caller passes in the random generator.
 
 All dispatchers of a fleet may lose their watch at the same moment, and discovery serves only a few lists per
 second. If all dispatchers reconnected at once and requested the complete list, none would get a response.
@@ -11,7 +11,7 @@
 
 from random import Random
 
-# A change counts as known to the dispatcher after this time, even if a watch without data missed it.
+# A change in discovery counts as known to the dispatcher after this time, even if a silent watch missed it.
 NOTIFICATION_DEADLINE_SECONDS = 6.0
 RESPONSE_ALLOWANCE_SECONDS = 1.0  # part of the deadline reserved for a request and its response
 INITIAL_BACKOFF_SECONDS = 0.25  # initial limit of the pause
@@ -20,13 +20,13 @@
 STABLE_WATCH_SECONDS = 5.0  # a watch that lasts at least this long resets the backoff
 START_SPREAD_SECONDS = 0.05  # first requests after a start are spread over this time per instance
 MAX_INSTANCES_WITHOUT_SPREAD = 6
-DRAIN_GRACE_FRACTION = 0.5  # longest pause before a request, as a fraction of the drain grace
+DRAIN_GRACE_FRACTION = 0.5  # maximum fraction of the drain grace that may pass before a request
 HEARTBEAT_TIMEOUT_SECONDS = 5.0  # without data for this long a watch is broken; heartbeats come every 2 s
 # After a silent watch the time until the deadline must cover a pause, a request without a response, and
 # another pause.
 RECOVERY_STEPS = 3
 IMMEDIATE_RETRIES = 2  # number of consecutive failures that are each followed by a retry without a pause
-MAX_COUNTED_FAILURES = 32  # keeps the power of two finite
+MAX_COUNTED_FAILURES = 32  # largest exponent of the power of two, which keeps it finite
 
 
 class ResponseTimeout:
--- a/honeyhitch/protocols/forwarding.py
+++ b/honeyhitch/protocols/forwarding.py
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """Part of the request may have been written and no reply was received: the owner may have accepted it."""
+    """At least part of the request may have been written, but no reply was received.
+
+    The owner may have accepted the message.
+    """
 
 
 @dataclass(frozen=True, slots=True)
--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -1,4 +1,4 @@
-"""The client's side of HTTP/1.1 (RFC 9112): encodes requests, and parses responses with httptools."""
+"""The client side of HTTP/1.1 (RFC 9112): encodes requests, and parses responses with httptools."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 import httptools
 
-MAX_RESPONSE_BYTES = 1 << 20  # bytes of one response that is not streamed, headers included
-MAX_STATUS_LINE_BYTES = 64  # bytes within which the status code must stand
-# As plain numbers: members of an enumeration are slow to look up on a path that each call takes.
+MAX_RESPONSE_BYTES = 1 << 20  # bytes of a response that is not streamed, including its headers
+MAX_STATUS_LINE_BYTES = 64  # leading bytes of a response in which the status code is searched
+# Plain numbers, because looking up enum members is slow and every call uses these statuses.
 OK = HTTPStatus.OK.value
 INTERIM_STATUSES = range(HTTPStatus.CONTINUE.value, HTTPStatus.OK.value)
 STATUS_LINE = re.compile(rb"\s*HTTP/1\.[01] (\d{3})[ \r\n]")
 
 
 class HttpError(Exception):
-    """A response that cannot be parsed, or that is longer than allowed."""
+    """A response that cannot be parsed or is longer than allowed."""
 
 
 def encode_request(
     method: str, path: str, host: str, headers: dict[str, str], body: bytes | None = None
 ) -> bytes:
-    """The bytes of one request; Content-Length is added where there is a body."""
+    """Return the bytes of one request; Content-Length is added if there is a body."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body is not None:
@@ -40,14 +40,14 @@
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)  # names in lower case
     body: bytes = b""
-    has_trailing_data: bool = False  # more bytes followed, although no other request was sent
+    has_trailing_data: bool = False  # more bytes followed, although no further request was sent
 
 
 class ResponseParser:
     """Parses the responses of one connection, one at a time. Call `reset` before each request.
 
-    With `on_body_chunk` a body is streamed to it instead of collected, and has no length limit; otherwise
-    `max_bytes` is the limit of a whole response.
+    With `on_body_chunk`, a body is passed to that callback in chunks and has no length limit. Without it the
+    body is collected, and `max_bytes` is the limit of the response including its headers.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.complete = False
         self.keep_alive = False
         self.headers_complete = False
-        self.has_body_framing = False  # Content-Length or Transfer-Encoding says where the body ends
+        self.has_body_framing = False  # Content-Length or Transfer-Encoding defines the end of the body
         self.bytes_received = 0
         self.first_bytes = b""
 
@@ -73,19 +73,22 @@
     def reusable(self) -> bool:
         """Whether another request may be sent on the connection.
 
-        Not with trailing data: it would be taken for the response to the next request.
+        It may not after trailing data, which would be parsed as the response to the next request.
         """
         return self.keep_alive and not self.response.has_trailing_data
 
     @property
     def status(self) -> int:
-        """The status code, known also where the rest of the response is malformed; 0 until it is certain."""
+        """The status code, also if the rest of the response is malformed; 0 before it was received."""
         if not self.response.status and (found := STATUS_LINE.match(self.first_bytes)) is not None:
             return int(found[1])
         return self.response.status
 
     def feed(self, data: bytes) -> Response | None:
-        """Parse received bytes; returns the response once it is complete. Raises HttpError."""
+        """Parse received bytes; return the response once it is complete, before that None.
+
+        Raise HttpError for a response that is malformed or too long.
+        """
         if self.complete:
             self.response.has_trailing_data = self.response.has_trailing_data or bool(data)
             return self.response
@@ -102,32 +105,35 @@
         return self.response if self.complete else None
 
     def connection_closed(self) -> Response | None:
-        """The peer closed the connection: this completes a response whose body has no stated length."""
+        """Record that the peer closed the connection; return the response if it is complete, otherwise None.
+
+        The close completes a response whose body has neither Content-Length nor Transfer-Encoding.
+        """
         has_open_body = self.headers_complete and not self.has_body_framing
         if not self.complete and self.response.status and has_open_body:
             self.on_message_complete()
             self.keep_alive = False
         return self.response if self.complete else None
 
-    # Callbacks of httptools.
+    # Callbacks that httptools calls by name.
 
     def on_message_begin(self) -> None:
-        """A response begins; a second one is trailing data."""
+        """Handle the start of a response; a second response is trailing data."""
         self.headers_complete = self.headers_complete and self.complete
         self.response.has_trailing_data = self.complete
 
     def on_status(self, _reason_phrase: bytes) -> None:
-        """The status line is complete."""
+        """Store the status code once the status line is complete."""
         if not self.complete:
             self.response.status = self.parser.get_status_code()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field is complete."""
+        """Store one header field; its name is converted to lower case."""
         if not self.complete:
             self.response.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """The header section is complete. Raises HttpError for a body that is announced as too long."""
+        """Store status and body framing after the headers. Raise HttpError if Content-Length is too long."""
         if self.complete:
             return
         self.response.status = self.parser.get_status_code()
@@ -135,17 +141,17 @@
         headers = self.response.headers
         self.has_body_framing = "content-length" in headers or "transfer-encoding" in headers
         if self.on_body_chunk is None and int(headers.get("content-length", "0")) > self.max_bytes:
-            raise HttpError("answer: too long")  # without waiting for the body
+            raise HttpError("answer: too long")  # raised without waiting for the body
 
     def on_body(self, body: bytes) -> None:
-        """Some bytes of the body."""
+        """Collect a part of the body or pass it to `on_body_chunk`."""
         if self.on_body_chunk is not None:
             self.on_body_chunk(body)
         elif not self.complete:
             self.body_chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """The response is complete; an interim one (1xx) is dropped, as the final one follows."""
+        """Complete the response; drop an interim response (1xx), because the final response follows."""
         if self.complete:
             return
         if self.response.status in INTERIM_STATUSES:
--- a/honeyhitch/protocols/list_parser.py
+++ b/honeyhitch/protocols/list_parser.py
@@ -1,7 +1,8 @@
-"""Parses lists in discovery's form incrementally, and keeps only the members that are needed.
+"""Incremental parser of discovery's JSON lists, which keeps only the required rows.
 
-A list with every destination of a large deployment is neither held in memory as a whole nor parsed in one
-turn of the event loop. Each member is decoded by the standard library's JSON decoder once it is complete.
+A row is an element of the `members` array. The list of a large deployment contains every destination, so it
+is neither held in memory as a whole nor parsed in one iteration of the event loop. The standard library's
+JSON decoder decodes each row once it is complete.
 """
 
 from __future__ import annotations
@@ -14,39 +15,40 @@
 
 MEMBERS_START = re.compile(r'"members"\s*:\s*\[')
 MEMBER_SEPARATORS = " \t\r\n,"
-MAX_FRAGMENT_LENGTH = 1 << 16  # characters of one member, or of the text around the members
-MAX_KEPT_MEMBERS = 100_000  # of one list
+MAX_FRAGMENT_LENGTH = 1 << 16  # characters of one row, or of the text before or after the rows
+MAX_KEPT_MEMBERS = 100_000  # rows of one list
 MAX_QUOTED_LENGTH = 80  # characters of malformed input that are quoted in an error
 
 
 class ListError(ValueError):
-    """The input is not a list in discovery's form."""
+    """The input is not a list in discovery's JSON form, or exceeds a limit."""
 
 
 class ListParser:
-    """Fed bytes, it returns each list once it is complete, with the members for which `keep_member` is true.
+    """Parses a stream of lists, and keeps the rows for which `keep_member` returns true.
 
-    `keep_member` is given a member in discovery's form.
+    `keep_member` is called with each row as decoded from JSON.
     """
 
     def __init__(self, keep_member: Callable[[dict[str, Any]], bool]) -> None:
         self.keep_member = keep_member
         self._decoder = json.JSONDecoder()
         self._utf8 = codecs.getincrementaldecoder("utf-8")()
-        self._text = ""  # decoded, and not parsed yet
-        self._head: str | None = None  # of the current list, up to its first member
+        self._text = ""  # decoded from UTF-8 and not parsed yet
+        self._head: str | None = None  # text of the current list before its first row
         self._members_complete = False
         self._members: list[dict[str, Any]] = []
 
     @property
     def unparsed_length(self) -> int:
-        """Characters that are kept until more of the list comes."""
+        """The number of characters that are buffered until more of the list is received."""
         return len(self._text)
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """Parse received bytes; returns the lists that are complete now.
+        """Parse received bytes and return the lists that they complete.
 
-        Raises ListError, after which the parser cannot be used any more.
+        Raise ListError for a malformed list and for one that exceeds a limit; the parser cannot be used
+        afterwards.
         """
         try:
             self._text += self._utf8.decode(data)
@@ -87,7 +89,7 @@
         return head
 
     def _parse_members(self) -> bool:
-        """Parse the members that are complete; true at the end of the array."""
+        """Parse the rows that are complete; return whether the end of the array is reached."""
         text = self._text
         position = 0
         while True:
@@ -98,7 +100,7 @@
             try:
                 member, position = self._decoder.raw_decode(text, position)
             except ValueError:
-                break  # incomplete, or malformed: that grows until it exceeds the limit
+                break  # incomplete, or malformed: malformed text accumulates up to MAX_FRAGMENT_LENGTH
             self._add_member(member)
         self._text = text[position:]
         self._members_complete = self._text.startswith("]")
@@ -114,7 +116,10 @@
             raise ListError(f"list: more than {MAX_KEPT_MEMBERS} members are wanted")
 
     def _parse_tail(self, head: str) -> dict[str, Any] | None:
-        """The whole list without its members is the head and what follows them."""
+        """Return the list once the text after its rows is complete, before that None.
+
+        The text before and after the rows is decoded as one object with an empty `members` array.
+        """
         try:
             fields, end = self._decoder.raw_decode(head + self._text)
         except ValueError:
--- a/honeyhitch/protocols/management.py
+++ b/honeyhitch/protocols/management.py
@@ -1,4 +1,4 @@
-"""The management line protocol for operators, without I/O: one command a connection, answered at once."""
+"""The management line protocol for operators, without I/O: one command and one reply per connection."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 from honeyhitch.protocols.buffer import Buffer
 
 MAX_DESTINATION_DIGITS = 15
-MAX_LINE_BYTES = 256  # bytes of a command, its line end included
+MAX_LINE_BYTES = 256  # bytes of a command, including its line end
 MAX_QUOTED_LENGTH = 40  # characters of an invalid command that are quoted in the reply
 COMMANDS = ("status", "stats")
-FLEET_COMMANDS = ("fleet", "owner NUMBER")  # where a fleet is configured
+FLEET_COMMANDS = ("fleet", "owner NUMBER")  # available only if a fleet is configured
 
 
 class FleetDescription(Protocol):
-    """What operators may ask of a fleet, where one is configured."""
+    """Queries about the fleet, if one is configured."""
 
     def describe(self) -> dict[str, Any]:
-        """The fleet view in force."""
+        """Return the fleet view that is in force."""
 
     def describe_owners(self, destination: int) -> dict[str, Any]:
-        """The instances that own a destination."""
+        """Return the instances that own a destination."""
 
 
 class ManagementSession:
-    """One connection: the first line is the command, and its reply ends the connection.
+    """One connection: its first line is the command, and it is closed after the reply.
 
-    A reply is a line that begins with `+OK` or `-ERR`, or statistics: a line of JSON and a line `.`.
+    A reply is either one line that begins with `+OK` or `-ERR`, or statistics: a line of JSON followed by a
+    line `.`.
     """
 
     greeting = b""
@@ -49,7 +50,7 @@
         self.has_partial_request = False
 
     def receive(self, buffer: Buffer) -> bytes:
-        """The reply once the line is complete, nothing before."""
+        """Return the reply once the command line is complete, before that no bytes."""
         end = buffer.find(b"\n", 0, MAX_LINE_BYTES)
         self.has_partial_request = end < 0 and 0 < len(buffer) < MAX_LINE_BYTES
         if self.has_partial_request or not len(buffer):
@@ -100,7 +101,7 @@
 
 
 class ManagementResult(NamedTuple):
-    """What a reply says: success, the text of its first line, and the statistics if it has some."""
+    """The content of a reply: success, the text of its first line, and its statistics or an empty dict."""
 
     succeeded: bool
     message: str
@@ -108,20 +109,20 @@
 
 
 class ManagementReply:
-    """Parses one reply, for those who send commands."""
+    """Parses one reply, on the side that sends commands."""
 
     def __init__(self) -> None:
         self.data = b""
 
     def feed(self, data: bytes) -> bool:
-        """Add received bytes; true once the reply is complete."""
+        """Add received bytes and return whether the reply is complete."""
         self.data += data
         lines = self.data.split(b"\r\n")
         has_statistics = lines[0].startswith(b"{")
         return len(lines) > 1 and (not has_statistics or b"." in lines[1:-1])
 
     def result(self) -> ManagementResult:
-        """The content of a complete reply."""
+        """Return the content of the complete reply."""
         line = self.data.decode("ascii", "replace").partition("\r\n")[0]
         if line.startswith("{"):
             return ManagementResult(succeeded=True, message="", statistics=json.loads(line))
--- a/honeyhitch/protocols/mqtt.py
+++ b/honeyhitch/protocols/mqtt.py
@@ -1,6 +1,7 @@
-"""The client's side of an MQTT 5 session, without I/O; its packets are those of `mqtt_packets`.
+"""The client side of an MQTT 5 session, without I/O; `mqtt_packets` encodes and decodes the packets.
 
-Written from the OASIS specification, version 5.0; numbers in brackets name its statements.
+The code follows the OASIS specification, version 5.0. Numbers in comments refer to its sections, and names in
+brackets to its conformance statements.
 """
 
 from __future__ import annotations
@@ -23,38 +24,41 @@
     encode,
 )
 
-DEFAULT_RECEIVE_MAXIMUM = 65535  # where the server states none (3.2.2.3.3)
+DEFAULT_RECEIVE_MAXIMUM = 65535  # used if CONNACK does not contain one (3.2.2.3.3)
 DEFAULT_KEEP_ALIVE_SECONDS = 20
-OUR_RECEIVE_MAXIMUM = 1024  # unacknowledged publishes that the server may send
+OUR_RECEIVE_MAXIMUM = 1024  # unacknowledged publishes that the server may have in flight
 SUBSCRIPTION_QOS = 1
-PACKET_TOO_LARGE = 0x95  # reason codes (2.4)
+# Reason codes (2.4).
+PACKET_TOO_LARGE = 0x95
 PACKET_IDENTIFIER_NOT_FOUND = 0x92
 
-# Called at the end of a publish with its acknowledgement, or None if the connection was lost, and with
-# whether the publish may have reached the server.
+# Called when a publish has ended. The arguments are the acknowledgement, or None without one, and whether the
+# publish may have reached the server.
 PublishCallback = Callable[[Packet | None, bool], None]
 
 
 @dataclass(slots=True)
 class OutgoingPublish:
-    """One PUBLISH that is queued or in flight."""
+    """A PUBLISH that is queued or in flight."""
 
     packet: Packet
     on_done: PublishCallback
-    on_turn: Callable[[], Packet | None] | None = None  # gives the packet to send when its turn comes
-    released: bool = False  # QoS 2: its PUBREC has come
+    on_turn: Callable[[], Packet | None] | None = None  # creates the packet just before it is sent
+    released: bool = False  # QoS 2: its PUBREC was received
     sent: bool = False
 
 
 class Session:
-    """The client's side of one session, over successive connections.
+    """The client side of one session, over successive connections.
 
-    With a `session_expiry` in seconds the server keeps the session, and what was not acknowledged is sent
-    again after a reconnection, as the specification demands. Without, every connection begins a new session,
-    and what was in flight when one was lost is reported as such and never sent again.
+    `session_expiry` is in seconds. If it is not 0, the server keeps the session, and unacknowledged publishes
+    are sent again after a reconnection, as the specification requires. If it is 0, every connection begins a
+    new session. After the loss of a connection `on_done` is then called for each publish that was queued or
+    unacknowledged, and none of them is sent again.
 
-    `clean_start`: the first connection discards what the server kept. A process that publishes has lost its
-    unacknowledged publishes with a restart; one that only receives has nothing of its own to lose.
+    `clean_start`: the first connection discards the session that the server kept. A process that publishes
+    sets it, because its unacknowledged publishes are lost with a restart. A process that only receives has no
+    publishes to lose, so it may continue the old session.
     """
 
     def __init__(
@@ -75,22 +79,22 @@
         self.outgoing: dict[int, OutgoingPublish] = {}  # in flight, by packet identifier
         self.queue: deque[OutgoingPublish] = deque()
         self.next_packet_id = 1
-        self.receive_maximum = DEFAULT_RECEIVE_MAXIMUM  # of the server
-        self.max_qos = MAX_QOS  # of the server
-        self.max_packet_size = 0  # bytes that the server takes, 0 for no limit
-        self.connected = False  # CONNACK has come
+        self.receive_maximum = DEFAULT_RECEIVE_MAXIMUM  # unacknowledged publishes that the server accepts
+        self.max_qos = MAX_QOS  # highest QoS that the server accepts
+        self.max_packet_size = 0  # bytes of a packet that the server accepts, 0 for no limit
+        self.connected = False  # CONNACK was received
         self.subscribed = False
-        self.paused = False  # the connection is about to be replaced: no further publish goes out on it
-        self.output = bytearray()  # bytes to be written by the transport
+        self.paused = False  # the connection is about to be replaced: no further publish is sent on it
+        self.output = bytearray()  # bytes that the transport has to write
 
     def take_output(self) -> bytes:
-        """The bytes to be written now."""
+        """Return the bytes that have to be written, and clear the output."""
         data = bytes(self.output)
         self.output.clear()
         return data
 
     def open(self) -> None:
-        """A connection was made: send CONNECT."""
+        """Send CONNECT on a new connection."""
         self.output.clear()
         properties: Properties = {"receive_maximum": OUR_RECEIVE_MAXIMUM, "maximum_packet": MAX_PACKET_BYTES}
         if self.session_expiry:
@@ -107,14 +111,17 @@
         self._write(packet)
 
     def receive(self, buffer: Buffer) -> None:
-        """Process the complete packets in the buffer. Raises MqttError."""
+        """Process the complete packets in the buffer. Raise MqttError if the connection has to be closed."""
         while (packet := decode(buffer)) is not None:
             if not self.connected and packet.kind is not Kind.CONNACK:
                 raise MqttError(f"{packet.kind.name}: before CONNACK")
             self._handle_packet(packet)
 
     def connection_lost(self) -> None:
-        """The connection is gone."""
+        """Reset the state of the connection after its loss.
+
+        Without a session expiry, end all publishes that are queued or in flight.
+        """
         self.connected = False
         self.subscribed = False
         self.paused = False
@@ -133,22 +140,19 @@
         on_done: PublishCallback,
         on_turn: Callable[[], Packet | None] | None = None,
     ) -> OutgoingPublish:
-        """Send a PUBLISH with QoS 1 or 2 as soon as the server's receive maximum allows.
+        """Send a PUBLISH with QoS 1 or 2 as soon as the server's receive maximum allows, and return it.
 
-        `on_turn` is called then and gives the packet to send instead; if it gives None, nothing is sent and
-        `on_done` is not called.
+        `on_turn` is called just before that and returns the packet to send instead. If it returns None,
+        nothing is sent and `on_done` is not called.
         """
-        packet.dup = False  # also for one that was sent before and rejected
+        packet.dup = False  # a packet that was sent before and rejected may be published again
         publish = OutgoingPublish(packet, on_done, on_turn)
         self.queue.append(publish)
         self._send_queued()
         return publish
 
     def withdraw(self, publish: OutgoingPublish, on_done: PublishCallback) -> None:
-        """Nobody waits for the end of a publish any more.
-
-        If it is still queued it is not sent; otherwise `on_done` replaces its callback.
-        """
+        """Cancel a publish if it is still queued; otherwise replace its callback by `on_done`."""
         publish.on_done = on_done
         if publish in self.queue:
             self.queue.remove(publish)
@@ -163,7 +167,7 @@
         self._write(Packet(Kind.PINGREQ))
 
     def disconnect(self, reason: int = 0) -> None:
-        """Send DISCONNECT; the server keeps the session if it has an expiry."""
+        """Send DISCONNECT; the server keeps a session that has an expiry."""
         self._write(Packet(Kind.DISCONNECT, reason=reason))
 
     def _write(self, packet: Packet) -> None:
@@ -187,7 +191,7 @@
         packet = publish.packet
         packet.id = self._allocate_packet_id()
         packet.qos = min(packet.qos, self.max_qos)
-        if not packet.qos:  # the server takes QoS 0 only: nothing would be acknowledged
+        if not packet.qos:  # the server accepts QoS 0 only, which has no acknowledgement
             publish.on_done(None, False)
             return
         data = encode(packet)
@@ -260,7 +264,7 @@
         self._send_queued()
 
     def _resend(self, unacknowledged: Iterable[OutgoingPublish]) -> None:
-        """The server has kept the session: repeat what it has not acknowledged [MQTT-4.4.0-1]."""
+        """Send unacknowledged packets again, because the server has kept the session [MQTT-4.4.0-1]."""
         for publish in unacknowledged:
             self.outgoing[publish.packet.id] = publish
             if publish.released:
@@ -270,7 +274,7 @@
                 self._write(publish.packet)
 
     def _requeue(self, unacknowledged: list[OutgoingPublish]) -> None:
-        """The server has no session: what it has not acknowledged is sent anew, first."""
+        """Queue unacknowledged publishes first, as new ones, because the server has no session."""
         self.queue.extendleft(reversed(unacknowledged))
         for publish in unacknowledged:
             publish.released = False
@@ -294,7 +298,7 @@
 
 
 def _following_packet_id(packet_id: int) -> int:
-    """Packet identifiers are 1 to 65535 [MQTT-2.2.1-3]."""
+    """Return the packet identifier after `packet_id`; identifiers are 1 to 65535 [MQTT-2.2.1-3]."""
     return packet_id % MAX_TWO_BYTE_INTEGER + 1
 
 
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -1,6 +1,6 @@
-"""What MQTT publishes mean here: submitted messages, final answers, and calls to endpoints.
+"""Conversion between MQTT publishes and submitted messages, final answers and calls to endpoints.
 
-The user properties of the platform's protocol are mapped to the program's terms here.
+This module maps the user properties of the platform's protocol to the terms of this program.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 from honeyhitch.protocols.transaction_parser import FieldError, TransactionParser
 from honeyhitch.time_units import MILLISECOND, SECOND
 
-QUOTA_EXCEEDED = 0x97  # reason codes of PUBACK (MQTT 5.0, 3.4.2.1)
+# Reason codes of PUBACK (MQTT 5.0, 3.4.2.1).
+QUOTA_EXCEEDED = 0x97
 NO_SUBSCRIBERS = 0x10
 ANSWER_QOS = 2
 CALL_QOS = 1
@@ -26,9 +27,9 @@
 
 
 def encode_reply_context(packet: Packet) -> str:
-    """What is needed to answer a publish later, as JSON that the journal keeps.
+    """Return the response topic and correlation data of a publish as JSON, which the journal stores.
 
-    Raises FieldError for a publish without a single response topic.
+    Raise FieldError if the response topic is missing, empty or contains a wildcard.
     """
     topic = packet.properties.get("response_topic")
     if not isinstance(topic, str) or not topic or "+" in topic or "#" in topic:
@@ -39,15 +40,15 @@
 
 
 def parse_transaction(parser: TransactionParser, packet: Packet, now: int) -> Transaction:
-    """The transaction that a publish submits; its user properties are the fields. Raises FieldError.
+    """Return the transaction that a publish submits; its user properties are the fields.
 
-    `now` is a Unix time in nanoseconds.
+    `now` is a Unix time in nanoseconds. Raise FieldError for a missing or invalid field.
     """
     reply_context = encode_reply_context(packet)
     fields = dict(packet.user)
     transaction = parser.parse(fields.get("id", "").encode(), fields, packet.payload, now)
     expiry = packet.properties.get("message_expiry")
-    if isinstance(expiry, int):  # in seconds; the server reduces it by the time it holds the publish
+    if isinstance(expiry, int):  # in seconds; the server subtracts the time for which it held the publish
         transaction.deadline = min(transaction.deadline, now + expiry * SECOND)
     transaction.frontend = "mqtt"
     transaction.reply_context = reply_context
@@ -55,7 +56,7 @@
 
 
 def encode_answer(reply_context: str, message_id: str, status: str, details: dict[str, object]) -> Packet:
-    """The publish of one final answer."""
+    """Return the publish of one final answer."""
     context = json.loads(reply_context)
     properties: Properties = {"content_type": "application/json"}
     if context["data"]:
@@ -72,7 +73,7 @@
 
 
 def encode_final_answer(transaction: Transaction) -> Packet:
-    """The publish of the final answer to an accepted message that has ended."""
+    """Return the publish of the final answer to an accepted message that has ended."""
     ending = transaction.ending or Ending.FAILED
     details: dict[str, object] = {}
     if ending is Ending.REJECTED and transaction.retry_after:
@@ -82,7 +83,7 @@
 
 
 def encode_call(call: Call, time_left: int) -> Packet:
-    """The publish of one call, with one message or a batch; `time_left` is in nanoseconds."""
+    """Return the publish of one call, with one message or a batch; `time_left` is in nanoseconds."""
     user = [("left-ms", str(max(1, time_left // MILLISECOND)))]
     if len(call.messages) == 1:
         message = call.messages[0]
@@ -97,9 +98,10 @@
 
 
 def interpret_acknowledgement(call: Call, acknowledgement: Packet | None, may_have_left: bool) -> CallResult:
-    """The result of a call from its acknowledgement, or from the lack of one.
+    """Return the result of a call whose publish has ended.
 
-    `may_have_left`: the publish may have reached the server.
+    `acknowledgement` is None if the connection was lost before one was received. `may_have_left`: the publish
+    may have reached the server.
     """
     count = len(call.messages)
     if acknowledgement is None:
@@ -112,7 +114,7 @@
 
 
 def _result_of_reason(reason: int, count: int) -> CallResult:
-    if reason == NO_SUBSCRIBERS:  # the server took it, but nobody received it: it was not executed
+    if reason == NO_SUBSCRIBERS:  # the server accepted the call, but nobody received or executed it
         return CallResult.uniform(Outcome.CONNECT_FAILED, count)
     if reason == QUOTA_EXCEEDED:
         return CallResult.uniform(Outcome.REJECTED, count)
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -1,6 +1,7 @@
 """MQTT 5 control packets: their types, encoding and decoding (OASIS MQTT Version 5.0, chapters 2 and 3).
 
-Numbers in brackets name statements of the specification.
+Numbers in parentheses refer to sections of the specification, and names in brackets to its conformance
+statements.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 PROTOCOL_NAME = "MQTT"
 PROTOCOL_VERSION = 5
-MAX_PACKET_BYTES = 1 << 18  # bytes of one packet that is read; announced to the server in CONNECT
+MAX_PACKET_BYTES = 1 << 18  # bytes of a received packet; announced to the server in CONNECT
 MAX_TWO_BYTE_INTEGER = 65535
-FIRST_ERROR_REASON = 0x80  # reason codes from here on are errors (2.4)
+FIRST_ERROR_REASON = 0x80  # lowest reason code that is an error (2.4)
 
-# The variable byte integer: seven bits a byte, least significant first (1.5.5).
+# Variable byte integer: seven bits per byte, least significant first (1.5.5).
 CONTINUATION_BIT = 0x80
 VALUE_BITS = 0x7F
 BITS_PER_BYTE = 7
@@ -35,7 +36,7 @@
 USERNAME_FLAG = 128
 PASSWORD_FLAG = 64
 CLEAN_START_FLAG = 2
-UNSUPPORTED_CONNECT_FLAGS = 0x3D  # those of a will, which is never sent here, and the reserved bit
+UNSUPPORTED_CONNECT_FLAGS = 0x3D  # the flags of a will, which this program never sends, and the reserved bit
 
 SESSION_PRESENT_FLAG = 1  # of CONNACK (3.2.2.1)
 
@@ -60,10 +61,14 @@
     AUTH = 15
 
 
-REQUIRED_FLAGS = {Kind.PUBREL: 2, Kind.SUBSCRIBE: 2, Kind.UNSUBSCRIBE: 2}  # [MQTT-2.1.3-1]; others have 0
+REQUIRED_FLAGS = {
+    Kind.PUBREL: 2,
+    Kind.SUBSCRIBE: 2,
+    Kind.UNSUBSCRIBE: 2,
+}  # [MQTT-2.1.3-1]; all other types require 0
 ACKNOWLEDGEMENTS = (Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP)
 
-# How a property is encoded (2.2.2.2).
+# Encodings of properties (2.2.2.2).
 BYTE = "byte"
 TWO_BYTES = "two bytes"
 FOUR_BYTES = "four bytes"
@@ -74,7 +79,7 @@
 INTEGER_SIZES = {BYTE: 1, TWO_BYTES: 2, FOUR_BYTES: 4}  # bytes
 
 USER_PROPERTY = 38
-# The properties by number: name and encoding.
+# Name and encoding of each property, by its identifier.
 PROPERTIES = {
     1: ("payload_format", BYTE),
     2: ("message_expiry", FOUR_BYTES),
@@ -110,29 +115,31 @@
 
 
 class MqttError(Exception):
-    """Bytes that are not MQTT 5, or a violation of its rules; the connection has to be closed."""
+    """A malformed packet or a violation of the MQTT 5 protocol; the connection has to be closed."""
 
 
 @dataclass(slots=True)
 class Packet:
-    """One control packet; each type uses the fields that it has."""
+    """One control packet; each packet type uses only some of the fields."""
 
     kind: Kind
     id: int = 0  # packet identifier
     reason: int = 0  # reason code
     properties: Properties = field(default_factory=dict)
-    user: list[tuple[str, str]] = field(default_factory=list)  # user properties, in order
+    user: list[tuple[str, str]] = field(default_factory=list)  # user properties, in their order
     topic: str = ""  # PUBLISH
     payload: bytes = b""  # PUBLISH
     qos: int = 0  # PUBLISH
-    dup: bool = False  # PUBLISH: sent before
+    dup: bool = False  # PUBLISH: may have been sent before
     retain: bool = False  # PUBLISH
     flag: bool = False  # CONNECT: clean start; CONNACK: session present
     client_id: str = ""  # CONNECT
     keep_alive: int = 0  # CONNECT, in seconds
     username: str | None = None  # CONNECT
     password: bytes | None = None  # CONNECT
-    filters: list[tuple[str, int]] = field(default_factory=list)  # SUBSCRIBE: with options; UNSUBSCRIBE
+    filters: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # SUBSCRIBE: with options; UNSUBSCRIBE: with 0
     reasons: list[int] = field(default_factory=list)  # SUBACK, UNSUBACK
 
 
@@ -241,7 +248,7 @@
 
 
 def encode(packet: Packet) -> bytes:
-    """One packet as bytes. Raises MqttError for a string that is too long."""
+    """Return one packet as bytes. Raise MqttError for a string that is too long."""
     kind = packet.kind
     if kind is Kind.PUBLISH:
         flags = DUP_FLAG * packet.dup + (packet.qos << QOS_SHIFT) + packet.retain
@@ -255,7 +262,7 @@
 
 
 class _BodyReader:
-    """Reads values one after another from the body of a packet."""
+    """Sequential reader of the values in the body of a packet."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -406,7 +413,7 @@
 
 
 def _decode_remaining_length(head: bytes) -> tuple[int, int] | None:
-    """The length of the body and its offset, or None while they are incomplete (2.1.4)."""
+    """Return the length of the body and its offset, or None while the length is incomplete (2.1.4)."""
     length = 0
     for index in range(1, MAX_VARIABLE_BYTES + 1):
         if index >= len(head):
@@ -418,9 +425,9 @@
 
 
 def decode(buffer: Buffer, max_bytes: int = MAX_PACKET_BYTES) -> Packet | None:
-    """Consume the next complete packet; None while it is incomplete.
+    """Consume and return the next packet, or return None while it is incomplete.
 
-    Raises MqttError for bytes that are not MQTT 5, and for a body of more than `max_bytes`.
+    Raise MqttError for bytes that are not valid MQTT 5, and for a body of more than `max_bytes`.
     """
     head = buffer.peek(0, 1 + MAX_VARIABLE_BYTES)
     found = _decode_remaining_length(head)
--- a/honeyhitch/protocols/notices.py
+++ b/honeyhitch/protocols/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: how an accepted message ended that was not delivered."""
+"""Notices to the platform about accepted messages that were not delivered."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 from honeyhitch.protocols.discovery_backoff import ResponseTimeout
 from honeyhitch.time_units import MILLISECOND
 
-MAX_NOTICE_DELAY_SECONDS = 0.3  # after the end of a message (protocol page)
-MAX_RESPONSE_SECONDS = 1.0  # to connect and for the response
+MAX_NOTICE_DELAY_SECONDS = 0.3  # from the end of a message to its notice (protocol page)
+MAX_RESPONSE_SECONDS = 1.0  # longest timeout for connecting and for the response
 MAX_NOTICES_PER_REQUEST = 200
-# Two connections in a row may be dead, with timeouts of 1/4 and 2/4 of the delay: the third is in time.
+# The first two connections may be dead: their timeouts take 1/4 and 2/4 of the maximum delay, so a notice on
+# the third connection is still in time.
 INITIAL_TIMEOUT_FRACTION = 1 / 4
 
 
 def response_timeout() -> ResponseTimeout:
-    """Timeouts that keep the notice delay although two connections in a row are dead."""
+    """Return timeouts that keep the maximum notice delay even if two consecutive connections are dead."""
     return ResponseTimeout(MAX_NOTICE_DELAY_SECONDS * INITIAL_TIMEOUT_FRACTION, MAX_RESPONSE_SECONDS)
 
 
 def encode_notice(transaction: Transaction) -> str:
-    """One notice as a JSON object."""
+    """Return one notice as a JSON object."""
     if transaction.ending is Ending.REJECTED:
         fields: dict[str, object] = {"id": transaction.id, "status": "deferred"}
         if transaction.retry_after:
@@ -33,6 +34,6 @@
 
 
 def encode_request(transactions: list[Transaction], host: str) -> bytes:
-    """One request with several notices, one a line."""
+    """Return one request with several notices, one per line."""
     body = "".join(encode_notice(transaction) + "\n" for transaction in transactions).encode()
     return http1.encode_request("POST", "/reports", host, {"Content-Type": "application/json"}, body)
--- a/honeyhitch/protocols/resp.py
+++ b/honeyhitch/protocols/resp.py
@@ -1,4 +1,4 @@
-"""The server's side of RESP2 for the clients of the platform, without I/O: bytes in, replies out.
+"""The server side of RESP2 for the clients of the platform, without I/O.
 
 The commands are ENQUEUE, PING and QUIT (protocol page).
 """
@@ -16,19 +16,19 @@
 from honeyhitch.time_units import MILLISECOND
 
 CRLF = b"\r\n"
-MAX_ARGUMENTS = 64  # of one command
-MAX_COMMAND_BYTES = MAX_BODY_BYTES + 4096  # bytes of all arguments of one command
-MAX_LINE_BYTES = 1024  # bytes of a line that holds a number or an inline command
-MAX_COUNT_DIGITS = 9  # of the number of arguments, or of the length of one
-MAX_REPLIES_PER_TURN = 16  # commands answered before other connections get their turn
-MAX_CONSECUTIVE_ERRORS = 32  # invalid commands in a row after which the connection is closed
+MAX_ARGUMENTS = 64  # arguments of one command
+MAX_COMMAND_BYTES = MAX_BODY_BYTES + 4096  # total bytes of the arguments of one command
+MAX_LINE_BYTES = 1024  # bytes of a line with a count or with an inline command
+MAX_COUNT_DIGITS = 9  # digits of the number of arguments, or of the length of an argument
+MAX_REPLIES_PER_TURN = 16  # commands answered before other connections are served
+MAX_CONSECUTIVE_ERRORS = 32  # consecutive invalid commands after which the connection is closed
 ENQUEUE_ARGUMENTS = 5  # the command, a key, an id, fields and a body
-FORWARDED_BY_FIELD = "via"  # names the instance that forwarded the message
+FORWARDED_BY_FIELD = "via"  # its value is the instance that forwarded the message
 ERROR_PREFIX = b"-ERR"
 
 
 class FramingError(Exception):
-    """The stream cannot be split into commands any more; the connection has to be closed."""
+    """The stream can no longer be split into commands; the connection has to be closed."""
 
 
 def _read_line(buffer: Buffer) -> bytes | None:
@@ -59,16 +59,19 @@
 
 
 class CommandReader:
-    """Reads commands argument by argument, so that one arriving in many pieces is not parsed repeatedly."""
+    """Reads commands argument by argument, so that a command in many chunks is not parsed repeatedly."""
 
     def __init__(self) -> None:
         self.remaining_arguments = 0
-        self.argument_length = -1  # of the next argument; -1 while its length is not read
-        self.command_size = 0  # bytes of the arguments so far
+        self.argument_length = -1  # bytes of the next argument; -1 while unknown
+        self.command_size = 0  # total bytes of the arguments whose length is known
         self.arguments: list[bytes] = []
 
     def read_command(self, buffer: Buffer) -> list[bytes] | None:
-        """Consume the next complete command; None while it is incomplete. Raises FramingError."""
+        """Consume and return the arguments of the next command, or return None while it is incomplete.
+
+        Raise FramingError for bytes that are not a command and for a command over a limit.
+        """
         if not self.remaining_arguments:
             line = _read_line(buffer)
             if line is None:
@@ -107,7 +110,7 @@
 
 
 def parse_fields(text: bytes) -> dict[str, str]:
-    """Names and values from `a=1,b=2`. Raises FieldError for bytes that are not ASCII."""
+    """Return the fields of a text such as `a=1,b=2`. Raise FieldError for bytes that are not ASCII."""
     try:
         fields = (field.partition("=") for field in text.decode("ascii").split(","))
     except UnicodeDecodeError as error:
@@ -116,40 +119,44 @@
 
 
 def busy_reply(retry_after: int) -> bytes:
-    """The reply to a message that is not accepted; `retry_after` is in nanoseconds, 0 where none is known."""
+    """Return the reply to a message that is not accepted; `retry_after` is in nanoseconds, 0 if unknown."""
     if not retry_after:
         return b"-BUSY\r\n"
     return b"-BUSY %d\r\n" % (retry_after // MILLISECOND)
 
 
 def error_reply(reason: object) -> bytes:
-    """The reply to an invalid command."""
+    """Return the reply to an invalid command."""
     return f"-ERR {reason}\r\n".encode()
 
 
 class Route(Enum):
-    """Where a submitted message goes when a fleet shares the destinations."""
+    """The routing decision for a submitted message, in a fleet that partitions the destinations."""
 
-    LOCAL = "local"  # this instance may accept it
-    FORWARD = "forward"  # another instance owns its destination
-    REJECT = "reject"  # no instance can be asked
+    LOCAL = "local"  # this instance may accept the message
+    FORWARD = "forward"  # another instance owns the destination
+    REJECT = "reject"  # this instance can neither accept nor forward the message
 
 
 class Router(Protocol):
-    """Decides where a message goes before it is accepted."""
+    """Decides which instance handles a message before the message is accepted."""
 
     def route(self, transaction: Transaction, forwarded: bool) -> Route:
-        """`forwarded`: another instance has forwarded it already, so it must not be forwarded again."""
+        """Return the routing decision for a message.
+
+        `forwarded`: another instance forwarded the message to this one, so it must not be forwarded again.
+        """
 
-    retry_after: int  # ns, sent with a rejection
+    retry_after: int  # ns, sent to the client with a rejection
 
 
 class Session:
     """One client's connection. The transport sends `greeting`, then feeds received bytes to `receive`.
 
-    `closing`: the connection must be closed. `has_more_requests`: complete commands wait for the next turn.
-    `has_partial_request`: the last command is incomplete. `forward`: a transaction that another instance
-    owns; the transport obtains and sends its reply before it calls `receive` again.
+    `closing`: the connection must be closed. `has_more_requests`: the buffer may contain further commands,
+    for which `receive` has to be called again. `has_partial_request`: the last command is incomplete.
+    `forward`: a transaction whose destination another instance owns; the transport forwards the transaction
+    and sends the reply to the client before it calls `receive` again.
     """
 
     greeting = b""
@@ -162,7 +169,7 @@
         clock: Callable[[], int],
         router: Router | None = None,
     ) -> None:
-        """`submit` offers a transaction to the dispatcher; `clock` gives the Unix time in nanoseconds."""
+        """Initialize: `submit` offers a transaction to the dispatcher, `clock` returns Unix time in ns."""
         self.transaction_parser = transaction_parser
         self.submit = submit
         self.is_ready = is_ready
@@ -176,7 +183,10 @@
         self.consecutive_errors = 0
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Replies to the complete commands in the buffer, in order, up to MAX_REPLIES_PER_TURN."""
+        """Execute the complete commands in the buffer and return their replies, in order.
+
+        At most MAX_REPLIES_PER_TURN commands are executed, and none after one that sets `forward`.
+        """
         replies: list[bytes] = []
         self.has_more_requests = False
         self.has_partial_request = False
--- a/honeyhitch/protocols/transaction_parser.py
+++ b/honeyhitch/protocols/transaction_parser.py
@@ -1,7 +1,7 @@
-"""Builds transactions from the fields of a submitted message, for every frontend.
+"""Builds transactions from the fields of submitted messages, for all frontends.
 
-The field names of the platform's protocol (`c`, `d`, `dest`, `k`, `t`, `r`, `again`) are mapped to the
-program's terms here.
+This module maps the field names of the platform's protocol (`c`, `d`, `dest`, `k`, `t`, `r`, `again`) to the
+terms of this program.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 MAX_BODY_BYTES = 65536
 MAX_ID_LENGTH = 128  # bytes of a message id or an idempotency key
-MAX_DIGITS = 15  # of a number
+MAX_DIGITS = 15  # digits of a number
 MAX_QUOTED_LENGTH = 40  # characters of an invalid value that are quoted in an error
-DEADLINE_TOLERANCE_MS = 50  # ms by which a deadline may exceed that of its class (protocol page)
+DEADLINE_TOLERANCE_MS = 50  # ms by which field `d` may exceed the deadline of the class (protocol page)
 FIRST_PRINTABLE = 0x21  # "!", the first ASCII character after the space
 LAST_PRINTABLE = 0x7E  # "~"
 
 
 class FieldError(ValueError):
-    """A complete message with a missing or invalid field; the text begins with the name of the field."""
+    """A message with a missing or invalid field; the error text begins with the name of the field."""
 
 
 class TransactionParser:
     """Checks the fields of a message against the settings, and builds its transaction.
 
-    `has_destination` says whether a destination is served; `on_invalid` is called with the class index of
-    each message that is rejected for a field.
+    `has_destination` returns whether a destination is served. `on_invalid` is called for each message that is
+    rejected because of a field, with its class index; it is not called if the class is missing or unknown.
     """
 
     def __init__(
@@ -45,9 +45,10 @@
         self.tenant_names = settings.tenant_names
 
     def parse(self, message_id: bytes, fields: dict[str, str], body: bytes, now: int) -> Transaction:
-        """The transaction of one message; unknown field names are ignored. Raises FieldError.
+        """Return the transaction of one message; unknown fields are ignored.
 
-        `now` is a Unix time in nanoseconds, at which the time limit of the message begins.
+        `now` is a Unix time in nanoseconds; the time limit of the message starts at `now`. Raise FieldError
+        for a missing or invalid field.
         """
         try:
             return self._build(message_id, fields, body, now)
@@ -66,7 +67,7 @@
             raise FieldError("k: needed in a keyed class")
         destination = _parse_number(fields, "dest")
         time_left = _parse_number(fields, "d")
-        if not self.has_destination(destination):  # it could only be kept until its deadline
+        if not self.has_destination(destination):  # such a message could only wait until its deadline
             raise FieldError(f"dest: no such destination: {destination}")
         max_time_left = message_class.deadline // MILLISECOND
         if not 0 < time_left <= max_time_left + DEADLINE_TOLERANCE_MS:
@@ -98,7 +99,7 @@
 
 
 def _parse_name(names: tuple[str, ...], fields: dict[str, str], name: str) -> int:
-    """The index in `names` of a field's value."""
+    """Return the index of the field's value in `names`. Raise FieldError if it is not one of them."""
     value = fields.get(name)
     if value not in names:
         raise FieldError(f"{name}: not a name in the settings: {(value or '')[:MAX_QUOTED_LENGTH]!r}")
