--- a/honeyhitch/protocols/discovery_backoff.py
+++ b/honeyhitch/protocols/discovery_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff for requests to discovery, with jitter. Times are in seconds; the caller passes in the random generator.
+"""Backoff for requests to discovery, with jitter. Times are in seconds; the random generator is passed in.
 
 All dispatchers of a fleet may lose their watch at the same moment, and discovery serves only a few lists per
 second. If all dispatchers reconnected at once and requested the complete list, none would get a response.
