--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -95,12 +95,12 @@
         self.bytes_received += len(data)
         self.first_bytes += data[: max(0, MAX_STATUS_LINE_BYTES - len(self.first_bytes))]
         if self.on_body_chunk is None and self.bytes_received > self.max_bytes:
-            raise HttpError("answer: too long")
+            raise HttpError(f"response: longer than {self.max_bytes} bytes")
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
-                raise HttpError(f"answer: {error}") from error
+                raise HttpError(f"response: malformed: {error}") from error
             self.response.has_trailing_data = True
         return self.response if self.complete else None
 
@@ -141,7 +141,9 @@
         headers = self.response.headers
         self.has_body_framing = "content-length" in headers or "transfer-encoding" in headers
         if self.on_body_chunk is None and int(headers.get("content-length", "0")) > self.max_bytes:
-            raise HttpError("answer: too long")  # raised without waiting for the body
+            raise HttpError(
+                f"response: Content-Length is over {self.max_bytes} bytes"
+            )  # raised without waiting for the body
 
     def on_body(self, body: bytes) -> None:
         """Collect a part of the body or pass it to `on_body_chunk`."""
--- a/honeyhitch/protocols/list_parser.py
+++ b/honeyhitch/protocols/list_parser.py
@@ -113,7 +113,7 @@
         if self.keep_member(member):
             self._members.append(member)
         if len(self._members) > MAX_KEPT_MEMBERS:
-            raise ListError(f"list: more than {MAX_KEPT_MEMBERS} members are wanted")
+            raise ListError(f"list: more than {MAX_KEPT_MEMBERS} members have to be kept")
 
     def _parse_tail(self, head: str) -> dict[str, Any] | None:
         """Return the list once the text after its rows is complete, before that None.
--- a/honeyhitch/protocols/mqtt.py
+++ b/honeyhitch/protocols/mqtt.py
@@ -226,13 +226,13 @@
             case Kind.PINGRESP | Kind.UNSUBACK:
                 pass
             case _:
-                raise MqttError(f"{packet.kind.name}: not for a client")
+                raise MqttError(f"{packet.kind.name}: unexpected from a server")
 
     def _handle_publish(self, packet: Packet) -> None:
         if packet.qos > SUBSCRIPTION_QOS:
-            raise MqttError("PUBLISH: QoS 2, though QoS 1 at most was asked for")
+            raise MqttError(f"PUBLISH: QoS {packet.qos}, at most {SUBSCRIPTION_QOS} was requested")
         if packet.properties.get("topic_alias"):
-            raise MqttError("PUBLISH: a topic alias, though none is allowed")
+            raise MqttError("PUBLISH: topic alias, although the topic alias maximum is 0")
         self.on_publish(packet)
 
     def _handle_suback(self, packet: Packet) -> None:
@@ -242,7 +242,7 @@
 
     def _handle_connack(self, packet: Packet) -> None:
         if self.connected:
-            raise MqttError("CONNACK: came twice")
+            raise MqttError("CONNACK: received twice on one connection")
         if packet.reason:
             raise MqttError(f"CONNACK: the server refused, reason {packet.reason:#x}")
         self.connected = True
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -161,7 +161,7 @@
 
 def _encode_binary(value: bytes) -> bytes:
     if len(value) > MAX_TWO_BYTE_INTEGER:
-        raise MqttError(f"string: longer than {MAX_TWO_BYTE_INTEGER} bytes")
+        raise MqttError(f"string: {len(value)} bytes, at most {MAX_TWO_BYTE_INTEGER} allowed")
     return _encode_two_bytes(len(value)) + value
 
 
@@ -286,7 +286,7 @@
         except UnicodeDecodeError as error:
             raise MqttError("string: not UTF-8") from error
         if "\0" in value:
-            raise MqttError("string: holds U+0000")
+            raise MqttError("string: contains U+0000, which is not allowed")
         return value
 
     def read_variable(self) -> int:
@@ -323,16 +323,16 @@
                 packet.user.append((reader.read_text(), reader.read_text()))
                 continue
             if name in packet.properties and name != REPEATABLE_PROPERTY:
-                raise MqttError(f"property {name}: given twice")
+                raise MqttError(f"property {name}: given twice, allowed once")
             packet.properties[name] = reader.read_property(encoding)
 
 
 def _decode_connect(packet: Packet, reader: _BodyReader) -> None:
     if reader.read_text() != PROTOCOL_NAME or reader.read_integer(1) != PROTOCOL_VERSION:
-        raise MqttError("CONNECT: not MQTT 5")
+        raise MqttError(f"CONNECT: expected protocol {PROTOCOL_NAME}, version {PROTOCOL_VERSION}")
     flags = reader.read_integer(1)
     if flags & UNSUPPORTED_CONNECT_FLAGS:
-        raise MqttError(f"CONNECT: flags {flags}")
+        raise MqttError(f"CONNECT: unsupported flags {flags:#x}")
     packet.flag = bool(flags & CLEAN_START_FLAG)
     packet.keep_alive = reader.read_integer(2)
     reader.read_properties(packet)
@@ -352,7 +352,7 @@
     packet.qos = flags >> QOS_SHIFT & QOS_BITS
     packet.retain = bool(flags & RETAIN_FLAG)
     if packet.qos == INVALID_QOS or (packet.dup and not packet.qos):
-        raise MqttError(f"PUBLISH: flags {flags}")
+        raise MqttError(f"PUBLISH: invalid flags {flags:#x}")
     packet.topic = reader.read_text()
     packet.id = reader.read_integer(2) if packet.qos else 0
     if packet.qos and not packet.id:
@@ -404,11 +404,11 @@
     if kind is Kind.PUBLISH:
         _decode_publish(packet, reader, flags)
     elif flags != REQUIRED_FLAGS.get(kind, 0):
-        raise MqttError(f"{kind.name}: flags {flags}")
+        raise MqttError(f"{kind.name}: expected flags {REQUIRED_FLAGS.get(kind, 0):#x}, got {flags:#x}")
     else:
         BODY_DECODERS.get(kind, _decode_reason)(packet, reader)
     if reader.has_more():
-        raise MqttError(f"{kind.name}: bytes left over")
+        raise MqttError(f"{kind.name}: {len(data) - reader.position} bytes after the last field")
     return packet
 
 
@@ -441,7 +441,7 @@
     try:
         kind = Kind(head[0] >> 4)
     except ValueError:
-        raise MqttError("packet: type 0") from None
+        raise MqttError("packet: expected a type from 1 to 15, got 0") from None
     data = buffer.peek(offset, length)
     buffer.consume(offset + length)
     return _decode_body(kind, head[0] & 0x0F, data)
