--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -80,8 +80,8 @@
     @property
     def status(self) -> int:
         """The status code, also if the rest of the response is malformed; 0 before it was received."""
-        if not self.response.status and (found := STATUS_LINE.match(self.first_bytes)) is not None:
-            return int(found[1])
+        if not self.response.status and (status_line := STATUS_LINE.match(self.first_bytes)) is not None:
+            return int(status_line[1])
         return self.response.status
 
     def feed(self, data: bytes) -> Response | None:
--- a/honeyhitch/protocols/list_parser.py
+++ b/honeyhitch/protocols/list_parser.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 MEMBERS_START = re.compile(r'"members"\s*:\s*\[')
-MEMBER_SEPARATORS = " \t\r\n,"
+ROW_SEPARATORS = " \t\r\n,"
 MAX_FRAGMENT_LENGTH = 1 << 16  # characters of one row, or of the text before or after the rows
-MAX_KEPT_MEMBERS = 100_000  # rows of one list
+MAX_KEPT_ROWS = 100_000  # rows of one list
 MAX_QUOTED_LENGTH = 80  # characters of malformed input that are quoted in an error
 
 
@@ -36,8 +36,8 @@
         self._utf8 = codecs.getincrementaldecoder("utf-8")()
         self._text = ""  # decoded from UTF-8 and not parsed yet
         self._head: str | None = None  # text of the current list before its first row
-        self._members_complete = False
-        self._members: list[dict[str, Any]] = []
+        self._rows_complete = False
+        self._rows: list[dict[str, Any]] = []
 
     @property
     def unparsed_length(self) -> int:
@@ -71,7 +71,7 @@
             self._head = self._parse_head()
         if self._head is None:
             return None
-        if not self._members_complete and not self._parse_members():
+        if not self._rows_complete and not self._parse_rows():
             return None
         return self._parse_tail(self._head)
 
@@ -84,36 +84,36 @@
             return None
         head = self._text[: start.end()]
         self._text = self._text[start.end() :]
-        self._members = []
-        self._members_complete = False
+        self._rows = []
+        self._rows_complete = False
         return head
 
-    def _parse_members(self) -> bool:
+    def _parse_rows(self) -> bool:
         """Parse the rows that are complete; return whether the end of the array is reached."""
         text = self._text
         position = 0
         while True:
-            while position < len(text) and text[position] in MEMBER_SEPARATORS:
+            while position < len(text) and text[position] in ROW_SEPARATORS:
                 position += 1
             if position == len(text) or text[position] == "]":
                 break
             try:
-                member, position = self._decoder.raw_decode(text, position)
+                row, position = self._decoder.raw_decode(text, position)
             except ValueError:
                 break  # incomplete, or malformed: malformed text accumulates up to MAX_FRAGMENT_LENGTH
-            self._add_member(member)
+            self._add_row(row)
         self._text = text[position:]
-        self._members_complete = self._text.startswith("]")
-        return self._members_complete
+        self._rows_complete = self._text.startswith("]")
+        return self._rows_complete
 
-    def _add_member(self, member: object) -> None:
-        if not isinstance(member, dict):
-            quoted = str(member)[:MAX_QUOTED_LENGTH]
+    def _add_row(self, row: object) -> None:
+        if not isinstance(row, dict):
+            quoted = str(row)[:MAX_QUOTED_LENGTH]
             raise ListError(f"list: members: expected an object, got {quoted!r}")
-        if self.keep_member(member):
-            self._members.append(member)
-        if len(self._members) > MAX_KEPT_MEMBERS:
-            raise ListError(f"list: more than {MAX_KEPT_MEMBERS} members have to be kept")
+        if self.keep_member(row):
+            self._rows.append(row)
+        if len(self._rows) > MAX_KEPT_ROWS:
+            raise ListError(f"list: more than {MAX_KEPT_ROWS} members have to be kept")
 
     def _parse_tail(self, head: str) -> dict[str, Any] | None:
         """Return the list once the text after its rows is complete, before that None.
@@ -126,4 +126,4 @@
             return None
         self._text = self._text[end - len(head) :]
         self._head = None
-        return {**fields, "members": self._members}
+        return {**fields, "members": self._rows}
--- a/honeyhitch/protocols/mqtt.py
+++ b/honeyhitch/protocols/mqtt.py
@@ -26,7 +26,7 @@
 
 DEFAULT_RECEIVE_MAXIMUM = 65535  # used if CONNACK does not contain one (3.2.2.3.3)
 DEFAULT_KEEP_ALIVE_SECONDS = 20
-OUR_RECEIVE_MAXIMUM = 1024  # unacknowledged publishes that the server may have in flight
+CLIENT_RECEIVE_MAXIMUM = 1024  # unacknowledged publishes that the server may have in flight
 SUBSCRIPTION_QOS = 1
 # Reason codes (2.4).
 PACKET_TOO_LARGE = 0x95
@@ -43,8 +43,8 @@
 
     packet: Packet
     on_done: PublishCallback
-    on_turn: Callable[[], Packet | None] | None = None  # creates the packet just before it is sent
-    released: bool = False  # QoS 2: its PUBREC was received
+    packet_factory: Callable[[], Packet | None] | None = None  # creates the packet just before it is sent
+    pubrec_received: bool = False  # QoS 2: its PUBREC was received
     sent: bool = False
 
 
@@ -96,7 +96,10 @@
     def open(self) -> None:
         """Send CONNECT on a new connection."""
         self.output.clear()
-        properties: Properties = {"receive_maximum": OUR_RECEIVE_MAXIMUM, "maximum_packet": MAX_PACKET_BYTES}
+        properties: Properties = {
+            "receive_maximum": CLIENT_RECEIVE_MAXIMUM,
+            "maximum_packet": MAX_PACKET_BYTES,
+        }
         if self.session_expiry:
             properties["session_expiry"] = self.session_expiry
         packet = Packet(
@@ -138,15 +141,15 @@
         self,
         packet: Packet,
         on_done: PublishCallback,
-        on_turn: Callable[[], Packet | None] | None = None,
+        packet_factory: Callable[[], Packet | None] | None = None,
     ) -> OutgoingPublish:
         """Send a PUBLISH with QoS 1 or 2 as soon as the server's receive maximum allows, and return it.
 
-        `on_turn` is called just before that and returns the packet to send instead. If it returns None,
-        nothing is sent and `on_done` is not called.
+        `packet_factory` is called just before that and returns the packet to send instead. If it returns
+        None, nothing is sent and `on_done` is not called.
         """
         packet.dup = False  # a packet that was sent before and rejected may be published again
-        publish = OutgoingPublish(packet, on_done, on_turn)
+        publish = OutgoingPublish(packet, on_done, packet_factory)
         self.queue.append(publish)
         self._send_queued()
         return publish
@@ -176,8 +179,8 @@
     def _send_queued(self) -> None:
         while self._may_send():
             publish = self.queue.popleft()
-            if publish.on_turn is not None:
-                packet = publish.on_turn()
+            if publish.packet_factory is not None:
+                packet = publish.packet_factory()
                 if packet is None:
                     continue
                 publish.packet = packet
@@ -267,7 +270,7 @@
         """Send unacknowledged packets again, because the server has kept the session [MQTT-4.4.0-1]."""
         for publish in unacknowledged:
             self.outgoing[publish.packet.id] = publish
-            if publish.released:
+            if publish.pubrec_received:
                 self._write(Packet(Kind.PUBREL, id=publish.packet.id))
             else:
                 publish.packet.dup = True
@@ -277,7 +280,7 @@
         """Queue unacknowledged publishes first, as new ones, because the server has no session."""
         self.queue.extendleft(reversed(unacknowledged))
         for publish in unacknowledged:
-            publish.released = False
+            publish.pubrec_received = False
             publish.packet.dup = False
 
     def _handle_pubrec(self, packet: Packet) -> None:
@@ -287,7 +290,7 @@
         elif publish is None or publish.packet.qos != MAX_QOS:
             self._write(Packet(Kind.PUBREL, id=packet.id, reason=PACKET_IDENTIFIER_NOT_FOUND))
         else:
-            publish.released = True
+            publish.pubrec_received = True
             self._write(Packet(Kind.PUBREL, id=packet.id))
 
     def _finish_publish(self, packet: Packet) -> None:
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -97,15 +97,17 @@
     return Packet(PacketKind.PUBLISH, topic=call.endpoint.address, payload=payload, qos=CALL_QOS, user=user)
 
 
-def interpret_acknowledgement(call: Call, acknowledgement: Packet | None, may_have_left: bool) -> CallResult:
+def interpret_acknowledgement(
+    call: Call, acknowledgement: Packet | None, may_have_been_sent: bool
+) -> CallResult:
     """Return the result of a call whose publish has ended.
 
-    `acknowledgement` is None if the connection was lost before one was received. `may_have_left`: the publish
-    may have reached the server.
+    `acknowledgement` is None if the connection was lost before one was received. `may_have_been_sent`: the
+    publish may have reached the server.
     """
     count = len(call.messages)
     if acknowledgement is None:
-        return CallResult.uniform(Outcome.RESET if may_have_left else Outcome.CONNECT_FAILED, count)
+        return CallResult.uniform(Outcome.RESET if may_have_been_sent else Outcome.CONNECT_FAILED, count)
     result = _result_of_reason(acknowledgement.reason, count)
     headers = {name.lower(): value for name, value in acknowledgement.user}
     result.retry_after = parse_retry_after(headers)
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -430,10 +430,10 @@
     Raise MqttError for bytes that are not valid MQTT 5, and for a body of more than `max_bytes`.
     """
     head = buffer.peek(0, 1 + MAX_VARIABLE_BYTES)
-    found = _decode_remaining_length(head)
-    if found is None:
+    length_and_offset = _decode_remaining_length(head)
+    if length_and_offset is None:
         return None
-    length, offset = found
+    length, offset = length_and_offset
     if length > max_bytes:
         raise MqttError(f"packet: {length} bytes, at most {max_bytes} allowed")
     if len(buffer) < offset + length:
