--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -1,6 +1,7 @@
 """MQTT 5 control packets: their types, encoding and decoding (OASIS MQTT Version 5.0, chapters 2 and 3).
 
-Numbers in brackets name statements of the specification.
+Numbers in parentheses refer to sections of the specification, and names in brackets to its conformance
+statements.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 PROTOCOL_NAME = "MQTT"
 PROTOCOL_VERSION = 5
-MAX_PACKET_BYTES = 1 << 18  # bytes of one packet that is read; announced to the server in CONNECT
+MAX_PACKET_BYTES = 1 << 18  # bytes of a received packet; announced to the server in CONNECT
 MAX_TWO_BYTE_INTEGER = 65535
-FIRST_ERROR_REASON = 0x80  # reason codes from here on are errors (2.4)
+FIRST_ERROR_REASON = 0x80  # lowest reason code that is an error (2.4)
 
-# The variable byte integer: seven bits a byte, least significant first (1.5.5).
+# Variable byte integer: seven bits per byte, least significant first (1.5.5).
 CONTINUATION_BIT = 0x80
 VALUE_BITS = 0x7F
 BITS_PER_BYTE = 7
@@ -35,7 +36,7 @@
 USERNAME_FLAG = 128
 PASSWORD_FLAG = 64
 CLEAN_START_FLAG = 2
-UNSUPPORTED_CONNECT_FLAGS = 0x3D  # those of a will, which is never sent here, and the reserved bit
+UNSUPPORTED_CONNECT_FLAGS = 0x3D  # the flags of a will, which this program never sends, and the reserved bit
 
 SESSION_PRESENT_FLAG = 1  # of CONNACK (3.2.2.1)
 
@@ -60,10 +61,14 @@
     AUTH = 15
 
 
-REQUIRED_FLAGS = {Kind.PUBREL: 2, Kind.SUBSCRIBE: 2, Kind.UNSUBSCRIBE: 2}  # [MQTT-2.1.3-1]; others have 0
+REQUIRED_FLAGS = {
+    Kind.PUBREL: 2,
+    Kind.SUBSCRIBE: 2,
+    Kind.UNSUBSCRIBE: 2,
+}  # [MQTT-2.1.3-1]; all other types require 0
 ACKNOWLEDGEMENTS = (Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP)
 
-# How a property is encoded (2.2.2.2).
+# Encodings of properties (2.2.2.2).
 BYTE = "byte"
 TWO_BYTES = "two bytes"
 FOUR_BYTES = "four bytes"
@@ -74,7 +79,7 @@
 INTEGER_SIZES = {BYTE: 1, TWO_BYTES: 2, FOUR_BYTES: 4}  # bytes
 
 USER_PROPERTY = 38
-# The properties by number: name and encoding.
+# Name and encoding of each property, by its identifier.
 PROPERTIES = {
     1: ("payload_format", BYTE),
     2: ("message_expiry", FOUR_BYTES),
@@ -110,29 +115,31 @@
 
 
 class MqttError(Exception):
-    """Bytes that are not MQTT 5, or a violation of its rules; the connection has to be closed."""
+    """A malformed packet or a violation of the MQTT 5 protocol; the connection has to be closed."""
 
 
 @dataclass(slots=True)
 class Packet:
-    """One control packet; each type uses the fields that it has."""
+    """One control packet; each packet type uses only some of the fields."""
 
     kind: Kind
     id: int = 0  # packet identifier
     reason: int = 0  # reason code
     properties: Properties = field(default_factory=dict)
-    user: list[tuple[str, str]] = field(default_factory=list)  # user properties, in order
+    user: list[tuple[str, str]] = field(default_factory=list)  # user properties, in their order
     topic: str = ""  # PUBLISH
     payload: bytes = b""  # PUBLISH
     qos: int = 0  # PUBLISH
-    dup: bool = False  # PUBLISH: sent before
+    dup: bool = False  # PUBLISH: may have been sent before
     retain: bool = False  # PUBLISH
     flag: bool = False  # CONNECT: clean start; CONNACK: session present
     client_id: str = ""  # CONNECT
     keep_alive: int = 0  # CONNECT, in seconds
     username: str | None = None  # CONNECT
     password: bytes | None = None  # CONNECT
-    filters: list[tuple[str, int]] = field(default_factory=list)  # SUBSCRIBE: with options; UNSUBSCRIBE
+    filters: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # SUBSCRIBE: with options; UNSUBSCRIBE: with 0
     reasons: list[int] = field(default_factory=list)  # SUBACK, UNSUBACK
 
 
@@ -154,7 +161,7 @@
 
 def _encode_binary(value: bytes) -> bytes:
     if len(value) > MAX_TWO_BYTE_INTEGER:
-        raise MqttError(f"string: longer than {MAX_TWO_BYTE_INTEGER} bytes")
+        raise MqttError(f"string: {len(value)} bytes, at most {MAX_TWO_BYTE_INTEGER} allowed")
     return _encode_two_bytes(len(value)) + value
 
 
@@ -241,7 +248,7 @@
 
 
 def encode(packet: Packet) -> bytes:
-    """One packet as bytes. Raises MqttError for a string that is too long."""
+    """Return one packet as bytes. Raise MqttError for a string that is too long."""
     kind = packet.kind
     if kind is Kind.PUBLISH:
         flags = DUP_FLAG * packet.dup + (packet.qos << QOS_SHIFT) + packet.retain
@@ -255,7 +262,7 @@
 
 
 class _BodyReader:
-    """Reads values one after another from the body of a packet."""
+    """Sequential reader of the values in the body of a packet."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -279,7 +286,7 @@
         except UnicodeDecodeError as error:
             raise MqttError("string: not UTF-8") from error
         if "\0" in value:
-            raise MqttError("string: holds U+0000")
+            raise MqttError("string: contains U+0000, which is not allowed")
         return value
 
     def read_variable(self) -> int:
@@ -316,16 +323,16 @@
                 packet.user.append((reader.read_text(), reader.read_text()))
                 continue
             if name in packet.properties and name != REPEATABLE_PROPERTY:
-                raise MqttError(f"property {name}: given twice")
+                raise MqttError(f"property {name}: given twice, allowed once")
             packet.properties[name] = reader.read_property(encoding)
 
 
 def _decode_connect(packet: Packet, reader: _BodyReader) -> None:
     if reader.read_text() != PROTOCOL_NAME or reader.read_integer(1) != PROTOCOL_VERSION:
-        raise MqttError("CONNECT: not MQTT 5")
+        raise MqttError(f"CONNECT: expected protocol {PROTOCOL_NAME}, version {PROTOCOL_VERSION}")
     flags = reader.read_integer(1)
     if flags & UNSUPPORTED_CONNECT_FLAGS:
-        raise MqttError(f"CONNECT: flags {flags}")
+        raise MqttError(f"CONNECT: unsupported flags {flags:#x}")
     packet.flag = bool(flags & CLEAN_START_FLAG)
     packet.keep_alive = reader.read_integer(2)
     reader.read_properties(packet)
@@ -345,7 +352,7 @@
     packet.qos = flags >> QOS_SHIFT & QOS_BITS
     packet.retain = bool(flags & RETAIN_FLAG)
     if packet.qos == INVALID_QOS or (packet.dup and not packet.qos):
-        raise MqttError(f"PUBLISH: flags {flags}")
+        raise MqttError(f"PUBLISH: invalid flags {flags:#x}")
     packet.topic = reader.read_text()
     packet.id = reader.read_integer(2) if packet.qos else 0
     if packet.qos and not packet.id:
@@ -397,16 +404,16 @@
     if kind is Kind.PUBLISH:
         _decode_publish(packet, reader, flags)
     elif flags != REQUIRED_FLAGS.get(kind, 0):
-        raise MqttError(f"{kind.name}: flags {flags}")
+        raise MqttError(f"{kind.name}: expected flags {REQUIRED_FLAGS.get(kind, 0):#x}, got {flags:#x}")
     else:
         BODY_DECODERS.get(kind, _decode_reason)(packet, reader)
     if reader.has_more():
-        raise MqttError(f"{kind.name}: bytes left over")
+        raise MqttError(f"{kind.name}: {len(data) - reader.position} bytes after the last field")
     return packet
 
 
 def _decode_remaining_length(head: bytes) -> tuple[int, int] | None:
-    """The length of the body and its offset, or None while they are incomplete (2.1.4)."""
+    """Return the length of the body and its offset, or None while the length is incomplete (2.1.4)."""
     length = 0
     for index in range(1, MAX_VARIABLE_BYTES + 1):
         if index >= len(head):
@@ -418,15 +425,15 @@
 
 
 def decode(buffer: Buffer, max_bytes: int = MAX_PACKET_BYTES) -> Packet | None:
-    """Consume the next complete packet; None while it is incomplete.
+    """Consume and return the next packet, or return None while it is incomplete.
 
-    Raises MqttError for bytes that are not MQTT 5, and for a body of more than `max_bytes`.
+    Raise MqttError for bytes that are not valid MQTT 5, and for a body of more than `max_bytes`.
     """
     head = buffer.peek(0, 1 + MAX_VARIABLE_BYTES)
-    found = _decode_remaining_length(head)
-    if found is None:
+    length_and_offset = _decode_remaining_length(head)
+    if length_and_offset is None:
         return None
-    length, offset = found
+    length, offset = length_and_offset
     if length > max_bytes:
         raise MqttError(f"packet: {length} bytes, at most {max_bytes} allowed")
     if len(buffer) < offset + length:
@@ -434,7 +441,7 @@
     try:
         kind = Kind(head[0] >> 4)
     except ValueError:
-        raise MqttError("packet: type 0") from None
+        raise MqttError("packet: expected a type from 1 to 15, got 0") from None
     data = buffer.peek(offset, length)
     buffer.consume(offset + length)
     return _decode_body(kind, head[0] & 0x0F, data)
