--- a/honeyhitch/policy/attempt_learning.py
+++ b/honeyhitch/policy/attempt_learning.py
@@ -9,7 +9,7 @@
 LOW_LIMIT_REMAINING = 0.15  # remaining fraction of the reported limit below which the rate is reduced
 
 
-def tells_of_health(event: AttemptEnded, call: Call) -> bool:
+def reflects_destination_health(event: AttemptEnded, call: Call) -> bool:
     """Return whether the outcome reflects the destination rather than only this attempt or connection."""
     if event.outcome in (Outcome.CANCELLED, Outcome.NOT_SENT) or event.connection_stale:
         return False
@@ -19,10 +19,12 @@
     return event.elapsed >= call.endpoint.state.latency.overdue_after()
 
 
-def note_broken_call(event: AttemptEnded, call: Call) -> None:
+def reduce_messages_per_call(event: AttemptEnded, call: Call) -> None:
     """Lower the messages per call after a whole call failed, as any of its messages may be the cause."""
-    broken = not call.pending_messages and not call.any_delivered and not event.outcome.proves_not_executed
-    if broken and call.message_count > 1:
+    whole_call_failed = (
+        not call.pending_messages and not call.any_delivered and not event.outcome.proves_not_executed
+    )
+    if whole_call_failed and call.message_count > 1:
         call.endpoint.state.max_messages_per_call = call.message_count / 2
 
 
--- a/honeyhitch/policy/circuit_breaking.py
+++ b/honeyhitch/policy/circuit_breaking.py
@@ -24,8 +24,10 @@
 MIN_PROBE_PAUSE = 200 * MILLISECOND
 MAX_PROBE_PAUSE = 16 * SECOND
 MAX_PROBE_PAUSE_PER_INSTANCE = 700 * MILLISECOND  # so that the instances together detect a recovery soon
-FLEET_PROBE_JITTER = 0.5  # fraction; many instances detect an outage at the same time
-MAX_INSTANCES_IN_STEP = 6  # up to this many instances may each keep a connection and probe with little jitter
+LARGE_FLEET_PROBE_JITTER = 0.5  # fraction; many instances detect an outage at the same time
+SMALL_FLEET_MAX_INSTANCES = (
+    6  # up to this many instances may each keep a connection and probe with little jitter
+)
 
 
 class CircuitBreaker:
@@ -45,10 +47,10 @@
         "consecutive_failures",
         "ejected",
         "ejected_at",
+        "last_ejection_at",
         "next_probe_at",
         "non_idempotent_threshold",
         "probe_jitter",
-        "reejected_at",
     )
 
     def __init__(self, settings: Settings, rng: Random, rate: RateLimiter) -> None:
@@ -62,11 +64,11 @@
         self.call_failures = DecayingCounter(CALL_FAILURES_DECAY_TIME)
         self.ejected = False
         self.ejected_at = 0
-        self.reejected_at = -NEVER  # time of the latest ejection or failed probe
+        self.last_ejection_at = -NEVER  # time of the latest ejection or failed probe
         self.next_probe_at = 0
         self.non_idempotent_threshold = NON_IDEMPOTENT_FAILURE_FRACTION
-        many = settings.instance_count > MAX_INSTANCES_IN_STEP
-        self.probe_jitter = FLEET_PROBE_JITTER if many else JITTER
+        large_fleet = settings.instance_count > SMALL_FLEET_MAX_INSTANCES
+        self.probe_jitter = LARGE_FLEET_PROBE_JITTER if large_fleet else JITTER
 
     def hangs(self, now: int, oldest_sent_at: int, overdue_after: float) -> bool:
         """Return whether the oldest call in flight is overdue and no call sent since then succeeded."""
@@ -77,7 +79,7 @@
         if not self.ejected:
             self.ejected_at = now
         self.ejected = True
-        self.reejected_at = now
+        self.last_ejection_at = now
         self._rate.end_slow_start()
         uniform = self._rng.uniform
         # All instances detect an outage at about the same time but must not send held messages together.
@@ -95,8 +97,8 @@
         pause = 0.0
         if outage_duration > MIN_PROBE_PAUSE / 2:
             pause = SECOND / self._rate.slow_start_rate(0, outage_duration)
-        longest = min(MAX_PROBE_PAUSE_PER_INSTANCE * self._instance_count, MAX_PROBE_PAUSE)
-        return max(MIN_PROBE_PAUSE, min(pause, longest))
+        max_pause = min(MAX_PROBE_PAUSE_PER_INSTANCE * self._instance_count, MAX_PROBE_PAUSE)
+        return max(MIN_PROBE_PAUSE, min(pause, max_pause))
 
     def record_success(self, now: int, call: Call) -> bool:
         """Record a delivered message; return whether it ends an ejection."""
@@ -107,7 +109,7 @@
         if not self.ejected:
             return False
         self.ejected = False
-        if self.reejected_at > self.ejected_at:
+        if self.last_ejection_at > self.ejected_at:
             self._rate.start_slow_start(now, now - self.ejected_at)
         else:  # no probe failed since the ejection: a single failure is no outage
             self._rate.end_slow_start()
@@ -125,15 +127,15 @@
     def should_eject(self, now: int, rejected: bool, retry_after: int) -> bool:
         """Return whether this failure ejects the destination or keeps it ejected."""
         failures = self.consecutive_failures
-        many = failures >= EJECTION_CONSECUTIVE_FAILURES
+        many_failures = failures >= EJECTION_CONSECUTIVE_FAILURES
         # A destination with a small quota gets few calls, and so is given longer until one of them succeeds.
-        period = max(REJECTING_PERIOD, REJECTING_CALLS * SECOND / self._rate.quota())
+        rejecting_period = max(REJECTING_PERIOD, REJECTING_CALLS * SECOND / self._rate.quota())
         unavailable = retry_after >= UNAVAILABLE_RETRY_AFTER or (
-            many and now - self._success_sent_at > period
+            many_failures and now - self._success_sent_at > rejecting_period
         )
         failing = (
-            many
-            or self.call_failures.good < MIN_KNOWN_SUCCESSES
+            many_failures
+            or self.call_failures.successes < MIN_KNOWN_SUCCESSES
             or self.call_failures.failure_fraction(now) >= EJECTION_FAILURE_FRACTION
         )
         return self.ejected or (unavailable if rejected else failing)
--- a/honeyhitch/policy/destination_state.py
+++ b/honeyhitch/policy/destination_state.py
@@ -12,7 +12,7 @@
 from honeyhitch.policy.settings import Settings
 from honeyhitch.time_units import NEVER, SECOND
 
-RISK_RECHECK_PAUSE = SECOND  # until a held non-idempotent message is considered again
+NON_IDEMPOTENT_RECHECK_PAUSE = SECOND  # until a held non-idempotent message is considered again
 MAX_MESSAGES_PER_CALL = 1024  # while no call fails as a whole
 MESSAGES_PER_CALL_GROWTH = 0.5  # fraction by which the limit grows with each successful call
 
@@ -62,13 +62,13 @@
             ready_at = self.last_sent_at + int(SECOND / self.rate.send_rate(now))
         ready_at = max(ready_at, self.retry_after_until, now)
         if non_idempotent and circuit.call_failures.failure_fraction(now) > circuit.non_idempotent_threshold:
-            ready_at = max(ready_at, now + RISK_RECHECK_PAUSE)
+            ready_at = max(ready_at, now + NON_IDEMPOTENT_RECHECK_PAUSE)
         return NEVER if circuit.ejected and self._probe_in_flight() else ready_at
 
     def _probe_in_flight(self) -> bool:
         """Return whether a call sent since the latest ejection or failed probe is in flight."""
         calls = self.calls_in_flight
-        return bool(calls) and next(reversed(calls)).sent_at >= self.circuit.reejected_at
+        return bool(calls) and next(reversed(calls)).sent_at >= self.circuit.last_ejection_at
 
     def honor_retry_after(self, until: int) -> None:
         """Send nothing before `until`, the end of a Retry-After; a later end already set stays."""
@@ -79,8 +79,8 @@
         count = call.message_count
         self.latency.record(elapsed, count)
         self.rate.record_success(now, count)
-        grown = self.max_messages_per_call * (1 + MESSAGES_PER_CALL_GROWTH / count)
-        self.max_messages_per_call = min(MAX_MESSAGES_PER_CALL, grown)
+        raised_limit = self.max_messages_per_call * (1 + MESSAGES_PER_CALL_GROWTH / count)
+        self.max_messages_per_call = min(MAX_MESSAGES_PER_CALL, raised_limit)
         return self.circuit.record_success(now, call)
 
     def record_failure(self, now: int, call: Call, rejected: bool, retry_after: int) -> None:
--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -33,7 +33,7 @@
     """
     destination = message.destination
     zone = message.required_zone()
-    soonest = NEVER
+    earliest_ready_at = NEVER
     ready: list[EndpointState] = []
     unconnected: list[EndpointState] = []
     for endpoint in destination.endpoints.values():
@@ -52,12 +52,12 @@
             else:
                 ready_at = NEVER
                 unconnected.append(endpoint)
-        soonest = min(soonest, ready_at)
+        earliest_ready_at = min(earliest_ready_at, ready_at)
     if ready:
-        return EndpointChoice(_best(ready, message, now, settings), soonest, None)
+        return EndpointChoice(_best_endpoint(ready, message, now, settings), earliest_ready_at, None)
     if unconnected:
-        return EndpointChoice(None, soonest, _best(unconnected, message, now, settings))
-    return EndpointChoice(None, soonest, None)
+        return EndpointChoice(None, earliest_ready_at, _best_endpoint(unconnected, message, now, settings))
+    return EndpointChoice(None, earliest_ready_at, None)
 
 
 def _slots_used_up(endpoint: EndpointState, destination: Destination, now: int, settings: Settings) -> bool:
@@ -68,7 +68,7 @@
     return destination.concurrent_calls >= max(1, int(settings.max_concurrent_calls * fraction))
 
 
-def _best(
+def _best_endpoint(
     endpoints: list[EndpointState], message: PendingMessage, now: int, settings: Settings
 ) -> EndpointState:
     return min(endpoints, key=lambda endpoint: _rank(endpoint, message, now, settings))
@@ -79,14 +79,16 @@
 ) -> tuple[int, int, int]:
     """Return the sort key of an endpoint: failure rank, load, and time since its last use."""
     crosses_zones = settings.cross_zone_cost > 0 and endpoint.zone != settings.zone
-    repeated = endpoint.name == message.last_endpoint
+    used_last = endpoint.name == message.last_endpoint
     failure_fraction = endpoint.failures_by_class[message.class_index].failure_fraction(now)
-    load = endpoint.concurrent_calls + crosses_zones + repeated
+    load = endpoint.concurrent_calls + crosses_zones + used_last
     # The endpoint used last is the most likely to have an open connection.
     return int(FAILURE_RANKS * failure_fraction), load, -endpoint.last_used_at
 
 
-def calls_to_open_for(destination: Destination, endpoint: EndpointState, now: int, settings: Settings) -> int:
+def calls_needing_connections(
+    destination: Destination, endpoint: EndpointState, now: int, settings: Settings
+) -> int:
     """Return for how many calls to open connections to this endpoint: 1 if it is ejected or rate-limited."""
     if endpoint.state.circuit.ejected or endpoint.state.rate.send_rate(now) < inf:
         return 1
--- a/honeyhitch/policy/endpoint_list.py
+++ b/honeyhitch/policy/endpoint_list.py
@@ -46,8 +46,8 @@
 
     def _forget_unlisted(self, listed: set[str]) -> None:
         for destination in self.destinations.values():
-            kept = {name: known for name, known in destination.endpoints.items() if name in listed}
-            destination.endpoints = kept
+            remaining = {name: state for name, state in destination.endpoints.items() if name in listed}
+            destination.endpoints = remaining
 
     def _apply_listing(self, listing: EndpointListing) -> Destination:
         """Apply one listing and return its destination.
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -23,7 +23,11 @@
     SetTimer,
     Subscribe,
 )
-from honeyhitch.policy.attempt_learning import learn_from_outcome, note_broken_call, tells_of_health
+from honeyhitch.policy.attempt_learning import (
+    learn_from_outcome,
+    reduce_messages_per_call,
+    reflects_destination_health,
+)
 from honeyhitch.policy.backoff import (
     BACKOFF_STEPS,
     MAX_ATTEMPTS,
@@ -33,7 +37,7 @@
 )
 from honeyhitch.policy.call import Call, attempt_timeout, may_share_call
 from honeyhitch.policy.destination import Destination
-from honeyhitch.policy.endpoint_choice import calls_to_open_for, choose_endpoint
+from honeyhitch.policy.endpoint_choice import calls_needing_connections, choose_endpoint
 from honeyhitch.policy.endpoint_list import EndpointList
 from honeyhitch.policy.endpoint_state import EndpointState
 from honeyhitch.policy.events import (
@@ -51,14 +55,14 @@
 )
 from honeyhitch.policy.idle_connections import IdleConnections
 from honeyhitch.policy.message import Execution, PendingMessage
-from honeyhitch.policy.ordering import HOLDING_OUTCOMES, OrderedQueue
+from honeyhitch.policy.ordering import ORDER_BLOCKING_OUTCOMES, OrderedQueue
 from honeyhitch.policy.settings import Settings
 from honeyhitch.policy.tenant_quotas import TenantQuotas
 from honeyhitch.policy.timers import Scheduler
 from honeyhitch.time_units import NEVER
 
 
-class Offer(NamedTuple):
+class SendCandidate(NamedTuple):
     """A message that may be sent to an endpoint now; the lowest in tuple order is sent first."""
 
     negative_value: float  # negated value per slot time, which calls in flight to the destination lower
@@ -100,7 +104,7 @@
             ShutdownStarted: self._on_shutdown,
         }
         if settings.must_subscribe:
-            self.scheduler.schedule(0, self._act, Subscribe())
+            self.scheduler.schedule(0, self._append_action, Subscribe())
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Handle the events at time `now`; return the actions, which are to be carried out in their order."""
@@ -110,7 +114,7 @@
             self._handlers[type(event)](event)
         self.scheduler.run_due(now)
         self._send_all()
-        for name in self.idle_connections.to_close(now):
+        for name in self.idle_connections.take_endpoints_to_close(now):
             self._actions.append(CloseIdleConnections(name))
         next_at = self.scheduler.next_at
         if next_at < self._timer_at:
@@ -129,9 +133,9 @@
         if call is None or message.ended or not call.endpoint.listed:
             return False
         state = call.endpoint.state
-        if not state.retry_after_until <= now < self._last_attempt_at(message):
+        if not state.retry_after_until <= now < self._attempt_cutoff(message):
             return False
-        return not (state.circuit.ejected and state.circuit.reejected_at > call.sent_at)
+        return not (state.circuit.ejected and state.circuit.last_ejection_at > call.sent_at)
 
     def limit_concurrent_calls(self, max_concurrent_calls: int) -> None:
         """Use at most `max_concurrent_calls` slots from now on."""
@@ -143,7 +147,7 @@
     def _on_list_update(self, event: EndpointListUpdate) -> None:
         if event.mode is UpdateMode.FAILED:
             pause = self._subscribe_backoff.next_pause()
-            self.scheduler.schedule(self.now + pause, self._act, Subscribe())
+            self.scheduler.schedule(self.now + pause, self._append_action, Subscribe())
         else:
             self._subscribe_backoff.reset()
         for destination in self.endpoint_list.apply(event):
@@ -163,8 +167,8 @@
             endpoint.state.circuit.call_failures.record(self.now, True)
             for class_index in range(len(self.settings.classes)):
                 endpoint.failures_by_class[class_index].record(self.now, True)
-            attempt = Call(endpoint, self.now - event.elapsed)
-            endpoint.state.record_failure(self.now, attempt, rejected=False, retry_after=0)
+            failed_connect = Call(endpoint, self.now - event.elapsed)
+            endpoint.state.record_failure(self.now, failed_connect, rejected=False, retry_after=0)
 
     def _on_retry_after(self, event: RetryAfterReceived) -> None:
         destination = self.destinations.get(event.destination)
@@ -172,13 +176,13 @@
             return
         endpoint = destination.endpoints.get(event.endpoint)
         # A Retry-After from an endpoint that is gone binds all remaining endpoints.
-        bound = [endpoint] if endpoint else destination.endpoints.values()
-        for bound_endpoint in bound:
-            bound_endpoint.state.honor_retry_after(event.until)
+        affected_endpoints = [endpoint] if endpoint else destination.endpoints.values()
+        for affected_endpoint in affected_endpoints:
+            affected_endpoint.state.honor_retry_after(event.until)
         self.dispatchable[destination] = None
 
     def _on_shutdown(self, event: ShutdownStarted) -> None:
-        self._give_up_before(self.now + event.pause)
+        self._give_up_blocked(self.now + event.pause)
 
     def _on_new_message(self, event: NewMessage) -> None:
         destination = self.endpoint_list.destination(event.destination)
@@ -186,11 +190,11 @@
         if self.settings.tenant_rates and not event.low_priority:
             message.priority_weight *= self._tenant_quotas.weight(event.tenant, self.now)
         self.messages[message.id] = message
-        restarted = message.attempts or message.possible_executions
-        if restarted and not message.may_attempt(self.now, self.max_attempts):
+        attempted_before = message.attempts or message.possible_executions
+        if attempted_before and not message.may_attempt(self.now, self.max_attempts):
             self._give_up(message)
         elif message.ordering_key is not None:
-            self.scheduler.schedule(self._last_attempt_at(message), self._expire, message)
+            self.scheduler.schedule(self._attempt_cutoff(message), self._expire, message)
             self.ordered_queues.setdefault(message.ordering_key, OrderedQueue()).messages.append(message)
             self._advance_ordered(message.ordering_key)
         else:
@@ -202,7 +206,7 @@
             return
         if message.call is not None and self.settings.can_cancel:
             self._actions.append(Cancel(message.id, message.attempts - 1))
-        self._end(message)
+        self._end_message(message)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         message = self.messages.get(event.message)
@@ -215,50 +219,50 @@
             message.possible_executions.pop()
         if event.not_started:
             message.attempts -= 1
-        if message.ordering_key in self.ordered_queues and event.outcome in HOLDING_OUTCOMES:
-            ordered = self.ordered_queues[message.ordering_key]
-            ordered.blocked_until = self.now + self.settings.ordering_pause
+        if message.ordering_key in self.ordered_queues and event.outcome in ORDER_BLOCKING_OUTCOMES:
+            ordered_queue = self.ordered_queues[message.ordering_key]
+            ordered_queue.blocked_until = self.now + self.settings.ordering_pause
         if event.outcome is Outcome.DELIVERED:
             call.any_delivered = True
-        note_broken_call(event, call)
-        if tells_of_health(event, call):
-            self._learn(event, call, message)
+        reduce_messages_per_call(event, call)
+        if reflects_destination_health(event, call):
+            self._learn_from_attempt(event, call, message)
         self.dispatchable[message.destination] = None
         self.idle_connections.add(call.endpoint)
         if message.ended or event.message_concluded:
-            self._end(message)
+            self._end_message(message)
         else:
             self._retry(message, event, call)
 
-    def _act(self, action: Action) -> None:
+    def _append_action(self, action: Action) -> None:
         self._actions.append(action)
 
     def _enqueue(self, message: PendingMessage) -> None:
         """Queue a message for sending; give it up if its destination is blocked for too long."""
         destination = message.destination
         destination.backing_off.pop(message, None)
-        last_attempt_at = self._last_attempt_at(message)
-        if destination.blocked_until() >= last_attempt_at:
+        cutoff = self._attempt_cutoff(message)
+        if destination.blocked_until() >= cutoff:
             self._give_up(message)
             return
-        self.scheduler.schedule(last_attempt_at, self._expire, message)
+        self.scheduler.schedule(cutoff, self._expire, message)
         destination.enqueue(message, next(self._sequence))
         self.dispatchable[destination] = None
 
     def _advance_ordered(self, key: int) -> None:
         """Queue the head of an ordering key once all before it have ended and the pause is over (rule 5)."""
-        ordered = self.ordered_queues.get(key)
-        if ordered is None:
+        ordered_queue = self.ordered_queues.get(key)
+        if ordered_queue is None:
             return
-        ordered.drop_concluded()
-        if ordered.blocked_until > self.now:
-            self.scheduler.schedule(ordered.blocked_until, self._advance_ordered, key)
-        elif not ordered.messages:
+        ordered_queue.drop_concluded()
+        if ordered_queue.blocked_until > self.now:
+            self.scheduler.schedule(ordered_queue.blocked_until, self._advance_ordered, key)
+        elif not ordered_queue.messages:
             del self.ordered_queues[key]
-        elif (head := ordered.startable_head()) is not None:
+        elif (head := ordered_queue.startable_head()) is not None:
             self._enqueue(head)
 
-    def _last_attempt_at(self, message: PendingMessage) -> int:
+    def _attempt_cutoff(self, message: PendingMessage) -> int:
         """Return the time from which an attempt could not get a response in time any more."""
         state = message.destination.state
         useful_time = state.latency.min_useful_time() if state else 0
@@ -267,19 +271,19 @@
     def _expire(self, message: PendingMessage) -> None:
         if message.ended or message.call is not None:
             return
-        last_attempt_at = self._last_attempt_at(message)
-        if self.now >= last_attempt_at:
+        cutoff = self._attempt_cutoff(message)
+        if self.now >= cutoff:
             self._give_up(message)
         else:
-            self.scheduler.schedule(last_attempt_at, self._expire, message)
+            self.scheduler.schedule(cutoff, self._expire, message)
 
-    def _give_up_before(self, until: int, destination: Destination | None = None) -> None:
-        """Give up the messages of one destination, or of all, that cannot be attempted after `until`."""
+    def _give_up_blocked(self, blocked_until: int, destination: Destination | None = None) -> None:
+        """Give up the messages of one destination, or of all, that cannot be sent after `blocked_until`."""
         for message in list(self.messages.values()):
             affected = destination is None or message.destination is destination
             if not affected or message.ended or message.call is not None:
                 continue
-            if until >= self._last_attempt_at(message):
+            if blocked_until >= self._attempt_cutoff(message):
                 self._give_up(message)
 
     def _give_up(self, message: PendingMessage) -> None:
@@ -292,9 +296,9 @@
             self._actions.append(Reject(message.id, retry_after))
         else:
             self._actions.append(Fail(message.id))
-        self._end(message)
+        self._end_message(message)
 
-    def _end(self, message: PendingMessage) -> None:
+    def _end_message(self, message: PendingMessage) -> None:
         message.destination.backing_off.pop(message, None)
         message.ended = True
         message.queued = False
@@ -332,7 +336,7 @@
         if message in message.destination.backing_off:
             self._enqueue(message)
 
-    def _learn(self, event: AttemptEnded, call: Call, message: PendingMessage) -> None:
+    def _learn_from_attempt(self, event: AttemptEnded, call: Call, message: PendingMessage) -> None:
         endpoint = call.endpoint
         if event.connection_limited or event.outcome is Outcome.CONNECT_FAILED:
             endpoint.state.connection_failures.record(self.now, True)
@@ -347,19 +351,19 @@
 
     def _send_all(self) -> None:
         """Fill free slots with the messages of the highest value per slot time, shared among destinations."""
-        offers: list[Offer] = []
+        candidates: list[SendCandidate] = []
         if self.concurrent_calls < self.settings.max_concurrent_calls:
             for destination in list(self.dispatchable):
-                self._make_offer(destination, offers)
-        while offers and self.concurrent_calls < self.settings.max_concurrent_calls:
-            offer = heappop(offers)
-            self._send(offer.message, offer.endpoint)
-            self._make_offer(offer.message.destination, offers)
+                self._add_best_candidate(destination, candidates)
+        while candidates and self.concurrent_calls < self.settings.max_concurrent_calls:
+            candidate = heappop(candidates)
+            self._send(candidate.message, candidate.endpoint)
+            self._add_best_candidate(candidate.message.destination, candidates)
 
-    def _make_offer(self, destination: Destination, offers: list[Offer]) -> None:
+    def _add_best_candidate(self, destination: Destination, candidates: list[SendCandidate]) -> None:
         """Add the most valuable message that may be sent to a destination now, or schedule a later check."""
         now = self.now
-        found: list[Offer] = []
+        destination_candidates: list[SendCandidate] = []
         check_at = NEVER
         for queue in destination.queues.values():
             message = queue.head(now)
@@ -368,25 +372,27 @@
             endpoint, ready_at, connect_to = choose_endpoint(message, now, self.settings)
             check_at = min(check_at, ready_at)
             if connect_to is not None:
-                calls = calls_to_open_for(destination, connect_to, now, self.settings)
+                calls = calls_needing_connections(destination, connect_to, now, self.settings)
                 self._actions.append(OpenConnections(connect_to.name, calls))
             if endpoint is not None:
                 latency = endpoint.state.latency.mean
                 value = message.value(now + int(latency), self.settings.late_decay)
                 value_per_slot_time = value / latency / (1 + destination.concurrent_calls)
-                found.append(Offer(-value_per_slot_time, next(self._sequence), message, endpoint))
-        if found:
-            heappush(offers, min(found))
+                destination_candidates.append(
+                    SendCandidate(-value_per_slot_time, next(self._sequence), message, endpoint)
+                )
+        if destination_candidates:
+            heappush(candidates, min(destination_candidates))
         else:
-            self._check_later(destination, check_at)
+            self._schedule_check(destination, check_at)
 
-    def _check_later(self, destination: Destination, check_at: int) -> None:
+    def _schedule_check(self, destination: Destination, check_at: int) -> None:
         """Skip a destination until `check_at` or an event that concerns it, instead of checking each time."""
         del self.dispatchable[destination]
         blocked_until = destination.blocked_until()
         if self.now < blocked_until != destination.reported_blocked_until:
             destination.reported_blocked_until = blocked_until
-            self._give_up_before(blocked_until, destination)
+            self._give_up_blocked(blocked_until, destination)
         already_scheduled = self.now < destination.next_check_at <= check_at
         if check_at < NEVER and not already_scheduled:
             destination.next_check_at = check_at
--- a/honeyhitch/policy/health.py
+++ b/honeyhitch/policy/health.py
@@ -25,23 +25,23 @@
 
 def destination_health(policy: DeliveryPolicy, destination: int, now: int) -> DestinationHealth:
     """Return the health of a destination at `now` (ns); an unknown destination counts as not listed."""
-    known = policy.destinations.get(destination) or Destination()
-    listed = (endpoint for endpoint in known.endpoints.values() if endpoint.listed)
+    known_destination = policy.destinations.get(destination) or Destination()
+    listed = (endpoint for endpoint in known_destination.endpoints.values() if endpoint.listed)
     states = list({endpoint.state: None for endpoint in listed})  # without duplicates, in list order
-    healthy = [
+    healthy_states = [
         state
         for state in states
         if not state.circuit.ejected
         and state.circuit.call_failures.failure_fraction(now) < NON_IDEMPOTENT_FAILURE_FRACTION
     ]
-    queues = [queue for key, queue in known.queues.items() if not key.low_priority]
+    queues = [queue for key, queue in known_destination.queues.items() if not key.low_priority]
     return DestinationHealth(
         listed=bool(states),
-        unhealthy=not healthy,
+        unhealthy=not healthy_states,
         in_slow_start=any(state.rate.in_slow_start(now) for state in states),
-        retry_after_until=min((state.retry_after_until for state in healthy), default=0),
+        retry_after_until=min((state.retry_after_until for state in healthy_states), default=0),
         has_queued_messages=any(queue.head(policy.now) is not None for queue in queues),
-        quota=sum(state.rate.quota() for state in healthy),
+        quota=sum(state.rate.quota() for state in healthy_states),
         last_sent_at=max((state.last_sent_at for state in states), default=0),
         concurrent_calls=policy.concurrent_calls,
     )
--- a/honeyhitch/policy/idle_connections.py
+++ b/honeyhitch/policy/idle_connections.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from honeyhitch.policy.circuit_breaking import MAX_INSTANCES_IN_STEP
+from honeyhitch.policy.circuit_breaking import SMALL_FLEET_MAX_INSTANCES
 from honeyhitch.policy.decaying_counter import DecayingCounter
 from honeyhitch.policy.endpoint_state import EndpointState
 
@@ -20,7 +20,7 @@
     """The endpoints whose connections may have become idle since the last check. Times are nanoseconds."""
 
     def __init__(self, instance_count: int, rng: Random) -> None:
-        self._many_instances = instance_count > MAX_INSTANCES_IN_STEP
+        self._many_instances = instance_count > SMALL_FLEET_MAX_INSTANCES
         self._rng = rng
         self._candidates: dict[EndpointState, None] = {}
 
@@ -34,18 +34,18 @@
             if endpoint.state.connection_failures is connection_failures:
                 self._candidates[endpoint] = None
 
-    def to_close(self, now: int) -> list[str]:
+    def take_endpoints_to_close(self, now: int) -> list[str]:
         """Return the names of the endpoints whose idle connections are to be closed; clear the candidates."""
-        closing = [endpoint.name for endpoint in self._candidates if self._closes(endpoint, now)]
+        closing = [endpoint.name for endpoint in self._candidates if self._should_close(endpoint, now)]
         self._candidates.clear()
         return closing
 
-    def _closes(self, endpoint: EndpointState, now: int) -> bool:
+    def _should_close(self, endpoint: EndpointState, now: int) -> bool:
         # The random draw precedes the check for idleness, so that the sequence of random numbers does not
         # depend on which endpoints are idle.
-        yields = (
+        close_wanted = (
             endpoint.state.connection_failures.failure_fraction(now) > CONNECTION_FAILURE_FRACTION
             or endpoint.state.answered_calls < ANSWERS_BEFORE_POOLING
             or self._rng.random() < CLOSING_PROBABILITY
         )
-        return yields and self._many_instances and not endpoint.concurrent_calls
+        return close_wanted and self._many_instances and not endpoint.concurrent_calls
--- a/honeyhitch/policy/message.py
+++ b/honeyhitch/policy/message.py
@@ -92,8 +92,8 @@
         self.objective_duration = min(
             message_class.latency_objective + work_allowance, message_class.deadline
         )
-        started_at = self.deadline - message_class.deadline if event.recovered_from_journal else now
-        self.objective_at = min(started_at + self.objective_duration, self.deadline)
+        objective_start = self.deadline - message_class.deadline if event.recovered_from_journal else now
+        self.objective_at = min(objective_start + self.objective_duration, self.deadline)
 
     def attempts_allowed_until(self) -> int:
         """Return the time from which no attempt is allowed: the deadline or the deduplication window end."""
@@ -126,12 +126,12 @@
             return self.possible_executions[0].zone
         return None
 
-    def value(self, at: int, decay: LateDecay) -> float:
+    def value(self, delivered_at: int, decay: LateDecay) -> float:
         """Return the weight of a delivery at this time: the full weight up to the objective, then less."""
-        late_by = max(0, at - self.objective_at)
-        least = self.message_class.late_weight_fraction
+        lateness = max(0, delivered_at - self.objective_at)
+        min_fraction = self.message_class.late_weight_fraction
         if decay is LateDecay.HALVING:
-            halved = exp(-HALVING_RATE * late_by / self.objective_duration)
-            return self.priority_weight * max(least, halved)
+            remaining_fraction = exp(-HALVING_RATE * lateness / self.objective_duration)
+            return self.priority_weight * max(min_fraction, remaining_fraction)
         late_duration = max(1, self.deadline - self.objective_at)
-        return self.priority_weight * max(0.0, 1 - (1 - least) * late_by / late_duration)
+        return self.priority_weight * max(0.0, 1 - (1 - min_fraction) * lateness / late_duration)
--- a/honeyhitch/policy/ordering.py
+++ b/honeyhitch/policy/ordering.py
@@ -7,7 +7,11 @@
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.message import PendingMessage
 
-HOLDING_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may still be executed
+ORDER_BLOCKING_OUTCOMES = (
+    Outcome.TIMEOUT,
+    Outcome.RESET,
+    Outcome.CANCELLED,
+)  # the attempt may still be executed
 
 
 class OrderedQueue:
--- a/honeyhitch/policy/rate_limiting.py
+++ b/honeyhitch/policy/rate_limiting.py
@@ -11,7 +11,7 @@
 MIN_QUOTA_PER_SECOND = 0.001
 MIN_UNLISTED_QUOTA_PER_SECOND = 0.5
 SLOW_START_SAFETY_FACTOR = 0.8  # fraction used of the rate that a destination in slow start sustains
-NOTICE_PERIOD = 3 * SECOND  # instances that made a call within it detect an outage together
+OUTAGE_DETECTION_PERIOD = 3 * SECOND  # instances that made a call within it detect an outage together
 REJECTION_FACTOR = 0.5  # applied to the send rate by each further rejection
 FIRST_REJECTION_FACTOR = 0.6  # applied to the measured rate by the first rejection
 RATE_RECOVERY_PER_SECOND = 0.15  # growth of the send rate, as a fraction
@@ -60,15 +60,15 @@
         capacity = self.reported_limit or self.listed_rate / divisor
         return max(MIN_QUOTA_PER_SECOND, capacity / self._settings.instance_count)
 
-    def slow_start_rate(self, recovered_for: int, outage_duration: int) -> float:
+    def slow_start_rate(self, time_since_recovery: int, outage_duration: int) -> float:
         """Return the calls per second that this instance may send to a destination in slow start.
 
         All instances that detected the outage together stay within the rate that the destination sustains.
         """
         settings = self._settings
-        progress = min(1.0, recovered_for / settings.slow_start_duration)
+        progress = min(1.0, time_since_recovery / settings.slow_start_duration)
         fraction = settings.slow_start_fraction + (1 - settings.slow_start_fraction) * progress
-        capacity = max(self.quota(), SECOND / max(NOTICE_PERIOD, outage_duration))
+        capacity = max(self.quota(), SECOND / max(OUTAGE_DETECTION_PERIOD, outage_duration))
         return SLOW_START_SAFETY_FACTOR * settings.overload_factor * fraction * capacity
 
     def start_slow_start(self, now: int, outage_duration: int) -> None:
--- a/honeyhitch/policy/tenant_quotas.py
+++ b/honeyhitch/policy/tenant_quotas.py
@@ -28,7 +28,7 @@
         bucket = self._buckets[tenant]
         refilled = bucket.tokens + rate * (now - bucket.updated_at + 1) / SECOND
         tokens = min(max(1.0, rate), refilled)
-        inside = tokens >= 1
-        bucket.tokens = tokens - inside
+        within_quota = tokens >= 1
+        bucket.tokens = tokens - within_quota
         bucket.updated_at = now
-        return 1.0 if inside else self._over_quota_weight
+        return 1.0 if within_quota else self._over_quota_weight
--- a/honeyhitch/policy/timers.py
+++ b/honeyhitch/policy/timers.py
@@ -8,7 +8,7 @@
 
 from honeyhitch.time_units import NEVER
 
-Subject = TypeVar("Subject")
+Argument = TypeVar("Argument")
 
 
 class Scheduler:
@@ -27,14 +27,14 @@
         """The time at which the next callback is due; NEVER if there is none."""
         return self._heap[0][0] if self._heap else NEVER
 
-    def schedule(self, at: int, callback: Callable[[Subject], object], subject: Subject) -> None:
-        """Call `callback(subject)` in the first `run_due` at or after `at`."""
+    def schedule(self, due_at: int, callback: Callable[[Argument], object], argument: Argument) -> None:
+        """Call `callback(argument)` in the first `run_due` at or after `due_at`."""
         self._sequence += 1
-        heappush(self._heap, (at, self._sequence, callback, subject))
+        heappush(self._heap, (due_at, self._sequence, callback, argument))
 
     def run_due(self, now: int) -> None:
         """Run all callbacks that are due, including those that a callback schedules for `now` or earlier."""
         heap = self._heap
         while heap and heap[0][0] <= now:
-            _, _, callback, subject = heappop(heap)
-            callback(subject)
+            _, _, callback, argument = heappop(heap)
+            callback(argument)
