--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -28,7 +28,7 @@
 def choose_endpoint(message: PendingMessage, now: int, settings: Settings) -> EndpointChoice:
     """Choose the best-ranked endpoint among those that may take a call with the message now.
 
-    Only listed endpoints in the required zone, if there is one, that are ready for calls come into question
+    An endpoint must be listed, be in the message's required zone if there is one, and be ready for a call
     (rules 2, 3 and 4).
     """
     destination = message.destination
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -142,7 +142,7 @@
         self.settings = replace(self.settings, max_concurrent_calls=max_concurrent_calls)
 
     def _on_timer(self, _: TimerFired) -> None:
-        self._timer_at = NEVER  # a timer that fired early is set again
+        self._timer_at = NEVER  # if the timer fired early, it is requested again
 
     def _on_list_update(self, event: EndpointListUpdate) -> None:
         if event.mode is UpdateMode.FAILED:
@@ -263,7 +263,7 @@
             self._enqueue(head)
 
     def _attempt_cutoff(self, message: PendingMessage) -> int:
-        """Return the time from which an attempt could not get a response in time any more."""
+        """Return the time from which an attempt is too late to get a response in time."""
         state = message.destination.state
         useful_time = state.latency.min_useful_time() if state else 0
         return message.attempts_allowed_until() - self.deadline_margin - useful_time
--- a/honeyhitch/policy/timers.py
+++ b/honeyhitch/policy/timers.py
@@ -1,4 +1,4 @@
-"""A scheduler of callbacks."""
+"""A scheduler of callbacks that run at a later time."""
 
 from __future__ import annotations
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,7 @@
-"""Many seeded policies against one scripted destination in virtual time, with totals of what they do.
+"""A simulation of many seeded policies that send to one scripted destination in virtual time.
 
-The destination has a rate limit that may change, a connection limit, and may be down for a while. It reports
-its limit, and what remains of it, late: as of the last refresh.
+The destination has a rate limit that may change, a connection limit, and possibly an outage. It reports its
+rate limit and what remains of it with a delay, as of the last refresh.
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
 
 
 class Report(NamedTuple):
-    """What a destination reports with a response."""
+    """The rate limit that a destination reports with a response."""
 
-    limit_remaining: float  # fraction
-    rate_limit: float  # calls a second, 0 if none is reported
+    limit_remaining: float  # fraction of the limit that remains
+    rate_limit: float  # calls per second, 0 if none is reported
 
 
 NO_REPORT = Report(1.0, 0.0)
 
 
 def constant_limit(calls_per_second: float) -> Callable[[int], float]:
-    """A limit that does not change."""
+    """Return a rate limit that does not change with time."""
     return lambda _now: calls_per_second
 
 
@@ -59,33 +59,34 @@
 
 @dataclass
 class Partner:
-    """One destination; `limit` is a function of the time. Rejected calls count against the limit.
+    """The simulated destination; `limit` maps the time to the rate limit, which rejected calls use up, too.
 
-    Times are nanoseconds, rates are calls a second.
+    Times are nanoseconds, rates are calls per second.
     """
 
     limit: Callable[[int], float] = DEFAULT_LIMIT
     connection_limit: int = 1 << 30
-    retry_after: int = 0  # with a rejection
+    retry_after: int = 0  # sent with a rejection
     retry_after_probability: float = 1.0
-    burst_seconds: float = 0.35  # of the limit, that may come together
+    burst_seconds: float = 0.35  # duration of calls at the limit that may arrive together
     tokens: float = 0.0
     updated_at: int = 0
     reported: Report = NO_REPORT
     next_report: Report = NO_REPORT
     reported_at: int = 0
-    outage: tuple[int, int] = (0, 0)  # its start and end
-    calls_after_outage: list[tuple[int, int]] = field(default_factory=list)  # times and instances
-    aware_instances: set[int] = field(default_factory=set)  # instances that saw a call fail in the outage
+    outage: tuple[int, int] = (0, 0)  # start and end
+    calls_after_outage: list[tuple[int, int]] = field(default_factory=list)  # time and instance of each call
+    aware_instances: set[int] = field(default_factory=set)  # instances with a call that failed in the outage
 
     def is_down(self, now: int) -> bool:
-        """Whether no connection comes up."""
+        """Return whether connects fail at `now`."""
         return self.outage[0] <= now < self.outage[1]
 
     def peak_load(self, given: Settings, window: int, capacity: float) -> float:
-        """The most calls in a window after the outage from instances that knew of it.
+        """Return the maximum load of any window after the outage, from instances that detected the outage.
 
-        It is a fraction of what a destination in slow start sustains in that window.
+        The load is the number of their calls as a fraction of the calls that a destination in slow start
+        sustains in that window.
         """
         times = [
             at
@@ -100,9 +101,10 @@
         return peak
 
     def peak_excess(self, given: Settings, window: int, capacity: float) -> float:
-        """The most calls of all instances in a window after the outage, less N + 2 x root of N + 2.
+        """Return the most calls of all instances in a window after the outage, less N + 2 x root of N + 2.
 
-        N is what a destination in slow start sustains in that window; above 0 it is overloaded.
+        N is the number of calls that a destination in slow start sustains in that window; a result above 0
+        means that the destination is overloaded.
         """
         slow_start_end = self.outage[1] + given.slow_start_duration
         times = [at for at, _ in self.calls_after_outage if at < slow_start_end]
@@ -114,20 +116,20 @@
         return peak
 
     def _sustained_calls(self, given: Settings, start: int, window: int, capacity: float) -> float:
-        """How many calls it sustains in the window that begins at `start`."""
+        """Return how many calls the destination sustains in the window that begins at `start`."""
         progress = min(1.0, (start - self.outage[1]) / given.slow_start_duration)
         fraction = given.slow_start_fraction + (1 - given.slow_start_fraction) * progress
         return given.overload_factor * fraction * capacity * window / SECOND
 
     def admit(self, now: int) -> bool:
-        """Whether a call is inside the limit."""
+        """Count a call at `now`; return whether it is within the rate limit."""
         limit = self.limit(now)
         burst = max(1.0, limit * self.burst_seconds)
         self.tokens = min(burst, self.tokens + limit * (now - self.updated_at) / SECOND)
         self.updated_at = now
         inside = self.tokens >= 1
-        self.tokens = max(-2 * burst, self.tokens - 1)  # a rejected call runs it into debt
-        if now - self.reported_at >= REPORT_REFRESH:  # reports are as of the refresh before
+        self.tokens = max(-2 * burst, self.tokens - 1)  # below 0 after rejected calls
+        if now - self.reported_at >= REPORT_REFRESH:  # the report then is the one made at the refresh before
             self.reported = self.next_report
             self.reported_at = now
             self.next_report = Report(self.tokens / burst, limit)
@@ -136,10 +138,10 @@
 
 @dataclass(frozen=True)
 class CallResult:
-    """How a call ends. Durations are nanoseconds."""
+    """The result of a call. Durations are nanoseconds."""
 
     outcome: Outcome
-    duration: int  # its mean
+    duration: int  # mean duration
     report: Report = NO_REPORT
     retry_after: int = 0
     connection_limited: bool = False
@@ -147,7 +149,7 @@
 
 @dataclass
 class FleetTotals:
-    """What the fleet did; rejections and deliveries by second."""
+    """Totals of the fleet; rejections and deliveries are counted by second."""
 
     rejected: Counter[int] = field(default_factory=Counter)  # calls above the limit
     delivered: Counter[int] = field(default_factory=Counter)
@@ -158,7 +160,7 @@
 
 
 class Fleet:
-    """`count` policies, a Poisson stream of messages over all of them, and the destination."""
+    """A fleet of `count` policies that share a Poisson stream of messages, and their destination."""
 
     def __init__(
         self,
@@ -169,7 +171,7 @@
         uneven: bool = False,
         **more: Any,
     ) -> None:
-        """`uneven`: some instances get several times the mean of the messages, others next to none."""
+        """Set up the fleet; with `uneven`, some instances get several times the mean load, others little."""
         given = {
             "instance_count": count,
             "max_concurrent_calls": 6,
@@ -195,11 +197,11 @@
             self.deliver_at(0, instance, EndpointListUpdate(UpdateMode.CACHED, (listing,)))
 
     def deliver_at(self, when: int, instance: int, *events: Event) -> None:
-        """Deliver events to an instance at this time, in one batch."""
+        """Schedule a batch of events for an instance."""
         heapq.heappush(self.heap, (when, next(self.sequence), instance, events))
 
     def submit_at_rate(self, start: int, end: int, rate: float) -> None:
-        """Submit messages at this rate (1/s) in all, each to a random instance."""
+        """Submit messages at this total rate (1/s), each to a random instance."""
         instances = range(len(self.policies))
         now = start
         while (now := now + int(self.rng.expovariate(rate) * SECOND)) < end:
@@ -214,7 +216,7 @@
             self.deliver_at(now, instance, event)
 
     def run(self, until: int) -> FleetTotals:
-        """Play until this time."""
+        """Run the simulation until this time; return the totals."""
         while self.heap and self.heap[0][0] <= until:
             now, _, instance, events = heapq.heappop(self.heap)
             if isinstance(events[0], AttemptEnded):
@@ -226,7 +228,7 @@
         return self.totals
 
     def _decide(self, now: int, instance: int, events: tuple[Event, ...]) -> list[str]:
-        """Let an instance decide; the messages that it sends."""
+        """Pass events to an instance's policy and carry out its actions; return the messages to send."""
         names: list[str] = []
         for action in self.policies[instance].handle(now, list(events)):
             match action:
@@ -239,7 +241,7 @@
         return names
 
     def send(self, now: int, instance: int, names: list[str]) -> None:
-        """Send one call: its end is decided now, and delivered later."""
+        """Send one call; its result is determined now and passed to the policy when the call ends."""
         new_connection = not self.idle_connections[instance]
         self.totals.handshakes += new_connection
         if now >= self.partner.outage[1] > 0:
@@ -264,9 +266,9 @@
         self.deliver_at(now + elapsed, instance, *ended)
 
     def _call(self, now: int, instance: int, new_connection: bool) -> CallResult:
-        """How a call to the destination ends."""
+        """Return the result of a call to the destination."""
         partner = self.partner
-        report = partner.reported  # as of before this call
+        report = partner.reported  # the report before this call
         duration = ROUND_TRIP + HANDSHAKE * new_connection
         if partner.is_down(now):
             partner.aware_instances.add(instance)
@@ -285,16 +287,16 @@
         return CallResult(Outcome.REJECTED, duration, report, retry_after)
 
     def _use_connection(self, instance: int, new_connection: bool) -> None:
-        """Take an idle connection unless the call opens a new one."""
+        """Remove one idle connection of the instance unless the call opens a new one."""
         self.idle_connections[instance] -= not new_connection
 
     def next_attempt(self, instance: int, name: str) -> int:
-        """The number of the attempt that is made now."""
+        """Count an attempt of a message; return its number, from 0."""
         self.attempts[instance, name] = self.attempts.get((instance, name), -1) + 1
         return self.attempts[instance, name]
 
     def end_call(self, now: int, instance: int, events: list[AttemptEnded]) -> None:
-        """Account for the end of a call; its connection is idle until it is used or closed."""
+        """Add the end of a call to the totals; its connection becomes idle if it was established."""
         outcome = events[0].outcome
         connection_limited = events[0].connection_limited
         if outcome is Outcome.DELIVERED:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The policy in a whole fleet: what is harmless from one instance and harmful from all, on several seeds."""
+"""The policy in a whole fleet, on several seeds: behavior that is harmful only when all instances show it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     fleet = Fleet(Partner(connection_limit=9), seed)
     fleet.submit_at_rate(0, 20 * SECOND, 20.0)
     totals = fleet.run(40 * SECOND)
-    assert totals.in_time >= 0.65 * totals.submitted  # 0.2 to 0.3 where each keeps its own
+    assert totals.in_time >= 0.65 * totals.submitted  # 0.2 to 0.3 if each instance keeps its connection
     assert totals.connection_limited <= 0.7 * totals.submitted
 
 
@@ -37,7 +37,7 @@
     ("head", "fresh", "connection_limited"),
     [
         ("503 Full\r\nConnection: close", True, True),
-        ("503 Full\r\nConnection: close", False, False),  # the connection was accepted before
+        ("503 Full\r\nConnection: close", False, False),  # a pooled connection, which was accepted before
         ("503 Full", True, False),
         ("503 Full\r\nConnection: close\r\nX-Pressure: x0=0,x1=9", True, False),
         ("503 Full\r\nConnection: close\r\nRetry-After: 1", True, False),
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_rejected_calls_that_count_do_not_keep_the_fleet_above_the_limit(seed: int) -> None:
-    """Bursts for a destination that takes several messages in a call; a rejected call runs it into debt."""
+    """Bursts go to a destination that takes several messages per call; rejected calls overdraw its limit."""
     fleet = Fleet(
         Partner(limit=constant_limit(53.0)),
         seed,
@@ -74,13 +74,13 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize(
-    ("load", "delivered", "rejected"),  # load by the limit; fractions of what was submitted
+    ("load", "delivered", "rejected"),  # load as a multiple of the limit; fractions of submitted messages
     [(0.5, 0.97, 0.02), (1.0, 0.75, 0.06), (1.5, 0.4, 0.18)],
 )
 def test_two_hundred_instances_with_uneven_traffic_share_a_single_limit(
     seed: int, load: float, delivered: float, rejected: float
 ) -> None:
-    """Each gets few responses from the destination, and some get several times the mean."""
+    """Each instance gets few responses from the destination; some get several times the mean load."""
     fleet = Fleet(
         Partner(limit=constant_limit(40.0), connection_limit=24),
         seed,
@@ -117,7 +117,10 @@
 def test_twenty_or_thirty_instances_send_no_more_than_a_recovering_destination_sustains(
     count: int, limit: float, load: float, down_for: int, uneven: bool, seed: int
 ) -> None:
-    """Beyond N calls, only 2 x root of N + 2 are attributed to chance, whoever sent them."""
+    """Beyond the N calls that it sustains, 2 x root of N + 2 calls are attributed to chance.
+
+    The calls of all instances count, whether or not they detected the outage.
+    """
     recovers_at = 5 + down_for
     partner = Partner(limit=constant_limit(limit), outage=(5 * SECOND, recovers_at * SECOND))
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
--- a/tests/test_policy_batches.py
+++ b/tests/test_policy_batches.py
@@ -1,4 +1,4 @@
-"""Calls that take several messages: how many share a call, and what a broken call means."""
+"""Calls that take several messages: how many share a call, and how a failed call is counted."""
 
 from __future__ import annotations
 
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -1,4 +1,4 @@
-"""The delivery policy: a small case for each of its rules."""
+"""Tests of the delivery policy, with a small case for each of its rules."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def fail_every_attempt(name: str, outcome: Outcome, world: World, class_index: int = 0) -> list[int]:
-    """Fail every attempt immediately; the pauses (ns) between each outcome and the next attempt."""
+    """Fail every attempt immediately; return the pauses (ns) between each outcome and the next attempt."""
     world.batch([world.submit(name, class_index)])
     pauses = []
     while not world.messages[name].concluded:
@@ -74,7 +74,7 @@
 def test_connects_at_a_connection_limit_back_off_by_the_number_of_instances(
     instances: int, longest_pause: int
 ) -> None:
-    """The pause grows with the number of instances, and stays short for few of them."""
+    """The longest pause grows with the number of instances and stays short for a few instances."""
     world, attempted_at = World(settings(instance_count=instances), ONE_ENDPOINT), list[int]()
     for number in range(60):
         world.batch([world.submit(f"m{number}", class_index=0)])
@@ -111,7 +111,10 @@
 
 @pytest.mark.parametrize("by_other_process", [False, True], ids=["by this process", "by the other process"])
 def test_messages_that_cannot_outlive_a_retry_after_are_rejected_immediately(by_other_process: bool) -> None:
-    """Submitted before and after it was received, by this process or by the other one of an upgrade."""
+    """The messages are submitted before and after Retry-After was received by this or the other process.
+
+    There are two processes during an upgrade.
+    """
     world = World(settings(max_concurrent_calls=1), ONE_ENDPOINT)
     world.batch([world.submit("out"), world.submit("queued", time_left=4 * SECOND)])
     world.batch([world.submit("long")], at=20 * MILLISECOND)
@@ -199,7 +202,7 @@
         at=MILLISECOND,
     )
     assert Fail("m") in actions
-    world.run(23 * SECOND)  # a non-idempotent message waits until the failures have decayed
+    world.run(23 * SECOND)  # the non-idempotent message waits until the recorded failures have decayed
     assert len(world.sends("n")) == 2
 
 
@@ -246,7 +249,7 @@
         [world.end_attempt("m", Outcome.TIMEOUT), world.end_attempt("f", Outcome.DELIVERED)], at=SECOND
     )
     assert not world.sends("n")
-    world.run(16 * SECOND)  # the failures must decay before a non-idempotent message is sent
+    world.run(16 * SECOND)  # the recorded failures must decay before a non-idempotent message is sent
     assert world.sends("n")[0][0] >= SECOND + 100 * MILLISECOND
 
 
@@ -405,7 +408,7 @@
 def test_the_send_rate_follows_a_reported_limit_that_recovers() -> None:
     world = World(settings(max_concurrent_calls=40), ONE_ENDPOINT)
     counts: list[int] = []
-    for limit in (2.0, 20.0):  # a limit that fell for ten seconds, and is back
+    for limit in (2.0, 20.0):  # the limit falls for ten seconds and then recovers
         before = len(world.sends())
         for i in range(100):
             name = f"{limit}-{i}"
@@ -426,7 +429,7 @@
     world = World(settings(max_concurrent_calls=4), ONE_ENDPOINT)
     world.batch([world.submit(f"out{i}") for i in range(3)])
     world.batch([world.submit("hasty", time_left=300 * MILLISECOND)], at=10 * MILLISECOND)
-    world.run(280 * MILLISECOND)  # a first answer is taken to need 200 ms, and half of that is out of reach
+    world.run(280 * MILLISECOND)  # half of the initial latency estimate of 200 ms must be left
     assert [(type(a), at) for at, a in world.log if getattr(a, "message", "") == "hasty"] == [
         (Reject, 200 * MILLISECOND)
     ]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random days of legal events: the world checks every action against the rules."""
+"""Property tests with random sequences of valid events: the world checks every action against the rules."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def random_classes(chance: random.Random) -> tuple[MessageClass, ...]:
-    """Classes as some deployment might have them: one or several, with deadlines from a moment to minutes."""
+    """Return classes of a random deployment: one or several, with deadlines from 10 ms to 30 s."""
     classes = []
     for _ in range(chance.choice([1, 1, 2, 5])):
         idempotency = chance.choice(list(Idempotency))
@@ -57,7 +57,7 @@
 
 
 def random_deployment_settings(chance: random.Random) -> dict[str, Any]:
-    """Further settings of some deployment, up to the limits of what is allowed."""
+    """Return further settings of a random deployment, up to the limits of the allowed values."""
     return {
         "resolution": chance.choice([0, 5 * MILLISECOND, 10 * MILLISECOND]),
         "max_attempts": chance.choice([1, 2, 12]),
@@ -76,7 +76,7 @@
 
 
 def random_settings(chance: random.Random) -> dict[str, Any]:
-    """The settings that differ from day to day."""
+    """Return the settings that differ between the random runs."""
     return {
         "kinds": (
             DestinationKind(limits_per_endpoint=chance.random() < 0.5),
@@ -93,7 +93,7 @@
 
 
 class RandomDay:
-    """A random day of about 30 s, drawn step by step from one seed."""
+    """A random run of about 30 s of virtual time, drawn step by step from one seed."""
 
     def __init__(self, seed: int, random_deployment: bool) -> None:
         self.chance = chance = random.Random(seed)
@@ -111,7 +111,7 @@
         self.outcome_weights = [chance.random() + 0.05 for _ in OUTCOMES]
 
     def play(self) -> World:
-        """Play the day, and on until every message has an answer."""
+        """Run all steps, then continue until every message must have its answer."""
         world = self.world
         for step in range(400):
             events = self._ended_attempts()
@@ -179,7 +179,7 @@
         return [EndpointListUpdate(UpdateMode.CHANGES, (stopped,))]
 
     def _complete_list(self) -> list[Event]:
-        """The complete list a second time, without what was stopped."""
+        """Return an update with the complete list without the stopped endpoints, or nothing."""
         if self.chance.random() >= 0.03:
             return []
         listed = tuple(listing for listing in self.listings if listing.endpoint not in self.world.stopped)
@@ -196,7 +196,7 @@
 
 
 def play_random_day(seed: int, random_deployment: bool = False) -> World:
-    """Play a random day; with classes and settings of a random deployment if so wanted."""
+    """Play a random run; `random_deployment` also draws classes and settings of a random deployment."""
     return RandomDay(seed, random_deployment).play()
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The policy in a fleet of many instances, each of which sees little."""
+"""The policy in a fleet of many instances, each of which gets few responses."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def deliver(world: World, name: str, class_index: int = 0, after: int = 100 * MILLISECOND) -> str:
-    """Submit a message and deliver it; the endpoint that it was sent to."""
+    """Submit a message and deliver it; return the endpoint that it was sent to."""
     world.batch([world.submit(name, class_index)])
     world.batch([world.end_attempt(name, Outcome.DELIVERED)], at=world.now + after)
     return world.sends(name)[-1][1].endpoint
@@ -66,7 +66,7 @@
     assert not world.sends("n")
     assert not world.sends("o")
     world.run(400 * MILLISECOND)
-    assert len(world.sends()) == 2  # one probe, at the first backoff step
+    assert len(world.sends()) == 2  # the second send is a probe, at the first backoff step
 
 
 def test_a_single_failure_among_successes_ejects_nothing() -> None:
@@ -95,7 +95,7 @@
 
 
 def test_probes_of_a_fleet_stay_below_the_overload_of_a_destination_in_slow_start() -> None:
-    """Sixty instances learned of one long outage: the sum of what they send as it ends."""
+    """Sixty instances detect one long outage; the total of their sends after its end is checked."""
     capacity, recovers_at, count = 20.0, 12 * SECOND, 60
     given = settings(instance_count=count)
     fleet = [World(given, (EndpointListing("a", 0, listed_rate=capacity),), seed) for seed in range(count)]
@@ -108,7 +108,7 @@
             in_flight = world.attempts_in_flight()
             outcome = Outcome.DELIVERED if world.now >= recovers_at else Outcome.CONNECT_FAILED
             events: list[Event] = [world.end_attempt(name, outcome) for name in in_flight]
-            if (world.now + phase) // (4 * SECOND) > submitted:  # a quarter of a message a second
+            if (world.now + phase) // (4 * SECOND) > submitted:  # a quarter of a message per second
                 submitted += 1
                 events.append(world.submit(f"n{submitted}"))
             if events:
@@ -201,7 +201,7 @@
 
 
 def test_non_idempotent_messages_held_by_one_failure_are_not_sent_at_one_moment() -> None:
-    """Instances that learned of one failure together must not send held messages together."""
+    """Instances that detect one failure together must not send the messages held by it together."""
     sent_at = []
     for seed in range(20):
         world = World(settings(instance_count=200), (EndpointListing("a", 0, listed_rate=5.0),), seed)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A driver for tests of the policy, which checks every action against the six rules on its own account."""
+"""A test driver for the policy, which checks every action against the six rules with code of its own."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Plain settings for tests, with changes."""
+    """Return default settings for tests with these changes."""
     base: dict[str, Any] = {
         "classes": CLASSES,
         "kinds": (DestinationKind(),),
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """One attempt, as its Send and its AttemptEnded say. Times are nanoseconds."""
+    """One attempt, recorded from its Send and its AttemptEnded. Times are nanoseconds."""
 
     number: int
     endpoint: str
@@ -97,12 +97,12 @@
 
     @property
     def concluded(self) -> bool:
-        """Whether it was answered or withdrawn."""
+        """Whether the message was answered or withdrawn."""
         return bool(self.answers) or self.withdrawn_at is not None
 
     @property
     def non_idempotent(self) -> bool:
-        """Whether it must never be executed twice."""
+        """Whether the message must never be executed twice."""
         return self.message_class.idempotency is Idempotency.NON_IDEMPOTENT
 
     @property
@@ -112,11 +112,11 @@
 
     @property
     def zone_bound(self) -> bool:
-        """Whether its idempotency key is known in one zone only."""
+        """Whether the message's idempotency key is known in one zone only."""
         return self.has_idempotency_key and self.message_class.deduplication_scope is DeduplicationScope.ZONE
 
     def possible_executions(self, in_flight: bool = False) -> list[Attempt]:
-        """The attempts that may have been executed, on demand with those in flight."""
+        """Return the attempts that may have been executed; `in_flight` includes those in flight."""
         return [
             attempt
             for attempt in self.attempts
@@ -125,7 +125,7 @@
 
 
 class World:
-    """Feeds one instance and raises AssertionError where an action breaks a rule."""
+    """Passes events to the policy of one instance; raises AssertionError if an action breaks a rule."""
 
     def __init__(self, given: Settings, listings: tuple[EndpointListing, ...], seed: int = 7) -> None:
         self.settings = given
@@ -141,12 +141,12 @@
         self.batch([EndpointListUpdate(UpdateMode.CACHED, listings)])
 
     def retry_after_scope(self, endpoint: str) -> object:
-        """What is bound by a Retry-After from this endpoint: it alone, or its destination."""
+        """Return what a Retry-After from this endpoint applies to: the endpoint alone, or its destination."""
         listing = self.listings[endpoint]
         return endpoint if self.settings.kinds[listing.kind].limits_per_endpoint else listing.destination
 
     def batch(self, events: list[Event], at: int | None = None) -> list[Action]:
-        """Move the clock and let the instance act; `at` may not lie before the present."""
+        """Move the clock to `at`, which must not lie in the past, and pass the events to the policy."""
         self.now = self.now if at is None else at
         retry_after_before = dict(self.retry_after_until)
         for event in events:
@@ -161,7 +161,7 @@
         return actions
 
     def record_event(self, event: Event) -> None:
-        """Account for an event."""
+        """Record an event in the messages and limits that the checks use."""
         match event:
             case NewMessage():
                 self.messages[event.message] = SubmittedMessage(
@@ -188,7 +188,7 @@
                         self.stopped.setdefault(listing.endpoint, self.now)
 
     def check(self, action: Action, retry_after_until: dict[object, int]) -> None:
-        """Check one action against the rules, and account for it."""
+        """Check one action against the rules and record it."""
         match action:
             case Send(name, endpoint, timeout):
                 self.check_send(self.messages[name], endpoint, retry_after_until)
@@ -203,8 +203,8 @@
                 assert self.settings.can_cancel
 
     def check_answer(self, message: SubmittedMessage, rejected: bool) -> None:
-        """Check the one final answer of a message, its time, and that a rejection is true (rule 2)."""
-        # An earlier event of the batch that withdraws it may have ended it already.
+        """Check that a final answer is the only one, in time, and if a rejection, harmless (rule 2)."""
+        # A message may be answered because of one event of a batch and withdrawn by a later one.
         assert not message.answers, "two final answers"
         assert message.withdrawn_at in (None, self.now), "answered though withdrawn"
         answer_until = message.submitted_at + message.event.time_left + ANSWER_TOLERANCE
@@ -217,7 +217,7 @@
     def check_send(
         self, message: SubmittedMessage, endpoint: str, retry_after_until: dict[object, int]
     ) -> None:
-        """Check one send against rules 1, 2, 3, 5 and 6 and the slots."""
+        """Check one send against rules 1, 2, 3, 5 and 6 and against the limit of slots."""
         listing = self.listings[endpoint]
         assert listing.destination == message.event.destination, "sent elsewhere"
         assert not message.concluded, "sent after its end"
@@ -239,7 +239,10 @@
             self.check_order(message)
 
     def calls_in_flight(self, endpoint: str) -> int:
-        """Calls in flight with one more message to this endpoint; messages of one batch share calls."""
+        """Return the number of calls in flight after one more message to this endpoint.
+
+        Messages sent to one endpoint in one batch share calls.
+        """
         groups = collections.Counter({(endpoint, self.now): 1})
         for message in self.messages.values():
             groups.update((a.endpoint, a.sent_at) for a in message.attempts if a.outcome is None)
@@ -248,11 +251,11 @@
         )
 
     def max_messages_per_call(self, endpoint: str) -> int:
-        """How many messages one call to this endpoint takes."""
+        """Return how many messages one call to this endpoint takes."""
         return self.settings.kinds[self.listings[endpoint].kind].max_messages_per_call
 
     def check_order(self, message: SubmittedMessage) -> None:
-        """Check a send against the order of its key (rule 5)."""
+        """Check that a send keeps the order of its ordering key (rule 5)."""
         for name in self.submission_order[: self.submission_order.index(message.event.message)]:
             earlier = self.messages[name]
             if not earlier.message_class.ordered or earlier.event.ordering_key != message.event.ordering_key:
@@ -264,12 +267,12 @@
             assert not held_since or self.now >= held_until, "sent inside the ordering pause"
 
     def submit(self, name: str, class_index: int = 0, destination: int = 0, **more: Any) -> NewMessage:
-        """A new message, with the full time of its class unless `more` says otherwise."""
+        """Return the event of a new message, with its class's deadline unless `more` has a `time_left`."""
         more.setdefault("time_left", self.settings.classes[class_index].deadline)
         return NewMessage(name, class_index, destination, **more)
 
     def end_attempt(self, name: str, outcome: Outcome, retry_after: int = 0, **report: Any) -> AttemptEnded:
-        """The outcome of a message's latest attempt."""
+        """Return the event that ends a message's latest attempt with this outcome."""
         attempt = self.messages[name].attempts[-1]
         concluded = outcome is Outcome.DELIVERED or self.messages[name].concluded
         elapsed = self.now - attempt.sent_at
@@ -278,7 +281,7 @@
         )
 
     def run(self, until: int) -> None:
-        """Let timers fire and attempts time out until then, tick by tick."""
+        """Advance the clock to `until` in steps of its resolution; let timers fire and attempts time out."""
         while self.now < until:
             self.now += self.settings.resolution or 5 * MILLISECOND
             events: list[Event] = [
@@ -291,7 +294,7 @@
                 self.batch(events)
 
     def attempts_in_flight(self) -> list[str]:
-        """The messages whose latest attempt has no outcome."""
+        """Return the names of the messages whose latest attempt has no outcome."""
         return [
             name
             for name, message in self.messages.items()
@@ -299,6 +302,6 @@
         ]
 
     def sends(self, name: str | None = None) -> list[tuple[int, Send]]:
-        """The sends so far, or those of one message, each with its time."""
+        """Return all sends so far, or those of one message, each with its time."""
         found = [(at, a) for at, a in self.log if isinstance(a, Send)]
         return [(at, a) for at, a in found if name is None or a.message == name]
