--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -35,7 +35,7 @@
 
 ROUND_TRIP = 40 * MILLISECOND
 HANDSHAKE = 100 * MILLISECOND
-REPORT_REFRESH = 500 * MILLISECOND
+REPORT_REFRESH_PERIOD = 500 * MILLISECOND
 CLASS_INDEX = 1  # of the settings in `world`: messages with an idempotency key
 
 
@@ -82,44 +82,45 @@
         """Return whether connects fail at `now`."""
         return self.outage[0] <= now < self.outage[1]
 
-    def peak_load(self, given: Settings, window: int, capacity: float) -> float:
+    def peak_load(self, fleet_settings: Settings, window: int, capacity: float) -> float:
         """Return the maximum load of any window after the outage, from instances that detected the outage.
 
         The load is the number of their calls as a fraction of the calls that a destination in slow start
         sustains in that window.
         """
         times = [
-            at
-            for at, instance in self.calls_after_outage
-            if instance in self.aware_instances and at < self.outage[1] + given.slow_start_duration
+            sent_at
+            for sent_at, instance in self.calls_after_outage
+            if instance in self.aware_instances
+            and sent_at < self.outage[1] + fleet_settings.slow_start_duration
         ]
         peak = 0.0
         for index, start in enumerate(times):
-            sustained = self._sustained_calls(given, start, window, capacity)
+            sustained = self._sustained_calls(fleet_settings, start, window, capacity)
             calls = bisect.bisect(times, start + window) - index
             peak = max(peak, calls / sustained)
         return peak
 
-    def peak_excess(self, given: Settings, window: int, capacity: float) -> float:
+    def peak_excess(self, fleet_settings: Settings, window: int, capacity: float) -> float:
         """Return the most calls of all instances in a window after the outage, less N + 2 x root of N + 2.
 
         N is the number of calls that a destination in slow start sustains in that window; a result above 0
         means that the destination is overloaded.
         """
-        slow_start_end = self.outage[1] + given.slow_start_duration
-        times = [at for at, _ in self.calls_after_outage if at < slow_start_end]
+        slow_start_end = self.outage[1] + fleet_settings.slow_start_duration
+        times = [sent_at for sent_at, _ in self.calls_after_outage if sent_at < slow_start_end]
         peak = -math.inf
         for index, start in enumerate(times):
-            sustained = self._sustained_calls(given, start, window, capacity)
+            sustained = self._sustained_calls(fleet_settings, start, window, capacity)
             calls = bisect.bisect(times, start + window) - index
             peak = max(peak, calls - (sustained + 2 * math.sqrt(sustained) + 2))
         return peak
 
-    def _sustained_calls(self, given: Settings, start: int, window: int, capacity: float) -> float:
+    def _sustained_calls(self, fleet_settings: Settings, start: int, window: int, capacity: float) -> float:
         """Return how many calls the destination sustains in the window that begins at `start`."""
-        progress = min(1.0, (start - self.outage[1]) / given.slow_start_duration)
-        fraction = given.slow_start_fraction + (1 - given.slow_start_fraction) * progress
-        return given.overload_factor * fraction * capacity * window / SECOND
+        progress = min(1.0, (start - self.outage[1]) / fleet_settings.slow_start_duration)
+        fraction = fleet_settings.slow_start_fraction + (1 - fleet_settings.slow_start_fraction) * progress
+        return fleet_settings.overload_factor * fraction * capacity * window / SECOND
 
     def admit(self, now: int) -> bool:
         """Count a call at `now`; return whether it is within the rate limit."""
@@ -127,13 +128,13 @@
         burst = max(1.0, limit * self.burst_seconds)
         self.tokens = min(burst, self.tokens + limit * (now - self.updated_at) / SECOND)
         self.updated_at = now
-        inside = self.tokens >= 1
+        within_limit = self.tokens >= 1
         self.tokens = max(-2 * burst, self.tokens - 1)  # below 0 after rejected calls
-        if now - self.reported_at >= REPORT_REFRESH:  # the report then is the one made at the refresh before
+        if now - self.reported_at >= REPORT_REFRESH_PERIOD:  # a report is published one refresh late
             self.reported = self.next_report
             self.reported_at = now
             self.next_report = Report(self.tokens / burst, limit)
-        return inside
+        return within_limit
 
 
 @dataclass(frozen=True)
@@ -169,17 +170,17 @@
         count: int = 40,
         listed_rate: float = 26.0,
         uneven: bool = False,
-        **more: Any,
+        **setting_changes: Any,
     ) -> None:
         """Set up the fleet; with `uneven`, some instances get several times the mean load, others little."""
-        given = {
+        setting_values = {
             "instance_count": count,
             "max_concurrent_calls": 6,
             "resolution": MILLISECOND,
             "listed_rate_meaning": ListedRateMeaning.ROUGH,
-            **more,
+            **setting_changes,
         }
-        self.settings = settings(**given)
+        self.settings = settings(**setting_values)
         self.message_class = self.settings.classes[CLASS_INDEX]
         self.rng = Random(seed)
         self.partner = partner
@@ -194,11 +195,11 @@
         self.submitted_at: dict[str, int] = {}
         listing = EndpointListing("a", 0, listed_rate=listed_rate)
         for instance in range(count):
-            self.deliver_at(0, instance, EndpointListUpdate(UpdateMode.CACHED, (listing,)))
+            self.schedule_events(0, instance, EndpointListUpdate(UpdateMode.CACHED, (listing,)))
 
-    def deliver_at(self, when: int, instance: int, *events: Event) -> None:
+    def schedule_events(self, due_at: int, instance: int, *events: Event) -> None:
         """Schedule a batch of events for an instance."""
-        heapq.heappush(self.heap, (when, next(self.sequence), instance, events))
+        heapq.heappush(self.heap, (due_at, next(self.sequence), instance, events))
 
     def submit_at_rate(self, start: int, end: int, rate: float) -> None:
         """Submit messages at this total rate (1/s), each to a random instance."""
@@ -213,45 +214,47 @@
             else:
                 instance = self.rng.choice(instances)
             event = NewMessage(name, CLASS_INDEX, 0, self.message_class.deadline)
-            self.deliver_at(now, instance, event)
+            self.schedule_events(now, instance, event)
 
     def run(self, until: int) -> FleetTotals:
         """Run the simulation until this time; return the totals."""
         while self.heap and self.heap[0][0] <= until:
             now, _, instance, events = heapq.heappop(self.heap)
             if isinstance(events[0], AttemptEnded):
-                self.end_call(now, instance, [event for event in events if isinstance(event, AttemptEnded)])
-            names = self._decide(now, instance, events)
+                self.record_call_end(
+                    now, instance, [event for event in events if isinstance(event, AttemptEnded)]
+                )
+            names = self._handle_events(now, instance, events)
             per_call = self.settings.kinds[0].max_messages_per_call
             for first in range(0, len(names), per_call):
-                self.send(now, instance, names[first : first + per_call])
+                self.send_call(now, instance, names[first : first + per_call])
         return self.totals
 
-    def _decide(self, now: int, instance: int, events: tuple[Event, ...]) -> list[str]:
+    def _handle_events(self, now: int, instance: int, events: tuple[Event, ...]) -> list[str]:
         """Pass events to an instance's policy and carry out its actions; return the messages to send."""
         names: list[str] = []
         for action in self.policies[instance].handle(now, list(events)):
             match action:
-                case SetTimer(when):
-                    self.deliver_at(max(when, now + MILLISECOND), instance, TimerFired())
+                case SetTimer(due_at):
+                    self.schedule_events(max(due_at, now + MILLISECOND), instance, TimerFired())
                 case CloseIdleConnections():
                     self.open_connections -= self.idle_connections.pop(instance, 0)
                 case Send(name, _, _):
                     names.append(name)
         return names
 
-    def send(self, now: int, instance: int, names: list[str]) -> None:
+    def send_call(self, now: int, instance: int, names: list[str]) -> None:
         """Send one call; its result is determined now and passed to the policy when the call ends."""
         new_connection = not self.idle_connections[instance]
         self.totals.handshakes += new_connection
         if now >= self.partner.outage[1] > 0:
             self.partner.calls_after_outage.append((now, instance))
-        result = self._call(now, instance, new_connection)
+        result = self._call_result(now, instance, new_connection)
         elapsed = int(result.duration * self.rng.uniform(0.8, 1.2))
-        ended = [
+        attempt_ends = [
             AttemptEnded(
                 message=name,
-                attempt=self.next_attempt(instance, name),
+                attempt=self.count_attempt(instance, name),
                 endpoint="a",
                 outcome=result.outcome,
                 elapsed=elapsed,
@@ -263,39 +266,39 @@
             )
             for name in names
         ]
-        self.deliver_at(now + elapsed, instance, *ended)
+        self.schedule_events(now + elapsed, instance, *attempt_ends)
 
-    def _call(self, now: int, instance: int, new_connection: bool) -> CallResult:
+    def _call_result(self, now: int, instance: int, new_connection: bool) -> CallResult:
         """Return the result of a call to the destination."""
         partner = self.partner
         report = partner.reported  # the report before this call
         duration = ROUND_TRIP + HANDSHAKE * new_connection
         if partner.is_down(now):
             partner.aware_instances.add(instance)
-            self._use_connection(instance, new_connection)
+            self._take_idle_connection(instance, new_connection)
             self.open_connections -= not new_connection
             return CallResult(Outcome.CONNECT_FAILED, ROUND_TRIP)
         if new_connection and self.open_connections >= partner.connection_limit:
             self.totals.connection_limited += 1
             return CallResult(Outcome.REJECTED, duration, connection_limited=True)
         self.open_connections += new_connection
-        self._use_connection(instance, new_connection)
+        self._take_idle_connection(instance, new_connection)
         if partner.admit(now):
             return CallResult(Outcome.DELIVERED, duration, report)
         has_retry_after = self.rng.random() < partner.retry_after_probability
         retry_after = partner.retry_after if has_retry_after else 0
         return CallResult(Outcome.REJECTED, duration, report, retry_after)
 
-    def _use_connection(self, instance: int, new_connection: bool) -> None:
+    def _take_idle_connection(self, instance: int, new_connection: bool) -> None:
         """Remove one idle connection of the instance unless the call opens a new one."""
         self.idle_connections[instance] -= not new_connection
 
-    def next_attempt(self, instance: int, name: str) -> int:
+    def count_attempt(self, instance: int, name: str) -> int:
         """Count an attempt of a message; return its number, from 0."""
         self.attempts[instance, name] = self.attempts.get((instance, name), -1) + 1
         return self.attempts[instance, name]
 
-    def end_call(self, now: int, instance: int, events: list[AttemptEnded]) -> None:
+    def record_call_end(self, now: int, instance: int, events: list[AttemptEnded]) -> None:
         """Add the end of a call to the totals; its connection becomes idle if it was established."""
         outcome = events[0].outcome
         connection_limited = events[0].connection_limited
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,9 +48,9 @@
 def test_a_connection_limit_is_distinguished_from_a_rate_limit(
     head: str, fresh: bool, connection_limited: bool
 ) -> None:
-    answer = http1.ResponseParser().feed(f"HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n".encode())
-    assert answer is not None
-    result = calls.interpret_response(answer, messages(1), fresh)
+    response = http1.ResponseParser().feed(f"HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n".encode())
+    assert response is not None
+    result = calls.interpret_response(response, messages(1), fresh)
     assert result.connection_limited is connection_limited
     assert not connection_limited or result.outcomes[0][0] is Outcome.REJECTED
 
@@ -104,8 +104,8 @@
     totals = fleet.run(24 * SECOND)
     assert len(partner.aware_instances) >= 60
     assert partner.peak_load(fleet.settings, 3 * SECOND, 40.0) <= 1.0
-    found_after = partner.calls_after_outage[0][0] - partner.outage[1]
-    assert found_after <= 1 * SECOND
+    detection_delay = partner.calls_after_outage[0][0] - partner.outage[1]
+    assert detection_delay <= 1 * SECOND
     assert sum(totals.delivered[second] for second in (11, 12, 13)) >= 40
 
 
--- a/tests/test_policy_batches.py
+++ b/tests/test_policy_batches.py
@@ -19,7 +19,7 @@
     world = World(
         settings(kinds=(DestinationKind(max_messages_per_call=3),), max_concurrent_calls=2), ONE_ENDPOINT
     )
-    events: list[Event] = [world.submit(f"m{i}") for i in range(5)]
+    events: list[Event] = [world.new_message(f"m{i}") for i in range(5)]
     for event in events:
         world.record_event(event)
     sends = [a for a in world.policy.handle(0, events) if isinstance(a, Send)]
@@ -30,29 +30,29 @@
 def test_a_batch_that_breaks_is_retried_in_smaller_batches_and_counts_as_a_single_failure() -> None:
     world = World(settings(kinds=(DestinationKind(max_messages_per_call=16),)), ONE_ENDPOINT)
     names = [f"m{i}" for i in range(16)]
-    world.batch([world.submit("first")])
-    world.batch([world.end_attempt("first", Outcome.DELIVERED)], at=50 * MILLISECOND)
-    world.batch([world.submit(name) for name in names], at=60 * MILLISECOND)
+    world.batch([world.new_message("first")])
+    world.batch([world.attempt_ended("first", Outcome.DELIVERED)], now=50 * MILLISECOND)
+    world.batch([world.new_message(name) for name in names], now=60 * MILLISECOND)
     assert sum(at == 60 * MILLISECOND for at, _ in world.sends()) == 16, "one call holds them all"
-    world.batch([world.end_attempt(name, Outcome.RESET) for name in names], at=100 * MILLISECOND)
-    world.batch([world.submit("other")], at=110 * MILLISECOND)
+    world.batch([world.attempt_ended(name, Outcome.RESET) for name in names], now=100 * MILLISECOND)
+    world.batch([world.new_message("other")], now=110 * MILLISECOND)
     assert world.sends("other"), "one broken call is one failure, however much it carried"
-    world.batch([world.end_attempt("other", Outcome.DELIVERED)], at=160 * MILLISECOND)
+    world.batch([world.attempt_ended("other", Outcome.DELIVERED)], now=160 * MILLISECOND)
     world.run(600 * MILLISECOND)
-    together = Counter(at for at, _ in world.sends() if at > 160 * MILLISECOND)
-    assert together
-    assert max(together.values()) <= 9
+    batch_sizes = Counter(at for at, _ in world.sends() if at > 160 * MILLISECOND)
+    assert batch_sizes
+    assert max(batch_sizes.values()) <= 9
 
 
 def test_an_error_inside_a_delivered_batch_does_not_shrink_batches() -> None:
     world = World(settings(kinds=(DestinationKind(max_messages_per_call=8),)), ONE_ENDPOINT)
     names = [f"m{i}" for i in range(8)]
-    world.batch([world.submit(name) for name in names])
-    ends: list[Event] = [
-        world.end_attempt(name, Outcome.ERROR if name == "m7" else Outcome.DELIVERED) for name in names
+    world.batch([world.new_message(name) for name in names])
+    attempt_ends: list[Event] = [
+        world.attempt_ended(name, Outcome.ERROR if name == "m7" else Outcome.DELIVERED) for name in names
     ]
-    world.batch(ends, at=50 * MILLISECOND)
-    world.batch([world.submit(f"n{i}") for i in range(8)], at=60 * MILLISECOND)
+    world.batch(attempt_ends, now=50 * MILLISECOND)
+    world.batch([world.new_message(f"n{i}") for i in range(8)], now=60 * MILLISECOND)
     assert sum(at == 60 * MILLISECOND for at, _ in world.sends()) == 8
 
 
@@ -67,8 +67,8 @@
     world = World(settings(kinds=(DestinationKind(max_messages_per_call=16),)), ONE_ENDPOINT)
     world.batch(
         [
-            world.submit("brief", class_index=class_index, time_left=SECOND),
-            world.submit("long", class_index=class_index),
+            world.new_message("brief", class_index=class_index, time_left=SECOND),
+            world.new_message("long", class_index=class_index),
         ]
     )
     assert len({at for at, _ in world.sends()}) == 1, "first attempts_before go at once"
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -29,12 +29,12 @@
 
 def fail_every_attempt(name: str, outcome: Outcome, world: World, class_index: int = 0) -> list[int]:
     """Fail every attempt immediately; return the pauses (ns) between each outcome and the next attempt."""
-    world.batch([world.submit(name, class_index)])
+    world.batch([world.new_message(name, class_index)])
     pauses = []
     while not world.messages[name].concluded:
         ended = world.now
         attempts_before = len(world.messages[name].attempts)
-        world.batch([world.end_attempt(name, outcome)])
+        world.batch([world.attempt_ended(name, outcome)])
         while len(world.messages[name].attempts) == attempts_before and not world.messages[name].concluded:
             world.run(world.now + 5 * MILLISECOND)
         if not world.messages[name].concluded:
@@ -44,22 +44,22 @@
 
 def test_the_first_attempt_is_sent_immediately() -> None:
     world = World(settings(), ONE_ENDPOINT)
-    assert any(isinstance(a, Send) for a in world.batch([world.submit("m")]))
+    assert any(isinstance(a, Send) for a in world.batch([world.new_message("m")]))
 
 
 def test_backoff_grows_with_jitter_and_ends_after_five_attempts() -> None:
-    first: set[int] = set()
-    second: set[int] = set()
+    first_pauses: set[int] = set()
+    second_pauses: set[int] = set()
     for seed in range(8):
         world = World(settings(), TWO_ENDPOINTS, seed)
         pauses = fail_every_attempt("m", Outcome.RESET, world)
         assert len(world.messages["m"].attempts) <= 5
         assert 200 * MILLISECOND <= pauses[0] <= 310 * MILLISECOND
         assert 800 * MILLISECOND <= pauses[1] <= 1210 * MILLISECOND
-        first.add(pauses[0])
-        second.add(pauses[1])
-    assert len(first) > 2
-    assert len(second) > 2
+        first_pauses.add(pauses[0])
+        second_pauses.add(pauses[1])
+    assert len(first_pauses) > 2
+    assert len(second_pauses) > 2
 
 
 def test_fewer_attempts_where_the_settings_say_so() -> None:
@@ -77,12 +77,12 @@
     """The longest pause grows with the number of instances and stays short for a few instances."""
     world, attempted_at = World(settings(instance_count=instances), ONE_ENDPOINT), list[int]()
     for number in range(60):
-        world.batch([world.submit(f"m{number}", class_index=0)])
+        world.batch([world.new_message(f"m{number}", class_index=0)])
     while world.now < 15 * SECOND:
-        for name, known in list(world.messages.items()):
-            if not known.concluded and known.attempts and known.attempts[-1].outcome is None:
+        for name, message in list(world.messages.items()):
+            if not message.concluded and message.attempts and message.attempts[-1].outcome is None:
                 attempted_at.append(world.now)
-                world.batch([world.end_attempt(name, Outcome.REJECTED, connection_limited=True)])
+                world.batch([world.attempt_ended(name, Outcome.REJECTED, connection_limited=True)])
         world.run(world.now + 50 * MILLISECOND)
     gaps = [after - before for before, after in itertools.pairwise(sorted(set(attempted_at)))]
     assert max(gaps) <= longest_pause + 100 * MILLISECOND
@@ -96,11 +96,11 @@
 
 def test_retry_after_is_honored_by_the_destination() -> None:
     world = World(settings(), TWO_ENDPOINTS)
-    world.batch([world.submit("m")])
+    world.batch([world.new_message("m")])
     world.batch(
-        [world.end_attempt("m", Outcome.REJECTED, retry_after=1500 * MILLISECOND)], at=50 * MILLISECOND
+        [world.attempt_ended("m", Outcome.REJECTED, retry_after=1500 * MILLISECOND)], now=50 * MILLISECOND
     )
-    world.batch([world.submit("n")], at=100 * MILLISECOND)
+    world.batch([world.new_message("n")], now=100 * MILLISECOND)
     world.run(1540 * MILLISECOND)
     assert not world.sends("n")
     assert len(world.sends("m")) == 1
@@ -116,15 +116,17 @@
     There are two processes during an upgrade.
     """
     world = World(settings(max_concurrent_calls=1), ONE_ENDPOINT)
-    world.batch([world.submit("out"), world.submit("queued", time_left=4 * SECOND)])
-    world.batch([world.submit("long")], at=20 * MILLISECOND)
+    world.batch([world.new_message("out"), world.new_message("queued", time_left=4 * SECOND)])
+    world.batch([world.new_message("long")], now=20 * MILLISECOND)
     if by_other_process:
-        world.batch([RetryAfterReceived(0, "a", 9 * SECOND)], at=40 * MILLISECOND)
+        world.batch([RetryAfterReceived(0, "a", 9 * SECOND)], now=40 * MILLISECOND)
         world.retry_after_until[world.retry_after_scope("a")] = 9 * SECOND
-        world.batch([world.end_attempt("out", Outcome.ERROR)], at=50 * MILLISECOND)
+        world.batch([world.attempt_ended("out", Outcome.ERROR)], now=50 * MILLISECOND)
     else:
-        world.batch([world.end_attempt("out", Outcome.REJECTED, retry_after=9 * SECOND)], at=50 * MILLISECOND)
-    world.batch([world.submit("late", time_left=5 * SECOND)], at=60 * MILLISECOND)
+        world.batch(
+            [world.attempt_ended("out", Outcome.REJECTED, retry_after=9 * SECOND)], now=50 * MILLISECOND
+        )
+    world.batch([world.new_message("late", time_left=5 * SECOND)], now=60 * MILLISECOND)
     rejected = {
         action.message: (at, action.retry_after) for at, action in world.log if isinstance(action, Reject)
     }
@@ -137,17 +139,17 @@
 
 def test_retry_after_applies_to_one_endpoint_where_limits_are_per_endpoint() -> None:
     world = World(settings(kinds=(DestinationKind(limits_per_endpoint=True),)), TWO_ENDPOINTS)
-    world.batch([world.submit("m")])
+    world.batch([world.new_message("m")])
     world.batch(
-        [world.end_attempt("m", Outcome.REJECTED, retry_after=2 * SECOND), world.submit("n")],
-        at=50 * MILLISECOND,
+        [world.attempt_ended("m", Outcome.REJECTED, retry_after=2 * SECOND), world.new_message("n")],
+        now=50 * MILLISECOND,
     )
     assert world.sends("n")[0][1].endpoint != world.sends("m")[0][1].endpoint
 
 
 def test_a_healthy_destination_uses_three_quarters_of_the_slots() -> None:
     world = World(settings(max_concurrent_calls=11), ONE_ENDPOINT)
-    world.batch([world.submit(f"m{i}") for i in range(30)])
+    world.batch([world.new_message(f"m{i}") for i in range(30)])
     assert len(world.sends()) == 8
 
 
@@ -156,50 +158,55 @@
         settings(max_concurrent_calls=12), (*ONE_ENDPOINT, EndpointListing("z", 1, listed_rate=20.0))
     )
     for i in range(60):
-        world.batch([world.submit(f"m{i}")])
+        world.batch([world.new_message(f"m{i}")])
         world.run(world.now + 100 * MILLISECOND)
-    late = [at for at, _ in world.sends() if at > 2 * SECOND]
-    assert 0 < len(late) <= 6
-    world.batch([world.submit("other", destination=1)])
+    late_sends = [at for at, _ in world.sends() if at > 2 * SECOND]
+    assert 0 < len(late_sends) <= 6
+    world.batch([world.new_message("other", destination=1)])
     assert world.sends("other")
 
 
 def test_a_recovered_destination_gets_a_slow_start_below_its_overload() -> None:
-    given = settings()
-    world = World(given, (EndpointListing("a", 0, listed_rate=10.0),))
+    instance_settings = settings()
+    world = World(instance_settings, (EndpointListing("a", 0, listed_rate=10.0),))
     recovers_at = 8 * SECOND
     count = 0
     while world.now < 16 * SECOND:
         events: list[Event] = []
-        for name, known in world.messages.items():
-            if known.attempts and known.attempts[-1].outcome is None:
-                up = world.now >= recovers_at
-                events.append(world.end_attempt(name, Outcome.DELIVERED if up else Outcome.CONNECT_FAILED))
+        for name, message in world.messages.items():
+            if message.attempts and message.attempts[-1].outcome is None:
+                recovered = world.now >= recovers_at
+                events.append(
+                    world.attempt_ended(name, Outcome.DELIVERED if recovered else Outcome.CONNECT_FAILED)
+                )
         for _ in range(2):
             count += 1
-            events.append(world.submit(f"m{count}"))
+            events.append(world.new_message(f"m{count}"))
         world.batch(events)
         world.run(world.now + 100 * MILLISECOND)
-    sent = [at for at, _ in world.sends() if at >= recovers_at]
-    assert sent
-    for start in sent:
+    sent_at = [at for at, _ in world.sends() if at >= recovers_at]
+    assert sent_at
+    for start in sent_at:
         capacity_fraction = min(
             1.0,
-            given.slow_start_fraction
-            + (1 - given.slow_start_fraction)
+            instance_settings.slow_start_fraction
+            + (1 - instance_settings.slow_start_fraction)
             * (start + OVERLOAD_WINDOW - recovers_at)
-            / given.slow_start_duration,
+            / instance_settings.slow_start_duration,
+        )
+        sends_in_window = sum(start <= at < start + OVERLOAD_WINDOW for at in sent_at)
+        assert (
+            sends_in_window
+            <= instance_settings.overload_factor * capacity_fraction * 10.0 * OVERLOAD_WINDOW / SECOND + 2
         )
-        inside = sum(start <= at < start + OVERLOAD_WINDOW for at in sent)
-        assert inside <= given.overload_factor * capacity_fraction * 10.0 * OVERLOAD_WINDOW / SECOND + 2
 
 
 def test_non_idempotent_messages_fail_after_an_error_and_are_retried_after_a_failed_connect() -> None:
     world = World(settings(), TWO_ENDPOINTS)
-    world.batch([world.submit("m", 3), world.submit("n", 3)])
+    world.batch([world.new_message("m", 3), world.new_message("n", 3)])
     actions = world.batch(
-        [world.end_attempt("m", Outcome.ERROR), world.end_attempt("n", Outcome.CONNECT_FAILED)],
-        at=MILLISECOND,
+        [world.attempt_ended("m", Outcome.ERROR), world.attempt_ended("n", Outcome.CONNECT_FAILED)],
+        now=MILLISECOND,
     )
     assert Fail("m") in actions
     world.run(23 * SECOND)  # the non-idempotent message waits until the recorded failures have decayed
@@ -208,45 +215,49 @@
 
 def test_a_message_with_an_idempotency_key_ends_with_its_deduplication_window() -> None:
     world = World(settings(), ONE_ENDPOINT)
-    world.batch([world.submit("m", 1), world.submit("n")])
-    world.batch([world.end_attempt("m", Outcome.RESET)], at=100 * MILLISECOND)
-    world.batch([world.end_attempt("n", Outcome.REJECTED, retry_after=9 * SECOND)], at=200 * MILLISECOND)
+    world.batch([world.new_message("m", 1), world.new_message("n")])
+    world.batch([world.attempt_ended("m", Outcome.RESET)], now=100 * MILLISECOND)
+    world.batch([world.attempt_ended("n", Outcome.REJECTED, retry_after=9 * SECOND)], now=200 * MILLISECOND)
     world.run(7 * SECOND)
-    answer = world.messages["m"].answers
-    assert len(answer) == 1
-    assert answer[0][1] == "Reject"
-    assert answer[0][0] <= 6 * SECOND
+    answers = world.messages["m"].answers
+    assert len(answers) == 1
+    assert answers[0][1] == "Reject"
+    assert answers[0][0] <= 6 * SECOND
 
 
 def test_an_idempotency_key_known_in_one_zone_stays_in_that_zone() -> None:
     world = World(settings(), (EndpointListing("a", 0, zone=0), EndpointListing("b", 0, zone=1)))
-    world.batch([world.submit("m", 2)])
-    first = world.sends("m")[0][1].endpoint
-    world.batch([world.end_attempt("m", Outcome.ERROR)], at=10 * MILLISECOND)
+    world.batch([world.new_message("m", 2)])
+    first_endpoint = world.sends("m")[0][1].endpoint
+    world.batch([world.attempt_ended("m", Outcome.ERROR)], now=10 * MILLISECOND)
     world.run(3 * SECOND)
-    assert [a.endpoint for _, a in world.sends("m")][:2] == [first, first]
+    assert [a.endpoint for _, a in world.sends("m")][:2] == [first_endpoint, first_endpoint]
 
 
 def test_a_timer_that_fires_early_is_set_a_second_time() -> None:
     world = World(settings(), ())
-    world.batch([world.submit("m")])
-    first = world.timer_at
-    assert first is not None
-    world.policy.handle(first - 500, [TimerFired()])
-    world.now = first - 500
-    actions = world.policy.handle(first - 400, [TimerFired()])
-    assert SetTimer(first) in actions
+    world.batch([world.new_message("m")])
+    timer_at = world.timer_at
+    assert timer_at is not None
+    world.policy.handle(timer_at - 500, [TimerFired()])
+    world.now = timer_at - 500
+    actions = world.policy.handle(timer_at - 400, [TimerFired()])
+    assert SetTimer(timer_at) in actions
 
 
 def test_an_ordering_key_waits_for_its_head_and_then_pauses() -> None:
     world = World(settings(), TWO_ENDPOINTS)
     world.batch(
-        [world.submit("m", 4, ordering_key=9), world.submit("n", 4, ordering_key=9), world.submit("f", 4)]
+        [
+            world.new_message("m", 4, ordering_key=9),
+            world.new_message("n", 4, ordering_key=9),
+            world.new_message("f", 4),
+        ]
     )
     assert not world.sends("n")
     assert world.sends("f")
     world.batch(
-        [world.end_attempt("m", Outcome.TIMEOUT), world.end_attempt("f", Outcome.DELIVERED)], at=SECOND
+        [world.attempt_ended("m", Outcome.TIMEOUT), world.attempt_ended("f", Outcome.DELIVERED)], now=SECOND
     )
     assert not world.sends("n")
     world.run(16 * SECOND)  # the recorded failures must decay before a non-idempotent message is sent
@@ -255,10 +266,10 @@
 
 def test_an_ordering_key_advances_when_its_head_is_withdrawn_in_flight() -> None:
     world = World(settings(), TWO_ENDPOINTS)
-    world.batch([world.submit("m", 4, ordering_key=9), world.submit("n", 4, ordering_key=9)])
-    world.batch([MessageWithdrawn("m")], at=50 * MILLISECOND)
+    world.batch([world.new_message("m", 4, ordering_key=9), world.new_message("n", 4, ordering_key=9)])
+    world.batch([MessageWithdrawn("m")], now=50 * MILLISECOND)
     assert not world.sends("n")
-    world.batch([world.end_attempt("m", Outcome.CANCELLED)], at=80 * MILLISECOND)
+    world.batch([world.attempt_ended("m", Outcome.CANCELLED)], now=80 * MILLISECOND)
     world.run(SECOND)
     assert world.sends("n")
 
@@ -266,7 +277,7 @@
 def test_a_draining_endpoint_gets_nothing_new() -> None:
     world = World(settings(), ONE_ENDPOINT)
     drain = EndpointListUpdate(UpdateMode.CHANGES, (EndpointListing("a", 0, status=EndpointStatus.DRAINING),))
-    world.batch([drain, world.submit("m")])
+    world.batch([drain, world.new_message("m")])
     world.run(17 * SECOND)
     assert not world.sends("m")
     assert world.messages["m"].answers[0][1] == "Reject"
@@ -275,21 +286,21 @@
 def test_a_complete_list_drops_unlisted_endpoints() -> None:
     world = World(settings(), TWO_ENDPOINTS)
     world.batch([EndpointListUpdate(UpdateMode.FULL, (TWO_ENDPOINTS[1],))])
-    world.batch([world.submit(f"m{i}") for i in range(4)])
+    world.batch([world.new_message(f"m{i}") for i in range(4)])
     assert {a.endpoint for _, a in world.sends()} == {"b"}
 
 
 def test_messages_wait_until_their_destination_is_listed() -> None:
     world = World(settings(), ONE_ENDPOINT)
-    world.batch([world.submit("m", destination=5)])
+    world.batch([world.new_message("m", destination=5)])
     assert not world.messages["m"].concluded
-    world.batch([EndpointListUpdate(UpdateMode.CHANGES, (EndpointListing("x", 5),))], at=SECOND)
+    world.batch([EndpointListUpdate(UpdateMode.CHANGES, (EndpointListing("x", 5),))], now=SECOND)
     assert world.sends("m")
 
 
 def test_a_message_without_time_left_is_answered_immediately() -> None:
     world = World(settings(), ())
-    world.batch([world.submit("m", time_left=0)])
+    world.batch([world.new_message("m", time_left=0)])
     assert world.messages["m"].concluded
 
 
@@ -298,9 +309,9 @@
     subscribed_at = [at for at, a in world.log if isinstance(a, Subscribe)]
     assert subscribed_at == [0]
     for _ in range(5):
-        before = len(subscribed_at)
+        count_before = len(subscribed_at)
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
-        while len(subscribed_at) == before:
+        while len(subscribed_at) == count_before:
             world.run(world.now + 5 * MILLISECOND)
             subscribed_at = [at for at, a in world.log if isinstance(a, Subscribe)]
     gaps = [b - a for a, b in itertools.pairwise(subscribed_at)]
@@ -310,42 +321,44 @@
 
 def test_a_nearly_exhausted_limit_reduces_the_rate_before_a_rejection() -> None:
     world = World(settings(), ONE_ENDPOINT)
-    world.batch([world.submit("m")])
+    world.batch([world.new_message("m")])
     world.batch(
-        [world.end_attempt("m", Outcome.DELIVERED, limit_remaining=0.01, rate_limit=4.0)],
-        at=100 * MILLISECOND,
+        [world.attempt_ended("m", Outcome.DELIVERED, limit_remaining=0.01, rate_limit=4.0)],
+        now=100 * MILLISECOND,
     )
-    world.batch([world.submit(f"n{i}") for i in range(6)], at=200 * MILLISECOND)
+    world.batch([world.new_message(f"n{i}") for i in range(6)], now=200 * MILLISECOND)
     assert len(world.sends()) < 4
 
 
 def test_messages_beyond_a_tenants_quota_have_little_weight() -> None:
-    given = settings(tenant_rates=(100.0, 1.0), over_quota_weight=0.1, max_concurrent_calls=1)
-    world = World(given, TWO_ENDPOINTS)
-    world.batch([world.submit("first")], at=SECOND)
-    world.batch([world.submit("t1", tenant=1), world.submit("t2", tenant=1, destination=1)], at=2 * SECOND)
+    instance_settings = settings(tenant_rates=(100.0, 1.0), over_quota_weight=0.1, max_concurrent_calls=1)
+    world = World(instance_settings, TWO_ENDPOINTS)
+    world.batch([world.new_message("first")], now=SECOND)
+    world.batch(
+        [world.new_message("t1", tenant=1), world.new_message("t2", tenant=1, destination=1)], now=2 * SECOND
+    )
     assert world.policy.messages["t1"].priority_weight == 1.0
     assert world.policy.messages["t2"].priority_weight == 0.1
 
 
 def test_a_burst_after_silence_is_limited_to_the_quota_not_to_the_measured_rate() -> None:
     world = World(settings(), (EndpointListing("a", 0, listed_rate=4.0),))
-    world.batch([world.submit(f"m{i}") for i in range(6)], at=20 * SECOND)
-    outcomes: list[Event] = [world.end_attempt(f"m{i}", Outcome.REJECTED) for i in range(6)]
-    world.batch(outcomes, at=20 * SECOND + 50 * MILLISECOND)
+    world.batch([world.new_message(f"m{i}") for i in range(6)], now=20 * SECOND)
+    outcomes: list[Event] = [world.attempt_ended(f"m{i}", Outcome.REJECTED) for i in range(6)]
+    world.batch(outcomes, now=20 * SECOND + 50 * MILLISECOND)
     while world.now < 22_100 * MILLISECOND:
         world.run(world.now + 50 * MILLISECOND)
-        in_flight = [n for n, k in world.messages.items() if k.attempts[-1].outcome is None]
-        world.batch([world.end_attempt(n, Outcome.DELIVERED) for n in in_flight])
-    assert sum(k.concluded for k in world.messages.values()) >= 5
+        in_flight = [name for name, message in world.messages.items() if message.attempts[-1].outcome is None]
+        world.batch([world.attempt_ended(name, Outcome.DELIVERED) for name in in_flight])
+    assert sum(message.concluded for message in world.messages.values()) >= 5
 
 
 def test_late_and_repeated_events_are_ignored() -> None:
     world = World(settings(), ONE_ENDPOINT)
-    world.batch([world.submit("m")])
-    done = world.end_attempt("m", Outcome.DELIVERED)
-    world.batch([done])
-    assert world.policy.handle(MILLISECOND, [done, MessageWithdrawn("m"), MessageWithdrawn("x")]) == []
+    world.batch([world.new_message("m")])
+    delivered = world.attempt_ended("m", Outcome.DELIVERED)
+    world.batch([delivered])
+    assert world.policy.handle(MILLISECOND, [delivered, MessageWithdrawn("m"), MessageWithdrawn("x")]) == []
 
 
 def test_an_event_outside_the_interface_raises() -> None:
@@ -381,11 +394,13 @@
 
 def test_little_time_left_is_no_age_unless_recovered_from_the_journal() -> None:
     world = World(settings(max_concurrent_calls=4, can_cancel=False), ONE_ENDPOINT)
-    world.batch([world.submit(f"out{i}") for i in range(3)])  # three quarters of the slots are in use
-    world.batch([world.submit("long"), world.submit("old", time_left=SECOND, recovered_from_journal=True)])
-    world.batch([world.submit("hasty", time_left=SECOND)], at=10 * MILLISECOND)
+    world.batch([world.new_message(f"out{i}") for i in range(3)])  # three quarters of the slots are in use
+    world.batch(
+        [world.new_message("long"), world.new_message("old", time_left=SECOND, recovered_from_journal=True)]
+    )
+    world.batch([world.new_message("hasty", time_left=SECOND)], now=10 * MILLISECOND)
     for name in ("out0", "out1", "out2"):
-        world.batch([world.end_attempt(name, Outcome.DELIVERED)], at=world.now + 60 * MILLISECOND)
+        world.batch([world.attempt_ended(name, Outcome.DELIVERED)], now=world.now + 60 * MILLISECOND)
         world.run(world.now + 60 * MILLISECOND)
     assert [a.message for _, a in world.sends()[3:]] == ["hasty", "long", "old"]
 
@@ -396,12 +411,12 @@
 def test_stale_pooled_connections_do_not_eject_a_destination(stale: bool, sent: int) -> None:
     world = World(settings(), ONE_ENDPOINT)
     names = [f"m{i}" for i in range(4)]
-    world.batch([world.submit(name) for name in names])
+    world.batch([world.new_message(name) for name in names])
     world.batch(
-        [world.end_attempt(name, Outcome.RESET, connection_stale=stale) for name in names],
-        at=60 * MILLISECOND,
+        [world.attempt_ended(name, Outcome.RESET, connection_stale=stale) for name in names],
+        now=60 * MILLISECOND,
     )
-    world.batch([world.submit(f"n{i}") for i in range(3)], at=70 * MILLISECOND)
+    world.batch([world.new_message(f"n{i}") for i in range(3)], now=70 * MILLISECOND)
     assert sum(at == 70 * MILLISECOND for at, _ in world.sends()) == sent
 
 
@@ -409,26 +424,26 @@
     world = World(settings(max_concurrent_calls=40), ONE_ENDPOINT)
     counts: list[int] = []
     for limit in (2.0, 20.0):  # the limit falls for ten seconds and then recovers
-        before = len(world.sends())
+        sends_before = len(world.sends())
         for i in range(100):
             name = f"{limit}-{i}"
             events: list[Event] = [
-                world.end_attempt(
+                world.attempt_ended(
                     pending, Outcome.DELIVERED if limit > 2 else Outcome.REJECTED, rate_limit=limit
                 )
                 for pending, known in world.messages.items()
                 if known.attempts and known.attempts[-1].outcome is None
             ]
-            world.batch([*events, world.submit(name)])
+            world.batch([*events, world.new_message(name)])
             world.run(world.now + 100 * MILLISECOND)
-        counts.append(len(world.sends()) - before)
+        counts.append(len(world.sends()) - sends_before)
     assert counts[1] > 85, "a hundred were submitted at half the limit"
 
 
 def test_a_message_without_time_for_a_response_is_rejected_immediately() -> None:
     world = World(settings(max_concurrent_calls=4), ONE_ENDPOINT)
-    world.batch([world.submit(f"out{i}") for i in range(3)])
-    world.batch([world.submit("hasty", time_left=300 * MILLISECOND)], at=10 * MILLISECOND)
+    world.batch([world.new_message(f"out{i}") for i in range(3)])
+    world.batch([world.new_message("hasty", time_left=300 * MILLISECOND)], now=10 * MILLISECOND)
     world.run(280 * MILLISECOND)  # half of the initial latency estimate of 200 ms must be left
     assert [(type(a), at) for at, a in world.log if getattr(a, "message", "") == "hasty"] == [
         (Reject, 200 * MILLISECOND)
@@ -437,15 +452,15 @@
 
 def test_timeouts_shortened_by_deadlines_do_not_eject_a_destination() -> None:
     world = World(settings(), ONE_ENDPOINT)
-    world.batch([world.submit(f"m{i}", time_left=150 * MILLISECOND) for i in range(5)])
+    world.batch([world.new_message(f"m{i}", time_left=150 * MILLISECOND) for i in range(5)])
     world.run(SECOND)
-    world.batch([world.submit(f"n{i}") for i in range(4)])
+    world.batch([world.new_message(f"n{i}") for i in range(4)])
     assert sum(at == world.now for at, _ in world.sends()) == 4
 
 
 def test_a_message_with_a_near_deadline_is_retried_inside_it() -> None:
     world = World(settings(), TWO_ENDPOINTS)
-    world.batch([world.submit("m", time_left=600 * MILLISECOND)])
-    world.batch([world.end_attempt("m", Outcome.RESET)], at=50 * MILLISECOND)
+    world.batch([world.new_message("m", time_left=600 * MILLISECOND)])
+    world.batch([world.attempt_ended("m", Outcome.RESET)], now=50 * MILLISECOND)
     world.run(600 * MILLISECOND)
     assert len(world.sends("m")) == 2
--- a/tests/world.py
+++ b/tests/world.py
@@ -48,7 +48,7 @@
 DRAIN_GRACE = 500 * MILLISECOND
 ANSWER_TOLERANCE = 20 * MILLISECOND
 MAY_HAVE_EXECUTED = {Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
-HOLDING_OUTCOMES = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
+ORDER_BLOCKING_OUTCOMES = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
 
 
 def settings(**changes: Any) -> Settings:
@@ -127,12 +127,14 @@
 class World:
     """Passes events to the policy of one instance; raises AssertionError if an action breaks a rule."""
 
-    def __init__(self, given: Settings, listings: tuple[EndpointListing, ...], seed: int = 7) -> None:
-        self.settings = given
-        self.policy = DeliveryPolicy(given, seed)
+    def __init__(
+        self, instance_settings: Settings, listings: tuple[EndpointListing, ...], seed: int = 7
+    ) -> None:
+        self.settings = instance_settings
+        self.policy = DeliveryPolicy(instance_settings, seed)
         self.now = 0
         self.listings = {listing.endpoint: listing for listing in listings}
-        self.stopped: dict[str, int] = {}
+        self.not_ready_since: dict[str, int] = {}
         self.retry_after_until: dict[object, int] = {}
         self.messages: dict[str, SubmittedMessage] = {}
         self.submission_order: list[str] = []
@@ -145,9 +147,9 @@
         listing = self.listings[endpoint]
         return endpoint if self.settings.kinds[listing.kind].limits_per_endpoint else listing.destination
 
-    def batch(self, events: list[Event], at: int | None = None) -> list[Action]:
-        """Move the clock to `at`, which must not lie in the past, and pass the events to the policy."""
-        self.now = self.now if at is None else at
+    def batch(self, events: list[Event], now: int | None = None) -> list[Action]:
+        """Move the clock to `now`, which must not lie in the past, and pass the events to the policy."""
+        self.now = self.now if now is None else now
         retry_after_before = dict(self.retry_after_until)
         for event in events:
             self.record_event(event)
@@ -156,7 +158,7 @@
             events = [*events, TimerFired()]
         actions = self.policy.handle(self.now, events)
         for action in actions:
-            self.check(action, retry_after_before)
+            self.check_action(action, retry_after_before)
         self.log += [(self.now, action) for action in actions]
         return actions
 
@@ -185,9 +187,9 @@
                 for listing in event.listings:
                     self.listings[listing.endpoint] = listing
                     if listing.status is not EndpointStatus.READY:
-                        self.stopped.setdefault(listing.endpoint, self.now)
+                        self.not_ready_since.setdefault(listing.endpoint, self.now)
 
-    def check(self, action: Action, retry_after_until: dict[object, int]) -> None:
+    def check_action(self, action: Action, retry_after_until: dict[object, int]) -> None:
         """Check one action against the rules and record it."""
         match action:
             case Send(name, endpoint, timeout):
@@ -231,7 +233,7 @@
             if message.zone_bound:
                 first_zone = self.listings[possible[0].endpoint].zone
                 assert listing.zone == first_zone, "idempotency key outside its zone"
-        assert self.now <= self.stopped.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent after a drain"
+        assert self.now <= self.not_ready_since.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent after a drain"
         blocked_until = retry_after_until.get(self.retry_after_scope(endpoint), 0)
         assert self.now >= blocked_until, "sent before the end of a Retry-After"
         assert self.calls_in_flight(endpoint) <= self.settings.max_concurrent_calls, "sent without a slot"
@@ -243,11 +245,12 @@
 
         Messages sent to one endpoint in one batch share calls.
         """
-        groups = collections.Counter({(endpoint, self.now): 1})
+        message_counts = collections.Counter({(endpoint, self.now): 1})
         for message in self.messages.values():
-            groups.update((a.endpoint, a.sent_at) for a in message.attempts if a.outcome is None)
+            message_counts.update((a.endpoint, a.sent_at) for a in message.attempts if a.outcome is None)
         return sum(
-            math.ceil(count / self.max_messages_per_call(endpoint)) for (endpoint, _), count in groups.items()
+            math.ceil(count / self.max_messages_per_call(endpoint))
+            for (endpoint, _), count in message_counts.items()
         )
 
     def max_messages_per_call(self, endpoint: str) -> int:
@@ -262,22 +265,22 @@
                 continue
             assert earlier.concluded, "sent before an earlier message was concluded"
             assert all(a.outcome is not None for a in earlier.attempts), "an earlier attempt is in flight"
-            held_since = [a.ended_at for a in earlier.attempts if a.outcome in HOLDING_OUTCOMES]
-            held_until = max(held_since, default=0) + self.settings.ordering_pause
-            assert not held_since or self.now >= held_until, "sent inside the ordering pause"
+            blocked_since = [a.ended_at for a in earlier.attempts if a.outcome in ORDER_BLOCKING_OUTCOMES]
+            blocked_until = max(blocked_since, default=0) + self.settings.ordering_pause
+            assert not blocked_since or self.now >= blocked_until, "sent inside the ordering pause"
 
-    def submit(self, name: str, class_index: int = 0, destination: int = 0, **more: Any) -> NewMessage:
-        """Return the event of a new message, with its class's deadline unless `more` has a `time_left`."""
-        more.setdefault("time_left", self.settings.classes[class_index].deadline)
-        return NewMessage(name, class_index, destination, **more)
+    def new_message(self, name: str, class_index: int = 0, destination: int = 0, **fields: Any) -> NewMessage:
+        """Return the event of a new message, with its class's deadline unless `fields` has a `time_left`."""
+        fields.setdefault("time_left", self.settings.classes[class_index].deadline)
+        return NewMessage(name, class_index, destination, **fields)
 
-    def end_attempt(self, name: str, outcome: Outcome, retry_after: int = 0, **report: Any) -> AttemptEnded:
+    def attempt_ended(self, name: str, outcome: Outcome, retry_after: int = 0, **fields: Any) -> AttemptEnded:
         """Return the event that ends a message's latest attempt with this outcome."""
         attempt = self.messages[name].attempts[-1]
         concluded = outcome is Outcome.DELIVERED or self.messages[name].concluded
         elapsed = self.now - attempt.sent_at
         return AttemptEnded(
-            name, attempt.number, attempt.endpoint, outcome, elapsed, concluded, retry_after, **report
+            name, attempt.number, attempt.endpoint, outcome, elapsed, concluded, retry_after, **fields
         )
 
     def run(self, until: int) -> None:
@@ -285,7 +288,7 @@
         while self.now < until:
             self.now += self.settings.resolution or 5 * MILLISECOND
             events: list[Event] = [
-                self.end_attempt(name, Outcome.TIMEOUT)
+                self.attempt_ended(name, Outcome.TIMEOUT)
                 for name, message in self.messages.items()
                 for a in message.attempts[-1:]
                 if a.outcome is None and self.now >= a.sent_at + a.timeout
@@ -303,5 +306,5 @@
 
     def sends(self, name: str | None = None) -> list[tuple[int, Send]]:
         """Return all sends so far, or those of one message, each with its time."""
-        found = [(at, a) for at, a in self.log if isinstance(a, Send)]
-        return [(at, a) for at, a in found if name is None or a.message == name]
+        sends = [(sent_at, action) for sent_at, action in self.log if isinstance(action, Send)]
+        return [(sent_at, action) for sent_at, action in sends if name is None or action.message == name]
