--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -65,7 +65,7 @@
 class SendCandidate(NamedTuple):
     """A message that may be sent to an endpoint now; the lowest in tuple order is sent first."""
 
-    negative_value: float  # negated value per slot time, which calls in flight to the destination lower
+    negative_value: float  # negated value per slot time, divided by 1 + the destination's calls in flight
     sequence: int
     message: PendingMessage
     endpoint: EndpointState
@@ -310,21 +310,21 @@
     def _retry(self, message: PendingMessage, event: AttemptEnded, call: Call) -> None:
         """Schedule the next attempt, or give up.
 
-        The pause is the Retry-After if there is one, else a backoff, which is shortened to the time left. An
-        attempt that was not started is repeated without a pause.
+        The pause is the Retry-After if there is one, else a backoff, which is shortened to the time left if
+        that exceeds the preceding backoff step. An attempt that was not started is repeated without a pause.
         """
         if event.not_started:
             self._enqueue(message)
             return
         rejected = event.outcome is Outcome.REJECTED and not event.connection_limited
-        shortest = shortest_useful_pause(message.failures)
+        shortest_pause = shortest_useful_pause(message.failures)
         pause = backoff_pause(message.failures, rejected, self.rng)
         message.failures += 1
         state = call.endpoint.state
         time_left = message.attempts_allowed_until() - int(2 * state.latency.mean) - self.now
         if event.retry_after:
             pause = max(event.retry_after, state.retry_after_until - self.now)
-        elif pause > time_left > shortest:
+        elif pause > time_left > shortest_pause:
             pause = time_left
         if pause > time_left or not message.may_attempt(self.now, self.max_attempts):
             self._give_up(message)
@@ -344,9 +344,7 @@
         if event.connection_limited:  # a connection limit says nothing about the rate limit or health
             endpoint.back_off_connecting(self.now, self.settings.instance_count, self.rng)
         elif learn_from_outcome(event, call, message, self.now):
-            for waiting in list(
-                message.destination.backing_off
-            ):  # the recovery makes further backoff unnecessary
+            for waiting in list(message.destination.backing_off):  # no backoff is needed after the recovery
                 self._enqueue(waiting)
 
     def _send_all(self) -> None:
--- a/honeyhitch/policy/ordering.py
+++ b/honeyhitch/policy/ordering.py
@@ -7,11 +7,8 @@
 from honeyhitch.policy.events import Outcome
 from honeyhitch.policy.message import PendingMessage
 
-ORDER_BLOCKING_OUTCOMES = (
-    Outcome.TIMEOUT,
-    Outcome.RESET,
-    Outcome.CANCELLED,
-)  # the attempt may still be executed
+# Outcomes after which the attempt may still be executed.
+ORDER_BLOCKING_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class OrderedQueue:
