--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A driver for tests of the policy, which checks every action against the six rules on its own account."""
+"""A test driver for the policy, which checks every action against the six rules with code of its own."""
 
 from __future__ import annotations
 
@@ -48,11 +48,11 @@
 DRAIN_GRACE = 500 * MILLISECOND
 ANSWER_TOLERANCE = 20 * MILLISECOND
 MAY_HAVE_EXECUTED = {Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
-HOLDING_OUTCOMES = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
+ORDER_BLOCKING_OUTCOMES = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
 
 
 def settings(**changes: Any) -> Settings:
-    """Plain settings for tests, with changes."""
+    """Return default settings for tests with these changes."""
     base: dict[str, Any] = {
         "classes": CLASSES,
         "kinds": (DestinationKind(),),
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """One attempt, as its Send and its AttemptEnded say. Times are nanoseconds."""
+    """One attempt, recorded from its Send and its AttemptEnded. Times are nanoseconds."""
 
     number: int
     endpoint: str
@@ -97,12 +97,12 @@
 
     @property
     def concluded(self) -> bool:
-        """Whether it was answered or withdrawn."""
+        """Whether the message was answered or withdrawn."""
         return bool(self.answers) or self.withdrawn_at is not None
 
     @property
     def non_idempotent(self) -> bool:
-        """Whether it must never be executed twice."""
+        """Whether the message must never be executed twice."""
         return self.message_class.idempotency is Idempotency.NON_IDEMPOTENT
 
     @property
@@ -112,11 +112,11 @@
 
     @property
     def zone_bound(self) -> bool:
-        """Whether its idempotency key is known in one zone only."""
+        """Whether the message's idempotency key is known in one zone only."""
         return self.has_idempotency_key and self.message_class.deduplication_scope is DeduplicationScope.ZONE
 
     def possible_executions(self, in_flight: bool = False) -> list[Attempt]:
-        """The attempts that may have been executed, on demand with those in flight."""
+        """Return the attempts that may have been executed; `in_flight` includes those in flight."""
         return [
             attempt
             for attempt in self.attempts
@@ -125,14 +125,16 @@
 
 
 class World:
-    """Feeds one instance and raises AssertionError where an action breaks a rule."""
+    """Passes events to the policy of one instance; raises AssertionError if an action breaks a rule."""
 
-    def __init__(self, given: Settings, listings: tuple[EndpointListing, ...], seed: int = 7) -> None:
-        self.settings = given
-        self.policy = DeliveryPolicy(given, seed)
+    def __init__(
+        self, instance_settings: Settings, listings: tuple[EndpointListing, ...], seed: int = 7
+    ) -> None:
+        self.settings = instance_settings
+        self.policy = DeliveryPolicy(instance_settings, seed)
         self.now = 0
         self.listings = {listing.endpoint: listing for listing in listings}
-        self.stopped: dict[str, int] = {}
+        self.not_ready_since: dict[str, int] = {}
         self.retry_after_until: dict[object, int] = {}
         self.messages: dict[str, SubmittedMessage] = {}
         self.submission_order: list[str] = []
@@ -141,13 +143,13 @@
         self.batch([EndpointListUpdate(UpdateMode.CACHED, listings)])
 
     def retry_after_scope(self, endpoint: str) -> object:
-        """What is bound by a Retry-After from this endpoint: it alone, or its destination."""
+        """Return what a Retry-After from this endpoint applies to: the endpoint alone, or its destination."""
         listing = self.listings[endpoint]
         return endpoint if self.settings.kinds[listing.kind].limits_per_endpoint else listing.destination
 
-    def batch(self, events: list[Event], at: int | None = None) -> list[Action]:
-        """Move the clock and let the instance act; `at` may not lie before the present."""
-        self.now = self.now if at is None else at
+    def batch(self, events: list[Event], now: int | None = None) -> list[Action]:
+        """Move the clock to `now`, which must not lie in the past, and pass the events to the policy."""
+        self.now = self.now if now is None else now
         retry_after_before = dict(self.retry_after_until)
         for event in events:
             self.record_event(event)
@@ -156,12 +158,12 @@
             events = [*events, TimerFired()]
         actions = self.policy.handle(self.now, events)
         for action in actions:
-            self.check(action, retry_after_before)
+            self.check_action(action, retry_after_before)
         self.log += [(self.now, action) for action in actions]
         return actions
 
     def record_event(self, event: Event) -> None:
-        """Account for an event."""
+        """Record an event in the messages and limits that the checks use."""
         match event:
             case NewMessage():
                 self.messages[event.message] = SubmittedMessage(
@@ -185,10 +187,10 @@
                 for listing in event.listings:
                     self.listings[listing.endpoint] = listing
                     if listing.status is not EndpointStatus.READY:
-                        self.stopped.setdefault(listing.endpoint, self.now)
+                        self.not_ready_since.setdefault(listing.endpoint, self.now)
 
-    def check(self, action: Action, retry_after_until: dict[object, int]) -> None:
-        """Check one action against the rules, and account for it."""
+    def check_action(self, action: Action, retry_after_until: dict[object, int]) -> None:
+        """Check one action against the rules and record it."""
         match action:
             case Send(name, endpoint, timeout):
                 self.check_send(self.messages[name], endpoint, retry_after_until)
@@ -203,8 +205,8 @@
                 assert self.settings.can_cancel
 
     def check_answer(self, message: SubmittedMessage, rejected: bool) -> None:
-        """Check the one final answer of a message, its time, and that a rejection is true (rule 2)."""
-        # An earlier event of the batch that withdraws it may have ended it already.
+        """Check that a final answer is the only one, in time, and if a rejection, harmless (rule 2)."""
+        # A message may be answered because of one event of a batch and withdrawn by a later one.
         assert not message.answers, "two final answers"
         assert message.withdrawn_at in (None, self.now), "answered though withdrawn"
         answer_until = message.submitted_at + message.event.time_left + ANSWER_TOLERANCE
@@ -217,7 +219,7 @@
     def check_send(
         self, message: SubmittedMessage, endpoint: str, retry_after_until: dict[object, int]
     ) -> None:
-        """Check one send against rules 1, 2, 3, 5 and 6 and the slots."""
+        """Check one send against rules 1, 2, 3, 5 and 6 and against the limit of slots."""
         listing = self.listings[endpoint]
         assert listing.destination == message.event.destination, "sent elsewhere"
         assert not message.concluded, "sent after its end"
@@ -231,7 +233,7 @@
             if message.zone_bound:
                 first_zone = self.listings[possible[0].endpoint].zone
                 assert listing.zone == first_zone, "idempotency key outside its zone"
-        assert self.now <= self.stopped.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent after a drain"
+        assert self.now <= self.not_ready_since.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent after a drain"
         blocked_until = retry_after_until.get(self.retry_after_scope(endpoint), 0)
         assert self.now >= blocked_until, "sent before the end of a Retry-After"
         assert self.calls_in_flight(endpoint) <= self.settings.max_concurrent_calls, "sent without a slot"
@@ -239,50 +241,54 @@
             self.check_order(message)
 
     def calls_in_flight(self, endpoint: str) -> int:
-        """Calls in flight with one more message to this endpoint; messages of one batch share calls."""
-        groups = collections.Counter({(endpoint, self.now): 1})
+        """Return the number of calls in flight after one more message to this endpoint.
+
+        Messages sent to one endpoint in one batch share calls.
+        """
+        message_counts = collections.Counter({(endpoint, self.now): 1})
         for message in self.messages.values():
-            groups.update((a.endpoint, a.sent_at) for a in message.attempts if a.outcome is None)
+            message_counts.update((a.endpoint, a.sent_at) for a in message.attempts if a.outcome is None)
         return sum(
-            math.ceil(count / self.max_messages_per_call(endpoint)) for (endpoint, _), count in groups.items()
+            math.ceil(count / self.max_messages_per_call(endpoint))
+            for (endpoint, _), count in message_counts.items()
         )
 
     def max_messages_per_call(self, endpoint: str) -> int:
-        """How many messages one call to this endpoint takes."""
+        """Return how many messages one call to this endpoint takes."""
         return self.settings.kinds[self.listings[endpoint].kind].max_messages_per_call
 
     def check_order(self, message: SubmittedMessage) -> None:
-        """Check a send against the order of its key (rule 5)."""
+        """Check that a send keeps the order of its ordering key (rule 5)."""
         for name in self.submission_order[: self.submission_order.index(message.event.message)]:
             earlier = self.messages[name]
             if not earlier.message_class.ordered or earlier.event.ordering_key != message.event.ordering_key:
                 continue
             assert earlier.concluded, "sent before an earlier message was concluded"
             assert all(a.outcome is not None for a in earlier.attempts), "an earlier attempt is in flight"
-            held_since = [a.ended_at for a in earlier.attempts if a.outcome in HOLDING_OUTCOMES]
-            held_until = max(held_since, default=0) + self.settings.ordering_pause
-            assert not held_since or self.now >= held_until, "sent inside the ordering pause"
+            blocked_since = [a.ended_at for a in earlier.attempts if a.outcome in ORDER_BLOCKING_OUTCOMES]
+            blocked_until = max(blocked_since, default=0) + self.settings.ordering_pause
+            assert not blocked_since or self.now >= blocked_until, "sent inside the ordering pause"
 
-    def submit(self, name: str, class_index: int = 0, destination: int = 0, **more: Any) -> NewMessage:
-        """A new message, with the full time of its class unless `more` says otherwise."""
-        more.setdefault("time_left", self.settings.classes[class_index].deadline)
-        return NewMessage(name, class_index, destination, **more)
+    def new_message(self, name: str, class_index: int = 0, destination: int = 0, **fields: Any) -> NewMessage:
+        """Return the event of a new message, with its class's deadline unless `fields` has a `time_left`."""
+        fields.setdefault("time_left", self.settings.classes[class_index].deadline)
+        return NewMessage(name, class_index, destination, **fields)
 
-    def end_attempt(self, name: str, outcome: Outcome, retry_after: int = 0, **report: Any) -> AttemptEnded:
-        """The outcome of a message's latest attempt."""
+    def attempt_ended(self, name: str, outcome: Outcome, retry_after: int = 0, **fields: Any) -> AttemptEnded:
+        """Return the event that ends a message's latest attempt with this outcome."""
         attempt = self.messages[name].attempts[-1]
         concluded = outcome is Outcome.DELIVERED or self.messages[name].concluded
         elapsed = self.now - attempt.sent_at
         return AttemptEnded(
-            name, attempt.number, attempt.endpoint, outcome, elapsed, concluded, retry_after, **report
+            name, attempt.number, attempt.endpoint, outcome, elapsed, concluded, retry_after, **fields
         )
 
     def run(self, until: int) -> None:
-        """Let timers fire and attempts time out until then, tick by tick."""
+        """Advance the clock to `until` in steps of its resolution; let timers fire and attempts time out."""
         while self.now < until:
             self.now += self.settings.resolution or 5 * MILLISECOND
             events: list[Event] = [
-                self.end_attempt(name, Outcome.TIMEOUT)
+                self.attempt_ended(name, Outcome.TIMEOUT)
                 for name, message in self.messages.items()
                 for a in message.attempts[-1:]
                 if a.outcome is None and self.now >= a.sent_at + a.timeout
@@ -291,7 +297,7 @@
                 self.batch(events)
 
     def attempts_in_flight(self) -> list[str]:
-        """The messages whose latest attempt has no outcome."""
+        """Return the names of the messages whose latest attempt has no outcome."""
         return [
             name
             for name, message in self.messages.items()
@@ -299,6 +305,6 @@
         ]
 
     def sends(self, name: str | None = None) -> list[tuple[int, Send]]:
-        """The sends so far, or those of one message, each with its time."""
-        found = [(at, a) for at, a in self.log if isinstance(a, Send)]
-        return [(at, a) for at, a in found if name is None or a.message == name]
+        """Return all sends so far, or those of one message, each with its time."""
+        sends = [(sent_at, action) for sent_at, action in self.log if isinstance(action, Send)]
+        return [(sent_at, action) for sent_at, action in sends if name is None or action.message == name]
