--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -40,7 +40,7 @@
 class CallResult:
     """The result of a call: an outcome for each of its messages, and what else the endpoint reported."""
 
-    outcomes: list[tuple[Outcome, bool]]  # each with whether it concludes the message
+    outcomes: list[tuple[Outcome, bool]]  # each outcome, and whether it concludes the message
     retry_after: int = 0  # nanoseconds, 0 if none
     reported: dict[str, float] = field(default_factory=dict)
     failure_reason: str = ""  # the name of a failure that the outcomes do not distinguish
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -164,7 +164,7 @@
         transaction.retry_after = retry_after
 
     def record_dead_letter_stored(self, transaction: Transaction) -> None:
-        """Record that the store has stored or discarded a dead letter, which it no longer needs from here."""
+        """Record that the store has stored or discarded a dead letter, so this journal may drop it."""
         self._append_if_possible(DeadLetterStored(transaction.id, transaction.ended_at))
         self._remove_dead_letter(transaction.id, transaction.ended_at)
 
--- a/honeyhitch/journal/transactions.py
+++ b/honeyhitch/journal/transactions.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 RESP_FRONTEND = "resp"  # the RESP frontend; its clients are not told of deliveries
-RESEND_FRONTEND = "resend"  # the frontend of messages that the store of dead letters resends
+RESEND_FRONTEND = "resend"  # the frontend of messages that the dead-letter store resends
 
 
 class Ending(Enum):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -22,7 +22,7 @@
 START = 1_700_000_000 * SECOND
 STANDARD_CLASS = dataclasses.replace(
     settings().classes[1], name="standard", deadline=20 * SECOND, deduplication_window=5 * SECOND
-)  # with a key, a repeat is dropped inside the deduplication window
+)  # an endpoint drops a repeat with the same key inside the deduplication window
 SETTINGS: dict[str, Any] = {
     "classes": (STANDARD_CLASS,),
     "kinds": (DestinationKind(max_messages_per_call=3, name="large"), DestinationKind(name="small")),
@@ -35,7 +35,7 @@
 
 
 def retention(_: Transaction) -> int:
-    """How long the ids and keys of ended messages are remembered."""
+    """Return how many nanoseconds the ids and keys of ended messages are remembered."""
     return 20 * SECOND
 
 
@@ -55,17 +55,17 @@
         heapq.heappush(self.heap, (when, self.sequence, what))
 
     def run(self, seconds: float) -> None:
-        """Let that much time pass."""
-        until = self.time + int(seconds * SECOND)
-        while self.heap and self.heap[0][0] <= until:
+        """Advance the time, calling each callback when it is due."""
+        end_time = self.time + int(seconds * SECOND)
+        while self.heap and self.heap[0][0] <= end_time:
             when, _, what = heapq.heappop(self.heap)
             self.time = max(self.time, when)
             what()
-        self.time = until
+        self.time = end_time
 
 
 class DispatcherRig:
-    """One dispatcher between a stand-in transport and a stand-in frontend."""
+    """One dispatcher with a stand-in transport and a stand-in frontend."""
 
     def __init__(
         self,
@@ -73,9 +73,9 @@
         time: VirtualTime | None = None,
         disk: int = 3_000_000,
         known: dict[str, Any] | None = None,
-        **more: Any,
+        **setting_overrides: Any,
     ) -> None:
-        self.settings = settings(**{**SETTINGS, **more})
+        self.settings = settings(**{**SETTINGS, **setting_overrides})
         self.time = time or VirtualTime()
         self.journal = self.make_journal(folder, disk)
         self.calls: list[Call] = []
@@ -100,10 +100,10 @@
         return Journal(folder, disk, self.time.now, retention)
 
     def prepare(self) -> None:
-        """What a test adds before the messages of the journal are resumed."""
+        """Hook for subclasses, called before the messages of the journal are resumed."""
 
     def start(self, call: Call) -> None:
-        """Its connection is up at once."""
+        """Start the call immediately, as if its connection were open."""
         if self.dispatcher.start_call(call):
             self.calls.append(call)
         else:
@@ -120,22 +120,22 @@
         if self.confirms_answers:
             self.dispatcher.answer_sent(transaction)
 
-    def submit(self, name: str, dest: int = 1, left: int = 20 * SECOND, **more: Any) -> bool:
-        more.setdefault("key", f"k-{name}")
-        transaction = Transaction(name, 0, dest, self.time.time + left, b"body", **more)
+    def submit(self, name: str, dest: int = 1, left: int = 20 * SECOND, **fields: Any) -> bool:
+        fields.setdefault("key", f"k-{name}")
+        transaction = Transaction(name, 0, dest, self.time.time + left, b"body", **fields)
         return self.dispatcher.submit(transaction).accepted
 
-    def end(self, call: Call, outcome: Outcome, **more: Any) -> None:
+    def end(self, call: Call, outcome: Outcome, **result_fields: Any) -> None:
         result = CallResult.uniform(outcome, len(call.messages), outcome is Outcome.DELIVERED)
-        for name, value in more.items():
+        for name, value in result_fields.items():
             setattr(result, name, value)
         self.dispatcher.call_ended(call, result)
 
     def run(self, seconds: float) -> list[Call]:
-        """Let time pass; the calls made meanwhile."""
-        before = len(self.calls)
+        """Advance the time and return the calls started meanwhile."""
+        previous_count = len(self.calls)
         self.time.run(seconds)
-        return self.calls[before:]
+        return self.calls[previous_count:]
 
 
 def endpoint_row(name: str, cell: int, flavor: str = "small", phase: str = "Ready") -> dict[str, Any]:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher between stand-in ports, in virtual time."""
+"""Tests of the dispatcher with stand-in ports, in virtual time."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def test_a_retry_after_holds_for_the_entire_destination_on_every_transport(tmp_path: Path) -> None:
-    # One partner over two protocols: its Retry-After on the first binds on the second.
+    # One partner is reached over two protocols: a Retry-After received on the first applies to the second.
     rig = DispatcherRig(tmp_path)
     rig.dispatcher.pool.pin(PoolEndpoint("topic", "partner/1", 1, transport="mqtt"))
     rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(ENDPOINT_LIST))
@@ -55,9 +55,9 @@
     received_at = rig.time.time
     rig.submit("b")
     assert not rig.run(1.9)
-    later = rig.run(3)
-    assert later
-    assert all(call.sent_at >= received_at + 2 * SECOND for call in later)
+    later_calls = rig.run(3)
+    assert later_calls
+    assert all(call.sent_at >= received_at + 2 * SECOND for call in later_calls)
 
 
 def test_a_retry_after_with_a_delivered_batch_binds_too(tmp_path: Path) -> None:
@@ -93,7 +93,9 @@
     (call,) = rig.run(0.1)
     rig.run(0.2)
     assert [answer.id for answer in rig.answers] == ["short"]
-    rig.end(call, Outcome.DELIVERED)  # too late for one message: it may not count for the other
+    rig.end(
+        call, Outcome.DELIVERED
+    )  # too late for one message, so it is unknown whether it counts for the other
     assert list(rig.dispatcher.messages.by_id) == ["long"]
     assert len(rig.answers) == 1
     (repeated,) = rig.run(1)
@@ -124,18 +126,18 @@
 def test_a_deduplication_window_of_one_second_holds_over_restarts(
     tmp_path: Path, down_for: float, restarts: int
 ) -> None:
-    """What may have been executed is repeated inside its window alone, whenever the restarts are."""
-    window = dataclasses.replace(STANDARD_CLASS, deduplication_window=SECOND)
+    """A message that may have been executed is only repeated inside its window, whenever restarts happen."""
+    message_class = dataclasses.replace(STANDARD_CLASS, deduplication_window=SECOND)
     time = VirtualTime()
-    rig = DispatcherRig(tmp_path, time, classes=(window,))
+    rig = DispatcherRig(tmp_path, time, classes=(message_class,))
     rig.submit("a")
     calls = rig.run(0.05)
     (first,) = calls
     for _ in range(restarts):
         time.run(down_for)
-        rig = DispatcherRig(tmp_path, time, classes=(window,))
+        rig = DispatcherRig(tmp_path, time, classes=(message_class,))
         calls += rig.run(0.05)
-    for _ in range(4):  # each further one may have been executed, too
+    for _ in range(4):  # each further call may have been executed as well
         for call in rig.calls:
             if any(call.pending):
                 rig.end(call, Outcome.RESET)
@@ -181,7 +183,7 @@
     restarted.submit("c", key="k", frontend="mqtt")
     restarted.run(0.1)
     assert [(answer.id, answer.ending) for answer in restarted.answers] == [("c", Ending.DELIVERED)]
-    restarted.run(4.5)  # inside the window of the copy, but past that of the first message
+    restarted.run(4.5)  # inside the copy's own window, but after the window of the first message
     restarted.submit("d", key="k")
     assert not restarted.run(1), "outside the first window a copy would be executed"
     assert restarted.answers[-1].id == "d"
@@ -281,8 +283,10 @@
 
 @pytest.mark.parametrize("how", ["delivered too late", "no attempts left", "withdrawn"])
 def test_a_retry_after_binds_whatever_became_of_the_call(tmp_path: Path, how: str) -> None:
-    """A batch delivered after one of its messages expired, one whose messages have no attempts left, and one
-    whose last message was withdrawn as the reply arrived.
+    """The Retry-After of a call counts even if no outcome of the call does.
+
+    The cases are a batch delivered after one of its messages expired, a batch whose messages have no attempts
+    left, and a batch whose messages were all withdrawn before the reply arrived.
     """
     rig = DispatcherRig(tmp_path)
     rig.submit("brief", dest=2, left=2 * SECOND)
@@ -290,7 +294,7 @@
     (call,) = rig.run(0.1)
     assert len(call.messages) == 2
     if how == "delivered too late":
-        rig.run(2)  # the first one expires
+        rig.run(2)  # the first message expires
     elif how == "withdrawn":
         for message in call.messages:
             rig.dispatcher.withdraw(message.id)
@@ -309,12 +313,12 @@
 def test_an_endpoint_listed_for_another_destination_gets_nothing_of_the_first(
     tmp_path: Path, complete: bool, backing_off: bool
 ) -> None:
-    """Under the same id; messages for the first destination wait for an endpoint there."""
+    """The endpoint keeps its id; messages for its first destination wait for another endpoint there."""
     rig = DispatcherRig(tmp_path)
     if backing_off:
         rig.submit("before")
         (call,) = rig.run(0.01)
-        rig.end(call, Outcome.REJECTED)  # it backs off
+        rig.end(call, Outcome.REJECTED)  # the message waits before its next attempt
     rows = [endpoint_row("s-1", 7), *([endpoint_row("s-2", 2, "large")] if complete else [])]
     rig.dispatcher.apply_list_update(
         rig.dispatcher.pool.update({"revision": 2, "complete": complete, "members": rows})
@@ -328,5 +332,5 @@
     rig.dispatcher.apply_list_update(
         rig.dispatcher.pool.update({"revision": 3, "complete": False, "members": [endpoint_row("s-3", 1)]})
     )
-    later = [(message.id, call.endpoint.id) for call in rig.run(5) for message in call.messages]
-    assert set(later) == {("first", "s-3"), *([("before", "s-3")] if backing_off else [])}
+    later_sends = [(message.id, call.endpoint.id) for call in rig.run(5) for message in call.messages]
+    assert set(later_sends) == {("first", "s-3"), *([("before", "s-3")] if backing_off else [])}
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""Lists from discovery that are late, repeated or malformed: each has one stated outcome."""
+"""Tests of the endpoint pool with lists from discovery that are outdated, repeated or malformed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def endpoint_pool() -> EndpointPool:
-    """Knows endpoints a and b, by a complete list of revision 5."""
+    """Return a pool with endpoints a and b, from a complete list of revision 5."""
     endpoint_pool = EndpointPool(settings())
     endpoint_pool.update(
         {"revision": 5, "complete": True, "members": [endpoint_row("a", 1), endpoint_row("b", 1)]}
@@ -29,14 +29,14 @@
     return endpoint_pool
 
 
-def change(revision: object, *members: object) -> dict[str, Any]:
-    return {"revision": revision, "complete": False, "members": list(members)}
+def change(revision: object, *rows: object) -> dict[str, Any]:
+    return {"revision": revision, "complete": False, "members": list(rows)}
 
 
 def test_a_late_change_does_not_restore_endpoints_removed_since(endpoint_pool: EndpointPool) -> None:
     endpoint_pool.update(change(6, endpoint_row("a", 1, phase="Terminating")))
     endpoint_pool.update(change(7, endpoint_row("b", 1, phase="Gone")))
-    with pytest.raises(PoolError, match="revision"):  # the watch breaks, and the complete list is requested
+    with pytest.raises(PoolError, match="revision"):  # discovery then requests a complete list
         endpoint_pool.update(change(4, endpoint_row("a", 1), endpoint_row("b", 1)))
     assert endpoint_pool.revision == 7
     assert endpoint_pool.endpoints["a"].status is EndpointStatus.DRAINING
@@ -51,13 +51,13 @@
     assert sorted(endpoint_pool.endpoints) == ["a", "b", "c"]
     endpoint_pool.update(
         {"revision": 2, "complete": True, "members": [endpoint_row("a", 1)]}
-    )  # an agent whose revisions restarted
+    )  # from an agent whose revisions restarted
     assert sorted(endpoint_pool.endpoints) == ["a"]
     assert endpoint_pool.revision == 2
 
 
 @pytest.mark.parametrize(
-    ("bad", "named"),
+    ("invalid_fields", "error_field"),
     [
         ({"size": float("nan")}, "size"),
         ({"size": float("inf")}, "size"),
@@ -71,10 +71,10 @@
     ],
 )
 def test_an_unreadable_row_is_named_and_changes_nothing(
-    endpoint_pool: EndpointPool, bad: dict[str, Any], named: str
+    endpoint_pool: EndpointPool, invalid_fields: dict[str, Any], error_field: str
 ) -> None:
-    with pytest.raises(PoolError, match=named):
-        endpoint_pool.update(change(6, endpoint_row("c", 1), {**endpoint_row("d", 1), **bad}))
+    with pytest.raises(PoolError, match=error_field):
+        endpoint_pool.update(change(6, endpoint_row("c", 1), {**endpoint_row("d", 1), **invalid_fields}))
     assert sorted(endpoint_pool.endpoints) == ["a", "b"]
     assert endpoint_pool.revision == 5
 
@@ -96,14 +96,14 @@
 
 @pytest.mark.parametrize("row", [7, "s-1", None, [], {}])
 @pytest.mark.parametrize(
-    "accepts",
+    "accepts_destination",
     [None, lambda _: True, lambda _: False],
     ids=["no filter", "a filter that accepts all", "a filter that accepts none"],
 )
 def test_a_row_that_is_no_object_is_a_pool_error_whatever_the_pool_accepts(
-    row: object, accepts: Callable[[int], bool] | None
+    row: object, accepts_destination: Callable[[int], bool] | None
 ) -> None:
     endpoint_pool = EndpointPool(settings())
-    endpoint_pool.accepts_destination = accepts
+    endpoint_pool.accepts_destination = accepts_destination
     with pytest.raises(PoolError, match="members"):
         endpoint_pool.update({"revision": 1, "complete": True, "members": [row]})
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal survives a kill at any byte."""
+"""Tests that the journal can be replayed after a kill at any byte and stays within its disk space."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return RETENTION
 
 
-def opened(folder: Path, disk: int = 1_000_000) -> Journal:
+def open_journal(folder: Path, disk: int = 1_000_000) -> Journal:
     return Journal(folder, disk, lambda: NOW, retention)
 
 
@@ -30,7 +30,7 @@
 
 
 def state(journal: Journal) -> dict[str, object]:
-    rows = {name: dataclasses.asdict(known) for name, known in journal.messages.by_id.items()}
+    rows = {name: dataclasses.asdict(message) for name, message in journal.messages.by_id.items()}
     return {
         "messages": rows,
         "concluded": dict(journal.messages.concluded),
@@ -38,10 +38,10 @@
     }
 
 
-def story(journal: Journal) -> list[tuple[int, dict[str, object]]]:
-    """Writes some records; the state after each, with the size of the file."""
+def write_records(journal: Journal) -> list[tuple[int, dict[str, object]]]:
+    """Write some records; return the size of the file and the state after each of them."""
     a, b, c = (transaction(name) for name in "abc")
-    found = [(journal.size, state(journal))]
+    states = [(journal.size, state(journal))]
     for step in (
         lambda: journal.record_accepted(a),
         lambda: journal.record_accepted(b),
@@ -55,64 +55,64 @@
         lambda: journal.record_end(b, Ending.REJECTED),
     ):
         step()
-        found.append((journal.size, state(journal)))
-    return found
+        states.append((journal.size, state(journal)))
+    return states
 
 
 def test_after_a_cut_at_any_offset_the_last_complete_record_counts(tmp_path: Path) -> None:
     (tmp_path / "full").mkdir()
-    journal = opened(tmp_path / "full")
-    states = story(journal)
+    journal = open_journal(tmp_path / "full")
+    states = write_records(journal)
     data = journal.path.read_bytes()
     assert len(data) == journal.size == states[-1][0]
-    cut = tmp_path / "cut"
-    cut.mkdir()
+    cut_directory = tmp_path / "cut"
+    cut_directory.mkdir()
     for length in range(len(data) + 1):
-        (cut / "journal").write_bytes(data[:length])
-        (cut / "journal.new").write_bytes(data[: length // 2])  # a compaction that was interrupted
-        replayed = opened(cut)
-        assert state(replayed) == [then for size, then in states if size <= length][-1]
-        replayed.record_accepted(transaction("z"))  # and records follow the cut
+        (cut_directory / "journal").write_bytes(data[:length])
+        (cut_directory / "journal.new").write_bytes(data[: length // 2])  # a compaction that was interrupted
+        replayed = open_journal(cut_directory)
+        assert state(replayed) == [expected for size, expected in states if size <= length][-1]
+        replayed.record_accepted(transaction("z"))  # new records can follow the cut
         replayed.close()
-        reopened = opened(cut)
+        reopened = open_journal(cut_directory)
         assert "z" in reopened.messages.by_id
         assert not reopened.new_path.exists()
         reopened.close()
 
 
 def test_a_flipped_byte_ends_the_replay_there(tmp_path: Path) -> None:
-    journal = opened(tmp_path)
-    states = story(journal)
+    journal = open_journal(tmp_path)
+    states = write_records(journal)
     data = bytearray(journal.path.read_bytes())
     data[states[3][0] + 20] ^= 1
     journal.path.write_bytes(data)
-    assert state(opened(tmp_path)) == states[3][1]
+    assert state(open_journal(tmp_path)) == states[3][1]
 
 
 def test_compaction_preserves_pending_and_remembered_messages(tmp_path: Path) -> None:
-    journal = opened(tmp_path)
-    story(journal)
+    journal = open_journal(tmp_path)
+    write_records(journal)
     before = state(journal)
     size = journal.size
     journal.compact()
     assert journal.size < size
-    assert state(opened(tmp_path)) == before
+    assert state(open_journal(tmp_path)) == before
 
 
 def test_both_files_of_a_compaction_fit_the_disk(tmp_path: Path) -> None:
-    disk, journal = 40_000, opened(tmp_path, 40_000)
-    full = 0
+    disk, journal = 40_000, open_journal(tmp_path, 40_000)
+    rejections = 0
     for i in range(2_000):
-        fresh = transaction(f"n{i}", bytes(200 + i % 700))
+        new_message = transaction(f"n{i}", bytes(200 + i % 700))
         try:
-            journal.record_accepted(fresh)
+            journal.record_accepted(new_message)
         except JournalFullError:
-            full += 1
-            for old in list(journal.messages.by_id.values())[:20]:
-                journal.record_end(old, Ending.UNANSWERED)
+            rejections += 1
+            for held_message in list(journal.messages.by_id.values())[:20]:
+                journal.record_end(held_message, Ending.UNANSWERED)
             journal.messages.concluded.clear()
         assert journal.size + journal.live_bytes <= disk
-    assert full
+    assert rejections
     assert len(journal.messages) > 3
 
 
@@ -124,30 +124,30 @@
 def test_a_full_journal_is_not_compacted_for_each_message_that_it_rejects(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    journal, times = opened(tmp_path, 100_000), list[int]()
+    journal, snapshot_sizes = open_journal(tmp_path, 100_000), list[int]()
     take_snapshot = Journal.snapshot
 
     def counted_snapshot(journal: Journal) -> bytes:
-        times.append(journal.size)
+        snapshot_sizes.append(journal.size)
         return take_snapshot(journal)
 
     monkeypatch.setattr(Journal, "snapshot", counted_snapshot)
 
-    def rejected(count: int, after: str) -> int:
-        found = 0
+    def count_rejected(count: int, prefix: str) -> int:
+        rejections = 0
         for number in range(count):
             try:
-                journal.record_accepted(transaction(f"{after}{number}"))
+                journal.record_accepted(transaction(f"{prefix}{number}"))
             except JournalFullError:
-                found += 1
-        return found
+                rejections += 1
+        return rejections
 
-    assert rejected(500, "a") > 300
-    assert len(times) <= 3
+    assert count_rejected(500, "a") > 300
+    assert len(snapshot_sizes) <= 3
     held = list(journal.messages.by_id.values())
     journal.record_end(held.pop(), Ending.REJECTED)
-    rejected(500, "b")
-    assert len(times) <= 4, "nor for the few bytes that one ending frees"
+    count_rejected(500, "b")
+    assert len(snapshot_sizes) <= 4, "nor for the few bytes that one ending frees"
     for message in held[: len(held) // 2]:
         journal.record_end(message, Ending.REJECTED)
-    assert rejected(len(held) // 4, "c") == 0, "endings make room"
+    assert count_rejected(len(held) // 4, "c") == 0, "endings make room"
