--- a/tests/test_journal_stored_form.py
+++ b/tests/test_journal_stored_form.py
@@ -1,10 +1,10 @@
-"""Journals that an earlier version wrote are read, and written alike, to the byte.
+"""Tests that journals of an earlier version can be read, and that this version writes the same bytes.
 
-The files in fixtures/journal-1 were written by the tree of commit a5e6918, by a script with the same steps as
-the functions below in that tree's names (taken, attempt, outcome, never_ran, decided, kept, end, begin, wait,
-pass_on, calls_out, take_back, take_over, compact), a clock that stands at 1000 and ids kept for
-500 ns. `torn` is `plain` without its last 7 bytes. They are never written anew: an earlier version has to
-read what this one writes, so a difference here is a fault of the program.
+The files in fixtures/journal-1 were written by the tree of commit a5e6918. The script had the same steps as
+the functions below, with the names of that tree (taken, attempt, outcome, never_ran, decided, kept, end,
+begin, wait, pass_on, calls_out, take_back, take_over, compact), a clock fixed at 1000 ns and a retention of
+ids of 500 ns. `torn` is `plain` without its last 7 bytes. The files are never regenerated: an earlier version
+has to read the journals that this version writes, so a difference is a fault of the program.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
     return RETENTION
 
 
-def opened(directory: Path, detailed: bool = False, file_name: str = "journal") -> Journal:
+def open_journal(directory: Path, detailed: bool = False, file_name: str = "journal") -> Journal:
     return Journal(directory, MAX_BYTES, lambda: NOW, retention, detailed, file_name)
 
 
-def followed(path: Path) -> JournalFollower:
-    """What a process beside the writer reads; unlike a restart it heeds retry-after times and hand-overs."""
+def follow_journal(path: Path) -> JournalFollower:
+    """Read a journal as another process does, which, unlike a restart, keeps Retry-After and hand-overs."""
     follower = JournalFollower(path, MAX_REMEMBERED, retention)
     assert follower.read()
     return follower
@@ -60,20 +60,20 @@
 
 def accept(journal: Journal, names: str) -> list[Transaction]:
     messages = [message(name) for name in names]
-    for one in messages:
-        journal.record_accepted(one)
+    for new_message in messages:
+        journal.record_accepted(new_message)
     return messages
 
 
 def plain(directory: Path) -> Journal:
-    journal = opened(directory)
+    journal = open_journal(directory)
     journal.record_owner("n0")
     a = message("a")
     b = message("b", frontend="mqtt", reply_context='{"to":"\u00fc"}', recovered_from_journal=True)
     c = message("c", frontend="resend", key="")
     d = message("d")
-    for one in (a, b, c, d):
-        journal.record_accepted(one)
+    for new_message in (a, b, c, d):
+        journal.record_accepted(new_message)
     journal.record_attempt(a, 905, 1, "s-1")
     journal.record_not_executed(a, 0)
     journal.record_attempt(a, 906, 1, "s-1")
@@ -89,7 +89,7 @@
 
 
 def detailed(directory: Path) -> Journal:
-    journal = opened(directory, detailed=True)
+    journal = open_journal(directory, detailed=True)
     a, b, c, d = accept(journal, "abcd")
     journal.record_attempt(a, 905, 1, "s-1")
     journal.record_outcome(a, Attempt(0, "s-1", 905, "reset", 40, 0, "broken-pipe"))
@@ -109,7 +109,7 @@
 
 
 def handed_over(directory: Path) -> Journal:
-    journal = opened(directory)
+    journal = open_journal(directory)
     journal.record_owner("n0")
     a, b, c, d = accept(journal, "abcd")
     journal.record_attempt(a, 905, 1, "s-1")
@@ -129,13 +129,13 @@
 
 
 def compacted(directory: Path) -> Journal:
-    journal = opened(directory, detailed=True)
+    journal = open_journal(directory, detailed=True)
     journal.record_owner("n0")
     for number in range(3):
-        one = message(f"ended-{number}", body=bytes(2_000))
-        journal.record_accepted(one)
-        journal.record_attempt(one, 900 + number, number, "s-1")
-        journal.record_end(one, Ending.DELIVERED if number else Ending.REJECTED)
+        ended_message = message(f"ended-{number}", body=bytes(2_000))
+        journal.record_accepted(ended_message)
+        journal.record_attempt(ended_message, 900 + number, number, "s-1")
+        journal.record_end(ended_message, Ending.DELIVERED if number else Ending.REJECTED)
     a, b, c = accept(journal, "abc")
     journal.record_attempt(a, 905, 1, "s-1")
     journal.record_outcome(a, Attempt(0, "s-1", 905, "timeout", 40, 60, ""))
@@ -150,17 +150,17 @@
 
 
 def taken_over(directory: Path) -> Journal:
-    """The process in the second slot takes over what the one in the first left."""
+    """Write the journal of a process in the second slot that takes over the journal of the first slot."""
     first = handed_over(directory)
-    second = opened(directory, file_name="journal-2")
+    second = open_journal(directory, file_name="journal-2")
     second.record_owner("n0")
     b, _ = accept(second, "be")
     second.record_attempt(b, 910, 1, "s-1")
     first.close()
-    follower = followed(directory / "journal")
-    new, pending = second.take_over(follower, directory / "journal", directory / "journal-2")
-    assert [one.id for one in new] == ["a", "c"]
-    assert not pending
+    follower = follow_journal(directory / "journal")
+    new_messages, dead_letters = second.take_over(follower, directory / "journal", directory / "journal-2")
+    assert [new_message.id for new_message in new_messages] == ["a", "c"]
+    assert not dead_letters
     follower.close()
     return second
 
@@ -187,17 +187,19 @@
 def test_a_replay_of_a_stored_journal_gives_what_its_writer_knew(
     tmp_path: Path, name: str, write: Callable[[Path], Journal]
 ) -> None:
-    with_writer = write(tmp_path)
-    assert contents(followed(FIXTURES / name)) == contents(with_writer)
-    with_writer.close()
+    journal = write(tmp_path)
+    assert contents(follow_journal(FIXTURES / name)) == contents(journal)
+    journal.close()
 
 
 def contents(state: JournalState) -> dict[str, object]:
-    """All that a journal's records add up to, without what a writer keeps in memory alone."""
+    """Return the state that a journal's records describe, without what a writer keeps only in memory."""
     table = state.messages
     return {
-        "held": {name: known(one) for name, one in table.by_id.items()},
-        "pending dead letters": {key: known(one) for key, one in table.pending_dead_letters.items()},
+        "held": {name: recorded_fields(held_message) for name, held_message in table.by_id.items()},
+        "pending dead letters": {
+            key: recorded_fields(held_message) for key, held_message in table.pending_dead_letters.items()
+        },
         "concluded": table.concluded,
         "delivered keys": table.delivered_keys,
         "handed over": list(state.handed_over),
@@ -207,7 +209,7 @@
     }
 
 
-def known(transaction: Transaction) -> dict[str, Any]:
+def recorded_fields(transaction: Transaction) -> dict[str, Any]:
     fields = dataclasses.asdict(transaction)
     if not transaction.attempt_history and not transaction.is_dead_letter:
         fields["accepted_at"] = 0
@@ -215,7 +217,7 @@
 
 
 def test_plain_messages_attempts_and_endings_are_read() -> None:
-    state = followed(FIXTURES / "plain")
+    state = follow_journal(FIXTURES / "plain")
     b, c = state.messages.by_id.values()
     assert dataclasses.asdict(b) == dataclasses.asdict(
         message(
@@ -247,7 +249,7 @@
 
 
 def test_detailed_outcomes_and_dead_letters_are_read() -> None:
-    state = followed(FIXTURES / "detailed")
+    state = follow_journal(FIXTURES / "detailed")
     b, d = state.messages.by_id.values()
     assert dataclasses.asdict(b) == dataclasses.asdict(
         message(
@@ -283,7 +285,7 @@
 
 
 def test_messages_handed_over_and_calls_in_flight_are_read() -> None:
-    state = followed(FIXTURES / "handed-over")
+    state = follow_journal(FIXTURES / "handed-over")
     assert list(state.messages.by_id) == ["a", "b", "c"]
     assert list(state.handed_over) == ["b", "c"]
     assert state.calls_in_flight == 1
@@ -291,14 +293,14 @@
 
 
 def test_reclaimed_messages_are_their_writers_again() -> None:
-    state = followed(FIXTURES / "reclaimed")
+    state = follow_journal(FIXTURES / "reclaimed")
     assert list(state.messages.by_id) == ["a", "b", "c"]
     assert not state.handed_over
     assert state.calls_in_flight is None
 
 
 def test_a_compacted_journal_holds_what_it_held_before() -> None:
-    state = followed(FIXTURES / "compacted")
+    state = follow_journal(FIXTURES / "compacted")
     assert list(state.messages.by_id) == ["a", "c"]
     assert list(state.messages.pending_dead_letters) == [("b", NOW)]
     assert state.messages.pending_dead_letters["b", NOW].ending is Ending.FAILED
@@ -314,7 +316,7 @@
 
 def test_a_torn_tail_is_cut_and_the_journal_is_continued(tmp_path: Path) -> None:
     shutil.copyfile(FIXTURES / "torn", tmp_path / "journal")
-    journal = opened(tmp_path)
+    journal = open_journal(tmp_path)
     assert list(journal.messages.by_id) == ["b", "c"]
     assert journal.messages.by_id["c"].attempt_count == 0, "its last record was torn"
     assert not journal.retry_after_until, "a restart ends retry-after times"
@@ -327,12 +329,12 @@
     stored = {"id": "a", "cls": 1, "destination": 3, "deadline": 9_999, "t": "taken"}
     stored |= {"ran": [[0, 905, 1]], "back": 0, "as": None}
     (tmp_path / "journal").write_bytes(encode_frame(stored, b"body"))
-    (read,) = followed(tmp_path / "journal").messages.by_id.values()
+    (decoded,) = follow_journal(tmp_path / "journal").messages.by_id.values()
     expected = Transaction("a", 1, 3, 9_999, b"body", possible_executions=[PossibleExecution(0, 905, 1)])
-    assert dataclasses.asdict(read) == dataclasses.asdict(expected)
+    assert dataclasses.asdict(decoded) == dataclasses.asdict(expected)
 
 
 def test_records_of_an_unknown_kind_change_nothing(tmp_path: Path) -> None:
-    unknown = encode_frame({"t": "later", "id": "b"})
-    (tmp_path / "journal").write_bytes((FIXTURES / "plain").read_bytes() + unknown)
-    assert contents(followed(tmp_path / "journal")) == contents(followed(FIXTURES / "plain"))
+    unknown_record = encode_frame({"t": "later", "id": "b"})
+    (tmp_path / "journal").write_bytes((FIXTURES / "plain").read_bytes() + unknown_record)
+    assert contents(follow_journal(tmp_path / "journal")) == contents(follow_journal(FIXTURES / "plain"))
