--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes on one state folder: who holds what, at each moment and after each kind of end."""
+"""Tests that during a hand-over each message has one owner, even if either of the two processes is killed."""
 
 from __future__ import annotations
 
@@ -55,44 +55,44 @@
 def test_a_start_during_a_take_over_waits_and_is_not_taken_for_a_third_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    time, came = VirtualTime(), list[StateDirectory]()
+    time, state_directories = VirtualTime(), list[StateDirectory]()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
-    start = threading.Thread(target=lambda: came.append(StateDirectory(tmp_path)))
-    whole = Journal.take_over
+    start_thread = threading.Thread(target=lambda: state_directories.append(StateDirectory(tmp_path)))
+    take_over = Journal.take_over
 
-    def slowly(*told: Any) -> Any:
-        start.start()
-        start.join(0.05)
-        assert not came, "it waits"
-        return whole(*told)
+    def delayed_take_over(*arguments: Any) -> Any:
+        start_thread.start()
+        start_thread.join(0.05)
+        assert not state_directories, "it waits"
+        return take_over(*arguments)
 
-    monkeypatch.setattr(Journal, "take_over", slowly)
+    monkeypatch.setattr(Journal, "take_over", delayed_take_over)
     old.kill()
     new.handover.check_peer()
-    start.join(10)
-    assert came[0].slot == SECOND_SLOT
+    start_thread.join(10)
+    assert state_directories[0].slot == SECOND_SLOT
     assert new.state_directory.slot == FIRST_SLOT
 
 
 class Process(DispatcherRig):
-    """A stand-in process of an upgrade; `kill` ends it as the kernel would, with the file as it is."""
+    """A stand-in for a dispatcher process in an upgrade; `kill` ends it and leaves its files as they are."""
 
-    def __init__(self, folder: Path, time: VirtualTime, **more: Any) -> None:
+    def __init__(self, folder: Path, time: VirtualTime, **rig_arguments: Any) -> None:
         self.state_directory = StateDirectory(folder)
-        super().__init__(folder, time, **more)
+        super().__init__(folder, time, **rig_arguments)
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
-        file = self.state_directory.journal_path(self.state_directory.slot).name
-        return Journal(folder, disk, self.time.now, lambda _: RETENTION, file_name=file)
+        file_name = self.state_directory.journal_path(self.state_directory.slot).name
+        return Journal(folder, disk, self.time.now, lambda _: RETENTION, file_name=file_name)
 
     def resume(self) -> None:
-        self.reported_calls: list[int | None] = []  # calls that the other one had out, as they were told
+        self.reported_calls: list[int | None] = []  # reported numbers of the peer's calls in flight
         self.journal.record_owner("n0")
         self.handover = ProcessHandover(
             self.state_directory,
             self.journal,
             self.dispatcher,
-            lambda _, out: self.reported_calls.append(out),
+            lambda _, calls_in_flight: self.reported_calls.append(calls_in_flight),
         )
         self.handover.start()
         self.dispatcher.recover()
@@ -126,13 +126,13 @@
     assert new.held() == {"a", "b"}
     assert new.dispatcher.peer_process is None
     assert new.state_directory.slot == FIRST_SLOT
-    sent = [part.id for call in new.run(2) for part in call.messages]
-    assert sorted(sent) == ["a", "b"]
+    sent_ids = [message.id for call in new.run(2) for message in call.messages]
+    assert sorted(sent_ids) == ["a", "b"]
     assert [file.name for file in sorted(tmp_path.glob("journal*"))] == ["journal"], "the name of old"
 
 
 def test_a_process_that_hands_over_pools_no_connection_that_its_successor_could_use(tmp_path: Path) -> None:
-    """A member's table of connections is shared by both: what is idle here would be missing there."""
+    """Both processes share the endpoint's connection limit: idle connections of one would block the other."""
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -162,10 +162,10 @@
     new.handover.check_peer()
     assert (old.held(), new.held()) == ({"a"}, {"b"})
     assert new.reported_calls == [None, 1], "with the slots left over"
-    assert [part.id for call in new.run(0.5) for part in call.messages] == ["b"]
+    assert [message.id for call in new.run(0.5) for message in call.messages] == ["b"]
     assert old.dispatcher.metrics_snapshot()["active"] == new.dispatcher.metrics_snapshot()["active"] == 1
     old.submit("c")
-    old.end(call, Outcome.CONNECT_FAILED)  # no end of its own: on it goes in the new one
+    old.end(call, Outcome.CONNECT_FAILED)  # does not end the message, which the new process resumes
     old.dispatcher.hand_over()
     new.handover.check_peer()
     assert (old.held(), new.held()) == (set(), {"a", "b", "c"})
@@ -183,12 +183,12 @@
     assert new.reported_calls[-1] is None
 
 
-@pytest.mark.parametrize("adopted", [False, True])
+@pytest.mark.parametrize("received", [False, True])
 @pytest.mark.parametrize("ended", [False, True])
-@pytest.mark.parametrize("first", ["old", "new"])
+@pytest.mark.parametrize("killed_first", ["old", "new"])
 @pytest.mark.parametrize("compact", [False, True])
 def test_a_message_handed_over_has_one_owner_whichever_process_is_killed(
-    tmp_path: Path, adopted: bool, ended: bool, first: str, compact: bool
+    tmp_path: Path, received: bool, ended: bool, killed_first: str, compact: bool
 ) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
@@ -197,22 +197,22 @@
     old.dispatcher.hand_over()
     if compact:
         old.journal.replace_file(old.journal.snapshot(), old.journal.path, old.journal.new_path)
-    if adopted:
+    if received:
         new.handover.check_peer()
         if ended:
             new.dispatcher.conclude(new.dispatcher.messages.by_id["a"], Ending.DELIVERED)
-    one, other = (old, new) if first == "old" else (new, old)
-    one.kill()
-    other.handover.check_peer()
-    owed = set() if adopted and ended else {"a"}
-    assert other.held() == owed
-    other.kill()
-    last = Process(tmp_path, time)
-    assert last.held() == owed
-    assert not last.journal.handed_over
-    assert last.journal.calls_in_flight is None
-    last.kill()
-    assert Process(tmp_path, time).held() == owed
+    killed_process, surviving_process = (old, new) if killed_first == "old" else (new, old)
+    killed_process.kill()
+    surviving_process.handover.check_peer()
+    expected_ids = set() if received and ended else {"a"}
+    assert surviving_process.held() == expected_ids
+    surviving_process.kill()
+    restarted = Process(tmp_path, time)
+    assert restarted.held() == expected_ids
+    assert not restarted.journal.handed_over
+    assert restarted.journal.calls_in_flight is None
+    restarted.kill()
+    assert Process(tmp_path, time).held() == expected_ids
 
 
 def test_a_start_reclaims_messages_handed_over_to_a_process_that_never_recorded_them(tmp_path: Path) -> None:
@@ -223,26 +223,26 @@
     old.kill()
     new.kill()
     (tmp_path / "journal-2").unlink()
-    again = Process(tmp_path, time)
-    assert again.held() == {"a"}
-    assert [part.id for call in again.run(1) for part in call.messages] == ["a"]
+    restarted = Process(tmp_path, time)
+    assert restarted.held() == {"a"}
+    assert [message.id for call in restarted.run(1) for message in call.messages] == ["a"]
 
 
 def test_a_process_that_hands_over_leaves_its_successor_the_disk_space_it_needs(tmp_path: Path) -> None:
-    """Both hold the same messages for a while: half as many as fit alone must fit in both."""
+    """Both processes hold the same messages for a while, so half of one process's capacity must fit in both."""
     time, disk, count = VirtualTime(), 200_000, 0
     old = Process(tmp_path, time, disk=disk, max_messages=1000)
     while old.submit(f"m{count}"):
-        if count % 4:  # most of the file is of what has ended
+        if count % 4:  # most records in the file are of ended messages
             old.dispatcher.conclude(old.dispatcher.messages.by_id[f"m{count}"], Ending.REJECTED)
         count += 1
     for name in sorted(old.held())[::2]:
         old.dispatcher.conclude(old.dispatcher.messages.by_id[name], Ending.REJECTED)
-    new, owed = Process(tmp_path, time, disk=disk, max_messages=1000), old.held()
-    new.handover.retry_after_events()  # as in a round: it sees how full the disk is
+    new, expected_ids = Process(tmp_path, time, disk=disk, max_messages=1000), old.held()
+    new.handover.retry_after_events()  # as in a round; also reads how much disk space the other process uses
     old.dispatcher.hand_over()
     new.handover.check_peer()
-    assert new.held() == owed
+    assert new.held() == expected_ids
     assert not old.held()
     assert new.submit("one more")
     assert sum(file.stat().st_size for file in tmp_path.iterdir()) < disk
@@ -255,13 +255,13 @@
     old.dispatcher.hand_over()
     new.handover.check_peer()
     old.kill()
-    again = Process(tmp_path, time)  # before the new one has looked
-    assert again.journal.calls_in_flight is None
-    assert again.state_directory.slot == FIRST_SLOT
+    restarted = Process(tmp_path, time)  # before the new process has checked its peer
+    assert restarted.journal.calls_in_flight is None
+    assert restarted.state_directory.slot == FIRST_SLOT
     new.handover.check_peer()
     assert new.reported_calls[-1] is None
     assert new.held() == {"a"}
-    assert not again.held()
+    assert not restarted.held()
 
 
 def test_without_room_for_the_record_a_message_stays_where_it_is(tmp_path: Path) -> None:
@@ -306,15 +306,15 @@
     (call,) = old.run(0.1)
     new = Process(tmp_path, time)
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
-    told = time.time
+    received_at = time.time
     new.submit("b")
     assert not new.run(1)
     old.dispatcher.hand_over()
     old.kill()
     new.handover.check_peer()
-    sent = new.run(4)
-    assert sent
-    assert all(call.sent_at >= told + 2 * S for call in sent)
+    calls = new.run(4)
+    assert calls
+    assert all(call.sent_at >= received_at + 2 * S for call in calls)
 
 
 def test_a_retry_after_received_before_the_new_process_started_binds_it(tmp_path: Path) -> None:
@@ -340,10 +340,10 @@
         new.dispatcher.pool.update({"revision": 2, "complete": True, "members": [endpoint_row("s-9", 1)]})
     )
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
-    told = time.time
+    received_at = time.time
     new.submit("b")
     assert not new.run(1.9)
-    assert all(call.sent_at >= told + 2 * S and call.endpoint.id == "s-9" for call in new.run(2))
+    assert all(call.sent_at >= received_at + 2 * S and call.endpoint.id == "s-9" for call in new.run(2))
 
 
 def test_an_id_submitted_to_both_processes_is_accepted_once(tmp_path: Path) -> None:
@@ -365,14 +365,14 @@
     old, new = Process(tmp_path, time), Process(tmp_path, time)
     old.submit("a")
     new.submit("b")
-    stale = (tmp_path / "journal-2").read_bytes()
+    removed_journal = (tmp_path / "journal-2").read_bytes()
     old.kill()
     new.handover.check_peer()
     new.dispatcher.conclude(new.dispatcher.messages.by_id["b"], Ending.UNANSWERED)
     new.kill()
-    (tmp_path / "journal-2").write_bytes(stale)  # as if it had not been removed yet
-    again = Process(tmp_path, time)
-    assert again.held() == {"a"}
+    (tmp_path / "journal-2").write_bytes(removed_journal)  # as if the file had not been removed yet
+    restarted = Process(tmp_path, time)
+    assert restarted.held() == {"a"}
 
 
 def test_a_journal_of_a_later_version_is_refused(tmp_path: Path) -> None:
@@ -485,7 +485,7 @@
     follower.read()
     assert set(follower.messages.by_id) == {"m1", "m2", "m3"}
     assert "m0" in follower.messages.concluded
-    os.write(journal.fd, b"\x10\x00\x00")  # half of a record's head
+    os.write(journal.fd, b"\x10\x00\x00")  # part of a record's header
     follower.read()
     os.ftruncate(journal.fd, journal.size)
     journal.record_accepted(transaction("m4"))
@@ -494,7 +494,7 @@
 
 
 def test_new_connections_go_to_the_newer_listener_and_the_queue_of_the_older_one_stays() -> None:
-    def listener(port: int = 0) -> socket.socket:
+    def open_listener(port: int = 0) -> socket.socket:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(("127.0.0.1", port))
@@ -502,7 +502,7 @@
         sock.setblocking(False)
         return sock
 
-    def accepted(sock: socket.socket) -> int:
+    def count_accepted(sock: socket.socket) -> int:
         count = 0
         while True:
             try:
@@ -511,32 +511,32 @@
             except BlockingIOError:
                 return count
 
-    old = listener()
-    address = old.getsockname()
+    old_listener = open_listener()
+    address = old_listener.getsockname()
     clients = [socket.create_connection(address) for _ in range(8)]
-    new = listener(address[1])
-    if not sockets.prefer_second_listener(new):
+    new_listener = open_listener(address[1])
+    if not sockets.prefer_second_listener(new_listener):
         pytest.skip("this system cannot steer")
     clients += [socket.create_connection(address) for _ in range(32)]
-    assert (accepted(old), accepted(new)) == (8, 32)
-    old.close()
+    assert (count_accepted(old_listener), count_accepted(new_listener)) == (8, 32)
+    old_listener.close()
     clients += [socket.create_connection(address) for _ in range(8)]
-    assert accepted(new) == 8
-    for sock in (*clients, new):
+    assert count_accepted(new_listener) == 8
+    for sock in (*clients, new_listener):
         sock.close()
 
 
 def test_an_address_that_another_program_uses_is_refused_before_the_journal_is_opened(tmp_path: Path) -> None:
-    """An earlier version neither shares its address nor holds a place: its journal must stay as it is."""
+    """An earlier version neither shares its address nor locks a slot, so its journal must stay unchanged."""
 
-    async def work() -> None:
-        stranger = await Peer().start()
-        path, _ = write(tmp_path, stranger.port, 9, [])
+    async def check_refusal() -> None:
+        other_program = await Peer().start()
+        path, _ = write(tmp_path, other_program.port, 9, [])
         with pytest.raises(config.ConfigError, match=r"^listen: cannot listen on 127.0.0.1:\d+: Address"):
             await run(config.read({}, path), lambda before: before)
         assert not list((tmp_path / "state").glob("journal*"))
 
-    play(work())
+    play(check_refusal())
 
 
 FLEET = '[fleet]\nview = "127.0.0.1:9"\nzone = "a"\n[fleet.regions]\neast = ["a"]\n'
@@ -548,7 +548,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "operator", "says"),
+    ("changed_settings", "operator", "error_text"),
     [
         ({"name": "n1"}, None, "name: the state folder is held by 'n0', which runs"),
         ({}, "[control]", "control: cannot be had beside a running process; stop that one first"),
@@ -557,11 +557,11 @@
     ],
 )
 def test_a_second_process_starts_or_is_refused_with_the_key_at_fault(
-    tmp_path: Path, change: dict[str, str], operator: str | None, says: str
+    tmp_path: Path, changed_settings: dict[str, str], operator: str | None, error_text: str
 ) -> None:
-    """The second one is refused with its key, or both take clients and a third one is refused."""
+    """A second process fails with the key at fault, or both accept clients and a third process fails."""
 
-    async def work() -> None:
+    async def start_second_process() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, [endpoint_row("s", 1)]) as port:
             second_directory = tmp_path / "second"
@@ -572,14 +572,14 @@
                 agent.port,
                 [endpoint_row("s", 1)],
                 operator,
-                **{"name": "n0", **change},
+                **{"name": "n0", **changed_settings},
             )
             set_state_directory(Path(path[0]), tmp_path / "state")
             task = asyncio.ensure_future(run(config.read({}, *path), lambda before: before))
-            if says:
+            if error_text:
                 with pytest.raises(config.ConfigError) as error:
                     await task
-                assert str(error.value) == says
+                assert str(error.value) == error_text
                 return
             second_journal = tmp_path / "state" / "journal-2"
             await poll_condition(second_journal.exists, interval=0.01)
@@ -592,4 +592,4 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    play(work())
+    play(start_second_process())
