--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -40,7 +40,7 @@
 SPARE_BLOCKS = 4  # for rounding up both files and their directory to whole blocks
 ACCEPT_FRACTION = 0.75  # of `max_bytes`; beyond this no message is accepted
 WRITE_FRACTION = 0.95  # of `max_bytes`; beyond this no record is written
-COMPACT_FRACTION = 0.3  # of `max_bytes`; a larger file is compacted
+COMPACT_FRACTION = 0.3  # of `max_bytes`; a larger file may be compacted
 MIN_COMPACTION_GAIN = (
     0.125  # of the file size; a smaller gain does not justify the milliseconds of a compaction
 )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -229,7 +229,7 @@
 
 
 def test_a_process_that_hands_over_leaves_its_successor_the_disk_space_it_needs(tmp_path: Path) -> None:
-    """Both processes hold the same messages for a while, so half of one process's capacity must fit in both."""
+    """Both processes hold the same messages for a while: half of what one alone can hold must fit in both."""
     time, disk, count = VirtualTime(), 200_000, 0
     old = Process(tmp_path, time, disk=disk, max_messages=1000)
     while old.submit(f"m{count}"):
