--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -40,7 +40,7 @@
 SPARE_BLOCKS = 4  # for rounding up both files and their directory to whole blocks
 ACCEPT_FRACTION = 0.75  # of `max_bytes`; beyond this no message is accepted
 WRITE_FRACTION = 0.95  # of `max_bytes`; beyond this no record is written
-COMPACT_FRACTION = 0.3  # of `max_bytes`; a larger file is compacted
+COMPACT_FRACTION = 0.3  # of `max_bytes`; a larger file may be compacted
 MIN_COMPACTION_GAIN = (
     0.125  # of the file size; a smaller gain does not justify the milliseconds of a compaction
 )
@@ -164,7 +164,7 @@
         transaction.retry_after = retry_after
 
     def record_dead_letter_stored(self, transaction: Transaction) -> None:
-        """Record that the store has stored or discarded a dead letter, which it no longer needs from here."""
+        """Record that the store has stored or discarded a dead letter, so this journal may drop it."""
         self._append_if_possible(DeadLetterStored(transaction.id, transaction.ended_at))
         self._remove_dead_letter(transaction.id, transaction.ended_at)
 
