--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -64,8 +64,8 @@
     async def start(self) -> None:
         await self.endpoint.start()
         listed = [
-            {**endpoint_row(f"s-{number}", number), "host_port": f"127.0.0.1:{self.endpoint.port}"}
-            for number in DESTINATIONS
+            {**endpoint_row(f"s-{destination}", destination), "host_port": f"127.0.0.1:{self.endpoint.port}"}
+            for destination in DESTINATIONS
         ]
         agent = await Agent(listed).start()
         self.control.members = [self.view_entry(name) for name in INSTANCES]
@@ -103,10 +103,10 @@
     async def wait_until_ready(self, name: str) -> None:
         """Wait until the instance answers and has the complete list, requested again after the view."""
         await wait_until_serving(self.processes[name], self.ports[name])
-        number = self.destination_owned_by(name)
+        destination = self.destination_owned_by(name)
 
         async def accepted() -> bool:
-            reply = await self.submit(name, f"ready-{name}-{time.monotonic_ns()}", number)
+            reply = await self.submit(name, f"ready-{name}-{time.monotonic_ns()}", destination)
             return reply.startswith(b"+")
 
         await poll_until(accepted)
@@ -125,18 +125,20 @@
         fleet = Fleet(settings)
         members = [self.view_entry(instance) for instance in INSTANCES]
         fleet.apply_update({"revision": 1, "complete": True, "members": members}, 0)
-        for number in DESTINATIONS:
-            candidates = fleet.candidates(INSTANCES[name], fleet.partition(number))
+        for destination in DESTINATIONS:
+            candidates = fleet.candidates(INSTANCES[name], fleet.partition(destination))
             if candidates[0].name == name:
-                return number
+                return destination
         raise AssertionError(f"no destination of {len(DESTINATIONS)} has {name} as its home")
 
-    async def submit(self, name: str, message: str, destination: int, more: bytes = b"") -> bytes:
+    async def submit(self, name: str, message: str, destination: int, extra_fields: bytes = b"") -> bytes:
         """Submit one message to an instance and return the reply, which is empty if there was none."""
         request = enqueue(message)
-        field = b"c=standard,t=studio,d=8000,k=k-%s,dest=%d%s" % (message.encode(), destination, more)
-        old = b"c=standard,t=studio,d=8000,k=k,dest=1"
-        request = request.replace(b"$%d\r\n%s" % (len(old), old), b"$%d\r\n%s" % (len(field), field))
+        field = b"c=standard,t=studio,d=8000,k=k-%s,dest=%d%s" % (message.encode(), destination, extra_fields)
+        default_field = b"c=standard,t=studio,d=8000,k=k,dest=1"
+        request = request.replace(
+            b"$%d\r\n%s" % (len(default_field), default_field), b"$%d\r\n%s" % (len(field), field)
+        )
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[name])
         writer.write(request)
         with contextlib.suppress(ConnectionResetError):
@@ -180,24 +182,28 @@
 def test_a_message_reaches_its_owner_from_any_instance_and_only_the_owner_holds_it(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number = rig.destination_owned_by("y")
-            before = (await rig.management_call("x", "stats"))["responses"]
-            assert await rig.submit("x", "one", number) == b"+OK\r\n"
-            assert await rig.submit("y", "two", number) == b"+OK\r\n"
+            destination = rig.destination_owned_by("y")
+            responses_before = (await rig.management_call("x", "stats"))["responses"]
+            assert await rig.submit("x", "one", destination) == b"+OK\r\n"
+            assert await rig.submit("y", "two", destination) == b"+OK\r\n"
             assert (
-                await rig.submit("z", "three", number) == b"+OK\r\n"
+                await rig.submit("z", "three", destination) == b"+OK\r\n"
             )  # accepted within its own zone's quota
             await rig.wait_until_delivered("one", "two", "three")
-            assert (await rig.management_call("x", "stats"))["responses"] == before, "x took none on"
+            assert (await rig.management_call("x", "stats"))["responses"] == responses_before, (
+                "x took none on"
+            )
             # The owner's reply is relayed, even if it is an error.
             assert (await rig.submit("x", "no", 9_999_999)).startswith(b"-ERR dest: no such destination")
-            shown = CliRunner().invoke(main, ["fleet", "show", "--at", f"127.0.0.1:{rig.management['x']}"])
-            assert "3, of which 3 ready" in shown.output, shown.output
-            assert "revision 1" in shown.output, shown.output
-            owners = ["fleet", "owner", str(number), "--at", f"127.0.0.1:{rig.management['x']}"]
-            told = CliRunner().invoke(main, owners)
-            assert "y Ready, x Ready" in told.output, told.output
-            assert "may use 0%" in told.output, told.output
+            show_result = CliRunner().invoke(
+                main, ["fleet", "show", "--at", f"127.0.0.1:{rig.management['x']}"]
+            )
+            assert "3, of which 3 ready" in show_result.output, show_result.output
+            assert "revision 1" in show_result.output, show_result.output
+            owner_command = ["fleet", "owner", str(destination), "--at", f"127.0.0.1:{rig.management['x']}"]
+            owner_result = CliRunner().invoke(main, owner_command)
+            assert "y Ready, x Ready" in owner_result.output, owner_result.output
+            assert "may use 0%" in owner_result.output, owner_result.output
 
     play(work())
 
@@ -205,9 +211,9 @@
 def test_a_request_is_forwarded_once_at_most(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number = rig.destination_owned_by("y")
-            assert await rig.submit("x", "looped", number, b",via=z") == b"-BUSY 500\r\n"
-            assert await rig.submit("y", "fine", number, b",via=x") == b"+OK\r\n"
+            destination = rig.destination_owned_by("y")
+            assert await rig.submit("x", "looped", destination, b",via=z") == b"-BUSY 500\r\n"
+            assert await rig.submit("y", "fine", destination, b",via=x") == b"+OK\r\n"
             await rig.wait_until_delivered("fine")
             assert not rig.endpoint.calls["looped"]
 
@@ -217,16 +223,16 @@
 def test_an_owner_that_was_killed_is_replaced_by_the_next_candidate(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number = rig.destination_owned_by("y")
+            destination = rig.destination_owned_by("y")
             rig.processes["y"].kill()
             await rig.processes["y"].wait()
-            assert await rig.submit("x", "one", number) == b"+OK\r\n"  # accepted by z, in the other zone
-            since = time.time_ns() // 10**6
-            rig.control.members[1] = rig.view_entry("y", "Terminating", since)
+            assert await rig.submit("x", "one", destination) == b"+OK\r\n"  # accepted by z, in the other zone
+            phase_since = time.time_ns() // 10**6
+            rig.control.members[1] = rig.view_entry("y", "Terminating", phase_since)
             rig.control.change(rig.control.members[1])
-            await rig.wait_for_quota("x", number, 0.25)  # the leased part, once y's lease has expired
-            assert time.time_ns() // 10**6 >= since + LEASE_MS
-            assert await rig.submit("x", "two", number) == b"+OK\r\n"
+            await rig.wait_for_quota("x", destination, 0.25)  # the leased part, once y's lease has expired
+            assert time.time_ns() // 10**6 >= phase_since + LEASE_MS
+            assert await rig.submit("x", "two", destination) == b"+OK\r\n"
             await rig.wait_until_delivered("one", "two")
             rig.processes["z"].kill()
             await rig.processes["z"].wait()
@@ -244,21 +250,21 @@
 
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number = rig.destination_owned_by("y")
+            destination = rig.destination_owned_by("y")
             rig.processes["y"].send_signal(signal.SIGSTOP)
-            asked = asyncio.ensure_future(rig.submit("x", "doubtful", number))
+            submission = asyncio.ensure_future(rig.submit("x", "doubtful", destination))
             if ended == "killed":
 
                 async def request_arrived() -> bool:
-                    return asked.done() or has_unread_bytes(rig.ports["y"])
+                    return submission.done() or has_unread_bytes(rig.ports["y"])
 
                 await poll_until(request_arrived, interval=0.005)
                 rig.processes["y"].kill()
-            assert await asked == b""
+            assert await submission == b""
             assert not rig.endpoint.calls["doubtful"], "neither x nor z took it on"
             if ended == "hangs":
                 rig.processes["y"].send_signal(signal.SIGCONT)
-                assert await rig.submit("x", "after", number) == b"+OK\r\n"
+                assert await rig.submit("x", "after", destination) == b"+OK\r\n"
                 await rig.wait_until_delivered("after")
 
     play(work())
@@ -276,24 +282,24 @@
 def test_an_owner_that_drains_replies_or_is_replaced_by_the_next_candidate(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number, answers = rig.destination_owned_by("y"), dict[str, bytes]()
+            destination, replies = rig.destination_owned_by("y"), dict[str, bytes]()
             rig.processes["y"].send_signal(signal.SIGTERM)
             for count in range(200):
-                answers[f"m{count}"] = await rig.submit("x", f"m{count}", number)
+                replies[f"m{count}"] = await rig.submit("x", f"m{count}", destination)
                 if rig.processes["y"].returncode is not None:
                     break
                 await asyncio.sleep(0.02)
             await rig.processes["y"].wait()
-            told = Counter(answers.values())
-            assert told.keys() <= {b"+OK\r\n", b"-BUSY 500\r\n", b""}, told
+            reply_counts = Counter(replies.values())
+            assert reply_counts.keys() <= {b"+OK\r\n", b"-BUSY 500\r\n", b""}, reply_counts
             # Only the request that was written while the owner's process ended may have no reply: the end
             # of a connection does not tell whether the request was accepted.
-            assert told[b""] <= 1, told
-            assert await rig.submit("x", "after", number) == b"+OK\r\n"
-            taken = [name for name, answer in answers.items() if answer == b"+OK\r\n"]
-            assert taken
-            await rig.wait_until_delivered("after", *taken)
-            assert not any(rig.endpoint.calls[name] for name in answers.keys() - set(taken))
+            assert reply_counts[b""] <= 1, reply_counts
+            assert await rig.submit("x", "after", destination) == b"+OK\r\n"
+            accepted = [name for name, reply in replies.items() if reply == b"+OK\r\n"]
+            assert accepted
+            await rig.wait_until_delivered("after", *accepted)
+            assert not any(rig.endpoint.calls[name] for name in replies.keys() - set(accepted))
 
     play(work())
 
@@ -303,11 +309,11 @@
 ) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number = rig.destination_owned_by("x")
+            destination = rig.destination_owned_by("x")
             rig.control.go_down()
-            await rig.wait_for_quota("x", number, 0.75)
-            assert await rig.submit("x", "one", number) == b"+OK\r\n"
-            assert await rig.submit("y", "two", number) == b"+OK\r\n"
+            await rig.wait_for_quota("x", destination, 0.75)
+            assert await rig.submit("x", "one", destination) == b"+OK\r\n"
+            assert await rig.submit("y", "two", destination) == b"+OK\r\n"
             # If a process is killed before it records the end of a call, the call is sent again, as the
             # class allows.
             await rig.wait_until_delivered("one", "two")
@@ -316,11 +322,11 @@
             await rig.processes["x"].wait()
             await rig.spawn("x")
             await rig.wait_until_ready("x")
-            assert await rig.submit("y", "three", number) == b"+OK\r\n"
+            assert await rig.submit("y", "three", destination) == b"+OK\r\n"
             await rig.wait_until_delivered("one", "two", "three")
             assert (await rig.management_call("x", "fleet"))["heartbeat_age_ms"] >= LEASE_MS - 100
             await rig.control.start()
-            await rig.wait_for_quota("x", number, 1.0)
+            await rig.wait_for_quota("x", destination, 1.0)
 
     play(work())
 
@@ -328,11 +334,11 @@
 def test_without_a_reachable_owner_the_reply_names_a_retry_after(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number = rig.destination_owned_by("y")
+            destination = rig.destination_owned_by("y")
             for name in ("y", "z"):
                 rig.processes[name].kill()
                 await rig.processes[name].wait()
-            assert await rig.submit("x", "one", number) == b"-BUSY 500\r\n"
+            assert await rig.submit("x", "one", destination) == b"-BUSY 500\r\n"
 
     play(work())
 
@@ -343,7 +349,7 @@
 def test_a_malformed_reply_of_a_peer_leaves_the_request_unanswered(tmp_path: Path, reply: bytes) -> None:
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
-            number = rig.destination_owned_by("y")
+            destination = rig.destination_owned_by("y")
             rig.processes["y"].kill()
             await rig.processes["y"].wait()
 
@@ -353,9 +359,9 @@
                 writer.close()
 
             server = await asyncio.start_server(answer, "127.0.0.1", rig.ports["y"])
-            assert await rig.submit("x", "one", number) == b""
+            assert await rig.submit("x", "one", destination) == b""
             server.close()
-            assert await rig.submit("x", "two", number) == b"+OK\r\n", "x serves on"
+            assert await rig.submit("x", "two", destination) == b"+OK\r\n", "x serves on"
             await rig.wait_until_delivered("two")
             assert not rig.endpoint.calls["one"]
 
--- a/tests/test_partitioning_quotas.py
+++ b/tests/test_partitioning_quotas.py
@@ -152,21 +152,21 @@
 
 def quota_fractions(control: ControlPlane, partition: int) -> dict[str, float]:
     """Return the quota fraction of each live process that holds any quota of a partition."""
-    found = {}
-    for name, one in control.processes.items():
-        held = one.fleet.held_quota(partition, control.now + one.clock_offset)
-        if portion := held.quota_fraction(one.fleet.settings.reserve):
-            found[name] = portion
-    return found
+    fractions = {}
+    for name, process in control.processes.items():
+        held = process.fleet.held_quota(partition, control.now + process.clock_offset)
+        if fraction := held.quota_fraction(process.fleet.settings.reserve):
+            fractions[name] = fraction
+    return fractions
 
 
 def test_without_faults_one_instance_of_each_zone_holds_the_full_quota() -> None:
     control = ControlPlane()
     run_without_faults(control)
     for partition in range(PARTITIONS):
-        found = quota_fractions(control, partition)
-        assert list(found.values()) == [1.0] * len(ZONES)
-        assert sorted(name.split("-")[0] for name in found) == ZONES
+        fractions = quota_fractions(control, partition)
+        assert list(fractions.values()) == [1.0] * len(ZONES)
+        assert sorted(name.split("-")[0] for name in fractions) == ZONES
 
 
 def test_a_new_owner_waits_out_the_lease_of_the_old_one() -> None:
@@ -175,18 +175,18 @@
     (name,) = [name for name in quota_fractions(control, 3) if name.startswith("a1")]
     control.disconnect(name)  # it keeps running, and does not learn that it is listed as Terminating
     control.set_phase(name, "Terminating")
-    published, seen = control.now, dict[str, int]()
-    while control.now < published + 3 * LEASE:
+    published_at, first_held_after = control.now, dict[str, int]()
+    while control.now < published_at + 3 * LEASE:
         control.send_heartbeat()
         for other in control.processes:
             control.read_lines(other, 1 << 10)
         control.now += 50 * MS
         for holder in quota_fractions(control, 3):
-            seen.setdefault(holder, control.now - published)
-    (new,) = [holder for holder in seen if holder.startswith("a1") and holder != name]
-    assert LEASE <= seen[new] <= LEASE + 2 * SKEW + 50 * MS
+            first_held_after.setdefault(holder, control.now - published_at)
+    (new_owner,) = [holder for holder in first_held_after if holder.startswith("a1") and holder != name]
+    assert LEASE <= first_held_after[new_owner] <= LEASE + 2 * SKEW + 50 * MS
     assert quota_fractions(control, 3)[name] == 0.75, "its reserved part stays its own while it is cut off"
-    assert quota_fractions(control, 3)[new] == 0.25
+    assert quota_fractions(control, 3)[new_owner] == 0.25
 
 
 @pytest.mark.parametrize("seconds", [10, 15])
@@ -206,16 +206,16 @@
     control = ControlPlane()
     run_without_faults(control)
     before = [quota_fractions(control, partition) for partition in range(PARTITIONS)]
-    west = [name for name, one in control.processes.items() if one.fleet.settings.region == "west"]
+    west = [name for name, process in control.processes.items() if process.fleet.settings.region == "west"]
     for name in west:
         control.disconnect(name)
     for _ in range(12):
         run_without_faults(control, 1)
     for partition in range(PARTITIONS):
-        found = quota_fractions(control, partition)
-        assert found.keys() == before[partition].keys()
-        expected = [1.0 if name.startswith("a") else 0.75 for name in found]
-        assert list(found.values()) == expected
+        fractions = quota_fractions(control, partition)
+        assert fractions.keys() == before[partition].keys()
+        expected = [1.0 if name.startswith("a") else 0.75 for name in fractions]
+        assert list(fractions.values()) == expected
     for name in west:
         control.reconnect(name)
     run_without_faults(control)
@@ -231,9 +231,9 @@
     moved = [p for p in range(PARTITIONS) if name in quota_fractions(control, p)]
     assert moved, "it was given something"
     for partition in moved:
-        (old,) = [one for one in before[partition] if one.startswith("a1")]
-        found = quota_fractions(control, partition)
-        assert (found[name], found[old]) == (0.25, 0.75)
+        (old_owner,) = [holder for holder in before[partition] if holder.startswith("a1")]
+        fractions = quota_fractions(control, partition)
+        assert (fractions[name], fractions[old_owner]) == (0.25, 0.75)
     control.now += RESERVE_LEASE
     run_without_faults(control)
     assert all(quota_fractions(control, partition)[name] == 1.0 for partition in moved)
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -16,7 +16,7 @@
 from honeyhitch.protocols.buffer import Buffer
 from honeyhitch.protocols.resp import Route
 from honeyhitch.protocols.transaction_parser import TransactionParser
-from honeyhitch.service import fleet as service
+from honeyhitch.service import fleet as fleet_module
 from honeyhitch.service.fleet import VIEW_FILE_NAME, FleetService
 
 from .fleet_control import LEASE, MS, SKEW, START, entry, fleet_settings
@@ -47,21 +47,21 @@
         )
         self.fleet.restore()
 
-    def __init__(self, folder: Path, **more: Any) -> None:
+    def __init__(self, folder: Path, **settings_overrides: Any) -> None:
         self.directory = folder
         listed = [{**endpoint_row(f"s-{number}", number), "size": 40.0} for number in range(1, 60)]
         known = {"revision": 1, "complete": True, "members": listed}
-        super().__init__(folder, known=known, instance_count=4, **more)
+        super().__init__(folder, known=known, instance_count=4, **settings_overrides)
 
     def refetch(self) -> None:
         self.refetched += 1
 
     def receive_update(
-        self, revision: int = 1, complete: bool = True, members: Any = ROWS, **more: Any
+        self, revision: int = 1, complete: bool = True, members: Any = ROWS, **overrides: Any
     ) -> None:
         """Receive a list, a change or a heartbeat from the control machines."""
-        told = {"revision": revision, "complete": complete, "members": members, "issued_ms": self.now // MS}
-        self.fleet.apply_update({**told, **more})
+        update = {"revision": revision, "complete": complete, "members": members, "issued_ms": self.now // MS}
+        self.fleet.apply_update({**update, **overrides})
 
     @property
     def now(self) -> int:
@@ -74,16 +74,17 @@
             self.time.run(1)
             self.fleet.refresh_if_due()
 
-    def destination_with_home(self, second: str | None = None) -> int:
+    def destination_with_home(self, home: str | None = None) -> int:
         """Return a destination that this instance is home to.
 
-        With `second`, the home instance is the one of that name, and this instance is the second candidate.
+        With `home`, return one that the instance `home` is home to, with this instance as second candidate.
         """
         for number in range(1, 60):
             names = [
-                one.name for one in self.fleet.fleet.candidates("a1", self.fleet.fleet.partition(number))
+                instance.name
+                for instance in self.fleet.fleet.candidates("a1", self.fleet.fleet.partition(number))
             ]
-            if names[0] == NAME if second is None else names == [second, NAME]:
+            if names[0] == NAME if home is None else names == [home, NAME]:
                 return number
         raise AssertionError("none")
 
@@ -91,14 +92,14 @@
         return self.fleet.route(Transaction("probe", 0, number, self.now + SECOND, b""), forwarded)
 
 
-def restarted_rig(folder: Path, **more: Any) -> FleetServiceRig:
+def restarted_rig(folder: Path, **settings_overrides: Any) -> FleetServiceRig:
     """Return a rig that restored the view of an earlier process, as after a restart."""
-    first = FleetServiceRig(folder / "first", **more)
-    first.receive_update()
+    first_rig = FleetServiceRig(folder / "first", **settings_overrides)
+    first_rig.receive_update()
     saved = (folder / "first" / VIEW_FILE_NAME).read_bytes()
     (folder / "next").mkdir()
     (folder / "next" / VIEW_FILE_NAME).write_bytes(saved)
-    return FleetServiceRig(folder / "next", **more)
+    return FleetServiceRig(folder / "next", **settings_overrides)
 
 
 @pytest.fixture(autouse=True)
@@ -109,129 +110,129 @@
 def test_before_any_view_the_instance_owns_nothing_and_the_first_view_makes_it_ask_for_lists(
     tmp_path: Path,
 ) -> None:
-    one = FleetServiceRig(tmp_path / "first")
-    assert not one.fleet.ready
-    assert one.route(1) is Route.REJECT
-    assert not one.dispatcher.pool.endpoints
-    one.receive_update()
-    assert one.fleet.ready
-    assert one.refetched == 1
-    one.receive_update(1, False, [])
-    assert one.refetched == 1, "once"
+    rig = FleetServiceRig(tmp_path / "first")
+    assert not rig.fleet.ready
+    assert rig.route(1) is Route.REJECT
+    assert not rig.dispatcher.pool.endpoints
+    rig.receive_update()
+    assert rig.fleet.ready
+    assert rig.refetched == 1
+    rig.receive_update(1, False, [])
+    assert rig.refetched == 1, "once"
 
 
 def test_only_destinations_it_may_own_are_kept_of_a_list(tmp_path: Path) -> None:
-    one = restarted_rig(tmp_path)
-    kept = {member.destination for member in one.dispatcher.pool.endpoints.values()}
-    assert kept == {number for number in range(1, 60) if one.fleet.fleet.is_candidate(number)}
-    assert 0 < len(kept) < 59
-    other = next(number for number in range(1, 60) if number not in kept)
-    assert one.fleet.has_destination(other), "its owner knows it"
+    rig = restarted_rig(tmp_path)
+    listed_destinations = {endpoint.destination for endpoint in rig.dispatcher.pool.endpoints.values()}
+    assert listed_destinations == {number for number in range(1, 60) if rig.fleet.fleet.is_candidate(number)}
+    assert 0 < len(listed_destinations) < 59
+    other = next(number for number in range(1, 60) if number not in listed_destinations)
+    assert rig.fleet.has_destination(other), "its owner knows it"
     change = {"revision": 2, "complete": False, "members": [endpoint_row("s-9999", other)]}
-    assert not one.dispatcher.pool.update(change).listings
+    assert not rig.dispatcher.pool.update(change).listings
 
 
 def test_messages_are_accepted_for_owned_destinations_and_forwarded_for_others(tmp_path: Path) -> None:
-    one = restarted_rig(tmp_path)
-    one.receive_update()
-    mine, other = one.destination_with_home(), one.destination_with_home(second="a1-1")
-    assert one.route(mine) is Route.LOCAL
-    assert one.route(mine, forwarded=True) is Route.LOCAL
-    assert one.route(other) is Route.FORWARD
-    assert one.route(other, forwarded=True) is Route.REJECT
-    assert one.submit("held", mine)
-    held = Transaction("held", 0, mine, one.now + SECOND, b"")
-    one.time.run(LEASE / SECOND + 30)
-    assert one.fleet.route(held, False) is Route.LOCAL, "its reserved part, also while control is silent"
+    rig = restarted_rig(tmp_path)
+    rig.receive_update()
+    mine, other = rig.destination_with_home(), rig.destination_with_home(home="a1-1")
+    assert rig.route(mine) is Route.LOCAL
+    assert rig.route(mine, forwarded=True) is Route.LOCAL
+    assert rig.route(other) is Route.FORWARD
+    assert rig.route(other, forwarded=True) is Route.REJECT
+    assert rig.submit("held", mine)
+    held = Transaction("held", 0, mine, rig.now + SECOND, b"")
+    rig.time.run(LEASE / SECOND + 30)
+    assert rig.fleet.route(held, False) is Route.LOCAL, "its reserved part, also while control is silent"
 
 
 def test_nothing_is_sent_once_the_quota_has_expired_and_unattempted_messages_are_returned(
     tmp_path: Path,
 ) -> None:
     """The second candidate owns the leased part while the first one is away, until control is silent."""
-    one = restarted_rig(tmp_path)
-    number = one.destination_with_home(second="a1-1")
-    away = entry("a1-1", "a1", "Terminating", since=one.now)
-    one.receive_update(2, False, [away])
-    assert one.fleet.quota_fraction(number, one.now) == 0
-    assert one.fleet.fleet.awaits_lease(destination=number, now=one.now)
-    one.run_with_heartbeats(4, 2)
-    assert one.fleet.quota_fraction(number, one.now) == 0.25
-    one.receive_update(2, False, [])
-    assert one.submit("sent", number)
-    (call,) = one.run(0.1)
-    one.end(call, Outcome.DELIVERED)
-    lease_ends = one.fleet.fleet.last_heartbeat + LEASE - SKEW  # type: ignore[operator]
-    one.time.run((lease_ends - one.now) / SECOND + 0.001)
-    assert one.submit("late", number)
-    assert not one.run(1), "its share has run out before the first byte"
-    one.fleet.refresh_if_due()
-    late = next(answer for answer in one.answers if answer.id == "late")
+    rig = restarted_rig(tmp_path)
+    number = rig.destination_with_home(home="a1-1")
+    away = entry("a1-1", "a1", "Terminating", since=rig.now)
+    rig.receive_update(2, False, [away])
+    assert rig.fleet.quota_fraction(number, rig.now) == 0
+    assert rig.fleet.fleet.awaits_lease(destination=number, now=rig.now)
+    rig.run_with_heartbeats(4, 2)
+    assert rig.fleet.quota_fraction(number, rig.now) == 0.25
+    rig.receive_update(2, False, [])
+    assert rig.submit("sent", number)
+    (call,) = rig.run(0.1)
+    rig.end(call, Outcome.DELIVERED)
+    lease_ends = rig.fleet.fleet.last_heartbeat + LEASE - SKEW  # type: ignore[operator]
+    rig.time.run((lease_ends - rig.now) / SECOND + 0.001)
+    assert rig.submit("late", number)
+    assert not rig.run(1), "its share has run out before the first byte"
+    rig.fleet.refresh_if_due()
+    late = next(answer for answer in rig.answers if answer.id == "late")
     assert late.ending is Ending.REJECTED
     assert late.retry_after > 0
-    assert "late" not in one.dispatcher.messages.by_id
+    assert "late" not in rig.dispatcher.messages.by_id
 
 
 def test_a_call_in_flight_keeps_its_end_and_a_possibly_executed_message_is_not_returned(
     tmp_path: Path,
 ) -> None:
-    one = restarted_rig(tmp_path)
-    number = one.destination_with_home()
-    one.receive_update()
-    assert one.submit("out", number)
-    assert one.submit("ran", number)
-    calls = one.run(0.1)
-    one.end(calls[-1], Outcome.ERROR)
-    gone_from = next(row for row in ROWS if row["id"] == NAME)
-    one.receive_update(2, False, [{**gone_from, "phase": "Gone"}])
-    assert one.fleet.quota_fraction(number, one.now) == 0
+    rig = restarted_rig(tmp_path)
+    number = rig.destination_with_home()
+    rig.receive_update()
+    assert rig.submit("out", number)
+    assert rig.submit("ran", number)
+    calls = rig.run(0.1)
+    rig.end(calls[-1], Outcome.ERROR)
+    own_row = next(row for row in ROWS if row["id"] == NAME)
+    rig.receive_update(2, False, [{**own_row, "phase": "Gone"}])
+    assert rig.fleet.quota_fraction(number, rig.now) == 0
     names = {part.id for call in calls for part in call.messages}
-    assert names <= set(one.dispatcher.messages.by_id), "neither is answered for it"
-    assert not one.run(2), "and neither is sent again"
-    one.end(calls[0], Outcome.DELIVERED)
-    assert calls[0].messages[0].id not in one.dispatcher.messages.by_id
+    assert names <= set(rig.dispatcher.messages.by_id), "neither is answered for it"
+    assert not rig.run(2), "and neither is sent again"
+    rig.end(calls[0], Outcome.DELIVERED)
+    assert calls[0].messages[0].id not in rig.dispatcher.messages.by_id
 
 
 def test_a_message_in_flight_as_its_quota_was_lost_is_returned_once_its_call_proves_it_unexecuted(
     tmp_path: Path,
 ) -> None:
-    one = restarted_rig(tmp_path)
-    number = one.destination_with_home()
-    one.receive_update()
-    assert one.submit("out", number)
-    (call,) = one.run(0.1)
-    gone = next(row for row in ROWS if row["id"] == NAME)
-    one.receive_update(2, False, [{**gone, "phase": "Gone"}])
-    one.time.run(1)
-    one.fleet.refresh_if_due()
-    assert "out" in one.dispatcher.messages.by_id, "its call is out"
-    one.end(call, Outcome.REJECTED)
-    one.time.run(0.2)
-    one.fleet.refresh_if_due()
-    assert [answer.ending for answer in one.answers] == [Ending.REJECTED]
-    one.fleet.refresh_if_due()
-    assert not one.fleet.lost_partitions, "and nothing more is looked for"
+    rig = restarted_rig(tmp_path)
+    number = rig.destination_with_home()
+    rig.receive_update()
+    assert rig.submit("out", number)
+    (call,) = rig.run(0.1)
+    own_row = next(row for row in ROWS if row["id"] == NAME)
+    rig.receive_update(2, False, [{**own_row, "phase": "Gone"}])
+    rig.time.run(1)
+    rig.fleet.refresh_if_due()
+    assert "out" in rig.dispatcher.messages.by_id, "its call is out"
+    rig.end(call, Outcome.REJECTED)
+    rig.time.run(0.2)
+    rig.fleet.refresh_if_due()
+    assert [answer.ending for answer in rig.answers] == [Ending.REJECTED]
+    rig.fleet.refresh_if_due()
+    assert not rig.fleet.lost_partitions, "and nothing more is looked for"
 
 
 def test_the_policy_applies_the_quota_to_listed_and_to_reported_limits(tmp_path: Path) -> None:
-    one = restarted_rig(tmp_path)
-    number = one.destination_with_home()
-    one.run_with_heartbeats(2)
-    state = one.dispatcher.policy.destinations[number].state
+    rig = restarted_rig(tmp_path)
+    number = rig.destination_with_home()
+    rig.run_with_heartbeats(2)
+    state = rig.dispatcher.policy.destinations[number].state
     assert state is not None
     assert state.rate.quota() == 40.0 / 1.0 / 4 / 1 or state.rate.quota() == 10.0
-    assert one.submit("a", number)
-    (call,) = one.run(0.1)
-    one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
-    one.run(0.1)
+    assert rig.submit("a", number)
+    (call,) = rig.run(0.1)
+    rig.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
+    rig.run(0.1)
     assert state.rate.quota() == 5.0
-    one.time.run(LEASE / SECOND)
-    one.fleet.refresh_if_due()
-    one.run(0.1)
-    assert one.submit("b", number)
-    (call,) = one.run(0.1)
-    one.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
-    one.run(0.1)
+    rig.time.run(LEASE / SECOND)
+    rig.fleet.refresh_if_due()
+    rig.run(0.1)
+    assert rig.submit("b", number)
+    (call,) = rig.run(0.1)
+    rig.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
+    rig.run(0.1)
     assert state.rate.quota() == 3.75, "three quarters of it while control is silent"
 
 
@@ -255,35 +256,35 @@
 
 def test_the_view_that_a5e6918_saved_is_saved_with_the_same_bytes(tmp_path: Path) -> None:
     """A deployment may go back to an earlier version, which reads what it wrote itself."""
-    one = FleetServiceRig(tmp_path / "first")
-    one.receive_update(7)
+    rig = FleetServiceRig(tmp_path / "first")
+    rig.receive_update(7)
     away = entry("a1-1", "a1", "Terminating", since=START + 5 * SECOND)
     joined = entry("b2-n1", "b2", since=START + 6 * SECOND, joined=START + 6 * SECOND)
-    one.receive_update(8, False, [away, joined])
+    rig.receive_update(8, False, [away, joined])
     assert (tmp_path / "first" / VIEW_FILE_NAME).read_bytes() == SAVED_BY_A5E6918.read_bytes()
 
 
 def test_a_view_too_large_to_save_is_used_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service, "MAX_SAVED_VIEW_BYTES", 100)
-    one = FleetServiceRig(tmp_path / "first")
-    one.receive_update()
-    assert one.fleet.ready
+    monkeypatch.setattr(fleet_module, "MAX_SAVED_VIEW_BYTES", 100)
+    rig = FleetServiceRig(tmp_path / "first")
+    rig.receive_update()
+    assert rig.fleet.ready
     assert not (tmp_path / "first" / VIEW_FILE_NAME).exists()
 
 
 def test_a_forwarded_request_names_the_time_left_and_the_instance_that_forwarded_it() -> None:
-    given = settings(**SETTINGS)
+    policy_settings = settings(**SETTINGS)
     now = 1_700_000_000 * SECOND
-    one = Transaction("id", 0, 7, now + 900 * MS, b"a\r\nb", key="k", recovered_from_journal=True)
-    data = forwarding.encode_request(given, one, NAME, now + 100 * MS)
+    message = Transaction("id", 0, 7, now + 900 * MS, b"a\r\nb", key="k", recovered_from_journal=True)
+    data = forwarding.encode_request(policy_settings, message, NAME, now + 100 * MS)
     assert data is not None
-    command, buffer = resp.CommandReader(), Buffer()
-    with buffer.free_space() as room:
-        room[: len(data)] = data
+    reader, buffer = resp.CommandReader(), Buffer()
+    with buffer.free_space() as space:
+        space[: len(data)] = data
     buffer.advance(len(data))
-    parts = command.read_command(buffer)
+    parts = reader.read_command(buffer)
     assert parts is not None
     fields = resp.parse_fields(parts[3])
     assert fields == {
@@ -295,6 +296,6 @@
         "again": "1",
         "via": NAME,
     }
-    read = TransactionParser(given, lambda _: True).parse(parts[2], fields, parts[4], now)
-    assert (read.id, read.body, read.key, read.recovered_from_journal) == ("id", b"a\r\nb", "k", True)
-    assert forwarding.encode_request(given, one, NAME, one.deadline - MS // 2) is None
+    parsed = TransactionParser(policy_settings, lambda _: True).parse(parts[2], fields, parts[4], now)
+    assert (parsed.id, parsed.body, parsed.key, parsed.recovered_from_journal) == ("id", b"a\r\nb", "k", True)
+    assert forwarding.encode_request(policy_settings, message, NAME, message.deadline - MS // 2) is None
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -18,19 +18,19 @@
 ROWS = [entry(f"{zone}-{number}", zone) for zone in ("a1", "a2", "b1", "b2") for number in range(2)]
 
 
-def view_update(**told: Any) -> dict[str, Any]:
+def view_update(**changes: Any) -> dict[str, Any]:
     """Return a complete list as the control machines send it, with some fields replaced."""
-    return {"revision": 5, "complete": True, "members": ROWS, "issued_ms": START // MS, **told}
+    return {"revision": 5, "complete": True, "members": ROWS, "issued_ms": START // MS, **changes}
 
 
 def fleet_of(name: str = "a1-0") -> Fleet:
-    one = Fleet(fleet_settings(name, name.split("-")[0]))
-    one.apply_update(view_update(), START)
-    return one
+    fleet = Fleet(fleet_settings(name, name.split("-")[0]))
+    fleet.apply_update(view_update(), START)
+    return fleet
 
 
 @pytest.mark.parametrize(
-    ("told", "field"),
+    ("update", "expected"),
     [
         (view_update(members=[{**ROWS[0], "locality": "a9"}]), "locality: unknown zone 'a9'"),
         (view_update(members=[{**ROWS[0], "flavor": "north"}]), "flavor: 'north' is not the region"),
@@ -60,59 +60,63 @@
         ),
     ],
 )
-def test_a_view_that_cannot_be_used_is_named_and_changes_nothing(told: dict[str, Any], field: str) -> None:
-    one = fleet_of()
-    before = one.view, one.last_heartbeat, one.candidate_partitions
+def test_a_view_that_cannot_be_used_is_named_and_changes_nothing(
+    update: dict[str, Any], expected: str
+) -> None:
+    fleet = fleet_of()
+    before = fleet.view, fleet.last_heartbeat, fleet.candidate_partitions
     with pytest.raises(FleetViewError) as error:
-        one.apply_update(told, START)
-    assert field in str(error.value)
-    assert one.problem == str(error.value)
-    assert (one.view, one.last_heartbeat, one.candidate_partitions) == before
+        fleet.apply_update(update, START)
+    assert expected in str(error.value)
+    assert fleet.problem == str(error.value)
+    assert (fleet.view, fleet.last_heartbeat, fleet.candidate_partitions) == before
 
 
 def test_an_instance_listed_in_another_zone_than_its_settings_say_is_refused() -> None:
-    one = Fleet(fleet_settings("a2-0", "a1"))
+    fleet = Fleet(fleet_settings("a2-0", "a1"))
     with pytest.raises(FleetViewError, match="a2-0: locality: 'a2', but 'a1' is set up here"):
-        one.apply_update(view_update(), START)
+        fleet.apply_update(view_update(), START)
 
 
 def test_a_heartbeat_from_a_clock_too_far_ahead_renews_nothing_and_its_view_counts() -> None:
-    one, ahead = fleet_of(), START + SECOND
+    fleet, ahead = fleet_of(), START + SECOND
     with pytest.raises(ClockError, match="later than this machine's clock"):
-        one.apply_update(view_update(revision=6, issued_ms=ahead // MS), START)
-    assert one.view.revision == 6
-    assert one.last_heartbeat == START
-    one.apply_update(view_update(revision=6, issued_ms=(START + SECOND // 8) // MS), START)  # within the skew
-    assert one.last_heartbeat == START + SECOND // 8
-    one.apply_update(
+        fleet.apply_update(view_update(revision=6, issued_ms=ahead // MS), START)
+    assert fleet.view.revision == 6
+    assert fleet.last_heartbeat == START
+    fleet.apply_update(
+        view_update(revision=6, issued_ms=(START + SECOND // 8) // MS), START
+    )  # within the skew
+    assert fleet.last_heartbeat == START + SECOND // 8
+    fleet.apply_update(
         view_update(revision=6, issued_ms=START // MS), START
     )  # an older heartbeat does not shorten the lease
-    assert one.last_heartbeat == START + SECOND // 8
-    assert not one.problem
+    assert fleet.last_heartbeat == START + SECOND // 8
+    assert not fleet.problem
 
 
 def test_an_instance_that_is_not_listed_owns_nothing_and_knows_who_does() -> None:
-    one = fleet_of("a1-9")
-    assert not one.candidate_partitions
-    assert not any(one.quota_fraction(number, START) for number in range(100))
-    assert len(one.owners(7, START)) == 4
-    assert one.owners(7, START)[0].zone == "a1"
+    fleet = fleet_of("a1-9")
+    assert not fleet.candidate_partitions
+    assert not any(fleet.quota_fraction(number, START) for number in range(100))
+    assert len(fleet.owners(7, START)) == 4
+    assert fleet.owners(7, START)[0].zone == "a1"
 
 
 def test_owners_of_the_own_zone_come_first_then_those_of_the_own_region() -> None:
     regions = {"a1": 0, "a2": 1, "b1": 2, "b2": 2}
-    one = fleet_of("a1-0")
+    fleet = fleet_of("a1-0")
     for destination in range(50):
-        order = [regions[owner.zone] for owner in one.owners(destination, START)]
+        order = [regions[owner.zone] for owner in fleet.owners(destination, START)]
         assert order == sorted(order)
         assert len(order) >= 3
-        assert all(owner.name != "a1-0" for owner in one.owners(destination, START))
+        assert all(owner.name != "a1-0" for owner in fleet.owners(destination, START))
 
 
 def test_an_owner_that_waits_for_a_lease_to_expire_is_asked_last() -> None:
-    one = fleet_of("a2-0")
+    fleet = fleet_of("a2-0")
     for destination in range(50):
-        (expected, *others) = [owner for owner in one.owners(destination, START) if owner.zone == "a1"]
+        (expected, *others) = [owner for owner in fleet.owners(destination, START) if owner.zone == "a1"]
         away = entry(expected.name, "a1", "Terminating", since=START)
         other = fleet_of("a2-0")
         other.apply_update(view_update(revision=6, complete=False, members=[away]), START)
@@ -125,15 +129,15 @@
 
 
 def test_a_saved_view_is_restored_and_an_unknown_form_is_refused() -> None:
-    one, other = fleet_of(), Fleet(fleet_settings("a1-0", "a1"))
-    other.restore(one.snapshot(), START)
+    fleet, other = fleet_of(), Fleet(fleet_settings("a1-0", "a1"))
+    other.restore(fleet.snapshot(), START)
     assert (other.view, other.last_heartbeat, other.candidate_partitions) == (
-        one.view,
-        one.last_heartbeat,
-        one.candidate_partitions,
+        fleet.view,
+        fleet.last_heartbeat,
+        fleet.candidate_partitions,
     )
     with pytest.raises(FleetViewError, match="form"):
-        other.restore({**one.snapshot(), "form": 99}, START)
+        other.restore({**fleet.snapshot(), "form": 99}, START)
 
 
 @pytest.mark.parametrize(
@@ -151,9 +155,9 @@
     ],
 )
 def test_invalid_settings_are_refused(changes: dict[str, Any], problem: str) -> None:
-    given: dict[str, Any] = {"name": "a1-0", "zone": "a1", "view": "127.0.0.1:1", "regions": REGIONS}
+    valid_settings: dict[str, Any] = {"name": "a1-0", "zone": "a1", "view": "127.0.0.1:1", "regions": REGIONS}
     with pytest.raises(ValueError, match=problem):
-        FleetSettings(**{**given, **changes})
+        FleetSettings(**{**valid_settings, **changes})
 
 
 NAMES = [f"d{number}" for number in range(77)]  # one of the ten zones of 770 dispatchers
@@ -162,9 +166,9 @@
 
 @pytest.fixture(scope="module")
 def zone() -> ZoneCandidates:
-    found = ZoneCandidates(PARTITIONS, 2)
-    found.update(NAMES)
-    return found
+    candidates = ZoneCandidates(PARTITIONS, 2)
+    candidates.update(NAMES)
+    return candidates
 
 
 def first_candidates(zone: ZoneCandidates) -> list[str]:
@@ -197,20 +201,20 @@
 
 
 def test_only_the_partitions_of_an_instance_that_leaves_move_to_the_next_in_rank() -> None:
-    one = ZoneCandidates(PARTITIONS, 2)
-    one.update(NAMES)
-    before = {partition: one.for_partition(partition) for partition in range(PARTITIONS)}
-    one.update(name for name in NAMES if name != "d7")
+    candidates = ZoneCandidates(PARTITIONS, 2)
+    candidates.update(NAMES)
+    before = {partition: candidates.for_partition(partition) for partition in range(PARTITIONS)}
+    candidates.update(name for name in NAMES if name != "d7")
     for partition, (owner, second) in before.items():
-        assert one.for_partition(partition)[0] == (second if owner == "d7" else owner)
+        assert candidates.for_partition(partition)[0] == (second if owner == "d7" else owner)
 
 
 def test_an_instance_that_joins_takes_its_partitions_and_none_move_between_others() -> None:
-    one = ZoneCandidates(PARTITIONS, 2)
-    one.update(NAMES)
-    before = first_candidates(one)
-    one.update([*NAMES, "new"])
-    after = first_candidates(one)
-    moved = [now for then, now in zip(before, after, strict=True) if then != now]
+    candidates = ZoneCandidates(PARTITIONS, 2)
+    candidates.update(NAMES)
+    before = first_candidates(candidates)
+    candidates.update([*NAMES, "new"])
+    after = first_candidates(candidates)
+    moved = [new_owner for old_owner, new_owner in zip(before, after, strict=True) if old_owner != new_owner]
     assert set(moved) == {"new"}
     assert 0.5 * PARTITIONS / 78 <= len(moved) <= 1.6 * PARTITIONS / 78
