--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -27,15 +27,15 @@
 from .program import enqueue, play, write
 from .rig import endpoint_row
 
-SOCKETS = 72  # descriptors of the process, as its configuration says
-CLIENTS = 300  # that connect and send nothing
+SOCKETS = 72  # descriptors of the process, as configured
+CLIENTS = 300  # clients that connect and send nothing
 RESTARTED = 10  # processes killed at once
 MESSAGES_EACH = 30  # held by each of them
-READY_WITHIN = 10.0  # seconds; nine in ten restarted processes
+READY_WITHIN = 10.0  # seconds, for nine in ten of the restarted processes
 
 
 async def idle(port: int) -> None:
-    """A client that sends nothing, and reconnects whenever it is closed."""
+    """Connect as a client that sends nothing, and reconnect whenever the connection is closed."""
     while True:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -66,7 +66,7 @@
             await events.wait_until(lambda: len(agent.watches) > watches)  # discovery
             assert await request_line(port, enqueue("one")) == b"+OK\r\n"
             await events.wait_until(lambda: partner.calls.total() == 1)  # an endpoint
-            lost = enqueue("two", left=300).replace(b"dest=1", b"dest=2")  # nobody listens there
+            lost = enqueue("two", left=300).replace(b"dest=1", b"dest=2")  # nothing listens at its endpoint
             assert await request_line(port, lost) == b"+OK\r\n"
             await events.wait_until(lambda: "two" in agent.notices)  # and a notice
             agent.change({**endpoint_row("s-3", 3), "host_port": f"127.0.0.1:{partner.port}"})
@@ -126,7 +126,7 @@
 
 
 def messages_held(config_path: str) -> int:
-    """Messages named in the journal of a process with this configuration."""
+    """Return the number of messages found in the journal of a process with this configuration."""
     state = Path(json.loads(Path(config_path).read_text())["state"])
     numbers = set[int]()
     for file in state.iterdir():
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""Where operators call: figures beside the core, callers that stall, and the two commands."""
+"""The management address: metrics, callers that stall, and the commands `status` and `stats`."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         "pool_ejected": 0,
     }
     left = list(stand.dispatcher.messages.by_id)
-    stand.dispatcher.withdraw(left[0])  # nobody waits for it: it counts under nothing
+    stand.dispatcher.withdraw(left[0])  # no client waits for it, so it is counted under no outcome
     stand.dispatcher.conclude(stand.dispatcher.messages.by_id[left[1]], Ending.FAILED)
     stand.dispatcher.conclude(stand.dispatcher.messages.by_id[left[2]], Ending.REJECTED)
     told = stand.dispatcher.metrics_snapshot()
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_figures_agree_with_an_independent_count(tmp_path: Path, seed: int) -> None:
-    """Random runs in virtual time: what the members and clients saw, against what the process says."""
+    """Random runs in virtual time: counts at endpoints and clients must equal the metrics of the process."""
     rng, stand = random.Random(seed), DispatcherRig(tmp_path, max_messages=20)
     saw = {"ok": 0, "shed": 0, "errors": 0, "tries": 0}
     taken, over = 0, set[str]()
@@ -134,7 +134,7 @@
                 await asyncio.open_connection("127.0.0.1", at) for _ in range(2 * MONITORING_CONNECTIONS)
             ]
             for _, writer in crowd:
-                writer.write(b"stat")  # and never the rest
+                writer.write(b"stat")  # an incomplete request, which is never completed
             began = asyncio.get_running_loop().time()
             reader, writer = await asyncio.open_connection("127.0.0.1", at)
             writer.write(b"status\r\n")
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -186,9 +186,8 @@
             responses_before = (await rig.management_call("x", "stats"))["responses"]
             assert await rig.submit("x", "one", destination) == b"+OK\r\n"
             assert await rig.submit("y", "two", destination) == b"+OK\r\n"
-            assert (
-                await rig.submit("z", "three", destination) == b"+OK\r\n"
-            )  # accepted within its own zone's quota
+            # z accepts it within the quota of its own zone.
+            assert await rig.submit("z", "three", destination) == b"+OK\r\n"
             await rig.wait_until_delivered("one", "two", "three")
             assert (await rig.management_call("x", "stats"))["responses"] == responses_before, (
                 "x took none on"
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -84,13 +84,11 @@
         fleet.apply_update(view_update(revision=6, issued_ms=ahead // MS), START)
     assert fleet.view.revision == 6
     assert fleet.last_heartbeat == START
-    fleet.apply_update(
-        view_update(revision=6, issued_ms=(START + SECOND // 8) // MS), START
-    )  # within the skew
+    # A heartbeat within the clock skew is applied.
+    fleet.apply_update(view_update(revision=6, issued_ms=(START + SECOND // 8) // MS), START)
     assert fleet.last_heartbeat == START + SECOND // 8
-    fleet.apply_update(
-        view_update(revision=6, issued_ms=START // MS), START
-    )  # an older heartbeat does not shorten the lease
+    # A heartbeat that was overtaken by a later one does not shorten the lease.
+    fleet.apply_update(view_update(revision=6, issued_ms=START // MS), START)
     assert fleet.last_heartbeat == START + SECOND // 8
     assert not fleet.problem
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,9 +1,10 @@
-"""The program on loopback sockets: recorded exchanges between its parties, and MQTT beside a stand-in broker.
+"""The program on loopback sockets: recorded exchanges between its peers, and MQTT with a test broker.
 
-In tests/programs a line `PARTY> BYTES` is sent by that party, `PARTY< BYTES` is what it must receive, where
-`%` stands for a number. `PARTY close` ends its connection, `PARTY ended` finds it ended, `dial` connects the
-client anew, `stop` is SIGTERM, after which the program must end by itself, `restart` kills the program and
-starts it again, and `reload PARTY` names that party as discovery in the configuration and sends SIGHUP.
+In tests/programs a line `PEER> BYTES` is sent by that peer, and `PEER< BYTES` is what the peer must receive,
+where `%` stands for a number. `PEER close` closes its connection, `PEER ended` checks that the connection is
+closed, `dial` opens a new connection of the client, `stop` sends SIGTERM, after which the program must end by
+itself, `restart` kills the program and starts it again, and `reload PEER` configures that peer as discovery
+and sends SIGHUP.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 async def receive(peer: Peer, pattern: bytes) -> None:
-    """Read exactly this; `%` stands for digits."""
+    """Read exactly the bytes of `pattern`, in which `%` stands for digits."""
     reader, _ = await peer.accepted()
     expected = re.compile(re.escape(pattern).replace(b"%", rb"\d+"), re.DOTALL)
     got = b""
@@ -50,7 +51,7 @@
 
 
 class ScriptRunner:
-    """Plays a recorded script: each line names a party, and what it sends, receives or does."""
+    """Plays a recorded script: each line names a peer, and what it sends, receives or does."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
@@ -67,11 +68,11 @@
         self.members.append(endpoint_row("leaving", 9, phase="Terminating"))
 
     async def run(self, lines: list[str]) -> None:
-        """One process, from its start to its end."""
+        """Play the lines of one process, from its start to its end."""
         agent = self.peers["agent"]
         stopped = "stop" in lines
         async with started(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
-            # The first connection to the agent is the watch; notices come on another.
+            # The first connection to the agent is the watch; notices come on another one.
             self.peers["watch"].connection = await agent.connections.get()
             await watched(self.peers["watch"], agent.port)
             agent.connection = None
@@ -94,7 +95,7 @@
             await self._reload(self.peers[what])
 
     async def _reload(self, other_agent: Peer) -> None:
-        """A faulty configuration changes nothing; the next one names another agent."""
+        """Reload a faulty configuration, which changes nothing, then one that names another agent."""
         client = self.peers["client"]
         (self.directory / "config.json").write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
@@ -144,13 +145,13 @@
 
 
 async def watched(agent: Peer, port: int, revision: int = 1) -> None:
-    """With a list it requests what changed after it; the agent answers immediately, with nothing new."""
+    """Expect a watch of the changes after this revision, and answer with no change."""
     await receive(agent, raw(TARGETS % (f"?stream=1&index={revision}", port)))
     (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 
 
 async def listed(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
-    """An agent at another address is asked for its complete list first, and then for its changes."""
+    """Serve a new agent's first requests: one for its complete list, then one for its changes."""
     await receive(agent, raw(TARGETS % ("", port)))
     body = json.dumps({"revision": 3, "complete": True, "members": members}).encode()
     (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -182,7 +183,7 @@
             client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
             await poll_condition(lambda: not faults)
-            await member.accepted()  # the connection of the failed call, which carries nothing
+            await member.accepted()  # the connection of the failed call, on which nothing is sent
             member.connection = None
             reader, _ = await member.accepted()
             assert await reader.readuntil(b"body")
@@ -221,7 +222,7 @@
 
 
 class Client:
-    """The independent client library against the stand-in broker; it collects final answers."""
+    """A client of the paho library, connected to the test broker, that collects final answers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -262,7 +263,7 @@
         self.paho.publish("in", f"body of {name}", qos=1, properties=properties)
 
     async def wait_for_answers(self, count: int) -> None:
-        """Return once so many messages have an answer."""
+        """Return once `count` messages have an answer."""
         await self.received.wait_until(lambda: len(self.answers) >= count)
 
 
@@ -271,13 +272,13 @@
 
 
 def journal_records(directory: Path, kind: str) -> list[dict[str, Any]]:
-    """The stored fields of the journal's records of one kind."""
+    """Return the stored fields of the journal's records of one kind."""
     data = (directory / "state" / "journal").read_bytes()
     return [fields for fields, _, _ in decode_frames(data) if fields["t"] == kind]
 
 
 def set_reasons(broker: Broker, reasons: dict[str, int]) -> None:
-    """Have the partner acknowledge each call once, with a reason by message; none if that is below 0."""
+    """Make the partner acknowledge each call once with its message's reason, or not at all if below 0."""
 
     def partner(packet: Packet) -> Packet | None:
         reason = reasons.get(dict(packet.user)["id"], 0)
@@ -304,7 +305,7 @@
             client.submit("", 1)
             client.submit("", 1)
             await client.wait_for_answers(6)
-            # Without an id, each is answered by itself.
+            # Messages without an id are answered one by one.
             await poll_condition(lambda: len(client.answers[""]) >= 2)
         client.paho.disconnect()
         client.paho.loop_stop()
@@ -337,7 +338,8 @@
             for i in range(count):
                 client.submit(f"m{i}", 1)
                 if i in (10, 25):
-                    await client.wait_for_answers(3)  # some are answered, some in flight, some not sent yet
+                    # Some messages are answered, some in flight and some not sent yet.
+                    await client.wait_for_answers(3)
                     await broker.kill()
                     await broker.start()
             await client.wait_for_answers(count)
@@ -393,7 +395,7 @@
             await poll_condition(lambda: calls_to_partner(broker))
         set_reasons(broker, {})
         async with started(tmp_path, agent.port, [], operator):
-            client.submit("m", 1)  # submitted twice: the id is known over the restart
+            client.submit("m", 1)  # submitted twice: the id is still known after the restart
             await client.wait_for_answers(1)
             client.submit("n", 1)
             await client.wait_for_answers(2)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""The scale run in small, in virtual time: a partitioned fleet through the failures of a day."""
+"""A small scale run in virtual time: a partitioned fleet through the failures of a day."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def play(faults: tuple[Fault, ...], partitioned: bool = True, dispatchers: int = 40) -> Totals:
-    """Play 55 s, with the same events each time."""
+    """Run 55 s of virtual time with the same events each time, and return the totals."""
     return HollowPlay(
         dispatchers, 4, partitioned, seed=3, seconds=55, zones=2, down=1, faults=faults, partitions=64
     ).run()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,5 +1,7 @@
-"""Upgrades of real processes under load, on loopback, checked by a ledger of what clients were told and what
-partners and the platform's agent saw. Kills come after counted events, never after a time.
+"""Upgrades of real processes under load, on loopback.
+
+They are checked against the replies that clients got, the calls at a partner and the notices at the agent.
+Processes are killed after counted events, never after a time.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 
 class EndpointLedger:
-    """A partner that keeps account of each call: two of one message out at once, and who was delivered."""
+    """A partner that records messages with two concurrent attempts and counts deliveries by message id."""
 
     def __init__(self, seed: int, progress: Changes, room_made: Changes) -> None:
         self.rng, self.progress, self.room_made, self.port, self.calls = (
@@ -57,15 +59,16 @@
                 assert came is not None
                 await reader.readexactly(int(length[1]))
                 await self._answer(came[1], reader, writer)
-        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):  # the last: the loop ends
+        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            # CancelledError is raised when the event loop ends.
             writer.close()
 
     async def _answer(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         earlier, self.calls = list(self.in_flight[name]), self.calls + 1
         self.in_flight[name].append(reader)
         self.progress.notify()
-        await asyncio.sleep(self.rng.uniform(0, 0.02))  # what an answer takes
-        # A connection of a process that was killed is at its end by now: its call counts no longer.
+        await asyncio.sleep(self.rng.uniform(0, 0.02))  # the time that an answer takes
+        # The connection of a process that was killed is closed by now, and its call does not count.
         if any(not one.at_eof() and one.exception() is None for one in earlier):
             self.concurrent_attempts.append(name)
         self.in_flight[name].remove(reader)
@@ -80,7 +83,7 @@
 
 
 class Clients:
-    """Each hands in one message after another, on a connection that it keeps as long as it may."""
+    """Clients that each submit one message after another, on a connection kept as long as possible."""
 
     def __init__(self, port: int, progress: Changes, room_made: Changes) -> None:
         self.port, self.progress, self.numbers, self.running = port, progress, itertools.count(), True
@@ -94,16 +97,15 @@
             answer = b""
             if stream is not None:
                 answer = await self._submit(name, stream)
-            if not answer:  # the connection was closed between two requests: once more, on a new one
+            if not answer:  # the connection was closed between two requests: retry on a new one
                 with contextlib.suppress(OSError):
                     stream = await asyncio.open_connection("127.0.0.1", self.port)
                     answer = await self._submit(name, stream)
             self.replies[name] = answer
             stream = stream if answer else None
             self.progress.notify()
-            if (
-                answer != b"+OK\r\n" and self.waits_for_room
-            ):  # there is no room: till a partner's answer makes some
+            # A rejected client waits until a partner's answer frees room for a message.
+            if answer != b"+OK\r\n" and self.waits_for_room:
                 await self.room_made.changed.wait()
 
     async def _submit(self, name: str, stream: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> bytes:
@@ -129,7 +131,7 @@
         self.agent, self.start_count, self.running = Agent([]), 0, list[Process]()
 
     async def start(self) -> Process:
-        """One more process, once it has given its yes."""
+        """Start one more process, and return it once it reports that it is ready."""
         self.start_count += 1
         own, management = self.folder / str(self.start_count), free_port()
         own.mkdir()
@@ -162,14 +164,16 @@
         return await process.wait()
 
     def settled(self) -> bool:
-        """Everything taken was delivered or ended by a notice."""
+        """Return whether each accepted message was delivered or ended by a notice."""
         return self.clients.accepted() <= self.ledger.delivered.keys() | self.agent.notices.keys()
 
 
 @contextlib.asynccontextmanager
 async def upgrade_under_load(folder: Path, seed: int, killed: bool = False) -> AsyncIterator[UpgradeRig]:
-    """A dispatcher under load, and the ledger closed at the end. Where a process is killed between an answer
-    and its record, the next one owes it once more.
+    """Run a dispatcher under load, and check the ledger at the end.
+
+    With `killed`, a message may get two answers: a process that is killed between an answer and its record
+    leaves the answer to the next process.
     """
     rig = UpgradeRig(folder, seed)
     await rig.ledger.start()
@@ -219,7 +223,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_kill_of_either_at_any_moment_loses_nothing(tmp_path: Path, seed: int) -> None:
-    """The old one, the new one, or one after the other, before or after the SIGTERM, with calls out."""
+    """The old process, the new one or both are killed, with or without a SIGTERM, with calls in flight."""
 
     async def work() -> None:
         rng = random.Random(seed)
@@ -241,7 +245,8 @@
                             await rig.stop(process, signal.SIGKILL)
                 if old.returncode is not None and old in rig.running:
                     rig.running.remove(old)
-                if whom == "new" and old in rig.running:  # it may have been told to stop: it ends by itself
+                # The old process may have received SIGTERM already, and then ends by itself.
+                if whom == "new" and old in rig.running:
                     await rig.stop(old, signal.SIGTERM)
                 if not rig.running:
                     await rig.start()
