--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -34,7 +34,7 @@
 READY_WITHIN = 10.0  # seconds, for nine in ten of the restarted processes
 
 
-async def idle(port: int) -> None:
+async def stay_idle(port: int) -> None:
     """Connect as a client that sends nothing, and reconnect whenever the connection is closed."""
     while True:
         with contextlib.suppress(OSError):
@@ -60,14 +60,15 @@
             await events.wait_until(lambda: bool(agent.watches))
             agent.go_down()
             watches = len(agent.watches)
-            crowd = [asyncio.ensure_future(idle(port)) for _ in range(CLIENTS)]
+            idle_clients = [asyncio.ensure_future(stay_idle(port)) for _ in range(CLIENTS)]
             assert await request_line(port, PING) == PONG, "a client that sends something has its place"
             await agent.start()
             await events.wait_until(lambda: len(agent.watches) > watches)  # discovery
             assert await request_line(port, enqueue("one")) == b"+OK\r\n"
             await events.wait_until(lambda: partner.calls.total() == 1)  # an endpoint
-            lost = enqueue("two", left=300).replace(b"dest=1", b"dest=2")  # nothing listens at its endpoint
-            assert await request_line(port, lost) == b"+OK\r\n"
+            # Nothing listens at the endpoint of destination 2.
+            undeliverable = enqueue("two", left=300).replace(b"dest=1", b"dest=2")
+            assert await request_line(port, undeliverable) == b"+OK\r\n"
             await events.wait_until(lambda: "two" in agent.notices)  # and a notice
             agent.change({**endpoint_row("s-3", 3), "host_port": f"127.0.0.1:{partner.port}"})
             other = enqueue("three").replace(b"dest=1", b"dest=3")
@@ -78,7 +79,7 @@
             await poll_until(change_has_arrived)
             await events.wait_until(lambda: partner.calls.total() == 2)
             assert process.returncode is None
-            for task in crowd:
+            for task in idle_clients:
                 task.cancel()
 
     play(work())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -30,55 +30,59 @@
 
 
 def test_each_end_is_counted_once_under_its_outcome(tmp_path: Path) -> None:
-    stand = DispatcherRig(tmp_path, max_messages=4)
+    rig = DispatcherRig(tmp_path, max_messages=4)
     for name in "abcd":
-        assert stand.submit(name)
-    assert not stand.submit("e"), "full: turned away"
-    (first, *_) = stand.run(0.1)
-    stand.dispatcher.call_written(first)
-    stand.end(first, Outcome.DELIVERED)
-    assert stand.dispatcher.metrics_snapshot()["responses"]["standard"] == {
+        assert rig.submit(name)
+    assert not rig.submit("e"), "full: turned away"
+    (first, *_) = rig.run(0.1)
+    rig.dispatcher.call_written(first)
+    rig.end(first, Outcome.DELIVERED)
+    assert rig.dispatcher.metrics_snapshot()["responses"]["standard"] == {
         "ok": 1,
         "shed": 1,
         "errors": 0,
         "tries": 1,
     }
-    assert stand.dispatcher.metrics_snapshot() | {"responses": 0} == {
+    assert rig.dispatcher.metrics_snapshot() | {"responses": 0} == {
         "responses": 0,
         "tries": 1,
         "active": 3,
         "pool_size": 2,
         "pool_ejected": 0,
     }
-    left = list(stand.dispatcher.messages.by_id)
-    stand.dispatcher.withdraw(left[0])  # no client waits for it, so it is counted under no outcome
-    stand.dispatcher.conclude(stand.dispatcher.messages.by_id[left[1]], Ending.FAILED)
-    stand.dispatcher.conclude(stand.dispatcher.messages.by_id[left[2]], Ending.REJECTED)
-    told = stand.dispatcher.metrics_snapshot()
-    assert told["responses"]["standard"] == {"ok": 1, "shed": 2, "errors": 1, "tries": 1}
-    assert told["active"] == 0
+    remaining = list(rig.dispatcher.messages.by_id)
+    rig.dispatcher.withdraw(remaining[0])  # no client waits for it, so it is counted under no outcome
+    rig.dispatcher.conclude(rig.dispatcher.messages.by_id[remaining[1]], Ending.FAILED)
+    rig.dispatcher.conclude(rig.dispatcher.messages.by_id[remaining[2]], Ending.REJECTED)
+    metrics = rig.dispatcher.metrics_snapshot()
+    assert metrics["responses"]["standard"] == {"ok": 1, "shed": 2, "errors": 1, "tries": 1}
+    assert metrics["active"] == 0
 
 
 def test_a_message_with_an_invalid_field_is_an_error_of_its_class(tmp_path: Path) -> None:
-    stand = DispatcherRig(tmp_path)
-    fields = TransactionParser(
-        stand.settings, stand.dispatcher.pool.has_destination, stand.dispatcher.metrics.message_invalid
+    rig = DispatcherRig(tmp_path)
+    parser = TransactionParser(
+        rig.settings, rig.dispatcher.pool.has_destination, rig.dispatcher.metrics.message_invalid
     )
-    for told in ({"c": "standard", "d": "8000"}, {"c": "standard", "d": "9" * 9, "dest": "1", "k": "k"}, {}):
+    for fields in (
+        {"c": "standard", "d": "8000"},
+        {"c": "standard", "d": "9" * 9, "dest": "1", "k": "k"},
+        {},
+    ):
         with pytest.raises(FieldError):
-            fields.parse(b"id", told, b"", 0)
-    assert stand.dispatcher.metrics_snapshot()["responses"]["standard"]["errors"] == 2, (
+            parser.parse(b"id", fields, b"", 0)
+    assert rig.dispatcher.metrics_snapshot()["responses"]["standard"]["errors"] == 2, (
         "the last one names no class"
     )
 
 
 def test_a_process_counts_from_nothing_and_what_it_took_up_is_active(tmp_path: Path) -> None:
-    stand = DispatcherRig(tmp_path)
+    rig = DispatcherRig(tmp_path)
     for name in "abc":
-        stand.submit(name)
-    again = DispatcherRig(tmp_path, stand.time)
-    assert again.dispatcher.metrics_snapshot()["active"] == 3
-    assert again.dispatcher.metrics_snapshot()["responses"]["standard"] == {
+        rig.submit(name)
+    restarted = DispatcherRig(tmp_path, rig.time)
+    assert restarted.dispatcher.metrics_snapshot()["active"] == 3
+    assert restarted.dispatcher.metrics_snapshot()["responses"]["standard"] == {
         "ok": 0,
         "shed": 0,
         "errors": 0,
@@ -87,60 +91,60 @@
 
 
 def test_an_endpoint_that_sent_a_retry_after_is_avoided_until_it_expires(tmp_path: Path) -> None:
-    stand = DispatcherRig(tmp_path)
-    stand.submit("a")
-    (call,) = stand.run(0.1)
-    stand.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
-    stand.run(0.1)
-    assert stand.dispatcher.metrics_snapshot()["pool_ejected"] == 1
-    stand.run(2)
-    assert stand.dispatcher.metrics_snapshot()["pool_ejected"] == 0
+    rig = DispatcherRig(tmp_path)
+    rig.submit("a")
+    (call,) = rig.run(0.1)
+    rig.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
+    rig.run(0.1)
+    assert rig.dispatcher.metrics_snapshot()["pool_ejected"] == 1
+    rig.run(2)
+    assert rig.dispatcher.metrics_snapshot()["pool_ejected"] == 0
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_figures_agree_with_an_independent_count(tmp_path: Path, seed: int) -> None:
     """Random runs in virtual time: counts at endpoints and clients must equal the metrics of the process."""
-    rng, stand = random.Random(seed), DispatcherRig(tmp_path, max_messages=20)
-    saw = {"ok": 0, "shed": 0, "errors": 0, "tries": 0}
-    taken, over = 0, set[str]()
-    ends = (Outcome.DELIVERED, Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
+    rng, rig = random.Random(seed), DispatcherRig(tmp_path, max_messages=20)
+    counted = {"ok": 0, "shed": 0, "errors": 0, "tries": 0}
+    accepted, delivered = 0, set[str]()
+    outcomes = (Outcome.DELIVERED, Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
     for number in range(300):
-        if stand.submit(f"m{number}", dest=rng.choice((1, 2)), left=rng.choice((1, 4, 20)) * SECOND):
-            taken += 1
+        if rig.submit(f"m{number}", dest=rng.choice((1, 2)), left=rng.choice((1, 4, 20)) * SECOND):
+            accepted += 1
         else:
-            saw["shed"] += 1
-        for call in stand.run(rng.random() / 20):
+            counted["shed"] += 1
+        for call in rig.run(rng.random() / 20):
             written = rng.random() < 0.9
             if written:
-                saw["tries"] += len(call.messages)
-                stand.dispatcher.call_written(call)
-            outcome = rng.choice(ends) if written else Outcome.CONNECT_FAILED
+                counted["tries"] += len(call.messages)
+                rig.dispatcher.call_written(call)
+            outcome = rng.choice(outcomes) if written else Outcome.CONNECT_FAILED
             if outcome is Outcome.DELIVERED:
-                saw["ok"] += len([part for part in call.messages if part.id not in over])
-                over |= {part.id for part in call.messages}
-            stand.end(call, outcome)
-    told = stand.dispatcher.metrics_snapshot()
-    for answer in stand.answers:
-        saw["errors" if answer.ending is Ending.FAILED else "shed"] += 1
-    assert told["responses"]["standard"] == saw
-    assert told["active"] == taken - len(over) - len(stand.answers)
+                counted["ok"] += len([message for message in call.messages if message.id not in delivered])
+                delivered |= {message.id for message in call.messages}
+            rig.end(call, outcome)
+    metrics = rig.dispatcher.metrics_snapshot()
+    for answer in rig.answers:
+        counted["errors" if answer.ending is Ending.FAILED else "shed"] += 1
+    assert metrics["responses"]["standard"] == counted
+    assert metrics["active"] == accepted - len(delivered) - len(rig.answers)
 
 
 def test_callers_that_stall_delay_no_other_reply(tmp_path: Path) -> None:
     async def work() -> None:
-        at, agent = free_port(), await Peer().start()
-        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{at}"):
-            crowd = [
-                await asyncio.open_connection("127.0.0.1", at) for _ in range(2 * MONITORING_CONNECTIONS)
+        port, agent = free_port(), await Peer().start()
+        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{port}"):
+            stalled = [
+                await asyncio.open_connection("127.0.0.1", port) for _ in range(2 * MONITORING_CONNECTIONS)
             ]
-            for _, writer in crowd:
+            for _, writer in stalled:
                 writer.write(b"stat")  # an incomplete request, which is never completed
-            began = asyncio.get_running_loop().time()
-            reader, writer = await asyncio.open_connection("127.0.0.1", at)
+            started_at = asyncio.get_running_loop().time()
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"status\r\n")
             assert await reader.read() == b"+OK ready\r\n"
-            assert asyncio.get_running_loop().time() - began < 1
-            for _, writer in crowd:
+            assert asyncio.get_running_loop().time() - started_at < 1
+            for _, writer in stalled:
                 writer.close()
 
     play(work())
@@ -148,18 +152,18 @@
 
 def test_the_two_commands(tmp_path: Path) -> None:
     async def work() -> None:
-        at, agent = free_port(), await Peer().start()
-        where = ["--at", f"127.0.0.1:{at}"]
+        port, agent = free_port(), await Peer().start()
+        address_option = ["--at", f"127.0.0.1:{port}"]
 
         async def call(*words: str) -> tuple[int, str]:
-            result = await asyncio.to_thread(CliRunner().invoke, main, [*words, *where])
+            result = await asyncio.to_thread(CliRunner().invoke, main, [*words, *address_option])
             return result.exit_code, result.output
 
         code, output = await call("status")
         assert code == 1
         assert "no answer" in output
-        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=where[1]):
-            assert await call("status") == (0, f"{where[1]}: ready\n")
+        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=address_option[1]):
+            assert await call("status") == (0, f"{address_option[1]}: ready\n")
             code, output = await call("status", "--json")
             assert code == 0
             assert json.loads(output)["ready"] is True
@@ -175,36 +179,39 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "says"),
+    ("address", "expected"),
     [
         ("nowhere", "management: expected HOST:PORT, got 'nowhere'"),
         ("127.0.0.1:0", "management: expected HOST:PORT, got '127.0.0.1:0'"),
         ("127.0.0.1:6379", "management: 127.0.0.1:6379 is the address of listen already"),
     ],
 )
-def test_an_address_that_cannot_be_is_named(tmp_path: Path, told: str, says: str) -> None:
-    path, _ = write(tmp_path, 6379, 8500, [], management=told)
+def test_an_address_that_cannot_be_is_named(tmp_path: Path, address: str, expected: str) -> None:
+    path, _ = write(tmp_path, 6379, 8500, [], management=address)
     with pytest.raises(config.ConfigError) as error:
         config.read({}, path)
-    assert str(error.value) == says
+    assert str(error.value) == expected
 
 
 def test_the_variable_wins_and_descriptors_are_set_aside(tmp_path: Path) -> None:
     path, _ = write(tmp_path, 6379, 8500, [])
-    without = config.read({}, path)
-    told = config.read({"ROUTER_MANAGEMENT": "127.0.0.1:9"}, path)
-    assert without.management is None
-    assert str(told.management) == "127.0.0.1:9"
-    assert sum(descriptor_budget(without)) - sum(descriptor_budget(told)) == MONITORING_CONNECTIONS
+    without_management = config.read({}, path)
+    with_management = config.read({"ROUTER_MANAGEMENT": "127.0.0.1:9"}, path)
+    assert without_management.management is None
+    assert str(with_management.management) == "127.0.0.1:9"
+    assert (
+        sum(descriptor_budget(without_management)) - sum(descriptor_budget(with_management))
+        == MONITORING_CONNECTIONS
+    )
 
 
 def test_an_address_in_use_ends_the_start_with_its_key(tmp_path: Path) -> None:
     async def work() -> None:
-        at = (await Peer().start()).port
-        path, _ = write(tmp_path, free_port(), at, [], management=f"127.0.0.1:{at}")
-        told = config.read({}, path)
+        port = (await Peer().start()).port
+        path, _ = write(tmp_path, free_port(), port, [], management=f"127.0.0.1:{port}")
+        used_address_config = config.read({}, path)
         with pytest.raises(config.ConfigError, match=r"^management: cannot listen on 127.0.0.1:\d+: Address"):
-            await run(told, lambda before: before)
+            await run(used_address_config, lambda before: before)
 
     play(work())
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -42,12 +42,12 @@
     """Read exactly the bytes of `pattern`, in which `%` stands for digits."""
     reader, _ = await peer.accepted()
     expected = re.compile(re.escape(pattern).replace(b"%", rb"\d+"), re.DOTALL)
-    got = b""
-    while not expected.fullmatch(got):
+    received = b""
+    while not expected.fullmatch(received):
         byte = await reader.read(1)
-        assert byte, f"the connection ended after {got!r}"
-        got += byte
-        assert len(got) < len(pattern) + 64, got
+        assert byte, f"the connection ended after {received!r}"
+        received += byte
+        assert len(received) < len(pattern) + 64, received
 
 
 class ScriptRunner:
@@ -78,21 +78,21 @@
             agent.connection = None
             await self.peers["client"].dial(self.port)
             for line in lines:
-                name, _, what = line.partition(" ")
+                name, _, argument = line.partition(" ")
                 if name in ("stop", "dial", "reload"):
-                    await self._act(name, what)
+                    await self._act(name, argument)
                 else:
-                    await self._play(name, what)
+                    await self._play(name, argument)
         for name in ("agent", "one", "two"):
             self.peers[name].connection = None
 
-    async def _act(self, name: str, what: str) -> None:
+    async def _act(self, name: str, argument: str) -> None:
         if name == "stop":
             os.kill(os.getpid(), signal.SIGTERM)
         elif name == "dial":
             await self.peers["client"].dial(self.port)
         else:
-            await self._reload(self.peers[what])
+            await self._reload(self.peers[argument])
 
     async def _reload(self, other_agent: Peer) -> None:
         """Reload a faulty configuration, which changes nothing, then one that names another agent."""
@@ -107,19 +107,19 @@
         await listed(other_agent, other_agent.port, self.members)
         other_agent.connection = None  # notices come on another connection
 
-    async def _play(self, name: str, what: str) -> None:
-        if what == "ended":
+    async def _play(self, name: str, argument: str) -> None:
+        if argument == "ended":
             reader, _ = self._connection(name)
             assert await reader.read(1) == b""
-        elif what == "close":
+        elif argument == "close":
             _, writer = self._connection(name)
             writer.close()
             self.peers[name].connection = None
         elif name[-1] == ">":
-            (await self.peers[name[:-1]].accepted())[1].write(raw(what))
+            (await self.peers[name[:-1]].accepted())[1].write(raw(argument))
         else:
             peer = self.peers[name[:-1]]
-            await receive(peer, raw(what.replace("PORT", str(peer.port))))
+            await receive(peer, raw(argument.replace("PORT", str(peer.port))))
 
     def _connection(self, name: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         connection = self.peers[name].connection
@@ -169,26 +169,26 @@
 ) -> None:
     encode, faults = calls.encode_call, [RuntimeError("a fault")]
 
-    def faulty(*given: Any) -> bytes:
+    def failing_encode(*arguments: Any) -> bytes:
         if faults:
             raise faults.pop()
-        return encode(*given)
+        return encode(*arguments)
 
     async def work() -> None:
-        agent, member, client = await Peer().start(), await Peer().start(), Peer()
-        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
+        agent, endpoint, client = await Peer().start(), await Peer().start(), Peer()
+        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
         async with started(tmp_path, agent.port, members) as port:
             await client.dial(port)
             assert client.connection is not None
             client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
             await poll_condition(lambda: not faults)
-            await member.accepted()  # the connection of the failed call, on which nothing is sent
-            member.connection = None
-            reader, _ = await member.accepted()
+            await endpoint.accepted()  # the connection of the failed call, on which nothing is sent
+            endpoint.connection = None
+            reader, _ = await endpoint.accepted()
             assert await reader.readuntil(b"body")
 
-    monkeypatch.setattr(calls, "encode_call", faulty)
+    monkeypatch.setattr(calls, "encode_call", failing_encode)
     play(work())
 
 
@@ -410,17 +410,17 @@
 
 def test_one_partner_over_both_protocols_shares_its_retry_after(tmp_path: Path) -> None:
     async def work() -> None:
-        broker, agent, member, client = Broker(), await Peer().start(), await Peer().start(), Peer()
+        broker, agent, endpoint, client = Broker(), await Peer().start(), await Peer().start(), Peer()
         await broker.start()
         set_reasons(broker, {})
-        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{member.port}"}]
+        members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
         async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
             await poll_condition(lambda: "n0-calls" in broker.kept)
             await client.dial(port)
             assert client.connection is not None
             client.connection[1].write(raw(ENQUEUE))
             await receive(client, b"+OK\r\n")
-            reader, writer = await member.accepted()
+            reader, writer = await endpoint.accepted()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 429 No\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n")
             await poll_condition(lambda: calls_to_partner(broker))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -51,32 +51,34 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                length, came = (
+                length, message_id = (
                     re.search(r"content-length: (\d+)", head, re.I),
                     re.search(r"x-txn: (\S+)", head, re.I),
                 )
                 assert length is not None
-                assert came is not None
+                assert message_id is not None
                 await reader.readexactly(int(length[1]))
-                await self._answer(came[1], reader, writer)
+                await self._answer(message_id[1], reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             # CancelledError is raised when the event loop ends.
             writer.close()
 
-    async def _answer(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        earlier, self.calls = list(self.in_flight[name]), self.calls + 1
-        self.in_flight[name].append(reader)
+    async def _answer(
+        self, message_id: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        earlier, self.calls = list(self.in_flight[message_id]), self.calls + 1
+        self.in_flight[message_id].append(reader)
         self.progress.notify()
         await asyncio.sleep(self.rng.uniform(0, 0.02))  # the time that an answer takes
         # The connection of a process that was killed is closed by now, and its call does not count.
-        if any(not one.at_eof() and one.exception() is None for one in earlier):
-            self.concurrent_attempts.append(name)
-        self.in_flight[name].remove(reader)
-        roll = self.rng.random()
-        if roll < 0.04:
+        if any(not connection.at_eof() and connection.exception() is None for connection in earlier):
+            self.concurrent_attempts.append(message_id)
+        self.in_flight[message_id].remove(reader)
+        random_value = self.rng.random()
+        if random_value < 0.04:
             writer.write(b"HTTP/1.1 500 Fault\r\nContent-Length: 0\r\n\r\n")
         else:
-            self.delivered[name] += 1
+            self.delivered[message_id] += 1
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.progress.notify()
         self.room_made.notify()
@@ -133,18 +135,18 @@
     async def start(self) -> Process:
         """Start one more process, and return it once it reports that it is ready."""
         self.start_count += 1
-        own, management = self.folder / str(self.start_count), free_port()
-        own.mkdir()
-        told = {"state": str(self.folder / "state"), "management": f"127.0.0.1:{management}"}
-        path, _ = write(own, self.port, self.agent.port, self.agent.members, **told)
-        with (own / "log").open("wb") as log:
+        directory, management = self.folder / str(self.start_count), free_port()
+        directory.mkdir()
+        overrides = {"state": str(self.folder / "state"), "management": f"127.0.0.1:{management}"}
+        path, _ = write(directory, self.port, self.agent.port, self.agent.members, **overrides)
+        with (directory / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "honeyhitch", "serve", "--config", path, cwd=ROOT, stderr=log
             )
         self.running.append(process)
 
         async def accepting() -> bool:
-            assert process.returncode is None, (own / "log").read_text()
+            assert process.returncode is None, (directory / "log").read_text()
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", management)
             except OSError:  # it does not listen yet
@@ -158,9 +160,9 @@
         self.room_made.notify()
         return process
 
-    async def stop(self, process: Process, number: signal.Signals) -> int:
+    async def stop(self, process: Process, signal_number: signal.Signals) -> int:
         self.running.remove(process)
-        process.send_signal(number)
+        process.send_signal(signal_number)
         return await process.wait()
 
     def settled(self) -> bool:
@@ -212,10 +214,10 @@
                 (old,) = rig.running
                 await rig.start()
                 assert await rig.stop(old, signal.SIGTERM) == 0
-                seen = len(rig.clients.replies) + 50
-                await rig.progress.wait_until(lambda seen=seen: len(rig.clients.replies) >= seen)  # type: ignore[misc]
-        unheard = [name for name, answer in rig.clients.replies.items() if not answer]
-        assert not unheard, "connections that were closed, refused or left unread"
+                target = len(rig.clients.replies) + 50
+                await rig.progress.wait_until(lambda target=target: len(rig.clients.replies) >= target)  # type: ignore[misc]
+        unanswered = [name for name, answer in rig.clients.replies.items() if not answer]
+        assert not unanswered, "connections that were closed, refused or left unread"
         assert max(rig.ledger.delivered.values()) == 1
 
     play(work())
@@ -233,20 +235,20 @@
                 new = await rig.start()
                 calls = rig.ledger.calls + rng.randrange(1, 40)
                 await rig.progress.wait_until(lambda calls=calls: rig.ledger.calls >= calls)  # type: ignore[misc]
-                whom = rng.choice(("old", "new", "both"))
+                killed_process = rng.choice(("old", "new", "both"))
                 if rng.random() < 0.5:
                     old.send_signal(signal.SIGTERM)
                     if rng.random() < 0.5:
                         calls = rig.ledger.calls + rng.randrange(1, 8)
                         await rig.progress.wait_until(lambda calls=calls: rig.ledger.calls >= calls)  # type: ignore[misc]
                 for process in (old, new):
-                    if whom in ("both", "old" if process is old else "new"):
+                    if killed_process in ("both", "old" if process is old else "new"):
                         with contextlib.suppress(ProcessLookupError):
                             await rig.stop(process, signal.SIGKILL)
                 if old.returncode is not None and old in rig.running:
                     rig.running.remove(old)
                 # The old process may have received SIGTERM already, and then ends by itself.
-                if whom == "new" and old in rig.running:
+                if killed_process == "new" and old in rig.running:
                     await rig.stop(old, signal.SIGTERM)
                 if not rig.running:
                     await rig.start()
