--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -31,14 +31,14 @@
     def ready() -> bool:
         return service_state(service).phase is Phase.READY
 
-    def new_session() -> resp.Session:
+    def create_session() -> resp.Session:
         return resp.Session(parser, dispatcher.submit, ready, service.scheduler.now, fleet)
 
     service.clients = _listen(
         service,
         "listen",
         service.config.listen,
-        new_session,
+        create_session,
         service.max_clients,
         reuse_port=True,
         forward=None if fleet is None else fleet.forwarder.forward,
@@ -58,7 +58,7 @@
     def state() -> DispatcherState:
         return service_state(service)
 
-    def new_management_session() -> ManagementSession:
+    def create_management_session() -> ManagementSession:
         return ManagementSession(state, dispatcher.metrics_snapshot, service.fleet)
 
     if config.operator.agent_check is not None:
@@ -72,7 +72,7 @@
             service,
             "management",
             config.management,
-            new_management_session,
+            create_management_session,
             MONITORING_CONNECTIONS,
             single_request=True,
         )
@@ -82,7 +82,7 @@
     service: Service,
     setting: str,
     address: Address,
-    new_session: Callable[[], ServerSession],
+    create_session: Callable[[], ServerSession],
     max_connections: int,
     *,
     single_request: bool = False,
@@ -97,7 +97,7 @@
     try:
         server = ClientServer(
             (address.host, address.port),
-            new_session,
+            create_session,
             max_connections,
             service.tasks,
             single_request,
