--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -55,7 +55,7 @@
     clock_offset: int  # ns, from the control machines' clock
     stream: list[dict[str, Any]] = field(default_factory=list)
     disconnected: bool = False
-    watching: bool = False  # it has an open watch, and got all that was sent before
+    watching: bool = False  # it has an open watch, on which nothing was lost
 
 
 class ControlPlane:
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -255,7 +255,7 @@
 
 
 def test_the_view_that_a5e6918_saved_is_saved_with_the_same_bytes(tmp_path: Path) -> None:
-    """A deployment may go back to an earlier version, which reads what it wrote itself."""
+    """A deployment may return to an earlier version, which must be able to read the saved view."""
     rig = FleetServiceRig(tmp_path / "first")
     rig.receive_update(7)
     away = entry("a1-1", "a1", "Terminating", since=START + 5 * SECOND)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -278,7 +278,7 @@
 
 
 def set_reasons(broker: Broker, reasons: dict[str, int]) -> None:
-    """Make the partner acknowledge each call once with its message's reason, or not at all if below 0."""
+    """Make the partner acknowledge each call once with its message's reason, or never if that is below 0."""
 
     def partner(packet: Packet) -> Packet | None:
         reason = reasons.get(dict(packet.user)["id"], 0)
