--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,5 +1,7 @@
-"""Upgrades of real processes under load, on loopback, checked by a ledger of what clients were told and what
-partners and the platform's agent saw. Kills come after counted events, never after a time.
+"""Upgrades of real processes under load, on loopback.
+
+They are checked against the replies that clients got, the calls at a partner and the notices at the agent.
+Processes are killed after counted events, never after a time.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 
 class EndpointLedger:
-    """A partner that keeps account of each call: two of one message out at once, and who was delivered."""
+    """A partner that records messages with two concurrent attempts and counts deliveries by message id."""
 
     def __init__(self, seed: int, progress: Changes, room_made: Changes) -> None:
         self.rng, self.progress, self.room_made, self.port, self.calls = (
@@ -49,38 +51,41 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                length, came = (
+                length, message_id = (
                     re.search(r"content-length: (\d+)", head, re.I),
                     re.search(r"x-txn: (\S+)", head, re.I),
                 )
                 assert length is not None
-                assert came is not None
+                assert message_id is not None
                 await reader.readexactly(int(length[1]))
-                await self._answer(came[1], reader, writer)
-        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):  # the last: the loop ends
+                await self._answer(message_id[1], reader, writer)
+        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            # CancelledError is raised when the event loop ends.
             writer.close()
 
-    async def _answer(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        earlier, self.calls = list(self.in_flight[name]), self.calls + 1
-        self.in_flight[name].append(reader)
+    async def _answer(
+        self, message_id: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        earlier, self.calls = list(self.in_flight[message_id]), self.calls + 1
+        self.in_flight[message_id].append(reader)
         self.progress.notify()
-        await asyncio.sleep(self.rng.uniform(0, 0.02))  # what an answer takes
-        # A connection of a process that was killed is at its end by now: its call counts no longer.
-        if any(not one.at_eof() and one.exception() is None for one in earlier):
-            self.concurrent_attempts.append(name)
-        self.in_flight[name].remove(reader)
-        roll = self.rng.random()
-        if roll < 0.04:
+        await asyncio.sleep(self.rng.uniform(0, 0.02))  # the time that an answer takes
+        # The connection of a process that was killed is closed by now, and its call does not count.
+        if any(not connection.at_eof() and connection.exception() is None for connection in earlier):
+            self.concurrent_attempts.append(message_id)
+        self.in_flight[message_id].remove(reader)
+        random_value = self.rng.random()
+        if random_value < 0.04:
             writer.write(b"HTTP/1.1 500 Fault\r\nContent-Length: 0\r\n\r\n")
         else:
-            self.delivered[name] += 1
+            self.delivered[message_id] += 1
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.progress.notify()
         self.room_made.notify()
 
 
 class Clients:
-    """Each hands in one message after another, on a connection that it keeps as long as it may."""
+    """Clients that each submit one message after another, on a connection kept as long as possible."""
 
     def __init__(self, port: int, progress: Changes, room_made: Changes) -> None:
         self.port, self.progress, self.numbers, self.running = port, progress, itertools.count(), True
@@ -94,16 +99,15 @@
             answer = b""
             if stream is not None:
                 answer = await self._submit(name, stream)
-            if not answer:  # the connection was closed between two requests: once more, on a new one
+            if not answer:  # the connection was closed between two requests: retry on a new one
                 with contextlib.suppress(OSError):
                     stream = await asyncio.open_connection("127.0.0.1", self.port)
                     answer = await self._submit(name, stream)
             self.replies[name] = answer
             stream = stream if answer else None
             self.progress.notify()
-            if (
-                answer != b"+OK\r\n" and self.waits_for_room
-            ):  # there is no room: till a partner's answer makes some
+            # A rejected client waits until a partner's answer frees room for a message.
+            if answer != b"+OK\r\n" and self.waits_for_room:
                 await self.room_made.changed.wait()
 
     async def _submit(self, name: str, stream: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> bytes:
@@ -129,20 +133,20 @@
         self.agent, self.start_count, self.running = Agent([]), 0, list[Process]()
 
     async def start(self) -> Process:
-        """One more process, once it has given its yes."""
+        """Start one more process, and return it once it reports that it is ready."""
         self.start_count += 1
-        own, management = self.folder / str(self.start_count), free_port()
-        own.mkdir()
-        told = {"state": str(self.folder / "state"), "management": f"127.0.0.1:{management}"}
-        path, _ = write(own, self.port, self.agent.port, self.agent.members, **told)
-        with (own / "log").open("wb") as log:
+        directory, management = self.folder / str(self.start_count), free_port()
+        directory.mkdir()
+        overrides = {"state": str(self.folder / "state"), "management": f"127.0.0.1:{management}"}
+        path, _ = write(directory, self.port, self.agent.port, self.agent.members, **overrides)
+        with (directory / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "honeyhitch", "serve", "--config", path, cwd=ROOT, stderr=log
             )
         self.running.append(process)
 
         async def accepting() -> bool:
-            assert process.returncode is None, (own / "log").read_text()
+            assert process.returncode is None, (directory / "log").read_text()
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", management)
             except OSError:  # it does not listen yet
@@ -156,20 +160,22 @@
         self.room_made.notify()
         return process
 
-    async def stop(self, process: Process, number: signal.Signals) -> int:
+    async def stop(self, process: Process, signal_number: signal.Signals) -> int:
         self.running.remove(process)
-        process.send_signal(number)
+        process.send_signal(signal_number)
         return await process.wait()
 
     def settled(self) -> bool:
-        """Everything taken was delivered or ended by a notice."""
+        """Return whether each accepted message was delivered or ended by a notice."""
         return self.clients.accepted() <= self.ledger.delivered.keys() | self.agent.notices.keys()
 
 
 @contextlib.asynccontextmanager
 async def upgrade_under_load(folder: Path, seed: int, killed: bool = False) -> AsyncIterator[UpgradeRig]:
-    """A dispatcher under load, and the ledger closed at the end. Where a process is killed between an answer
-    and its record, the next one owes it once more.
+    """Run a dispatcher under load, and check the ledger at the end.
+
+    With `killed`, a message may get two answers: a process that is killed between an answer and its record
+    leaves the answer to the next process.
     """
     rig = UpgradeRig(folder, seed)
     await rig.ledger.start()
@@ -208,10 +214,10 @@
                 (old,) = rig.running
                 await rig.start()
                 assert await rig.stop(old, signal.SIGTERM) == 0
-                seen = len(rig.clients.replies) + 50
-                await rig.progress.wait_until(lambda seen=seen: len(rig.clients.replies) >= seen)  # type: ignore[misc]
-        unheard = [name for name, answer in rig.clients.replies.items() if not answer]
-        assert not unheard, "connections that were closed, refused or left unread"
+                target = len(rig.clients.replies) + 50
+                await rig.progress.wait_until(lambda target=target: len(rig.clients.replies) >= target)  # type: ignore[misc]
+        unanswered = [name for name, answer in rig.clients.replies.items() if not answer]
+        assert not unanswered, "connections that were closed, refused or left unread"
         assert max(rig.ledger.delivered.values()) == 1
 
     play(work())
@@ -219,7 +225,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_kill_of_either_at_any_moment_loses_nothing(tmp_path: Path, seed: int) -> None:
-    """The old one, the new one, or one after the other, before or after the SIGTERM, with calls out."""
+    """The old process, the new one or both are killed, with or without a SIGTERM, with calls in flight."""
 
     async def work() -> None:
         rng = random.Random(seed)
@@ -229,19 +235,20 @@
                 new = await rig.start()
                 calls = rig.ledger.calls + rng.randrange(1, 40)
                 await rig.progress.wait_until(lambda calls=calls: rig.ledger.calls >= calls)  # type: ignore[misc]
-                whom = rng.choice(("old", "new", "both"))
+                killed_process = rng.choice(("old", "new", "both"))
                 if rng.random() < 0.5:
                     old.send_signal(signal.SIGTERM)
                     if rng.random() < 0.5:
                         calls = rig.ledger.calls + rng.randrange(1, 8)
                         await rig.progress.wait_until(lambda calls=calls: rig.ledger.calls >= calls)  # type: ignore[misc]
                 for process in (old, new):
-                    if whom in ("both", "old" if process is old else "new"):
+                    if killed_process in ("both", "old" if process is old else "new"):
                         with contextlib.suppress(ProcessLookupError):
                             await rig.stop(process, signal.SIGKILL)
                 if old.returncode is not None and old in rig.running:
                     rig.running.remove(old)
-                if whom == "new" and old in rig.running:  # it may have been told to stop: it ends by itself
+                # The old process may have received SIGTERM already, and then ends by itself.
+                if killed_process == "new" and old in rig.running:
                     await rig.stop(old, signal.SIGTERM)
                 if not rig.running:
                     await rig.start()
