--- a/honeyhitch/cli/__init__.py
+++ b/honeyhitch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command-line interface."""
--- a/honeyhitch/cli/fleet.py
+++ b/honeyhitch/cli/fleet.py
@@ -1,4 +1,4 @@
-"""The commands that show a fleet as one of its dispatchers sees it; they call its `management` address."""
+"""Commands that show a fleet from the view of one dispatcher, which they call at its `management` address."""
 
 from __future__ import annotations
 
--- a/honeyhitch/cli/main.py
+++ b/honeyhitch/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The `honeyhitch` command and its subcommands that need no module of their own."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class LazyGroup(click.Group):
-    """Commands with modules of their own are imported when they are run: `serve` starts without them."""
+    """A command group that imports COMMAND_MODULES on use only, so that `serve` starts without them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names, in alphabetical order."""
+        """Return the names of all commands in alphabetical order."""
         return sorted({*super().list_commands(ctx), *COMMAND_MODULES})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of this name."""
+        """Return the command of this name and import its module if needed; None for an unknown name."""
         if cmd_name in COMMAND_MODULES and cmd_name not in self.commands:
             self.add_command(getattr(import_module(COMMAND_MODULES[cmd_name]), cmd_name))
         return super().get_command(ctx, cmd_name)
@@ -108,7 +108,7 @@
 
 
 def _encode_command(arguments: list[bytes]) -> bytes:
-    """A command of the RESP2 protocol."""
+    """Encode a command of the RESP2 protocol."""
     head = b"*%d\r\n" % len(arguments)
     return head + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments)
 
--- a/honeyhitch/cli/management.py
+++ b/honeyhitch/cli/management.py
@@ -15,15 +15,15 @@
 from honeyhitch import config as configuration
 from honeyhitch.protocols.management import ManagementReply
 
-REPLY_TIMEOUT_SECONDS = 3.0  # a reply is due within 1
-READ_BYTES = 65536
+REPLY_TIMEOUT_SECONDS = 3.0  # a dispatcher has to reply within 1 s
+READ_BYTES = 65536  # of one read from the socket
 RESPONSE_COLUMNS = ("ok", "shed", "errors", "tries")
-RESPONSES = "responses"  # the figures by message class
+RESPONSES = "responses"  # key of the figures per message class
 
 
 @dataclass(frozen=True, slots=True)
 class ManagementCall:
-    """A dispatcher's reply to one call."""
+    """A dispatcher's reply to one request at its `management` address."""
 
     accepted: bool
     message: str
@@ -31,7 +31,10 @@
 
 
 def _find_address(at: str | None, path: str | None) -> configuration.Address:
-    """The address from the option, the variable or the configuration's file, in this order."""
+    """Return the address from the option, the environment or the configuration file, in this order.
+
+    Raises ClickException if none of them gives one or if it is invalid.
+    """
     try:
         text = at or os.environ.get("ROUTER_MANAGEMENT")
         if text:
@@ -58,7 +61,7 @@
 
 
 def fetch_figures(at: str | None, path: str | None, request: str) -> dict[str, Any]:
-    """The figures with which a running dispatcher replies. Raises ClickException if it sends none."""
+    """Return the figures that a running dispatcher replies with. Raises ClickException if it sends none."""
     address = _find_address(at, path)
     reply = _call(address, request)
     if not reply.accepted:
@@ -67,7 +70,7 @@
 
 
 def management_options(command: Callable[..., None]) -> Callable[..., None]:
-    """The options of a command that calls a running dispatcher: `at`, `path` and `as_json`."""
+    """Add the options of a command that calls a running dispatcher: `at`, `path` and `as_json`."""
     for option in (
         click.option("--json", "as_json", is_flag=True, help="For programs."),
         click.option(
@@ -108,7 +111,7 @@
 
 
 def _format_responses(responses: dict[str, dict[str, Any]]) -> list[str]:
-    """A table with a line for each message class, its cells aligned to the right."""
+    """Return the lines of a table with a row per message class and right-aligned cells."""
     rows: list[tuple[str, ...]] = [("class", *RESPONSE_COLUMNS)]
     for class_name, counts in responses.items():
         rows.append((class_name, *(str(counts[column]) for column in RESPONSE_COLUMNS)))
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -1,4 +1,4 @@
-"""`honeyhitch tls`: checks the TLS settings, their files, and what partners present."""
+"""`honeyhitch tls`: checks the TLS settings, their files and the certificates that partners present."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     from honeyhitch.tls.partners import Partners
     from honeyhitch.transports.tls_probe import ProbeResult
 
-# Stands for an instance's settings where only files are checked: nothing of it matters to trust or names.
+# Replaces an instance's settings if only files are checked; trust and server names do not depend on it.
 PLACEHOLDER_SETTINGS = Settings(
     classes=(MessageClass(Idempotency.IDEMPOTENT, latency_objective=1, deadline=1),),
     kinds=(DestinationKind(),),
@@ -36,7 +36,7 @@
     slow_start_duration=1,
 )
 Target = tuple[Partner, str]  # a partner, and the HOST:PORT to connect to
-Report = dict[str, Any]  # of a partner's files or of an address, as it is printed with --json
+Report = dict[str, Any]  # on a partner's files or on a connection to an address, as printed with --json
 
 
 @click.group()
@@ -69,7 +69,7 @@
         _fail(f"configuration: {error}")
     if not configured:
         _fail("no [[tls.partner]] and no [mqtt.tls]: nothing is spoken to over TLS")
-    from honeyhitch.tls.partners import Partners  # the files could be read, so the extra is there
+    from honeyhitch.tls.partners import Partners  # read_tls loaded the files, so the extra is installed
 
     settings = config.settings if config is not None else PLACEHOLDER_SETTINGS
     partners = Partners(TlsSettings(tuple(configured)), settings, os.environ, time.time_ns, Random())
@@ -90,7 +90,7 @@
 
 
 def _known_targets(config: configuration.Config | None, configured: list[Partner]) -> list[Target]:
-    """The endpoints of the configuration's `known` list that have a partner, and the broker."""
+    """Return the endpoints of the configuration's `known` list that have a partner, and the MQTT broker."""
     if config is None:
         return []
     pool = EndpointPool(config.settings)
--- a/honeyhitch/cli/undelivered/__init__.py
+++ b/honeyhitch/cli/undelivered/__init__.py
@@ -1,4 +1,4 @@
-"""`honeyhitch undelivered`: what an operator or an accountant asks of the store."""
+"""`honeyhitch undelivered`: commands with which operators and accountants query and change the store."""
 
 from __future__ import annotations
 
--- a/honeyhitch/cli/undelivered/changes.py
+++ b/honeyhitch/cli/undelivered/changes.py
@@ -1,4 +1,4 @@
-"""The commands that change undelivered messages; each leaves an audit entry."""
+"""Commands that change undelivered messages. Every change is recorded in an audit entry."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def change_records(store: StoreAccess, change: str, request: ChangeRequest) -> None:
-    """Make a change to the chosen records, page by page, and show what was done; exit code 1 if nothing."""
+    """Change the chosen records page by page, print the result and exit; code 1 if none was changed."""
     done_count = 0
     left_count = 0
     for record_filter in request.filters(store):
@@ -44,7 +44,7 @@
 
 
 def change_command(reason_option: str) -> Callable[[Command], click.Command]:
-    """A command that changes records, with the name and docstring of a function."""
+    """Return a decorator that makes a command that changes records from a function's name and docstring."""
 
     def decorate(described: Command) -> click.Command:
         name = described.__name__
--- a/honeyhitch/cli/undelivered/exports.py
+++ b/honeyhitch/cli/undelivered/exports.py
@@ -1,4 +1,4 @@
-"""The commands that write undelivered messages to files: exports and the accountants' report."""
+"""Commands that write undelivered messages to files: the export and the accountants' report."""
 
 from __future__ import annotations
 
@@ -17,8 +17,15 @@
 from honeyhitch.cli.undelivered.options import filter_options, store_access
 from honeyhitch.cli.undelivered.store_access import StoreAccess
 
-PAGE_SIZE = 200  # records exported at a time
-FORMULA_STARTS = ("=", "+", "-", "@", "\t", "\r")  # a spreadsheet would run a cell that starts so
+PAGE_SIZE = 200  # records per request
+FORMULA_STARTS = (
+    "=",
+    "+",
+    "-",
+    "@",
+    "\t",
+    "\r",
+)  # a spreadsheet evaluates a cell that starts with one of these
 CSV_COLUMNS = (
     "seq", "id", "key", "cls", "tenant", "destination", "front", "came_at", "deadline", "ended_at", "ending",
     "reason", "come_back", "may_have_run", "first_ran", "attempts", "standing", "settled_by", "evidence",
--- a/honeyhitch/cli/undelivered/formatting.py
+++ b/honeyhitch/cli/undelivered/formatting.py
@@ -1,4 +1,4 @@
-"""How the commands on undelivered messages show times, tables and records to people."""
+"""Human-readable formats of times, tables and records for the commands on undelivered messages."""
 
 from __future__ import annotations
 
@@ -15,35 +15,41 @@
 AUDIT_COLUMNS = ("at", "who", "what", "why", "")
 TIME_FIELDS = ("came_at", "deadline", "ended_at", "first_ran", "changed_at")
 DURATION_FIELDS = ("come_back", "window")
-SEPARATE_FIELDS = ("attempts", "body", "body_hex", "intact", "fault")  # shown below the others, or not at all
+SEPARATE_FIELDS = (
+    "attempts",
+    "body",
+    "body_hex",
+    "intact",
+    "fault",
+)  # shown below the other fields, or not shown
 
 
 def format_time(at: int | None) -> str:
-    """A Unix time in nanoseconds: UTC, to the second."""
+    """Format a Unix time in nanoseconds as UTC, to the second; None becomes `-`."""
     if at is None:
         return "-"
     return datetime.datetime.fromtimestamp(at / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
 def format_day(number: int) -> str:
-    """A day, from the number of days since 1970."""
+    """Format a day, given as the number of days since 1 January 1970, as an ISO date."""
     return (EPOCH + datetime.timedelta(days=number)).isoformat()
 
 
 def format_executed(may_have_executed: bool) -> str:
-    """Whether something may have been executed."""
+    """Format whether a message or an attempt may have been executed."""
     return "maybe" if may_have_executed else "never"
 
 
 def format_table(rows: list[tuple[Any, ...]], headers: tuple[str, ...]) -> str:
-    """A table in plain text."""
+    """Format a table as plain text."""
     from tabulate import tabulate
 
     return tabulate(rows, headers, tablefmt="simple", disable_numparse=True)
 
 
 def list_row(record: dict[str, Any]) -> tuple[Any, ...]:
-    """The row of an exported record, under LIST_COLUMNS."""
+    """Return the row of an exported record, with the columns of LIST_COLUMNS."""
     status = record["standing"] if record["intact"] else "ALTERED"
     if record["evidence"]:
         status += " released"
@@ -63,7 +69,7 @@
 
 
 def format_record(record: dict[str, Any], audit: list[dict[str, Any]]) -> str:
-    """An exported record with its attempts, its body and its audit entries."""
+    """Format an exported record with its attempts, its body and its audit entries."""
     lines = [] if record["intact"] else [f"ALTERED ON DISK: {record['fault']}"]
     for name, value in record.items():
         if name not in SEPARATE_FIELDS:
--- a/honeyhitch/cli/undelivered/options.py
+++ b/honeyhitch/cli/undelivered/options.py
@@ -1,4 +1,4 @@
-"""What the commands on undelivered messages share: how records are chosen, and how the store is passed."""
+"""Options shared by the commands on undelivered messages: the choice of records and access to the store."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from honeyhitch.time_units import MILLISECOND, SECOND
 
 SECONDS_PER_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86400}
-MAX_SEQUENCE_DIGITS = 18
-MAX_NAMED_RECORDS = 1000  # with the same id
+MAX_SEQUENCE_DIGITS = 18  # of a record's number
+MAX_NAMED_RECORDS = 1000  # records with one message id
 Command = Callable[..., Any]
 
 
 class TimeParameter(click.ParamType[int]):
-    """A time: a date, a date with a time, or how long ago (`90m`, `2h`, `7d`); UTC where no zone is said."""
+    """A time: a date, a date with a time, or an age (`90m`, `2h`, `7d`). The zone is UTC unless given."""
 
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Unix time in nanoseconds."""
+        """Return the Unix time in nanoseconds. Fails with a usage error for an invalid time."""
         if isinstance(value, int):
             return value
         if found := re.fullmatch(r"(\d{1,6})([smhd])", value):
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FilterOption:
-    """An option that chooses records, and the filter of an operation that it sets."""
+    """A command option that chooses records, with the name of the store filter that it sets."""
 
     flag: str
     filter_name: str
@@ -68,7 +68,7 @@
 
 
 def filter_options(command: Command) -> Command:
-    """The options that choose records; the command gets them as `record_filter`."""
+    """Add the options that choose records to a command, which receives them as `record_filter`."""
 
     def with_filter(**options: Any) -> Any:
         record_filter = dict[str, str]()
@@ -91,7 +91,7 @@
 
 
 def store_access(command: Command) -> Command:
-    """Pass a command the store as its first argument."""
+    """Pass the store to a command as its first argument."""
 
     @click.pass_context
     def with_store(context: click.Context, /, **options: Any) -> Any:
@@ -109,24 +109,27 @@
 
 
 def _parameters(command: Command) -> list[click.Parameter]:
-    """The options and arguments that click has noted at a function so far."""
+    """Return the options and arguments that click has attached to a function so far."""
     parameters: list[click.Parameter] = getattr(command, "__click_params__", [])
     return parameters
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """What every command that changes records is asked: which ones, why, and whether only to say so."""
+    """The options of a command that changes records: the records, the reason and whether it is a dry run."""
 
-    names: tuple[str, ...]  # message ids, or records' numbers
+    names: tuple[str, ...]  # message ids or record numbers
     record_filter: dict[str, str]
-    everything: bool  # where nothing is named or filtered
+    everything: bool  # all records; needed if neither names nor filters are given
     reason: str
     dry_run: bool
     as_json: bool
 
     def filters(self, store: StoreAccess) -> list[dict[str, str]]:
-        """The filters that together choose the records; nothing named chooses nothing."""
+        """Return the filters that together choose the records.
+
+        Raises UsageError if both names and filters are given, or if neither is given without --all.
+        """
         if self.names and self.record_filter:
             raise click.UsageError("name records or filter them, not both")
         if not self.names and not self.record_filter and not self.everything:
@@ -137,9 +140,10 @@
 
 
 def change_options(reason_option: str) -> Callable[[Command], Command]:
-    """The options of a command that changes records; it gets the store and a ChangeRequest.
+    """Return a decorator that adds the options of a command that changes records.
 
-    `reason_option` is the option for the reason, which goes into the audit entry.
+    The command receives the store and a ChangeRequest. `reason_option` is the option for the reason, which
+    goes into the audit entry.
     """
 
     def decorate(command: Command) -> Command:
@@ -172,7 +176,10 @@
 
 
 def record_sequences(store: StoreAccess, name: str) -> list[int]:
-    """The numbers of the records with this message id, or with this number."""
+    """Return the numbers of the records with this message id, or else `name` itself as a record number.
+
+    Raises ClickException if there is no record with this id and `name` is not a number.
+    """
     page = store.execute("list", {"filter": {"id": name}, "most": MAX_NAMED_RECORDS})
     if page["records"]:
         return [record["seq"] for record in page["records"]]
--- a/honeyhitch/cli/undelivered/queries.py
+++ b/honeyhitch/cli/undelivered/queries.py
@@ -1,4 +1,4 @@
-"""The commands that show undelivered messages, the store's state and its faults."""
+"""Commands that show undelivered messages, the state of the store and its faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from honeyhitch.cli.undelivered.options import filter_options, record_sequences, store_access
 from honeyhitch.cli.undelivered.store_access import StoreAccess
 
-MAX_PAGE_SIZE = 1000  # records of one answer
+MAX_PAGE_SIZE = 1000  # records in one answer
 AUDIT_PAGE_SIZE = 200
 GROUP_NAMES = [
     "destination", "cls", "tenant", "front", "ending", "reason", "standing", "may_have_run", "day",
--- a/honeyhitch/cli/undelivered/store_access.py
+++ b/honeyhitch/cli/undelivered/store_access.py
@@ -1,4 +1,4 @@
-"""How the command line reaches a store: through the dispatcher that writes it, or directly if none runs."""
+"""Access of the command line to a store: through the dispatcher that writes it, or directly if none runs."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class StoreAccess:
-    """One store, found by the configuration or by its directory.
+    """Access to one store, which is located by the configuration or by its directory.
 
-    Every error ends the command: it is raised as click.ClickException with one clear line.
+    Every error is raised as click.ClickException with a one-line message, which ends the command.
     """
 
     def __init__(self, path: str | None, operator: str | None, directory: str | None) -> None:
@@ -44,18 +44,21 @@
             self.client = ControlClient(config.operator.control.path_in(config.state))
 
     def execute(self, operation: str, arguments: dict[str, Any]) -> dict[str, Any]:
-        """Do an operation (dead_letters/operations.py) and return its answer."""
+        """Execute an operation of dead_letters/operations.py and return its answer.
+
+        If no dispatcher runs, the operation is executed in this process.
+        """
         if self.client is not None:
             try:
                 return self.client.request("POST", f"/undelivered/{operation}", arguments)
             except ControlCommandError as error:
                 raise click.ClickException(str(error)) from error
             except OSError:
-                self.client = None  # no dispatcher runs: the store is there all the same
+                self.client = None  # no dispatcher is running; the store is opened directly
         return self._execute_directly(operation, arguments)
 
     def dispatcher_state(self) -> dict[str, Any]:
-        """The state of the running dispatcher."""
+        """Return the state of the running dispatcher. Raises ClickException if none answers."""
         if self.client is None:
             raise click.ClickException("state: name the configuration of a running dispatcher")
         try:
@@ -76,7 +79,7 @@
             store.close()
 
     def open_store(self, writes: bool = False) -> Store:
-        """The store itself, opened in this process; reading it does not block a dispatcher that writes it."""
+        """Open the store in this process. Reading it does not block a dispatcher that writes it."""
         try:
             from honeyhitch.dead_letters.files import StoreError
             from honeyhitch.dead_letters.store import Store
@@ -94,7 +97,7 @@
             raise click.ClickException(str(error)) from error
 
     def pages(self, operation: str, arguments: dict[str, Any]) -> Iterator[dict[str, Any]]:
-        """Each page of the answer to a long operation."""
+        """Yield each page of the answer to an operation that is answered in pages."""
         while True:
             page = self.execute(operation, arguments)
             yield page
