--- a/honeyhitch/cli/main.py
+++ b/honeyhitch/cli/main.py
@@ -53,12 +53,12 @@
 @click.option("--log-level", type=click.Choice(logs.LEVELS), help="From which level on.")
 def serve(path: str | None, operator: str | None, log_format: str | None, log_level: str | None) -> None:
     """Run one dispatcher in the foreground till SIGTERM; SIGHUP makes it read its configuration again."""
-    from honeyhitch.service.run import serve as run
+    from honeyhitch.service.run import serve as serve_dispatcher
 
     config = _read_config(path, operator)
     logs.setup(log_format or config.operator.log_format, log_level or config.operator.log_level)
     try:
-        run(config, lambda previous: configuration.read(os.environ, path, operator, previous))
+        serve_dispatcher(config, lambda previous: configuration.read(os.environ, path, operator, previous))
     except configuration.ConfigError as error:
         _exit_on_config_error(error)
 
@@ -97,8 +97,10 @@
     fields = f"c={cls},t={tenant},d={left},dest={dest},k={key or message_id}"
     request = _encode_command([b"ENQUEUE", REQUEST_KEY, message_id.encode(), fields.encode(), body.encode()])
     try:
-        target = configuration.Address.parse(address, "address")
-        with socket.create_connection((target.host, target.port), timeout=SEND_TIMEOUT_SECONDS) as sock:
+        dispatcher = configuration.Address.parse(address, "address")
+        with socket.create_connection(
+            (dispatcher.host, dispatcher.port), timeout=SEND_TIMEOUT_SECONDS
+        ) as sock:
             sock.sendall(request)
             answer = sock.makefile("rb").readline().decode(errors="replace").strip()
     except (OSError, configuration.ConfigError) as error:
--- a/honeyhitch/cli/undelivered/exports.py
+++ b/honeyhitch/cli/undelivered/exports.py
@@ -46,11 +46,13 @@
     """
     with ExitStack() as files:
         try:
-            out: IO[str] = files.enter_context(open(output, "x", newline="")) if output else sys.stdout
+            output_file: IO[str] = (
+                files.enter_context(open(output, "x", newline="")) if output else sys.stdout
+            )
         except OSError as error:
             raise click.ClickException(f"{output}: {error.strerror}") from error
         count = 0
-        write = _csv_writer(out) if form == "csv" else _json_lines_writer(out)
+        write = _csv_writer(output_file) if form == "csv" else _json_lines_writer(output_file)
         arguments = {"filter": record_filter, "most": PAGE_SIZE, "bodies": True}
         for page in store.pages("list", arguments):
             for record in page["records"]:
@@ -59,12 +61,12 @@
         click.echo(f"{count} records", err=True)
 
 
-def _json_lines_writer(out: IO[str]) -> RecordWriter:
-    return lambda record: out.write(json.dumps(record) + "\n")
+def _json_lines_writer(output_file: IO[str]) -> RecordWriter:
+    return lambda record: output_file.write(json.dumps(record) + "\n")
 
 
-def _csv_writer(out: IO[str]) -> RecordWriter:
-    writer = csv.writer(out)
+def _csv_writer(output_file: IO[str]) -> RecordWriter:
+    writer = csv.writer(output_file)
     writer.writerow(CSV_COLUMNS)
     return lambda record: writer.writerow(_csv_row(record))
 
@@ -92,24 +94,24 @@
     store: StoreAccess, record_filter: dict[str, str], output: str, title: str, amount_field: str
 ) -> None:
     """Write a page for the accountants: by partner, tenant, reason and day, with what became of it all."""
-    opened = store.open_store()
+    local_store = store.open_store()
     from honeyhitch.dead_letters.filters import FilterError, RecordFilter
     from honeyhitch.dead_letters.report import Report
 
-    sums = Report(store.settings.resend_settings, time.time_ns(), amount_field)
+    summary = Report(store.settings.resend_settings, time.time_ns(), amount_field)
     try:
-        chosen = RecordFilter.parse(record_filter)
-        count = sum(group.count for group in opened.count_by(chosen, ()))
-        stored = opened.iterate(chosen)
+        parsed_filter = RecordFilter.parse(record_filter)
+        count = sum(group.count for group in local_store.count_by(parsed_filter, ()))
+        stored = local_store.iterate(parsed_filter)
         with click.progressbar(stored, length=count, label="records", file=sys.stderr) as records:
-            sums.add(records)
+            summary.add(records)
     except (FilterError, sqlite3.Error) as error:
         raise click.ClickException(str(error)) from error
     finally:
-        opened.close()
+        local_store.close()
     try:
         with open(output, "x", encoding="utf-8") as file:
-            file.write(sums.html(title))
+            file.write(summary.html(title))
     except OSError as error:
         raise click.ClickException(f"{output}: {error.strerror}") from error
-    click.echo(f"{sum(cell.count for cell in sums.total.values())} messages in {output}")
+    click.echo(f"{sum(cell.count for cell in summary.total.values())} messages in {output}")
--- a/honeyhitch/cli/undelivered/formatting.py
+++ b/honeyhitch/cli/undelivered/formatting.py
@@ -24,11 +24,11 @@
 )  # shown below the other fields, or not shown
 
 
-def format_time(at: int | None) -> str:
+def format_time(timestamp: int | None) -> str:
     """Format a Unix time in nanoseconds as UTC, to the second; None becomes `-`."""
-    if at is None:
+    if timestamp is None:
         return "-"
-    return datetime.datetime.fromtimestamp(at / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
+    return datetime.datetime.fromtimestamp(timestamp / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
 def format_day(number: int) -> str:
--- a/honeyhitch/cli/undelivered/options.py
+++ b/honeyhitch/cli/undelivered/options.py
@@ -28,8 +28,8 @@
         """Return the Unix time in nanoseconds. Fails with a usage error for an invalid time."""
         if isinstance(value, int):
             return value
-        if found := re.fullmatch(r"(\d{1,6})([smhd])", value):
-            age = datetime.timedelta(seconds=int(found[1]) * SECONDS_PER_UNIT[found[2]])
+        if match := re.fullmatch(r"(\d{1,6})([smhd])", value):
+            age = datetime.timedelta(seconds=int(match[1]) * SECONDS_PER_UNIT[match[2]])
             return int((datetime.datetime.now(datetime.UTC) - age).timestamp()) * SECOND
         try:
             time = datetime.datetime.fromisoformat(value)
@@ -156,10 +156,10 @@
             change_reason: str,
             dry_run: bool,
             as_json: bool,
-            **more: Any,
+            **other_options: Any,
         ) -> Any:
             request = ChangeRequest(names, record_filter, everything, change_reason, dry_run, as_json)
-            return command(store, request, **more)
+            return command(store, request, **other_options)
 
         wrapped = filter_options(store_access(_copy_name(with_request, command)))
         for option in (
--- a/honeyhitch/cli/undelivered/queries.py
+++ b/honeyhitch/cli/undelivered/queries.py
@@ -74,12 +74,12 @@
 @store_access
 def show(store: StoreAccess, name: str, as_json: bool) -> None:
     """Show a record whole, with its attempts and what was done to it; ID is the message's or the record's."""
-    found = [store.execute("show", {"seq": sequence}) for sequence in record_sequences(store, name)]
+    answers = [store.execute("show", {"seq": sequence}) for sequence in record_sequences(store, name)]
     if as_json:
-        click.echo(json.dumps(found, indent=2))
+        click.echo(json.dumps(answers, indent=2))
         return
-    for shown in found:
-        click.echo(format_record(shown["record"], shown["audit"]))
+    for answer in answers:
+        click.echo(format_record(answer["record"], answer["audit"]))
 
 
 @click.command()
@@ -134,7 +134,7 @@
 @store_access
 def verify(store: StoreAccess, as_json: bool) -> None:
     """Look at the file and at every seal; exit 1 if anything was altered or is damaged."""
-    opened = store.open_store()
+    local_store = store.open_store()
     faults = list[str]()
 
     def add_fault(line: str) -> None:
@@ -143,16 +143,16 @@
             click.echo(line)
 
     try:
-        for line in opened.verify():
+        for line in local_store.verify():
             add_fault(line)
     except sqlite3.Error as error:
         add_fault(f"file: {error}")
     finally:
-        opened.close()
+        local_store.close()
     if as_json:
-        click.echo(json.dumps({"records": opened.record_count, "faults": faults}))
+        click.echo(json.dumps({"records": local_store.record_count, "faults": faults}))
     else:
-        click.echo(f"{opened.record_count} records, {len(faults)} faults")
+        click.echo(f"{local_store.record_count} records, {len(faults)} faults")
     sys.exit(1 if faults else 0)
 
 
