--- a/honeyhitch/cli/management.py
+++ b/honeyhitch/cli/management.py
@@ -1,4 +1,4 @@
-"""The commands that call a running dispatcher at its `management` address."""
+"""Commands that call a running dispatcher at its `management` address."""
 
 from __future__ import annotations
 
--- a/honeyhitch/config/values.py
+++ b/honeyhitch/config/values.py
@@ -32,7 +32,7 @@
 
 
 def parse_choice(choices: dict[str, T], text: str, name: str) -> T:
-    """Return the value of the choice that `text` names. Raises ConfigError, which calls it `name`."""
+    """Return the value of the choice that `text` names. Raises ConfigError, which calls the text `name`."""
     if text not in choices:
         raise ConfigError(f"{name}: expected one of {', '.join(choices)}, got {text!r}")
     return choices[text]
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -138,7 +138,7 @@
         """Wrap `app`.
 
         Without `config` the dispatcher reads its configuration as `serve` does, from the files that the
-        environment names. With `listen` it also accepts clients on its listening address.
+        environment variables name. With `listen` it also accepts clients on its listening address.
         """
         self.app = app
         self.config = config
--- a/honeyhitch/simulator_host/host.py
+++ b/honeyhitch/simulator_host/host.py
@@ -75,7 +75,7 @@
 
 
 class Host:
-    """All policy instances of this process. It reads batches of events and writes replies to `output`."""
+    """The policy instances of this process, which handle batches of events and reply on `output`."""
 
     def __init__(self, output: TextIO) -> None:
         self.instances: dict[str, Instance] = {}
