--- a/honeyhitch/cli/main.py
+++ b/honeyhitch/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The `honeyhitch` command and its subcommands that need no module of their own."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class LazyGroup(click.Group):
-    """Commands with modules of their own are imported when they are run: `serve` starts without them."""
+    """A command group that imports COMMAND_MODULES on use only, so that `serve` starts without them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names, in alphabetical order."""
+        """Return the names of all commands in alphabetical order."""
         return sorted({*super().list_commands(ctx), *COMMAND_MODULES})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of this name."""
+        """Return the command of this name and import its module if needed; None for an unknown name."""
         if cmd_name in COMMAND_MODULES and cmd_name not in self.commands:
             self.add_command(getattr(import_module(COMMAND_MODULES[cmd_name]), cmd_name))
         return super().get_command(ctx, cmd_name)
@@ -53,12 +53,12 @@
 @click.option("--log-level", type=click.Choice(logs.LEVELS), help="From which level on.")
 def serve(path: str | None, operator: str | None, log_format: str | None, log_level: str | None) -> None:
     """Run one dispatcher in the foreground till SIGTERM; SIGHUP makes it read its configuration again."""
-    from honeyhitch.service.run import serve as run
+    from honeyhitch.service.run import serve as serve_dispatcher
 
     config = _read_config(path, operator)
     logs.setup(log_format or config.operator.log_format, log_level or config.operator.log_level)
     try:
-        run(config, lambda previous: configuration.read(os.environ, path, operator, previous))
+        serve_dispatcher(config, lambda previous: configuration.read(os.environ, path, operator, previous))
     except configuration.ConfigError as error:
         _exit_on_config_error(error)
 
@@ -97,8 +97,10 @@
     fields = f"c={cls},t={tenant},d={left},dest={dest},k={key or message_id}"
     request = _encode_command([b"ENQUEUE", REQUEST_KEY, message_id.encode(), fields.encode(), body.encode()])
     try:
-        target = configuration.Address.parse(address, "address")
-        with socket.create_connection((target.host, target.port), timeout=SEND_TIMEOUT_SECONDS) as sock:
+        dispatcher = configuration.Address.parse(address, "address")
+        with socket.create_connection(
+            (dispatcher.host, dispatcher.port), timeout=SEND_TIMEOUT_SECONDS
+        ) as sock:
             sock.sendall(request)
             answer = sock.makefile("rb").readline().decode(errors="replace").strip()
     except (OSError, configuration.ConfigError) as error:
@@ -108,7 +110,7 @@
 
 
 def _encode_command(arguments: list[bytes]) -> bytes:
-    """A command of the RESP2 protocol."""
+    """Encode a command of the RESP2 protocol."""
     head = b"*%d\r\n" % len(arguments)
     return head + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments)
 
