--- a/tests/broker.py
+++ b/tests/broker.py
@@ -1,6 +1,7 @@
-"""A stand-in for an MQTT 5 broker on loopback, written from the specification for these tests alone.
+"""A minimal MQTT 5 broker on loopback, written from the specification for these tests only.
 
-It keeps sessions over a kill, as a broker with storage does, and grants subscribers the QoS they ask for.
+It keeps its sessions when it is killed, as a broker with persistent storage does, and grants subscribers the
+QoS that they request.
 """
 
 from __future__ import annotations
@@ -17,29 +18,35 @@
 
 @dataclass
 class Kept:
-    """One client's session."""
+    """The session of one client."""
 
     filters: dict[str, int] = field(default_factory=dict)
-    owed: dict[int, Packet] = field(default_factory=dict)  # sent and not acknowledged, or to be released
-    half: set[int] = field(default_factory=set)  # QoS 2, taken and not released
+    owed: dict[int, Packet] = field(
+        default_factory=dict
+    )  # PUBLISH and PUBREL packets that were sent and not acknowledged
+    half: set[int] = field(
+        default_factory=set
+    )  # QoS 2: identifiers of accepted publishes whose PUBREL is missing
     writer: asyncio.StreamWriter | None = None
     last: int = 0
 
 
 class Broker:
-    """`on_publish` may answer a publish itself with a PUBACK, or with None swallow it."""
+    """The broker. `partner` returns the PUBACK of a publish to partner/..., or None to send none."""
 
     def __init__(self) -> None:
         self.kept: dict[str, Kept] = {}
-        self.partner: Callable[[Packet], Packet | None] | None = None  # acknowledges publishes to partner/...
+        self.partner: Callable[[Packet], Packet | None] | None = (
+            None  # without a callback publishes to partner/... are routed as usual
+        )
         self.published: list[Packet] = []
         self.answers_held = False
-        self.secure: ssl.SSLContext | None = None  # plain TCP without one
+        self.secure: ssl.SSLContext | None = None  # None for TCP without TLS
         self.server: asyncio.Server | None = None
         self.port = 0
 
     def subscribed(self, *client_ids: str) -> bool:
-        """Whether the sessions of all these clients have a subscription: what is published reaches them."""
+        """Return whether all these clients have a subscription, so that publishes can reach them."""
         return all(name in self.kept and self.kept[name].filters for name in client_ids)
 
     async def start(self) -> None:
@@ -47,7 +54,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def kill(self) -> None:
-        """Drop every connection at once, as a killed process does; the sessions stay."""
+        """Abort all connections, as if the process were killed; the sessions are kept."""
         assert self.server is not None
         self.server.close()
         for kept in self.kept.values():
@@ -106,7 +113,7 @@
         if packet.topic.startswith("partner/") and self.partner is not None:
             self.write(kept, self.partner(packet))
             return
-        if packet.qos == 2 and packet.id in kept.half:  # a repeat of one that was taken
+        if packet.qos == 2 and packet.id in kept.half:  # a repetition of a publish that was accepted
             self.write(kept, Packet(Kind.PUBREC, id=packet.id))
             return
         for other in self.kept.values():
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -1,4 +1,4 @@
-"""A fleet that loses all its watches at once, against a discovery that sends only so many lines a second."""
+"""Backoff of a fleet that loses all its watches at once, while discovery sends a limited rate of lines."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 from .world import SECOND, World, settings
 
-LINES_PER_SECOND = 250.0  # that discovery sends
-REQUEST_COST = 30  # lines that any request costs
-LIST_COST = 14  # lines that a complete list costs in addition
-GRACE = 2.0  # seconds; granted after a drain
+LINES_PER_SECOND = 250.0  # rate limit of discovery
+REQUEST_COST = 30  # lines that discovery spends on each request
+LIST_COST = 14  # additional lines for a complete list
+GRACE = 2.0  # seconds after the announcement of a drain
 
 
 def create_backoff(
@@ -37,7 +37,11 @@
 
 
 def back(seed: int, count: int = 40, broken_at: float = 10.0) -> tuple[list[float], int]:
-    """When each instance watches again, in seconds after the break, and how many requests were rejected."""
+    """Simulate a fleet after all its watches break.
+
+    Return the time at which each instance has a watch again, in seconds after the break, and the number of
+    rejected requests.
+    """
     fleet = [create_backoff(Random(seed * 100 + i), count) for i in range(count)]
     requests = [(broken_at + backoff.next_pause(broken_at, False), i) for i, backoff in enumerate(fleet)]
     heapq.heapify(requests)
@@ -51,7 +55,7 @@
         cost = REQUEST_COST + (REQUEST_COST + LIST_COST) * fleet[i].full_list
         if left >= cost:
             done.append(now - broken_at)
-        else:  # requests in excess cost it, too
+        else:  # rejected requests use up lines, too
             rejected += 1
             heapq.heappush(requests, (now + fleet[i].next_pause(0.05, True), i))
         left = max(0.0, left - cost)
@@ -102,7 +106,10 @@
 
 @pytest.mark.parametrize("instances", [*range(1, 50), 100, 196, 500, 1000])
 def test_no_drain_is_missed_by_a_pause_whatever_the_size_of_the_fleet(instances: int) -> None:
-    """What the agent has counts as known. Only where it rejected the request has it nothing for us."""
+    """A change that the agent holds counts as known, so a pause may take only a fraction of the drain grace.
+
+    Only an agent that rejected a request holds no change for this instance.
+    """
     for seed in range(20):
         backoff = create_backoff(Random(seed), instances)
         pauses = [backoff.first_pause(), *(backoff.next_pause(0.1 * (seed % 3), False) for _ in range(10))]
@@ -123,7 +130,10 @@
 
 
 def test_an_error_carries_the_status() -> None:
-    """Only after a busy agent, or the end of a good watch, is the revision still useful."""
+    """The status decides whether the complete list is requested next.
+
+    The revision remains usable only after a busy agent and after the end of a successful watch.
+    """
     parser = WatchParser()
     with pytest.raises(WatchError) as caught:
         parser.feed(b"HTTP/1.1 410 Gone\r\nContent-Length: 1\r\n\r\n")
@@ -131,7 +141,7 @@
 
 
 class Longest(Random):
-    """Each draw is the longest that may be drawn."""
+    """A random generator that always draws the upper bound."""
 
     def uniform(self, _a: float, b: float) -> float:
         return b
@@ -141,8 +151,8 @@
 def test_after_rejected_requests_the_next_response_comes_before_the_notification_deadline(
     instances: int,
 ) -> None:
-    """Discovery may have a change, and be reached, right after it rejected a request: that counts as known
-    6 s later, whatever else is allowed then, and however many requests were rejected before.
+    """Discovery may get a change right after it rejected a request. The change counts as known 6 s later, so
+    the pause and the response have to fit into that time, however many requests were rejected before.
     """
     backoff = WatchBackoff(Longest(), instances, True, False, 0.0)
     for _ in range(20):
@@ -152,7 +162,7 @@
 
 
 def test_the_policy_subscribes_again_before_the_notification_deadline() -> None:
-    """The same deadline where the policy itself subscribes: after each failure, however many there were."""
+    """The same deadline applies if the policy subscribes: after each failure, however many preceded it."""
     world = World(settings(must_subscribe=True), ())
     for _ in range(12):
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
@@ -168,14 +178,17 @@
 def test_a_silent_watch_after_a_silent_one_is_over_before_the_drain_grace(
     grace: float, instances: int
 ) -> None:
-    """What the first one misses counts as known 6 s after it fell silent; the third one responds."""
+    """A change that the first watch misses counts as known 6 s after its silence begins.
+
+    The second watch is silent, too; the third watch responds.
+    """
     backoff = WatchBackoff(Longest(), instances, True, False, grace)
     backoff.watch_opened()
     backoff.data_received()
     backoff.timed_out()
     elapsed = HEARTBEAT_TIMEOUT_SECONDS + backoff.next_pause(
         HEARTBEAT_TIMEOUT_SECONDS, False
-    )  # it had heard its list a moment before
+    )  # the first watch had received data just before it fell silent
     backoff.watch_opened()
     elapsed += backoff.read_timeout
     backoff.timed_out()
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,7 +1,9 @@
-"""Plays the recorded exchanges in tests/exchanges against the protocol machines, whole and byte by byte.
+"""Replays the recorded exchanges in tests/exchanges against the protocol state machines.
 
-A case starts with `== NAME`. `>` is fed to the machine, `<` is what it must give, `!` is what it must say
-went wrong; text is written with Python's escapes, and `hex:` starts bytes in hexadecimal digits.
+The input of a byte stream is fed both line by line of the recording and byte by byte. A case starts with
+`== NAME` or `== NAME | ARGUMENT`. A line with `>` is input, one with `<` is expected output, and one with `!`
+is the expected error text. Text is written with Python's escapes, and `hex:` starts bytes in hexadecimal
+digits.
 """
 
 from __future__ import annotations
@@ -48,7 +50,7 @@
 
 
 class Resp:
-    """A client's connection over RESP; a message with the body `busy` is rejected."""
+    """A client connection over RESP; messages with the body `busy` are rejected."""
 
     def __init__(self, _: str) -> None:
         def submit(transaction: Transaction) -> Admission:
@@ -81,7 +83,7 @@
 
 
 class HttpCall:
-    """The response to a call; the argument is the number of its messages."""
+    """The response to a call; the argument is the number of messages in the call."""
 
     def __init__(self, count: str) -> None:
         self.messages, self.parser, self.malformed = (
@@ -117,7 +119,7 @@
 
 
 class Encode:
-    """What is written: fed a word, it gives the bytes."""
+    """The encoders of requests; the input is the name of a request and a number."""
 
     def __init__(self, _: str) -> None:
         pass
@@ -138,7 +140,7 @@
 
 
 class Watch:
-    """Discovery's watch and the pool behind it."""
+    """A watch of discovery and the endpoint pool that it updates."""
 
     def __init__(self, _: str) -> None:
         self.watch, self.pool = discovery.WatchParser(), EndpointPool(SET)
@@ -154,7 +156,9 @@
 
 
 class Mqtt:
-    """A client's session. The argument `keep` makes the server keep it; `sends` starts with two publishes."""
+    """A client session. The argument may contain `keep` for a session that the server keeps between
+    connections, `takes` for a subscription, and `sends` for two publishes at the start.
+    """
 
     def __init__(self, words: str) -> None:
         self.session, self.buffer, self.said = (
@@ -166,7 +170,7 @@
             self.session.subscriptions = ["in"]
         self.session.on_publish = self.taken
         self.session.open()
-        self.session.take_output()  # CONNECT; test_mqtt.py has another library read it
+        self.session.take_output()  # CONNECT, which test_mqtt.py has an independent library decode
         for qos in (1, 2) if "sends" in words else ():
             packet = Packet(Kind.PUBLISH, topic="t", payload=b"x", qos=qos)
             self.session.publish(packet, lambda ack, left: self.said.append(f"{ack and ack.reason} {left}\n"))
@@ -191,7 +195,10 @@
 
 
 class MqttCall:
-    """The acknowledgement of a call; `none` and `left` stand for a connection that broke."""
+    """The acknowledgement of a call.
+
+    The inputs `none` and `left` stand for a lost connection, before and after the publish may have been sent.
+    """
 
     def __init__(self, count: str) -> None:
         member = PoolEndpoint("m", "partner/1", 1, transport="mqtt")
@@ -210,7 +217,7 @@
 
 
 class HealthCheck:
-    """Agent-check or health; the argument is the phase."""
+    """A connection for agent-checks or health checks; the argument is the phase of the dispatcher."""
 
     def __init__(self, phase: str, kind: Callable[[Callable[[], DispatcherState]], Any]) -> None:
         state = DispatcherState(Phase(phase or "ready"), 2, 50)
@@ -225,7 +232,7 @@
 
 
 class Management(HealthCheck):
-    """What operators call; the argument is the phase."""
+    """A management connection; the argument is the phase of the dispatcher."""
 
     def __init__(self, phase: str) -> None:
         super().__init__(phase, lambda state: management.ManagementSession(state, lambda: {"active": 2}))
@@ -236,7 +243,7 @@
 
 
 class Control:
-    """The control socket's side of a connection."""
+    """The server side of a connection to the control socket."""
 
     def __init__(self, _: str) -> None:
         self.machine = control.ControlRequestParser("me")
@@ -261,7 +268,7 @@
 
 
 class MqttTake:
-    """A publish on the intake topic."""
+    """A publish on the intake topic, and the final answer to its message."""
 
     def __init__(self, _: str) -> None:
         self.buffer = Buffer()
@@ -301,7 +308,7 @@
     "health",
     "control",
     "management",
-)  # a connection's bytes, which may come in any pieces
+)  # byte streams, whose input may be split at any position
 FAULTS = (http1.HttpError, discovery.WatchError, MqttError, PoolError, FieldError)
 
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come, a machine answers, waits for more, or names what is wrong."""
+"""For any input, a protocol state machine responds, waits for more, or raises an error with a text."""
 
 from __future__ import annotations
 
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -1,4 +1,4 @@
-"""Lists that are parsed incrementally: the same result at any split, with the needed members alone."""
+"""Incremental parsing of lists: the result does not depend on how the input is split into chunks."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def test_a_watch_that_keeps_few_members_takes_a_list_over_every_limit_and_then_changes() -> None:
-    """25 MB, of which it keeps one member in a thousand, and never more text than one chunk."""
+    """The list has 25 MB. One row in a thousand is kept, and at most one chunk of text is buffered."""
     members = [endpoint_row(f"s-{number:08x}", number) for number in range(190_000)]
     data = json.dumps({"revision": 7, "complete": True, "members": members}).encode()
     assert len(data) > 20_000_000
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -1,7 +1,7 @@
-"""The MQTT machine against packets that an independent library writes and reads."""
+"""The MQTT encoder and decoder, checked against an independent library."""
 
 # ruff: noqa: SLF001  (the library sends each kind of packet by methods that are not public)
-# Its properties are set by name, and its stubs know none of them:
+# The properties of the library are set by name, and its type stubs do not declare them:
 # mypy: disable-error-code="attr-defined, list-item, override"
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Writer(paho.Client):
-    """The library's client, which keeps what it would send."""
+    """The library's client, which collects packets instead of sending them."""
 
     def __init__(self) -> None:
         super().__init__(CallbackAPIVersion.VERSION2, client_id="c", protocol=paho.MQTTv5)
@@ -44,7 +44,7 @@
 
 
 def library() -> list[bytes]:
-    """One packet of each kind that the library's client sends."""
+    """Return packets of every kind that the library's client sends."""
     client = Writer()
     client._clean_start = False
     client.username_pw_set("user", "pass")
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -1,4 +1,4 @@
-"""An agent whose connections fall silent: notices and the watch move to another connection."""
+"""Connections on which the agent stops responding: notices and the watch move to another connection."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .rig import endpoint_row
 from .test_program import listed, watched
 
-NEVER = 3600.0  # seconds
+NEVER = 3600.0  # seconds, a timeout that does not elapse within a test
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 async def notice(stream: Stream) -> str:
-    """The id in one request of one notice."""
+    """Read one request with a single notice and return the id of its message."""
     head = await stream[0].readuntil(b"\r\n\r\n")
     length = re.search(rb"POST /reports .*Content-Length: (\d+)", head, re.DOTALL)
     assert length is not None, head
@@ -35,14 +35,14 @@
 
     async def work() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]) as port:  # nobody listens at s-1
+        async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]) as port:  # s-1 does not listen
             await watched(agent, agent.port)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(enqueue("id", left=500))
             assert await reader.readline() == b"+OK\r\n"
             silent = [
                 await agent.connections.get() for _ in range(dead)
-            ]  # still open: a closed one would be noticed immediately
+            ]  # kept open, because a closed connection would be detected immediately
             for connection in silent:
                 assert await notice(connection) == "id"
             last = await agent.connections.get()
@@ -80,7 +80,7 @@
 
     async def work() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, []):  # no list is known: the complete one is requested
+        async with started(tmp_path, agent.port, []):  # without a list the complete list is requested
             dead = await agent.connections.get()
             agent.connection = await agent.connections.get()
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
