--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -27,54 +27,57 @@
 LINES_PER_SECOND = 250.0  # rate limit of discovery
 REQUEST_COST = 30  # lines that discovery spends on each request
 LIST_COST = 14  # additional lines for a complete list
-GRACE = 2.0  # seconds after the announcement of a drain
+DRAIN_GRACE = 2.0  # seconds after the announcement of a drain
 
 
 def create_backoff(
     rng: Random, instances: int, has_list: bool = True, address_changed: bool = False
 ) -> WatchBackoff:
-    return WatchBackoff(rng, instances, has_list, address_changed, GRACE)
+    return WatchBackoff(rng, instances, has_list, address_changed, DRAIN_GRACE)
 
 
-def back(seed: int, count: int = 40, broken_at: float = 10.0) -> tuple[list[float], int]:
+def simulate_reconnection(seed: int, count: int = 40, broken_at: float = 10.0) -> tuple[list[float], int]:
     """Simulate a fleet after all its watches break.
 
-    Return the time at which each instance has a watch again, in seconds after the break, and the number of
+    Return the times, in seconds after the break, at which instances have a watch again, and the number of
     rejected requests.
     """
     fleet = [create_backoff(Random(seed * 100 + i), count) for i in range(count)]
     requests = [(broken_at + backoff.next_pause(broken_at, False), i) for i, backoff in enumerate(fleet)]
     heapq.heapify(requests)
-    left = LINES_PER_SECOND
-    at = broken_at
+    available_lines = LINES_PER_SECOND
+    updated_at = broken_at
     rejected = 0
-    done: list[float] = []
+    reconnect_times: list[float] = []
     while requests:
         now, i = heapq.heappop(requests)
-        left, at = min(LINES_PER_SECOND, left + LINES_PER_SECOND * (now - at)), now
+        available_lines, updated_at = (
+            min(LINES_PER_SECOND, available_lines + LINES_PER_SECOND * (now - updated_at)),
+            now,
+        )
         cost = REQUEST_COST + (REQUEST_COST + LIST_COST) * fleet[i].full_list
-        if left >= cost:
-            done.append(now - broken_at)
+        if available_lines >= cost:
+            reconnect_times.append(now - broken_at)
         else:  # rejected requests use up lines, too
             rejected += 1
             heapq.heappush(requests, (now + fleet[i].next_pause(0.05, True), i))
-        left = max(0.0, left - cost)
-    return done, rejected
+        available_lines = max(0.0, available_lines - cost)
+    return reconnect_times, rejected
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_a_fleet_gets_its_watches_back_where_discovery_is_short(seed: int) -> None:
-    done, rejected = back(seed)
-    assert len(done) == 40
-    assert max(done) <= 40
-    assert sorted(done)[30] <= 12
+def test_a_fleet_reconnects_its_watches_while_discovery_is_overloaded(seed: int) -> None:
+    reconnect_times, rejected = simulate_reconnection(seed)
+    assert len(reconnect_times) == 40
+    assert max(reconnect_times) <= 40
+    assert sorted(reconnect_times)[30] <= 12
     assert rejected <= 150
 
 
 def test_starts_are_spread_where_there_is_a_list() -> None:
-    firsts = [create_backoff(Random(i), 40).first_pause() for i in range(40)]
-    assert max(firsts) > 0.8
-    assert len({round(first, 1) for first in firsts}) > 5
+    first_pauses = [create_backoff(Random(i), 40).first_pause() for i in range(40)]
+    assert max(first_pauses) > 0.8
+    assert len({round(pause, 1) for pause in first_pauses}) > 5
     assert create_backoff(Random(1), MAX_INSTANCES_WITHOUT_SPREAD).first_pause() == 0
     assert create_backoff(Random(1), 40, has_list=False).first_pause() == 0
     assert create_backoff(Random(1), 40, address_changed=True).first_pause() == 0
@@ -113,15 +116,15 @@
     for seed in range(20):
         backoff = create_backoff(Random(seed), instances)
         pauses = [backoff.first_pause(), *(backoff.next_pause(0.1 * (seed % 3), False) for _ in range(10))]
-        assert max(pauses) <= DRAIN_GRACE_FRACTION * GRACE
+        assert max(pauses) <= DRAIN_GRACE_FRACTION * DRAIN_GRACE
         backoff.next_pause(0.1, True)
-        assert backoff.next_pause(0.1, False) <= DRAIN_GRACE_FRACTION * GRACE
+        assert backoff.next_pause(0.1, False) <= DRAIN_GRACE_FRACTION * DRAIN_GRACE
 
 
 def test_an_unusable_list_is_not_requested_in_a_flood() -> None:
     fleet = [create_backoff(Random(i), 200) for i in range(200)]
-    late = [[backoff.next_pause(0.05, True) for _ in range(12)][-1] for backoff in fleet]
-    assert sum(late) / len(late) >= MAX_BACKOFF_SECONDS / 3
+    last_pauses = [[backoff.next_pause(0.05, True) for _ in range(12)][-1] for backoff in fleet]
+    assert sum(last_pauses) / len(last_pauses) >= MAX_BACKOFF_SECONDS / 3
 
 
 def test_an_unreachable_agent_is_never_contacted_in_a_tight_loop() -> None:
@@ -140,7 +143,7 @@
     assert caught.value.status == 410
 
 
-class Longest(Random):
+class UpperBoundRandom(Random):
     """A random generator that always draws the upper bound."""
 
     def uniform(self, _a: float, b: float) -> float:
@@ -154,7 +157,7 @@
     """Discovery may get a change right after it rejected a request. The change counts as known 6 s later, so
     the pause and the response have to fit into that time, however many requests were rejected before.
     """
-    backoff = WatchBackoff(Longest(), instances, True, False, 0.0)
+    backoff = WatchBackoff(UpperBoundRandom(), instances, True, False, 0.0)
     for _ in range(20):
         pause = backoff.next_pause(0.05, True)
         backoff.watch_opened()
@@ -166,11 +169,11 @@
     world = World(settings(must_subscribe=True), ())
     for _ in range(12):
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
-        failed, before = world.now, len(world.log)
+        failed_at, log_length = world.now, len(world.log)
         world.run(world.now + int(NOTIFICATION_DEADLINE_SECONDS * SECOND))
-        subscribed = [at for at, action in world.log[before:] if isinstance(action, Subscribe)]
+        subscribed = [time for time, action in world.log[log_length:] if isinstance(action, Subscribe)]
         assert subscribed
-        assert subscribed[0] - failed < NOTIFICATION_DEADLINE_SECONDS * SECOND
+        assert subscribed[0] - failed_at < NOTIFICATION_DEADLINE_SECONDS * SECOND
 
 
 @pytest.mark.parametrize("instances", [1, 6, 200])
@@ -182,7 +185,7 @@
 
     The second watch is silent, too; the third watch responds.
     """
-    backoff = WatchBackoff(Longest(), instances, True, False, grace)
+    backoff = WatchBackoff(UpperBoundRandom(), instances, True, False, grace)
     backoff.watch_opened()
     backoff.data_received()
     backoff.timed_out()
@@ -196,25 +199,25 @@
     assert elapsed < NOTIFICATION_DEADLINE_SECONDS + grace - 0.1, "and there is time for the answer"
 
 
-def test_a_silent_agent_is_contacted_less_and_less_and_in_the_end_for_its_complete_list() -> None:
+def test_timeouts_for_a_silent_agent_grow_and_finally_the_complete_list_is_requested() -> None:
     backoff = create_backoff(Random(1), 200)
-    waited: list[float] = []
+    timeouts: list[float] = []
     for _ in range(6):
         backoff.watch_opened()
-        waited.append(backoff.read_timeout)
+        timeouts.append(backoff.read_timeout)
         backoff.timed_out()
-        assert backoff.full_list is (waited[-1] == HEARTBEAT_TIMEOUT_SECONDS)
-    assert waited == sorted(waited)
-    assert waited[0] < 1.1
-    assert waited[-1] == HEARTBEAT_TIMEOUT_SECONDS
+        assert backoff.full_list is (timeouts[-1] == HEARTBEAT_TIMEOUT_SECONDS)
+    assert timeouts == sorted(timeouts)
+    assert timeouts[0] < 1.1
+    assert timeouts[-1] == HEARTBEAT_TIMEOUT_SECONDS
     backoff.watch_opened()
     backoff.data_received()
     assert backoff.read_timeout == HEARTBEAT_TIMEOUT_SECONDS, "from its first bytes on heartbeats come"
     backoff.watch_opened()
-    assert backoff.read_timeout == waited[0]
+    assert backoff.read_timeout == timeouts[0]
 
 
-def test_two_dead_connections_leave_a_notice_in_time() -> None:
+def test_a_notice_is_in_time_after_two_dead_connections() -> None:
     timeout = notices.response_timeout()
     elapsed = 0.0
     for _ in range(2):
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -40,9 +40,9 @@
 from .rig import SETTINGS, START
 from .world import settings
 
-FOLDER = Path(__file__).parent / "exchanges"
+EXCHANGES_DIRECTORY = Path(__file__).parent / "exchanges"
 SET = settings(**SETTINGS)
-Out = Iterator[bytes]
+Output = Iterator[bytes]
 
 
 def messages(count: int) -> list[Transaction]:
@@ -62,15 +62,15 @@
         parser = TransactionParser(SET, lambda destination: destination != 404)
         self.session = resp.Session(parser, submit, lambda: True, lambda: START)
 
-    def feed(self, data: bytes) -> Out:
+    def feed(self, data: bytes) -> Output:
         self.buffer.feed(data)
         yield self.session.receive(self.buffer)
         while self.session.has_more_requests and not self.session.closing:
             yield self.session.receive(self.buffer)
 
-    def end(self) -> Out:
+    def end(self) -> Output:
         for transaction in self.submitted:
-            words = [
+            values = [
                 transaction.id,
                 transaction.key,
                 transaction.destination,
@@ -78,7 +78,7 @@
                 transaction.recovered_from_journal,
                 transaction.body,
             ]
-            yield f"took {' '.join(map(str, words))}\n".encode()
+            yield f"took {' '.join(map(str, values))}\n".encode()
         yield b"closes\n" if self.session.closing else b"half\n" if self.session.has_partial_request else b""
 
 
@@ -91,31 +91,31 @@
             http1.ResponseParser(max_bytes=4096),
             False,
         )
-        self.answer: http1.Response | None = None
+        self.response: http1.Response | None = None
 
-    def feed(self, data: bytes) -> Out:
+    def feed(self, data: bytes) -> Output:
         try:
-            self.answer = None if self.malformed else self.parser.feed(data)
+            self.response = None if self.malformed else self.parser.feed(data)
         except http1.HttpError:
             self.malformed = True
         yield b""
 
-    def show(self, answer: http1.Response) -> bytes:
-        result = calls.interpret_response(answer, self.messages)
-        told = f" wait {result.retry_after // 10**6}" if result.retry_after else ""
-        told += f" {result.reported}" if result.reported else ""
-        ends = " ".join(outcome.value + "+" * over for outcome, over in result.outcomes)
-        return f"{ends}{told}\n".encode()
-
-    def end(self) -> Out:
-        ended = self.answer is None
-        answer = None if self.malformed else self.answer or self.parser.connection_closed()
-        if answer is None:
+    def format_result(self, response: http1.Response) -> bytes:
+        result = calls.interpret_response(response, self.messages)
+        load = f" wait {result.retry_after // 10**6}" if result.retry_after else ""
+        load += f" {result.reported}" if result.reported else ""
+        outcomes = " ".join(outcome.value + "+" * concluded for outcome, concluded in result.outcomes)
+        return f"{outcomes}{load}\n".encode()
+
+    def end(self) -> Output:
+        ended_by_close = self.response is None
+        response = None if self.malformed else self.response or self.parser.connection_closed()
+        if response is None:
             result = calls.interpret_failure(self.parser.status, self.messages, Outcome.RESET)
             yield f"broken: {' '.join(outcome.value for outcome, _ in result.outcomes)}\n".encode()
         else:
-            yield self.show(answer)
-            yield b"" if ended else b"reusable\n" if self.parser.reusable else b"to be closed\n"
+            yield self.format_result(response)
+            yield b"" if ended_by_close else b"reusable\n" if self.parser.reusable else b"to be closed\n"
 
 
 class Encode:
@@ -124,18 +124,18 @@
     def __init__(self, _: str) -> None:
         pass
 
-    def feed(self, data: bytes) -> Out:
+    def feed(self, data: bytes) -> Output:
         name, _, number = data.decode().partition(" ")
         if name == "call":
             yield calls.encode_call(messages(int(number)), 1_500_000_000, "127.0.0.1:80")
         elif name == "watch":
             yield discovery.encode_watch_request("127.0.0.1:85", int(number))
         else:
-            failed, back = messages(2)
-            failed.ending, back.ending, back.retry_after = Ending.FAILED, Ending.REJECTED, int(number)
-            yield notices.encode_request([failed, back], "127.0.0.1:85")
+            failed, rejected = messages(2)
+            failed.ending, rejected.ending, rejected.retry_after = Ending.FAILED, Ending.REJECTED, int(number)
+            yield notices.encode_request([failed, rejected], "127.0.0.1:85")
 
-    def end(self) -> Out:
+    def end(self) -> Output:
         yield b""
 
 
@@ -145,13 +145,16 @@
     def __init__(self, _: str) -> None:
         self.watch, self.pool = discovery.WatchParser(), EndpointPool(SET)
 
-    def feed(self, data: bytes) -> Out:
-        for told in self.watch.feed(data):
-            news = self.pool.update(told)
-            rows = [f"{e.endpoint}:{e.destination}:{e.kind}:{e.status.value}" for e in news.listings]
-            yield f"{news.mode.value} {' '.join(rows)}\n".encode()
+    def feed(self, data: bytes) -> Output:
+        for update in self.watch.feed(data):
+            list_update = self.pool.update(update)
+            listings = [
+                f"{listing.endpoint}:{listing.destination}:{listing.kind}:{listing.status.value}"
+                for listing in list_update.listings
+            ]
+            yield f"{list_update.mode.value} {' '.join(listings)}\n".encode()
 
-    def end(self) -> Out:
+    def end(self) -> Output:
         yield f"revision {self.pool.revision} knows {' '.join(self.pool.endpoints)}\n".encode()
 
 
@@ -160,26 +163,31 @@
     connections, `takes` for a subscription, and `sends` for two publishes at the start.
     """
 
-    def __init__(self, words: str) -> None:
-        self.session, self.buffer, self.said = (
-            mqtt.Session("c", 60 * ("keep" in words)),
+    def __init__(self, options: str) -> None:
+        self.session, self.buffer, self.events = (
+            mqtt.Session("c", 60 * ("keep" in options)),
             Buffer(),
             list[str](),
         )
-        if "takes" in words:
+        if "takes" in options:
             self.session.subscriptions = ["in"]
-        self.session.on_publish = self.taken
+        self.session.on_publish = self.on_publish
         self.session.open()
         self.session.take_output()  # CONNECT, which test_mqtt.py has an independent library decode
-        for qos in (1, 2) if "sends" in words else ():
+        for qos in (1, 2) if "sends" in options else ():
             packet = Packet(Kind.PUBLISH, topic="t", payload=b"x", qos=qos)
-            self.session.publish(packet, lambda ack, left: self.said.append(f"{ack and ack.reason} {left}\n"))
-
-    def taken(self, packet: Packet) -> None:
-        self.said.append(f"{packet.topic} {packet.payload!r} {packet.user} dup={packet.dup}\n")
+            self.session.publish(
+                packet,
+                lambda ack, may_have_been_sent: self.events.append(
+                    f"{ack and ack.reason} {may_have_been_sent}\n"
+                ),
+            )
+
+    def on_publish(self, packet: Packet) -> None:
+        self.events.append(f"{packet.topic} {packet.payload!r} {packet.user} dup={packet.dup}\n")
         self.session.acknowledge(packet)
 
-    def feed(self, data: bytes) -> Out:
+    def feed(self, data: bytes) -> Output:
         if data == b"break":
             self.session.connection_lost()
         elif data == b"again":
@@ -190,8 +198,8 @@
             self.session.receive(self.buffer)
         yield self.session.take_output().hex().encode()
 
-    def end(self) -> Out:
-        yield "".join(self.said).encode()
+    def end(self) -> Output:
+        yield "".join(self.events).encode()
 
 
 class MqttCall:
@@ -201,33 +209,33 @@
     """
 
     def __init__(self, count: str) -> None:
-        member = PoolEndpoint("m", "partner/1", 1, transport="mqtt")
-        self.call = Call(member, messages(int(count)), [], [], START, [])
+        endpoint = PoolEndpoint("m", "partner/1", 1, transport="mqtt")
+        self.call = Call(endpoint, messages(int(count)), [], [], START, [])
 
-    def feed(self, data: bytes) -> Out:
+    def feed(self, data: bytes) -> Output:
         buffer = Buffer()
         buffer.feed(data)
         ack = None if data in (b"none", b"left") else decode(buffer)
         result = mqtt_messages.interpret_acknowledgement(self.call, ack, data == b"left")
-        words = [outcome.value + "+" * over for outcome, over in result.outcomes]
-        yield f"{' '.join(words)} wait {result.retry_after // 10**6} {result.reported}\n".encode()
+        values = [outcome.value + "+" * concluded for outcome, concluded in result.outcomes]
+        yield f"{' '.join(values)} wait {result.retry_after // 10**6} {result.reported}\n".encode()
 
-    def end(self) -> Out:
+    def end(self) -> Output:
         yield b""
 
 
 class HealthCheck:
     """A connection for agent-checks or health checks; the argument is the phase of the dispatcher."""
 
-    def __init__(self, phase: str, kind: Callable[[Callable[[], DispatcherState]], Any]) -> None:
+    def __init__(self, phase: str, create_session: Callable[[Callable[[], DispatcherState]], Any]) -> None:
         state = DispatcherState(Phase(phase or "ready"), 2, 50)
-        self.session, self.buffer = kind(lambda: state), Buffer()
+        self.session, self.buffer = create_session(lambda: state), Buffer()
 
-    def feed(self, data: bytes) -> Out:
+    def feed(self, data: bytes) -> Output:
         self.buffer.feed(data)
         yield b"" if self.session.closing else self.session.receive(self.buffer)
 
-    def end(self) -> Out:
+    def end(self) -> Output:
         yield self.session.greeting + b"closes\n" * self.session.closing
 
 
@@ -237,7 +245,7 @@
     def __init__(self, phase: str) -> None:
         super().__init__(phase, lambda state: management.ManagementSession(state, lambda: {"active": 2}))
 
-    def end(self) -> Out:
+    def end(self) -> Output:
         yield from super().end()
         yield b"half\n" * self.session.has_partial_request
 
@@ -246,45 +254,45 @@
     """The server side of a connection to the control socket."""
 
     def __init__(self, _: str) -> None:
-        self.machine = control.ControlRequestParser("me")
+        self.parser = control.ControlRequestParser("me")
 
-    def feed(self, data: bytes) -> Out:
-        if self.machine.closing:
+    def feed(self, data: bytes) -> Output:
+        if self.parser.closing:
             return
-        wrong = ""
+        problem = ""
         try:
-            self.machine.feed(data)
+            self.parser.feed(data)
         except control.ControlError as error:
-            wrong = f"{error.status.value} {error.reason}\n"
-        requests = self.machine.requests
-        self.machine.requests = []
+            problem = f"{error.status.value} {error.reason}\n"
+        requests = self.parser.requests
+        self.parser.requests = []
         for request in requests:
             assert request.actor == "me"
             yield f"{request.method} {request.path} {json.dumps(request.arguments)}\n".encode()
-        yield wrong.encode()
+        yield problem.encode()
 
-    def end(self) -> Out:
-        yield b"closing\n" * self.machine.closing
+    def end(self) -> Output:
+        yield b"closing\n" * self.parser.closing
 
 
-class MqttTake:
+class MqttIntake:
     """A publish on the intake topic, and the final answer to its message."""
 
     def __init__(self, _: str) -> None:
         self.buffer = Buffer()
 
-    def feed(self, data: bytes) -> Out:
+    def feed(self, data: bytes) -> Output:
         packet = Packet(Kind.PUBLISH, **json.loads(data)) if data[:1] == b"{" else None
         assert packet is not None
         packet.payload = b"body"
         packet.user = [(name, value) for name, value in packet.user]
-        taken = mqtt_messages.parse_transaction(TransactionParser(SET, lambda _: True), packet, START)
-        taken.ending, taken.retry_after = Ending.REJECTED, 250_000_000
-        answer = mqtt_messages.encode_final_answer(taken)
-        left = (taken.deadline - START) // 10**6
-        yield f"{taken.id} {taken.key} {left} -> {answer.topic} {answer.payload.decode()}\n".encode()
+        message = mqtt_messages.parse_transaction(TransactionParser(SET, lambda _: True), packet, START)
+        message.ending, message.retry_after = Ending.REJECTED, 250_000_000
+        answer = mqtt_messages.encode_final_answer(message)
+        time_left = (message.deadline - START) // 10**6
+        yield f"{message.id} {message.key} {time_left} -> {answer.topic} {answer.payload.decode()}\n".encode()
 
-    def end(self) -> Out:
+    def end(self) -> Output:
         yield b""
 
 
@@ -297,7 +305,7 @@
     "health": lambda phase: HealthCheck(phase, agent_check.HealthSession),
     "mqtt": Mqtt,
     "mqtt-call": MqttCall,
-    "mqtt-take": MqttTake,
+    "mqtt-take": MqttIntake,
     "control": Control,
     "management": Management,
 }
@@ -319,7 +327,7 @@
 
 
 def cases() -> Iterator[Any]:
-    for file in sorted(FOLDER.glob("*.txt")):
+    for file in sorted(EXCHANGES_DIRECTORY.glob("*.txt")):
         name, argument, lines = "", "", list[str]()
         for line in [*file.read_text().splitlines(), "== "]:
             if line.startswith("== "):
@@ -335,16 +343,16 @@
 
 @pytest.mark.parametrize(("machine", "argument", "lines", "split"), list(cases()))
 def test_exchange(machine: str, argument: str, lines: list[str], split: bool) -> None:
-    player, given = MACHINES[machine](argument), b""
-    wrong = ""
+    adapter, output = MACHINES[machine](argument), b""
+    problem = ""
     try:
         for line in lines:
             if line[0] == ">":
                 data = raw(line[2:])
-                for piece in [data[i : i + 1] for i in range(len(data))] if split else [data]:
-                    given += b"".join(player.feed(piece))
-        given += b"".join(player.end())
+                for chunk in [data[i : i + 1] for i in range(len(data))] if split else [data]:
+                    output += b"".join(adapter.feed(chunk))
+        output += b"".join(adapter.end())
     except FAULTS as error:
-        wrong = str(error)
-    assert given == b"".join(raw(line[2:]) for line in lines if line[0] == "<")
-    assert wrong == "".join(line[2:] for line in lines if line[0] == "!")
+        problem = str(error)
+    assert output == b"".join(raw(line[2:]) for line in lines if line[0] == "<")
+    assert problem == "".join(line[2:] for line in lines if line[0] == "!")
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -15,7 +15,7 @@
 
 from .test_exchanges import FAULTS, HealthCheck, Resp, messages
 
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         b"*5\r\n",
         b"$7\r\n",
@@ -42,40 +42,40 @@
         b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
     ]
 )
-BYTES = st.lists(PIECES | st.binary(max_size=12), max_size=8).map(b"".join)
+BYTES = st.lists(FRAGMENTS | st.binary(max_size=12), max_size=8).map(b"".join)
 
 
-def answer(data: bytes) -> None:
-    machine = http1.ResponseParser()
-    if (found := machine.feed(data) or machine.connection_closed()) is not None:
-        result = calls.interpret_response(found, messages(2))
+def feed_http_response(data: bytes) -> None:
+    parser = http1.ResponseParser()
+    if (response := parser.feed(data) or parser.connection_closed()) is not None:
+        result = calls.interpret_response(response, messages(2))
         assert len(result.outcomes) == 2
         assert result.retry_after >= 0
 
 
-def session(data: bytes) -> None:
-    one, buffer = mqtt.Session("c", 60), Buffer()
-    one.open()
-    one.publish(Packet(Kind.PUBLISH, topic="t", qos=2), lambda *_: None)
+def feed_mqtt_session(data: bytes) -> None:
+    session, buffer = mqtt.Session("c", 60), Buffer()
+    session.open()
+    session.publish(Packet(Kind.PUBLISH, topic="t", qos=2), lambda *_: None)
     buffer.feed(b"\x20\x03\x00\x00\x00" + data)
-    one.receive(buffer)
-    one.connection_lost()
+    session.receive(buffer)
+    session.connection_lost()
 
 
-def front(data: bytes) -> None:
+def feed_resp(data: bytes) -> None:
     list(Resp("").feed(data))
 
 
-def health(data: bytes) -> None:
+def feed_health_check(data: bytes) -> None:
     list(HealthCheck("", agent_check.HealthSession).feed(data))
 
 
 MACHINES: list[Callable[[bytes], Any]] = [
-    front,
-    answer,
+    feed_resp,
+    feed_http_response,
     lambda data: discovery.WatchParser().feed(data),
-    session,
-    health,
+    feed_mqtt_session,
+    feed_health_check,
 ]
 
 
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -60,30 +60,30 @@
         ListParser(lambda _: True).feed(data)
 
 
-def test_a_watch_that_keeps_few_members_takes_a_list_over_every_limit_and_then_changes() -> None:
+def test_a_watch_that_keeps_few_rows_parses_a_list_over_every_limit_and_then_a_change() -> None:
     """The list has 25 MB. One row in a thousand is kept, and at most one chunk of text is buffered."""
     members = [endpoint_row(f"s-{number:08x}", number) for number in range(190_000)]
     data = json.dumps({"revision": 7, "complete": True, "members": members}).encode()
     assert len(data) > 20_000_000
     watch = WatchParser(lambda row: row["cell"] % 1000 == 0)
-    found: list[dict[str, Any]] = []
-    found += watch.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    updates: list[dict[str, Any]] = []
+    updates += watch.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     chunk_size = 1 << 16
     for start in range(0, len(data), chunk_size):
         chunk = data[start : start + chunk_size]
-        found += watch.feed(b"%x\r\n%s\r\n" % (len(chunk), chunk))
-    assert [len(one["members"]) for one in found] == [190]
-    assert found[0]["complete"]
+        updates += watch.feed(b"%x\r\n%s\r\n" % (len(chunk), chunk))
+    assert [len(update["members"]) for update in updates] == [190]
+    assert updates[0]["complete"]
     assert watch.list_parser is not None
     assert watch.list_parser.unparsed_length <= chunk_size
     change = json.dumps({"revision": 8, "complete": False, "members": [endpoint_row("s-1", 1000)]}).encode()
     for text in (b"\n", change, b"\n"):
-        found += watch.feed(b"%x\r\n%s\r\n" % (len(text), text))
-    assert found[1]["revision"] == 8
-    assert len(found) == 2
+        updates += watch.feed(b"%x\r\n%s\r\n" % (len(text), text))
+    assert updates[1]["revision"] == 8
+    assert len(updates) == 2
 
 
-def test_a_watch_says_what_was_wrong_with_a_list() -> None:
+def test_the_error_of_a_watch_includes_the_error_of_its_list() -> None:
     watch = WatchParser(lambda _: True)
     watch.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     with pytest.raises(WatchError, match="members: expected an object"):
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -20,37 +20,39 @@
 from honeyhitch.protocols.mqtt_packets import Kind, Packet, decode, encode
 
 
-class Writer(paho.Client):
+class CollectingClient(paho.Client):
     """The library's client, which collects packets instead of sending them."""
 
     def __init__(self) -> None:
         super().__init__(CallbackAPIVersion.VERSION2, client_id="c", protocol=paho.MQTTv5)
-        self.written: list[bytes] = []
+        self.sent_packets: list[bytes] = []
         self._sock = object()  # type: ignore[assignment]
 
     def _packet_queue(self, _command: int, packet: bytes, *_: Any, **__: Any) -> Any:
-        self.written.append(bytes(packet))
+        self.sent_packets.append(bytes(packet))
         return paho.MQTT_ERR_SUCCESS
 
     def _sock_close(self) -> None:
         pass
 
 
-def properties(kind: int, **values: Any) -> Properties:
-    made = Properties(kind)
+def create_properties(kind: int, **values: Any) -> Properties:
+    created = Properties(kind)
     for name, value in values.items():
-        setattr(made, name, value)
-    return made
+        setattr(created, name, value)
+    return created
 
 
-def library() -> list[bytes]:
+def library_packets() -> list[bytes]:
     """Return packets of every kind that the library's client sends."""
-    client = Writer()
+    client = CollectingClient()
     client._clean_start = False
     client.username_pw_set("user", "pass")
-    client._connect_properties = properties(PacketTypes.CONNECT, SessionExpiryInterval=60, ReceiveMaximum=10)
+    client._connect_properties = create_properties(
+        PacketTypes.CONNECT, SessionExpiryInterval=60, ReceiveMaximum=10
+    )
     client._send_connect(20)
-    rich = properties(
+    publish_properties = create_properties(
         PacketTypes.PUBLISH,
         MessageExpiryInterval=9,
         ContentType="x",
@@ -58,7 +60,7 @@
         CorrelationData=b"\x00\x01",
         UserProperty=[("id", "a"), ("k", "é")],
     )
-    client._send_publish(7, b"in", b"body", 1, False, False, None, rich)
+    client._send_publish(7, b"in", b"body", 1, False, False, None, publish_properties)
     client._send_publish(8, b"in", bytes(200), 2, True, True, None, None)
     client._send_publish(0, b"in", b"", 0, False, False, None, None)
     client._send_subscribe(False, [("a/#", SubscribeOptions(qos=1))], None)
@@ -69,11 +71,11 @@
     client._send_pubcomp(8)
     client._send_pingreq()
     client._send_disconnect(None, None)
-    return client.written
+    return client.sent_packets
 
 
-@pytest.mark.parametrize("data", library(), ids=lambda data: f"{Kind(data[0] >> 4).name}-{len(data)}")
-def test_what_the_library_writes_is_read_and_written_alike(data: bytes) -> None:
+@pytest.mark.parametrize("data", library_packets(), ids=lambda data: f"{Kind(data[0] >> 4).name}-{len(data)}")
+def test_packets_of_the_library_are_decoded_and_encoded_again(data: bytes) -> None:
     buffer = Buffer()
     for i in range(len(data)):
         assert decode(buffer) is None
@@ -81,17 +83,17 @@
     packet = decode(buffer)
     assert packet is not None
     assert not len(buffer)
-    again = Buffer()
-    again.feed(encode(packet))
+    reencoded = Buffer()
+    reencoded.feed(encode(packet))
     assert len(encode(packet)) == len(data)
-    assert decode(again) == packet
+    assert decode(reencoded) == packet
     if not packet.properties:
         assert encode(packet) == data
 
 
-def test_the_fields_are_what_the_library_meant() -> None:
+def test_decoded_fields_are_those_that_the_library_encoded() -> None:
     buffer = Buffer()
-    connect, publish = library()[:2]
+    connect, publish = library_packets()[:2]
     buffer.feed(connect + publish)
     first, second = decode(buffer), decode(buffer)
     assert first == Packet(
@@ -102,25 +104,25 @@
         username="user",
         password=b"pass",
     )
-    wanted = {"message_expiry": 9, "content_type": "x", "response_topic": "re", "correlation": b"\x00\x01"}
+    expected = {"message_expiry": 9, "content_type": "x", "response_topic": "re", "correlation": b"\x00\x01"}
     assert second is not None
-    assert second.properties == wanted
+    assert second.properties == expected
     assert (second.user, second.payload, second.id, second.qos) == ([("id", "a"), ("k", "é")], b"body", 7, 1)
 
 
-def test_the_library_reads_the_properties_that_the_machine_writes() -> None:
+def test_the_library_decodes_the_properties_that_are_encoded_here() -> None:
     session = Session("c", session_expiry=60)
     session.open()
     data = session.take_output()
-    read = Properties(PacketTypes.CONNECT)
-    read.unpack(data[2 + 10 :])
-    assert (read.SessionExpiryInterval, read.ReceiveMaximum) == (60, 1024)
+    decoded = Properties(PacketTypes.CONNECT)
+    decoded.unpack(data[2 + 10 :])
+    assert (decoded.SessionExpiryInterval, decoded.ReceiveMaximum) == (60, 1024)
     values: dict[str, Any] = {"response_topic": "re", "correlation": b"\xff", "content_type": "x"}
     data = encode(
         Packet(Kind.PUBLISH, topic="t", user=[("a", "b"), ("a", "ü")], properties=values, payload=b"!")
     )
-    read = Properties(PacketTypes.PUBLISH)
-    _, used = read.unpack(data[2 + 3 :])
-    assert (read.ResponseTopic, read.CorrelationData, read.ContentType) == ("re", b"\xff", "x")
-    assert read.UserProperty == [("a", "b"), ("a", "ü")]
-    assert data[2 + 3 + used :] == b"!"
+    decoded = Properties(PacketTypes.PUBLISH)
+    _, length = decoded.unpack(data[2 + 3 :])
+    assert (decoded.ResponseTopic, decoded.CorrelationData, decoded.ContentType) == ("re", b"\xff", "x")
+    assert decoded.UserProperty == [("a", "b"), ("a", "ü")]
+    assert data[2 + 3 + length :] == b"!"
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -15,11 +15,11 @@
 from .rig import endpoint_row
 from .test_program import listed, watched
 
-NEVER = 3600.0  # seconds, a timeout that does not elapse within a test
+UNREACHED_TIMEOUT_SECONDS = 3600.0  # seconds, a timeout that does not elapse within a test
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-async def notice(stream: Stream) -> str:
+async def read_notice_id(stream: Stream) -> str:
     """Read one request with a single notice and return the id of its message."""
     head = await stream[0].readuntil(b"\r\n\r\n")
     length = re.search(rb"POST /reports .*Content-Length: (\d+)", head, re.DOTALL)
@@ -31,9 +31,9 @@
 def test_a_notice_on_a_silent_connection_is_repeated_on_another(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, dead: int
 ) -> None:
-    monkeypatch.setattr(notices, "MAX_RESPONSE_SECONDS", NEVER)
+    monkeypatch.setattr(notices, "MAX_RESPONSE_SECONDS", UNREACHED_TIMEOUT_SECONDS)
 
-    async def work() -> None:
+    async def scenario() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]) as port:  # s-1 does not listen
             await watched(agent, agent.port)
@@ -44,23 +44,23 @@
                 await agent.connections.get() for _ in range(dead)
             ]  # kept open, because a closed connection would be detected immediately
             for connection in silent:
-                assert await notice(connection) == "id"
-            last = await agent.connections.get()
-            assert await notice(last) == "id"
-            last[1].write(b"HTTP/1.1 204 No Content\r\n\r\n")
+                assert await read_notice_id(connection) == "id"
+            responding = await agent.connections.get()
+            assert await read_notice_id(responding) == "id"
+            responding[1].write(b"HTTP/1.1 204 No Content\r\n\r\n")
             writer.write(b"PING\r\n")
             assert await reader.readline() == b"+PONG\r\n"
 
-    play(work())
+    play(scenario())
 
 
 def test_a_watch_without_a_response_is_abandoned_before_a_silent_one_would_be(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery_backoff, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
-    monkeypatch.setattr(discovery_backoff, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
+    monkeypatch.setattr(discovery_backoff, "HEARTBEAT_TIMEOUT_SECONDS", UNREACHED_TIMEOUT_SECONDS)
+    monkeypatch.setattr(discovery_backoff, "NOTIFICATION_DEADLINE_SECONDS", UNREACHED_TIMEOUT_SECONDS + 1.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]):
             dead = await agent.connections.get()
@@ -69,16 +69,16 @@
             agent.connection = second
             await watched(agent, agent.port)
 
-    play(work())
+    play(scenario())
 
 
 def test_a_list_that_never_arrives_is_requested_on_another_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery_backoff, "HEARTBEAT_TIMEOUT_SECONDS", NEVER)
-    monkeypatch.setattr(discovery_backoff, "NOTIFICATION_DEADLINE_SECONDS", NEVER + 1.0)
+    monkeypatch.setattr(discovery_backoff, "HEARTBEAT_TIMEOUT_SECONDS", UNREACHED_TIMEOUT_SECONDS)
+    monkeypatch.setattr(discovery_backoff, "NOTIFICATION_DEADLINE_SECONDS", UNREACHED_TIMEOUT_SECONDS + 1.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         agent = await Peer().start()
         async with started(tmp_path, agent.port, []):  # without a list the complete list is requested
             dead = await agent.connections.get()
@@ -86,4 +86,4 @@
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
             await listed(agent, agent.port, [endpoint_row("s-1", 1)])
 
-    play(work())
+    play(scenario())
