--- a/honeyhitch/protocols/forwarding.py
+++ b/honeyhitch/protocols/forwarding.py
@@ -83,7 +83,7 @@
         self._data = b""
 
     def feed(self, data: bytes) -> bytes | None:
-        """Add received bytes; return the reply once it is complete, before that None.
+        """Add received bytes; return the reply, or None while it is incomplete.
 
         Raise ValueError for a malformed reply.
         """
--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -85,7 +85,7 @@
         return self.response.status
 
     def feed(self, data: bytes) -> Response | None:
-        """Parse received bytes; return the response once it is complete, before that None.
+        """Parse received bytes; return the response, or None while it is incomplete.
 
         Raise HttpError for a response that is malformed or too long.
         """
--- a/honeyhitch/protocols/list_parser.py
+++ b/honeyhitch/protocols/list_parser.py
@@ -116,7 +116,7 @@
             raise ListError(f"list: more than {MAX_KEPT_ROWS} members have to be kept")
 
     def _parse_tail(self, head: str) -> dict[str, Any] | None:
-        """Return the list once the text after its rows is complete, before that None.
+        """Return the list, or None while the text after its rows is incomplete.
 
         The text before and after the rows is decoded as one object with an empty `members` array.
         """
--- a/honeyhitch/protocols/management.py
+++ b/honeyhitch/protocols/management.py
@@ -50,7 +50,7 @@
         self.has_partial_request = False
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Return the reply once the command line is complete, before that no bytes."""
+        """Return the reply, or no bytes while the command line is incomplete."""
         end = buffer.find(b"\n", 0, MAX_LINE_BYTES)
         self.has_partial_request = end < 0 and 0 < len(buffer) < MAX_LINE_BYTES
         if self.has_partial_request or not len(buffer):
