--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -114,7 +114,7 @@
     def _split_lines(self, data: bytes) -> None:
         self.partial_line += data
         if len(self.partial_line) + len(self.partial_object) > MAX_LIST_BYTES:
-            raise WatchError(f"watch: an object is longer than {MAX_LIST_BYTES} bytes")
+            raise WatchError(f"watch: over {MAX_LIST_BYTES} bytes are not parsed yet")
         *lines, remainder = bytes(self.partial_line).split(b"\n")
         self.partial_line = bytearray(remainder)
         for line in lines:
