--- a/honeyhitch/policy/endpoint_state.py
+++ b/honeyhitch/policy/endpoint_state.py
@@ -63,6 +63,6 @@
         return blocked_until if self.capacity else max(blocked_until, self.connect_blocked_until)
 
     def recovery_estimate(self) -> int:
-        """Return the time from which a call to the endpoint may succeed again, as far as known."""
+        """Return the estimated time from which a call to the endpoint may succeed again."""
         state = self.state
         return max(state.retry_after_until, state.circuit.next_probe_at, self.connect_blocked_until)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize(
-    ("load", "delivered", "rejected"),  # load as a multiple of the limit; fractions of submitted messages
+    ("load", "delivered", "rejected"),  # multiple of the limit, and two fractions of the messages submitted
     [(0.5, 0.97, 0.02), (1.0, 0.75, 0.06), (1.5, 0.4, 0.18)],
 )
 def test_two_hundred_instances_with_uneven_traffic_share_a_single_limit(
@@ -117,7 +117,7 @@
 def test_twenty_or_thirty_instances_send_no_more_than_a_recovering_destination_sustains(
     count: int, limit: float, load: float, down_for: int, uneven: bool, seed: int
 ) -> None:
-    """Beyond the N calls that it sustains, 2 x root of N + 2 calls are attributed to chance.
+    """Beyond the N calls that the destination sustains, 2 x root of N + 2 calls are attributed to chance.
 
     The calls of all instances count, whether or not they detected the outage.
     """
--- a/tests/world.py
+++ b/tests/world.py
@@ -205,7 +205,7 @@
                 assert self.settings.can_cancel
 
     def check_answer(self, message: SubmittedMessage, rejected: bool) -> None:
-        """Check that a final answer is the only one, in time, and if a rejection, harmless (rule 2)."""
+        """Check that a message has one answer, in time, and is rejected only if that is harmless (rule 2)."""
         # A message may be answered because of one event of a batch and withdrawn by a later one.
         assert not message.answers, "two final answers"
         assert message.withdrawn_at in (None, self.now), "answered though withdrawn"
