--- a/honeyhitch/transports/__init__.py
+++ b/honeyhitch/transports/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: they connect, accept, read and write for the state machines in `honeyhitch.protocols`."""
+"""Network I/O: connects, accepts, reads and writes for the state machines in `honeyhitch.protocols`."""
--- a/honeyhitch/transports/channel.py
+++ b/honeyhitch/transports/channel.py
@@ -1,4 +1,4 @@
-"""A connection as transports read and write it: a plain socket here, or TLS in `tls_channel`."""
+"""Defines how transports read and write a connection: an unencrypted one here, TLS in `tls_channel`."""
 
 from __future__ import annotations
 
@@ -16,22 +16,25 @@
     sock: socket.socket
 
     async def send(self, data: bytes) -> None:
-        """Write all of it. Raises OSError if the connection breaks."""
+        """Write all of `data`. Raise OSError if the connection breaks."""
 
     async def read(self, buffer: Buffer) -> int:
-        """Read once into the buffer; 0 at the end of the connection.
+        """Read once into the buffer and return the number of bytes, 0 at the end of the connection.
 
-        Raises OSError if it breaks, TlsError among them.
+        Raise OSError, of which TlsError is a subclass, if the connection breaks.
         """
 
     async def receive(self, buffer: Buffer) -> bytes:
-        """Read once, by way of the buffer, which is emptied; no bytes at the end of the connection."""
+        """Read once and return the bytes, none at the end of the connection.
+
+        An implementation may read into `buffer`, which it empties. Raise OSError as `read` does.
+        """
 
     def read_available(self, buffer: Buffer) -> bytes:
-        """What has come and was not read, without waiting."""
+        """Return the bytes that were received and not read yet, without waiting for more."""
 
     def is_reusable(self) -> bool:
-        """Whether the connection is alive and nothing unexpected has come on it."""
+        """Return whether the connection is alive and nothing unexpected was received on it."""
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -47,23 +50,23 @@
         self.sock = sock
 
     async def send(self, data: bytes) -> None:
-        """Write all of it. Raises OSError if the connection breaks."""
+        """Write all of `data`. Raise OSError if the connection breaks."""
         await self.loop.sock_sendall(self.sock, data)
 
     async def read(self, buffer: Buffer) -> int:
-        """Read once into the buffer; 0 at the end of the connection."""
+        """Read once into the buffer and return the number of bytes, 0 at the end of the connection."""
         return await sockets.read(self.loop, self.sock, buffer)
 
     async def receive(self, buffer: Buffer) -> bytes:
-        """The bytes of one read; none at the end of the connection."""
+        """Read once into the buffer, empty it and return the bytes, none at the end of the connection."""
         return buffer.consume_all() if await sockets.read(self.loop, self.sock, buffer) else b""
 
     def read_available(self, buffer: Buffer) -> bytes:
-        """What has come and was not read, without waiting."""
+        """Return the bytes that were received and not read yet, without waiting for more."""
         return buffer.consume_all() if sockets.read_available(self.sock, buffer) > 0 else b""
 
     def is_reusable(self) -> bool:
-        """Whether the connection is alive and nothing has come on it."""
+        """Return whether the connection is alive and nothing was received on it."""
         return sockets.is_reusable(self.sock)
 
     def close(self) -> None:
--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -1,8 +1,8 @@
-"""Accepts client connections, and lets a protocol session answer what the clients send.
+"""Accepts client connections and has a protocol session answer the requests that the clients send.
 
-A connection has its slot for as long as it is used. One that sends nothing, or never completes what it
-began, is closed after a timeout. When all slots are taken, the connection that has been unused for longest
-is closed for the next client.
+A connection keeps its slot while it is in use. A new connection that sends nothing, and a connection with an
+incomplete request, are closed after a timeout. When all slots are taken, the connection that has been unused
+for longest is closed to free a slot for the next client.
 """
 
 from __future__ import annotations
@@ -21,52 +21,61 @@
 from honeyhitch.transports.tasks import Tasks
 
 log = logs.get()
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-ACCEPT_RETRY_SECONDS = 0.05  # pause when no file descriptor was left
-REQUEST_TIMEOUT_SECONDS = 2.0  # for a first request, the rest of a partial one, and for replies to be read
-# Without a first byte for this long, a new client may lose its slot: its request would have come by now.
+LISTEN_BACKLOG = 1024  # maximum number of connections that wait to be accepted
+ACCEPT_RETRY_SECONDS = 0.05  # pause after accept() failed because no file descriptor was left
+# Time limit for the first request, for the rest of a partial request, and for the client to read replies.
+REQUEST_TIMEOUT_SECONDS = 2.0
+# A new client that has sent no byte for this long may lose its slot: a request in transit would have arrived.
 IDLE_CLIENT_SECONDS = 0.1
-NEW_CLIENT_SECONDS = 0.3  # a new client may send its first request, where another process accepts later ones
+# A new client is given this time to send its first request before the server counts as quiescent, where
+# another process accepts later connections.
+NEW_CLIENT_SECONDS = 0.3
 SWEEP_INTERVAL_SECONDS = 0.25  # between checks for timeouts
-SLOT_POLL_SECONDS = 0.01  # between checks for a free slot when all are taken
+SLOT_POLL_SECONDS = 0.01  # between checks for a free slot while all slots are taken
 REQUEST_TIMEOUT_REPLY = b"-ERR request: not whole in time\r\n"
 
 
 class ServerSession(Protocol):
-    """The protocol of one connection, without I/O."""
+    """The server side of a protocol on one connection, without I/O."""
 
-    greeting: bytes  # sent before anything is read
-    closing: bool  # the connection is to be closed
-    has_more_requests: bool  # complete requests are left in the buffer
+    greeting: bytes  # sent before the first request is read
+    closing: bool  # the connection must be closed
+    has_more_requests: bool  # the buffer may contain further complete requests
     has_partial_request: bool  # the last request is incomplete
 
     @property
     def forward(self) -> Transaction | None:
-        """A transaction that another instance of the fleet answers; its reply has to be sent first."""
+        """The transaction that another instance of the fleet has to answer, or None.
+
+        The reply of that instance must be sent before any further request is handled.
+        """
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Replies to the complete requests in the buffer, or to some of them if `has_more_requests`."""
+        """Return the replies to complete requests in the buffer; with `has_more_requests` some are left."""
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One client's connection; `state_since` is when its state last changed, on the loop's clock."""
+    """One client's connection; `state_since` is the time on the loop's clock when its state last changed."""
 
     sock: socket.socket
     state_since: float  # seconds
-    answered: bool = False  # it has had a reply
+    answered: bool = False  # at least one reply was sent
     has_partial_request: bool = False
     sending: bool = False  # a reply is being written
-    closed: bool = False  # nothing more is read from it
+    closed: bool = False  # nothing more is read from the connection
 
     @property
     def between_requests(self) -> bool:
-        """Nothing is pending: it may be closed, and the client connects anew for its next request."""
+        """Whether the client was answered and nothing is pending.
+
+        The connection may then be closed, because the client opens another one for its next request.
+        """
         return self.answered and self._quiet
 
     @property
     def idle(self) -> bool:
-        """It has not sent anything yet."""
+        """Whether the client has not sent anything yet."""
         return not self.answered and self._quiet
 
     @property
@@ -75,7 +84,7 @@
 
 
 class ClientServer:
-    """One listener and its clients' connections."""
+    """One listener and the connections of its clients."""
 
     def __init__(
         self,
@@ -87,11 +96,12 @@
         reuse_port: bool = False,
         forward: Callable[[Transaction], Awaitable[bytes | None]] | None = None,
     ) -> None:
-        """Bind and listen. Raises OSError.
+        """Bind and listen. Raise OSError if the address cannot be used.
 
-        `single_request`: a connection carries one request. `reuse_port`: another process may share the
-        address. `forward` obtains the reply of the instance that owns a transaction's destination; if it
-        gives None the connection is closed without a reply, as by a dispatcher that did not answer.
+        `single_request`: a connection carries one request only. `reuse_port`: another process may listen on
+        the same address. `forward` obtains the reply of the instance that owns a transaction's destination;
+        if it returns None, the connection is closed without a reply, which the client handles as a dispatcher
+        that did not answer.
         """
         self.create_session = create_session
         self.max_clients = max_clients
@@ -99,9 +109,9 @@
         self.loop = tasks.loop
         self.single_request = single_request
         self.forward = forward
-        self.clients: dict[Client, None] = {}  # in the order of `state_since`, the oldest first
+        self.clients: dict[Client, None] = {}  # ordered by `state_since`, the oldest first
         self.draining = False
-        self.awaiting_slot = False  # a connection was accepted and waits for a slot
+        self.awaiting_slot = False  # an accepted connection is waiting for a slot
         self.listener = sockets.new_tcp_socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if reuse_port:
@@ -111,7 +121,7 @@
 
     @property
     def port(self) -> int:
-        """The port on which it listens."""
+        """The TCP port of the listener."""
         return int(self.listener.getsockname()[1])
 
     async def accept(self) -> None:
@@ -120,9 +130,9 @@
             await sockets.wait_readable(self.loop, self.listener)
             try:
                 sock, _ = self.listener.accept()
-            except (BlockingIOError, InterruptedError):  # the client has gone meanwhile
+            except (BlockingIOError, InterruptedError):  # the client closed its connection before accept()
                 continue
-            except OSError as error:  # no file descriptor left: those in use will become free
+            except OSError as error:  # no file descriptor is left; some will be closed later
                 log.warning("accept.failed", error=str(error))
                 await asyncio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
@@ -134,9 +144,10 @@
             self.tasks.start(self._serve(client))
 
     async def _wait_for_slot(self) -> None:
-        """Closing the new connection would fail a request that may be on its way.
+        """Wait for a free slot for the connection that was accepted last.
 
-        So it waits for a slot, and those after it wait in the backlog.
+        The connection is not closed instead, because that would fail a request that may be in transit. Later
+        connections wait in the backlog meanwhile.
         """
         self.awaiting_slot = True
         while True:
@@ -146,11 +157,12 @@
         self.awaiting_slot = False
 
     def free_slot(self) -> bool:
-        """Close the connection that has been unused for longest, if any may be closed.
+        """Close the connection that has been unused for longest; return false if none may be closed.
 
-        One that was answered may be closed at any time, as its client sends the next request on a new
-        connection; if it had to be unused for some time first, a crowd of new clients would be locked out.
-        With `single_request`, a client whose request is incomplete counts as idle.
+        The connection of a client that was answered may be closed at any time, because the client sends its
+        next request on a new connection. If such a connection had to be unused for a minimum time first, many
+        new clients at once would get no slot. With `single_request`, a client whose request is incomplete
+        counts as idle.
         """
         idle_since = self.loop.time() - IDLE_CLIENT_SECONDS
         for client in self.clients:
@@ -163,13 +175,13 @@
         return client.idle or (self.single_request and not client.sending)
 
     def set_max_clients(self, max_clients: int) -> None:
-        """Change the number of slots; surplus ones are taken from clients that do not use them."""
+        """Change the number of slots, and close unused connections that exceed it."""
         self.max_clients = max_clients
         while len(self.clients) > max_clients and self.free_slot():
             pass
 
     async def sweep(self) -> None:
-        """Close connections that are out of time. Never returns."""
+        """Close connections whose request, or whose reading of replies, timed out. Never returns."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             oldest_allowed = self.loop.time() - REQUEST_TIMEOUT_SECONDS
@@ -185,18 +197,21 @@
         self._close_client(client)
 
     def _touch(self, client: Client) -> None:
-        """The client's state changes: it moves to the end of the order."""
+        """Set the client's `state_since` to the current time, and move the client to the end of the order."""
         client.state_since = self.loop.time()
         if client in self.clients:
             del self.clients[client]
             self.clients[client] = None
 
     def _close_client(self, client: Client) -> None:
-        """What comes from now on is not read: the client submits it again on a new connection."""
+        """Shut a connection down.
+
+        Bytes that arrive from now on are not read, because the client submits them again on a new connection.
+        """
         self.clients.pop(client, None)
         client.closed = True
         with contextlib.suppress(OSError):
-            client.sock.shutdown(socket.SHUT_RDWR)  # its task reads the end, and closes the socket
+            client.sock.shutdown(socket.SHUT_RDWR)  # the client's task reads the end and closes the socket
 
     async def _serve(self, client: Client) -> None:
         session = self.create_session()
@@ -205,7 +220,7 @@
                 await self.loop.sock_sendall(client.sock, session.greeting)
             await self._answer_requests(client, session)
         except (OSError, BufferOverflowError):
-            pass  # the client has gone, or sent without end
+            pass  # the client closed the connection, or a request exceeded the size of the buffer
         finally:
             self.clients.pop(client, None)
             client.sock.close()
@@ -213,7 +228,7 @@
     async def _answer_requests(self, client: Client, session: ServerSession) -> None:
         buffer = Buffer()
         while not session.closing:
-            if session.has_more_requests:  # the other connections have their turn first
+            if session.has_more_requests:  # lets the tasks of other connections run first
                 await asyncio.sleep(0)
             elif not await sockets.read(self.loop, client.sock, buffer) or client.closed:
                 return
@@ -230,13 +245,16 @@
                 return
 
     def _request_began(self, client: Client) -> None:
-        """The time of a partial request counts from its first bytes; a new client's from its connection."""
+        """Start the timeout of a request at its first bytes.
+
+        The timeout of a client's first request starts when the connection is accepted.
+        """
         if client.answered and not client.has_partial_request:
             self._touch(client)
 
     async def _forward(self, client: Client, transaction: Transaction) -> bool:
-        """Relay the reply of another instance; false if there is none."""
-        client.has_partial_request = True  # in use: neither a drain nor a new client closes it
+        """Send the reply of another instance to the client; return false if there is no reply."""
+        client.has_partial_request = True  # prevents that a drain or a new client closes the connection
         self._touch(client)
         reply = await self.forward(transaction) if self.forward is not None else None
         if reply is None:
@@ -254,9 +272,10 @@
 
     @property
     def quiescent(self) -> bool:
-        """No request is on its way here, as far as can be told.
+        """Whether no request is in transit to this server, as far as the server can know.
 
-        None is incomplete or unread, no client is new, and no connection waits to be accepted or for a slot.
+        No request is incomplete or unread, no client is new, and no connection waits to be accepted or for a
+        slot.
         """
         if self.awaiting_slot or sockets.has_pending_connection(self.listener):
             return False
@@ -267,7 +286,7 @@
         )
 
     def drain(self) -> None:
-        """Close each connection once nothing is pending on it: clients connect elsewhere."""
+        """Close each connection as soon as nothing is pending on it, so that clients connect elsewhere."""
         self.draining = True
         for client in list(self.clients):
             if client.between_requests:
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -1,4 +1,4 @@
-"""The control socket: a Unix-domain socket (mode 0600) that serves processes of the same user, and root."""
+"""The control socket: a Unix-domain socket (mode 0600) that serves processes of the same user and of root."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 
 log = logs.get()
 MAX_CONNECTIONS = 8
-IDLE_TIMEOUT_SECONDS = 30.0  # a connection may be silent for this long
-ACCEPT_RETRY_SECONDS = 0.05  # pause when no file descriptor was left
-PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid and gid, as SO_PEERCRED gives them (unix(7))
+IDLE_TIMEOUT_SECONDS = 30.0  # a connection on which nothing is received for this long is closed
+ACCEPT_RETRY_SECONDS = 0.05  # pause after accept() failed because no file descriptor was left
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid and gid, as returned for SO_PEERCRED (unix(7))
 OWNER_ONLY_UMASK = 0o177
 ROOT_UID = 0
 
 
 class ControlSocketError(Exception):
-    """The socket cannot be opened; the message says why."""
+    """The control socket cannot be opened; the message contains its path and the reason."""
 
 
 def peer_uid(sock: socket.socket) -> int:
-    """The uid of the process at the other end."""
+    """Return the uid of the process at the other end of a Unix-domain socket."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
     return int(uid)
 
 
 def user_name(uid: int) -> str:
-    """A user's name, or the number if the user has none."""
+    """Return the name of a user, or the uid as text if the user has no name."""
     try:
         return pwd.getpwuid(uid).pw_name
     except KeyError:
@@ -55,7 +55,7 @@
     """One control socket and its connections."""
 
     def __init__(self, path: Path, commands: CommandRegistry, tasks: Tasks) -> None:
-        """Bind and listen. Raises ControlSocketError."""
+        """Bind and listen. Raise ControlSocketError if that fails."""
         self.path = path
         self.commands = commands
         self.tasks = tasks
@@ -72,7 +72,7 @@
     def _bind(self) -> None:
         if self.path.is_socket():
             self._remove_stale_socket()
-        previous_umask = os.umask(OWNER_ONLY_UMASK)  # nobody else may connect, not even for a moment
+        previous_umask = os.umask(OWNER_ONLY_UMASK)  # set before bind(), so that no other user can connect
         try:
             self.listener.bind(str(self.path))
         finally:
@@ -80,7 +80,7 @@
         self.listener.listen(MAX_CONNECTIONS)
 
     def _remove_stale_socket(self) -> None:
-        """Remove the socket of a process that has ended. Raises ControlSocketError if one still serves it."""
+        """Remove the socket of a process that has ended. Raise ControlSocketError if one listens on it."""
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe, contextlib.suppress(OSError):
             probe.connect(str(self.path))
             raise ControlSocketError(f"{self.path}: another process answers there")
@@ -116,7 +116,7 @@
                         return
                 await self._answer_requests(sock, parser, buffer.consume_all())
         except (OSError, BufferOverflowError, TimeoutError):
-            pass  # the client has gone, or is silent
+            pass  # the client closed the connection, sent too much, or sent nothing in time
         finally:
             self.open_connections -= 1
             sock.close()
@@ -146,7 +146,7 @@
             return encode_response(HTTPStatus.INTERNAL_SERVER_ERROR, {"error": reason}, close)
 
     def close(self) -> None:
-        """Stop listening, and remove the socket."""
+        """Stop listening, and remove the socket's file."""
         self.listener.close()
         self.path.unlink(missing_ok=True)
 
--- a/honeyhitch/transports/control_client.py
+++ b/honeyhitch/transports/control_client.py
@@ -1,4 +1,4 @@
-"""The client of the control socket, for the command line; it blocks, so the service does not use it."""
+"""The client of the control socket for the command line. Its calls block, so the service does not use it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ControlCommandError(Exception):
-    """The dispatcher rejected a command, or its response is malformed; the message says why."""
+    """The dispatcher rejected a command, or its response is malformed; the message is the reason."""
 
 
 class ControlConnection(http.client.HTTPConnection):
@@ -24,7 +24,7 @@
         self.path = path
 
     def connect(self) -> None:
-        """Connect to the socket in place of a host. Raises OSError."""
+        """Connect to the Unix-domain socket instead of a host. Raise OSError if that fails."""
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.settimeout(self.timeout)
         try:
@@ -35,13 +35,17 @@
 
 
 class ControlClient:
-    """One connection to a running dispatcher, opened with the first request."""
+    """One connection to a running dispatcher, which is opened by the first request."""
 
     def __init__(self, path: Path) -> None:
         self.connection = ControlConnection(path)
 
     def request(self, method: str, path: str, arguments: dict[str, Any] | None = None) -> dict[str, Any]:
-        """Run a command; returns its result. Raises ControlCommandError, and OSError if nobody serves it."""
+        """Send a command to the dispatcher and return its result.
+
+        Raise ControlCommandError if the command is rejected or the response is malformed, and OSError if no
+        dispatcher listens on the socket or the connection breaks.
+        """
         body = json.dumps(arguments).encode() if arguments is not None else None
         try:
             self.connection.request(method, path, body, REQUEST_HEADERS)
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -1,4 +1,4 @@
-"""The connections to the platform's agent: the watch on discovery, and notices of messages' ends."""
+"""Connections to the platform's agent: the watch on discovery, and notices of messages' final answers."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class Discovery:
-    """Speaks to the agent at one address (HOST:PORT); `pending_notices` are those not confirmed yet.
+    """The client of the agent at one address (HOST:PORT).
 
-    With `reads_partial_lists`, only the members of a list that the pool needs are kept, and lists are parsed
-    incrementally.
+    `pending_notices` holds the transactions whose notices the agent has not confirmed yet. With
+    `reads_partial_lists`, lists are parsed incrementally, and only the rows that the pool needs are kept.
     """
 
     def __init__(self, address: str, dispatcher: Dispatcher, tasks: Tasks, rng: Random) -> None:
@@ -38,17 +38,17 @@
         self.address_changed = False
         self.pending_notices: list[Transaction] = []
         self.notice_added = asyncio.Event()
-        self.running_tasks: list[asyncio.Task[None]] = []  # the notices, then the watch
+        self.running_tasks: list[asyncio.Task[None]] = []  # the task for notices, then the task for the watch
         self.reads_partial_lists = False
 
     def start(self, watch: bool = True) -> None:
-        """Send notices from now on, and keep the watch open; without `watch`, from `refetch` on."""
+        """Start to send notices and to watch; without `watch`, watching starts with `refetch`."""
         self.running_tasks = [self.tasks.run_forever(self.notify)]
         if watch:
             self.running_tasks.append(self.tasks.run_forever(self.watch))
 
     def move(self, address: str) -> None:
-        """The agent has a new address; notices that the old one has not confirmed are sent there too."""
+        """Switch to an agent at another address, which also gets the notices not confirmed by the old one."""
         for task in self.running_tasks:
             task.cancel()
         self.address = address
@@ -56,7 +56,7 @@
         self.start()
 
     def refetch(self) -> None:
-        """Request the complete list again, as members that were left out of the last one are needed now."""
+        """Request the complete list again, since rows that were left out of the last one are needed now."""
         if not self.running_tasks:
             return
         self.address_changed = True
@@ -65,7 +65,7 @@
         self.running_tasks[1:] = [self.tasks.run_forever(self.watch)]
 
     async def watch(self) -> None:
-        """Watch, and never return; the pool as it is stays in use while discovery is silent."""
+        """Watch the endpoint list; the pool stays as it is while discovery sends nothing. Never returns."""
         pool = self.dispatcher.pool
         settings = self.dispatcher.settings
         backoff = WatchBackoff(
@@ -82,22 +82,26 @@
         await watch.run()
 
     def _keep_member(self, row: dict[str, Any]) -> bool:
-        """A row without an id is kept, so that the list is rejected for it as any other would be."""
+        """Return whether the pool needs a row.
+
+        A row without an id is kept, too, so that the list is rejected as it would be without filtering.
+        """
         return "id" not in row or self.dispatcher.pool.accepts_row(row)
 
     def _apply_update(self, update: dict[str, Any]) -> None:
         self.dispatcher.apply_list_update(self.dispatcher.pool.update(update))
 
     def answer(self, transaction: Transaction) -> None:
-        """Send a notice of the end of a transaction, for the frontend that clients reach over RESP."""
+        """Send a notice of the final answer to the agent, as the frontend of clients that use RESP."""
         self.pending_notices.append(transaction)
         self.notice_added.set()
 
     async def notify(self) -> None:
-        """Send notices, and never return.
+        """Send notices. Never returns.
 
-        Those not confirmed are sent again on another connection: a silent connection is a dead one, as the
-        agent answers at once, and a second notice of the same end is harmless.
+        Unconfirmed notices are sent again on another connection. The agent responds immediately, so a
+        connection without a response is considered dead, and a second notice of the same final answer is
+        harmless.
         """
         response_timeout = notices.response_timeout()
         while True:
@@ -111,7 +115,7 @@
                 await asyncio.sleep(response_timeout.retry_pause)
 
     async def _send_notices(self, response_timeout: ResponseTimeout) -> None:
-        """Send notices on one connection for as long as it lasts."""
+        """Send notices on one connection; return once it is found closed. Raise OSError and HttpError."""
         sock = await connect_before(self.loop, self.address, self.loop.time() + response_timeout.current)
         buffer = Buffer()
         try:
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -1,4 +1,4 @@
-"""Keeps one watch on a list in discovery's form open: the endpoints, or the instances of a fleet."""
+"""Keeps a watch open on a list in discovery's format: of endpoints, or of the instances of a fleet."""
 
 from __future__ import annotations
 
@@ -23,16 +23,17 @@
 from honeyhitch.transports import sockets
 
 log = logs.get()
-# The end of a watch, and a busy agent: our revision is still good.
+# A watch that ended, and an overloaded agent: the revision that was applied last remains valid.
 HARMLESS_STATUSES = (HTTPStatus.OK, HTTPStatus.SERVICE_UNAVAILABLE)
 ENDED_BEFORE_RESPONSE = "the agent ended the connection before its answer"
 
 
 class ListWatch:
-    """Requests lists and changes from the agent at one address (HOST:PORT), and applies each as it comes.
+    """Requests lists and changes from the agent at one address (HOST:PORT), and applies each on arrival.
 
-    `on_update` is given each list or change in discovery's form, and raises if it cannot be used; `revision`
-    gives that of the last one applied. With `keep_member`, only members for which it is true are kept.
+    `on_update` is called with each list or change in discovery's format, and raises an exception if the
+    update cannot be used. `revision` returns the revision of the update that was applied last. With
+    `keep_member`, only the rows of a list for which it returns true are kept.
     """
 
     def __init__(
@@ -52,14 +53,14 @@
         self.keep_member = keep_member
 
     async def run(self) -> None:
-        """Watch, and never return; what was applied stays in use while the agent is silent."""
+        """Watch; updates that were applied stay in use while the agent sends nothing. Never returns."""
         await asyncio.sleep(self.backoff.first_pause())
         while True:
             began = self.loop.time()
             answered = False
             try:
                 await self._watch()
-            except Exception as error:  # noqa: BLE001  # whatever an agent sends, the watch goes on
+            except Exception as error:  # noqa: BLE001  # no input of an agent may end this loop
                 answered = not isinstance(error, OSError)
                 self._record_failure(error, answered)
                 log.warning("watch.broken", error=f"{type(error).__name__}: {error}", key=self.address)
@@ -73,7 +74,7 @@
             self.backoff.request_full_list()
 
     async def _watch(self) -> None:
-        """One watch, until it breaks or falls silent."""
+        """Run one watch. Raise an exception when it breaks, ends, or receives nothing in time."""
         parser = WatchParser(self.keep_member)
         buffer = Buffer()
         self.backoff.watch_opened()
@@ -81,8 +82,8 @@
         sock = await connect_before(self.loop, self.address, deadline)
         try:
             if self.backoff.full_list:
-                # An agent that replaced another one need not continue its revisions: a change could carry the
-                # number of one that this process has applied already.
+                # An agent that replaced another agent may number its revisions differently: a new change
+                # could have the same revision as a change that this process has applied already.
                 self.on_update(await self._fetch_complete_list(sock, buffer, deadline))
                 self.backoff.list_received()
                 deadline = self._read_deadline()
@@ -101,7 +102,11 @@
     async def _receive(
         self, sock: socket.socket, buffer: Buffer, deadline: float, reason_at_end: str
     ) -> bytes:
-        """Read once. Raises TimeoutError, and ConnectionResetError at the end of the connection."""
+        """Read once and return the bytes.
+
+        Raise TimeoutError at `deadline` on the loop's clock, and ConnectionResetError with `reason_at_end` at
+        the end of the connection.
+        """
         async with asyncio.timeout_at(deadline):
             count = await sockets.read(self.loop, sock, buffer)
         if not count:
@@ -112,7 +117,11 @@
     async def _fetch_complete_list(
         self, sock: socket.socket, buffer: Buffer, deadline: float
     ) -> dict[str, Any]:
-        """The complete list. One that is parsed incrementally has to begin by then, and must not stall."""
+        """Request and return the complete list. Raise TimeoutError, OSError, HttpError and WatchError.
+
+        Without `keep_member` the whole response must be received by `deadline`. A list that is parsed
+        incrementally must begin by `deadline`, and each read must receive bytes within the read timeout.
+        """
         request = encode_list_request(self.address)
         if self.keep_member is None:
             async with asyncio.timeout_at(deadline):
@@ -129,7 +138,7 @@
 
 
 async def connect_before(loop: asyncio.AbstractEventLoop, address: str, deadline: float) -> socket.socket:
-    """Connect to HOST:PORT. Raises TimeoutError at `deadline` on the loop's clock, and OSError."""
+    """Connect to HOST:PORT. Raise TimeoutError at `deadline` on the loop's clock, or OSError."""
     async with asyncio.timeout_at(deadline):
         return await sockets.connect(loop, address)
 
@@ -137,7 +146,7 @@
 async def send_request(
     loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer, request: bytes
 ) -> http1.Response:
-    """Send one request on an open connection, and read its response. Raises OSError and HttpError."""
+    """Send one request on an open connection and return its response. Raise OSError and HttpError."""
     parser = http1.ResponseParser(max_bytes=MAX_LIST_BYTES)
     await loop.sock_sendall(sock, request)
     while True:
