--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -71,15 +71,15 @@
 
         The connection may then be closed, because the client opens another one for its next request.
         """
-        return self.answered and self._quiet
+        return self.answered and self._nothing_pending
 
     @property
     def idle(self) -> bool:
         """Whether the client has not sent anything yet."""
-        return not self.answered and self._quiet
+        return not self.answered and self._nothing_pending
 
     @property
-    def _quiet(self) -> bool:
+    def _nothing_pending(self) -> bool:
         return not self.has_partial_request and not self.sending and sockets.is_reusable(self.sock)
 
 
@@ -164,14 +164,14 @@
         new clients at once would get no slot. With `single_request`, a client whose request is incomplete
         counts as idle.
         """
-        idle_since = self.loop.time() - IDLE_CLIENT_SECONDS
+        idle_before = self.loop.time() - IDLE_CLIENT_SECONDS
         for client in self.clients:
-            if client.between_requests or (client.state_since < idle_since and self._without_request(client)):
+            if client.between_requests or (client.state_since < idle_before and self._counts_as_idle(client)):
                 self._close_client(client)
                 return True
         return False
 
-    def _without_request(self, client: Client) -> bool:
+    def _counts_as_idle(self, client: Client) -> bool:
         return client.idle or (self.single_request and not client.sending)
 
     def set_max_clients(self, max_clients: int) -> None:
@@ -196,7 +196,7 @@
                 client.sock.send(REQUEST_TIMEOUT_REPLY)
         self._close_client(client)
 
-    def _touch(self, client: Client) -> None:
+    def _record_state_change(self, client: Client) -> None:
         """Set the client's `state_since` to the current time, and move the client to the end of the order."""
         client.state_since = self.loop.time()
         if client in self.clients:
@@ -239,23 +239,23 @@
                 if not await self._forward(client, session.forward):
                     return
             elif not replies and session.has_partial_request:
-                self._request_began(client)
+                self._on_partial_request(client)
             client.has_partial_request = session.has_partial_request or session.has_more_requests
             if self.draining and client.between_requests:
                 return
 
-    def _request_began(self, client: Client) -> None:
+    def _on_partial_request(self, client: Client) -> None:
         """Start the timeout of a request at its first bytes.
 
         The timeout of a client's first request starts when the connection is accepted.
         """
         if client.answered and not client.has_partial_request:
-            self._touch(client)
+            self._record_state_change(client)
 
     async def _forward(self, client: Client, transaction: Transaction) -> bool:
         """Send the reply of another instance to the client; return false if there is no reply."""
         client.has_partial_request = True  # prevents that a drain or a new client closes the connection
-        self._touch(client)
+        self._record_state_change(client)
         reply = await self.forward(transaction) if self.forward is not None else None
         if reply is None:
             return False
@@ -264,11 +264,11 @@
 
     async def _send(self, client: Client, replies: bytes) -> None:
         client.sending = True
-        self._touch(client)
+        self._record_state_change(client)
         await self.loop.sock_sendall(client.sock, replies)
         client.sending = False
         client.answered = True
-        self._touch(client)
+        self._record_state_change(client)
 
     @property
     def quiescent(self) -> bool:
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -75,13 +75,13 @@
             address_changed=self.address_changed,
             drain_grace=settings.drain_grace / SECOND,
         )
-        keep_member = self._keep_member if self.reads_partial_lists else None
+        keep_row = self._keep_row if self.reads_partial_lists else None
         watch = ListWatch(
-            self.address, self.loop, backoff, lambda: pool.revision, self._apply_update, keep_member
+            self.address, self.loop, backoff, lambda: pool.revision, self._apply_update, keep_row
         )
         await watch.run()
 
-    def _keep_member(self, row: dict[str, Any]) -> bool:
+    def _keep_row(self, row: dict[str, Any]) -> bool:
         """Return whether the pool needs a row.
 
         A row without an id is kept, too, so that the list is rejected as it would be without filtering.
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -25,7 +25,7 @@
 log = logs.get()
 # A watch that ended, and an overloaded agent: the revision that was applied last remains valid.
 HARMLESS_STATUSES = (HTTPStatus.OK, HTTPStatus.SERVICE_UNAVAILABLE)
-ENDED_BEFORE_RESPONSE = "the agent ended the connection before its answer"
+CLOSED_BEFORE_RESPONSE = "the agent ended the connection before its answer"
 
 
 class ListWatch:
@@ -33,7 +33,7 @@
 
     `on_update` is called with each list or change in discovery's format, and raises an exception if the
     update cannot be used. `revision` returns the revision of the update that was applied last. With
-    `keep_member`, only the rows of a list for which it returns true are kept.
+    `keep_row`, only the rows of a list for which it returns true are kept.
     """
 
     def __init__(
@@ -43,20 +43,20 @@
         backoff: WatchBackoff,
         revision: Callable[[], int],
         on_update: Callable[[dict[str, Any]], None],
-        keep_member: Callable[[dict[str, Any]], bool] | None = None,
+        keep_row: Callable[[dict[str, Any]], bool] | None = None,
     ) -> None:
         self.address = address
         self.loop = loop
         self.backoff = backoff
         self.revision = revision
         self.on_update = on_update
-        self.keep_member = keep_member
+        self.keep_row = keep_row
 
     async def run(self) -> None:
         """Watch; updates that were applied stay in use while the agent sends nothing. Never returns."""
         await asyncio.sleep(self.backoff.first_pause())
         while True:
-            began = self.loop.time()
+            started_at = self.loop.time()
             answered = False
             try:
                 await self._watch()
@@ -64,7 +64,7 @@
                 answered = not isinstance(error, OSError)
                 self._record_failure(error, answered)
                 log.warning("watch.broken", error=f"{type(error).__name__}: {error}", key=self.address)
-            await asyncio.sleep(self.backoff.next_pause(self.loop.time() - began, answered))
+            await asyncio.sleep(self.backoff.next_pause(self.loop.time() - started_at, answered))
 
     def _record_failure(self, error: Exception, answered: bool) -> None:
         if isinstance(error, TimeoutError):
@@ -75,7 +75,7 @@
 
     async def _watch(self) -> None:
         """Run one watch. Raise an exception when it breaks, ends, or receives nothing in time."""
-        parser = WatchParser(self.keep_member)
+        parser = WatchParser(self.keep_row)
         buffer = Buffer()
         self.backoff.watch_opened()
         deadline = self._read_deadline()
@@ -100,17 +100,17 @@
         return self.loop.time() + self.backoff.read_timeout
 
     async def _receive(
-        self, sock: socket.socket, buffer: Buffer, deadline: float, reason_at_end: str
+        self, sock: socket.socket, buffer: Buffer, deadline: float, closed_reason: str
     ) -> bytes:
         """Read once and return the bytes.
 
-        Raise TimeoutError at `deadline` on the loop's clock, and ConnectionResetError with `reason_at_end` at
+        Raise TimeoutError at `deadline` on the loop's clock, and ConnectionResetError with `closed_reason` at
         the end of the connection.
         """
         async with asyncio.timeout_at(deadline):
             count = await sockets.read(self.loop, sock, buffer)
         if not count:
-            raise ConnectionResetError(reason_at_end)
+            raise ConnectionResetError(closed_reason)
         self.backoff.data_received()
         return buffer.consume_all()
 
@@ -119,18 +119,18 @@
     ) -> dict[str, Any]:
         """Request and return the complete list. Raise TimeoutError, OSError, HttpError and WatchError.
 
-        Without `keep_member` the whole response must be received by `deadline`. A list that is parsed
+        Without `keep_row` the whole response must be received by `deadline`. A list that is parsed
         incrementally must begin by `deadline`, and each read must receive bytes within the read timeout.
         """
         request = encode_list_request(self.address)
-        if self.keep_member is None:
+        if self.keep_row is None:
             async with asyncio.timeout_at(deadline):
                 return parse_complete_list(await send_request(self.loop, sock, buffer, request))
-        parser = WatchParser(self.keep_member)
+        parser = WatchParser(self.keep_row)
         lists: list[dict[str, Any]] = []
         await self.loop.sock_sendall(sock, request)
         while not parser.complete:
-            lists += parser.feed(await self._receive(sock, buffer, deadline, ENDED_BEFORE_RESPONSE))
+            lists += parser.feed(await self._receive(sock, buffer, deadline, CLOSED_BEFORE_RESPONSE))
             deadline = self._read_deadline()
         if len(lists) != 1:
             raise WatchError(f"list: expected one object, got {len(lists)}")
@@ -155,4 +155,4 @@
         if response is not None:
             return response
         if not count:
-            raise ConnectionResetError(ENDED_BEFORE_RESPONSE)
+            raise ConnectionResetError(CLOSED_BEFORE_RESPONSE)
