--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -83,7 +83,7 @@
         """Remove the socket of a process that has ended. Raise ControlSocketError if one listens on it."""
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe, contextlib.suppress(OSError):
             probe.connect(str(self.path))
-            raise ControlSocketError(f"{self.path}: another process answers there")
+            raise ControlSocketError(f"{self.path}: another process listens on this socket")
         self.path.unlink(missing_ok=True)
 
     async def accept(self) -> None:
--- a/honeyhitch/transports/control_client.py
+++ b/honeyhitch/transports/control_client.py
@@ -52,11 +52,15 @@
             response = self.connection.getresponse()
             text = response.read()
         except http.client.HTTPException as error:
-            raise ControlCommandError(f"the dispatcher's answer cannot be read: {error!r}") from error
+            raise ControlCommandError(
+                f"{method} {path}: expected an HTTP response of the dispatcher, got {error!r}"
+            ) from error
         try:
             result = json.loads(text)
         except ValueError as error:
-            raise ControlCommandError(f"the dispatcher's answer is not JSON: {error}") from error
+            raise ControlCommandError(
+                f"{method} {path}: expected JSON in the dispatcher's response: {error}"
+            ) from error
         if response.status != http.client.OK:
             raise ControlCommandError(str(result.get("error", response.status)))
         return dict(result)
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -143,5 +143,7 @@
         async with asyncio.timeout(response_timeout.current):
             response = await send_request(self.loop, sock, buffer, request)
         if response.status != HTTPStatus.NO_CONTENT:
-            raise ConnectionError(f"notices: answered {response.status}")
+            raise ConnectionError(
+                f"notices: expected HTTP status {HTTPStatus.NO_CONTENT}, got {response.status}"
+            )
         response_timeout.record_response()
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -25,7 +25,7 @@
 log = logs.get()
 # A watch that ended, and an overloaded agent: the revision that was applied last remains valid.
 HARMLESS_STATUSES = (HTTPStatus.OK, HTTPStatus.SERVICE_UNAVAILABLE)
-CLOSED_BEFORE_RESPONSE = "the agent ended the connection before its answer"
+CLOSED_BEFORE_RESPONSE = "expected a complete response, but the agent closed the connection"
 
 
 class ListWatch:
@@ -89,7 +89,9 @@
                 deadline = self._read_deadline()
             await self.loop.sock_sendall(sock, encode_watch_request(self.address, self.revision()))
             while True:
-                data = await self._receive(sock, buffer, deadline, "the watch ended")
+                data = await self._receive(
+                    sock, buffer, deadline, "the agent closed the connection of a watch"
+                )
                 for update in parser.feed(data):
                     self.on_update(update)
                 deadline = self._read_deadline()
@@ -133,7 +135,7 @@
             lists += parser.feed(await self._receive(sock, buffer, deadline, CLOSED_BEFORE_RESPONSE))
             deadline = self._read_deadline()
         if len(lists) != 1:
-            raise WatchError(f"list: expected one object, got {len(lists)}")
+            raise WatchError(f"list of {self.address}: expected one object, got {len(lists)}")
         return lists[0]
 
 
