--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints over HTTP: connections are pooled, limited and reused, one call at a time on each."""
+"""Sends calls to endpoints over HTTP. Connections are pooled, limited and reused for one call at a time."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
 log = logs.get()
-IDLE_TIMEOUT_FRACTION = 0.8  # of the time after which an endpoint closes an idle connection
+IDLE_TIMEOUT_FRACTION = 0.8  # maximum idle time, as a fraction of the endpoint's own idle timeout
 SWEEP_INTERVAL_SECONDS = 1.0  # between checks of the idle connections
-RESPONSE_STALL_SECONDS = 0.5  # for more of a begun response, which is sent at once or is malformed
-KNOWN_OUTCOME_STALL_SECONDS = 0.1  # the same where the status line has decided the outcome
-MAX_RESPONSE_BYTES = 1 << 17  # a body is at most half of it
+# Maximum wait for more bytes of a partial response. A valid response is sent without such pauses.
+RESPONSE_STALL_SECONDS = 0.5
+KNOWN_OUTCOME_STALL_SECONDS = 0.1  # the same limit if the status line has already decided the outcome
+MAX_RESPONSE_BYTES = 1 << 17  # a body has at most half of these bytes
 DEFAULT_CONNECT_TIMEOUT = SECOND  # ns
 
 
@@ -36,24 +37,24 @@
     buffer: Buffer
     parser: http1.ResponseParser
     idle_since: int = 0  # ns
-    used: bool = False  # a call was started on it
+    used: bool = False  # at least one call was started on the connection
 
     @property
     def reused_without_response(self) -> bool:
-        """It was pooled after an earlier call, and nothing has come on it since."""
+        """Whether the connection was taken from the pool and has received no byte of the current response."""
         return self.idle_since > 0 and not self.parser.bytes_received
 
 
 class NoConnectionError(OSError):
-    """None of the open connections that a call was assigned to is alive any more."""
+    """A call needs an open connection, but none of the endpoint's connections is alive any more."""
 
 
 class CallProgress:
-    """How far a call has come, which decides what a failure or a timeout means."""
+    """The progress of a call, which decides what a failure or a timeout means."""
 
     def __init__(self) -> None:
-        self.written = False  # its last byte was handed to the connection
-        self.not_started = False  # nothing of it was sent, and its connection is unchanged
+        self.written = False  # the last byte of the call was passed to the connection
+        self.not_started = False  # no byte of the call was sent, so the connection is unchanged
         self.first_on_connection = False
         self.connection: Connection | None = None
 
@@ -61,7 +62,7 @@
 class HttpTransport:
     """The transport for endpoints that discovery lists.
 
-    `max_idle` is the number of connections that may be idle, over all endpoints.
+    `max_idle` is the maximum number of idle connections to all endpoints together.
     """
 
     def __init__(self, dispatcher: Dispatcher, scheduler: LoopScheduler, tasks: Tasks, max_idle: int) -> None:
@@ -71,12 +72,12 @@
         self.loop = scheduler.loop
         self.settings = dispatcher.settings
         self.max_idle = max_idle
-        self.max_idle_time = self.settings.connection_idle_timeout * IDLE_TIMEOUT_FRACTION  # ns, 0 for any
-        self.idle: dict[str, list[Connection]] = {}  # by endpoint, the last used one last
+        self.max_idle_time = self.settings.connection_idle_timeout * IDLE_TIMEOUT_FRACTION  # ns, 0: no limit
+        self.idle: dict[str, list[Connection]] = {}  # by endpoint id, the most recently used one last
         self.running: dict[Call, asyncio.Task[None]] = {}
 
     def start(self, call: Call) -> None:
-        """Make the call; its end is reported to the dispatcher in any case."""
+        """Start the call; its end is always reported to the dispatcher."""
         self.running[call] = self.tasks.start(self._run(call))
 
     def cancel(self, call: Call) -> None:
@@ -90,7 +91,7 @@
             connection.channel.close()
 
     def set_max_idle(self, max_idle: int) -> None:
-        """Change the number of connections that may be idle."""
+        """Change the maximum number of idle connections, and close those that exceed it."""
         self.max_idle = max_idle
         self._enforce_idle_limit()
 
@@ -106,13 +107,16 @@
                     self.idle[endpoint_id] = usable
 
     def _may_reuse(self, connection: Connection, endpoint: PoolEndpoint | None) -> bool:
-        """It leads to the endpoint's address, and was not idle for so long that the peer may close it."""
+        """Return whether a connection leads to the endpoint's current address and has not been idle too long.
+
+        After too long an idle time the peer may close the connection at any moment.
+        """
         idle_time = self.scheduler.now() - connection.idle_since
         too_old = self.max_idle_time and idle_time > self.max_idle_time
         return endpoint is not None and connection.address == endpoint.address and not too_old
 
     def _usable(self, connection: Connection, endpoint: PoolEndpoint | None) -> bool:
-        """Whether an idle connection may carry another call; closes it if not."""
+        """Return whether an idle connection may carry another call; close it if not."""
         if self._may_reuse(connection, endpoint) and connection.channel.is_reusable():
             return True
         connection.channel.close()
@@ -127,16 +131,16 @@
         except TimeoutError:
             result = self._interrupted_result(call, progress, Outcome.TIMEOUT)
         except asyncio.CancelledError:
-            if call not in self.running:  # the process ends; the message stays in the journal
+            if call not in self.running:  # the process ends, and the message stays in the journal
                 raise
             result = self._interrupted_result(call, progress, Outcome.CANCELLED)
         except (OSError, http1.HttpError) as error:
             result = failed_result(call, progress, Outcome.RESET, error)
-        except Exception:  # a fault of our own must not occupy the slot for ever
+        except Exception:  # a defect of this program must not occupy the slot permanently
             log.exception("call.failed", member=call.endpoint.id, key=call.endpoint.id)
             result = failed_result(call, progress, Outcome.RESET)
         finally:
-            # The slot becomes free only after the connection is closed or pooled, whatever happened.
+            # In every case the connection is closed or pooled before the slot becomes free.
             self._finish(call, progress, result)
         self.dispatcher.call_ended(call, result)
 
@@ -191,7 +195,7 @@
             raise http1.HttpError("answer: its rest does not come") from None
 
     async def _connection(self, member: PoolEndpoint) -> Connection:
-        """A pooled connection to an endpoint, or a new one. Raises OSError if none can be made."""
+        """Return a pooled connection to an endpoint, or a new one. Raise OSError if none can be opened."""
         pooled = self.idle.get(member.id, [])
         while pooled:
             connection = pooled.pop()
@@ -218,7 +222,7 @@
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        """Close the connection that has been idle for longest."""
+        """Close the connection that has been idle for the longest time."""
         oldest = [(connections[0].idle_since, name) for name, connections in self.idle.items() if connections]
         _, endpoint_id = min(oldest)
         self.idle[endpoint_id].pop(0).channel.close()
@@ -230,7 +234,10 @@
 
 
 def late_result(call: Call, progress: CallProgress) -> CallResult | None:
-    """The result of a response that arrived just as we stopped waiting for it; it counts as any other."""
+    """Return the result of a response that arrived just as the wait for it ended, or None without one.
+
+    Such a response counts like any other.
+    """
     connection = progress.connection
     if connection is None or not progress.written:
         return None
@@ -247,9 +254,9 @@
 def failed_result(
     call: Call, progress: CallProgress, outcome: Outcome, error: Exception | None = None
 ) -> CallResult:
-    """The result of a call without a complete response.
+    """Return the result of a call without a complete response.
 
-    Before its last byte was written the call cannot have been executed, nor if the partner rejected our
+    The call cannot have been executed if its last byte was not written, or if the partner rejected our
     certificate (see `tls.failures`).
     """
     connection = progress.connection
@@ -260,10 +267,11 @@
     else:
         parser = connection.parser if connection else http1.ResponseParser()
         result = calls.interpret_failure(parser.status, call.messages, outcome)
-        # A Retry-After that has come counts, whatever became of the rest.
+        # A Retry-After that was received counts even if the rest of the response is missing or malformed.
         result.retry_after = calls.parse_retry_after(parser.response.headers)
-    # Endpoints close pooled connections, some without notice. That says nothing of their health: the new
-    # connection will tell, and an endpoint that is down refuses it. Nor do the other two cases.
+    # Endpoints close pooled connections, some without notice. This does not show that an endpoint is
+    # unhealthy; the next connection will, because an endpoint that is down refuses it. A rejected certificate
+    # and the lack of an open connection do not show it either.
     broken = outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
     closed_while_idle = broken and connection is not None and connection.reused_without_response
     result.connection_stale = closed_while_idle or rejected or isinstance(error, NoConnectionError)
--- a/honeyhitch/transports/mqtt_frontend.py
+++ b/honeyhitch/transports/mqtt_frontend.py
@@ -1,6 +1,6 @@
 """The MQTT frontend: accepts messages from the intake topic, and publishes each final answer.
 
-Both sessions are kept by the broker, so that no message and no answer is lost with a connection.
+The broker keeps both sessions when a connection breaks, so that no message and no answer is lost.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 log = logs.get()
 IMPLEMENTATION_SPECIFIC_ERROR = 0x83  # reason code of PUBACK
-MAX_REJECTED_IDS = 10_000  # rejected ids that are remembered, to recognize a redelivery
-QUOTA_RETRY_DELAY = SECOND  # ns before an answer is sent again that exceeded the broker's quota
+MAX_REJECTED_IDS = 10_000  # message ids of rejected messages that are kept to recognize a redelivery
+QUOTA_RETRY_DELAY = SECOND  # ns before an answer that exceeded the broker's quota is published again
 
 
 class MqttFrontend:
-    """Submits what comes on the intake topic, and answers each message where its publish says."""
+    """Submits the messages of the intake topic, and publishes each answer to the message's response topic."""
 
     def __init__(self, context: MqttContext) -> None:
         settings = context.settings
@@ -38,15 +38,17 @@
         self.intake_link = context.create_link(self.intake)
         self.replies_link = context.create_link(self.replies)
         self.links = (self.intake_link, self.replies_link)
-        self.rejected: dict[str, None] = {}  # the latest ids that were answered and not accepted
+        self.rejected: dict[str, None] = {}  # the latest ids of rejected messages, oldest first
 
     def _on_publish(self, packet: Packet) -> None:
         if self.dispatcher.draining or not self.dispatcher.accepting:
-            return  # not acknowledged: the broker gives it to the next process, or to another dispatcher
+            # Without an acknowledgement the broker delivers the message to the next process, or to another
+            # dispatcher.
+            return
         message_id = dict(packet.user).get("id", "")
         try:
             reply_context = mqtt_messages.encode_reply_context(packet)
-        except FieldError as error:  # there is nowhere to send an answer
+        except FieldError as error:  # the publish does not say where to send an answer
             log.warning("intake.rejected", error=str(error))
             self.intake.acknowledge(packet, IMPLEMENTATION_SPECIFIC_ERROR)
             return
@@ -55,12 +57,13 @@
             if rejection is not None:
                 self._remember_rejected(message_id)
                 self._publish(rejection, None)
-        # Only now: an accepted message is in the journal, so the broker may forget it.
+        # The acknowledgement must come last: an accepted message is now in the journal, so the broker may
+        # discard it.
         self.intake.acknowledge(packet)
         self.intake_link.output_ready.set()
 
     def _submit(self, packet: Packet, reply_context: str, message_id: str) -> Packet | None:
-        """Submit a message; returns the answer if it is not accepted."""
+        """Submit a message; return the answer if the message is not accepted, otherwise None."""
         try:
             transaction = mqtt_messages.parse_transaction(
                 self.transaction_parser, packet, self.scheduler.now()
@@ -74,7 +77,8 @@
         return mqtt_messages.encode_answer(reply_context, message_id, "deferred", details)
 
     def _remember_rejected(self, message_id: str) -> None:
-        if message_id:  # messages without an id cannot be told apart, and are answered each time
+        # Messages without an id cannot be distinguished, so each delivery of such a message is answered.
+        if message_id:
             self.rejected[message_id] = None
         if len(self.rejected) > MAX_REJECTED_IDS:
             del self.rejected[next(iter(self.rejected))]
--- a/honeyhitch/transports/mqtt_link.py
+++ b/honeyhitch/transports/mqtt_link.py
@@ -1,4 +1,4 @@
-"""Connections to an MQTT broker: each carries one session, and is made anew when it breaks."""
+"""Connections to an MQTT broker: each carries one session, and is reopened when it breaks."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 from honeyhitch.transports.channel import Channel, PlainChannel
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
-CONNECT_TIMEOUT_SECONDS = 5.0  # to connect, and for the server's CONNACK
-DRAIN_TIMEOUT_SECONDS = 20.0  # for publishes in flight before a connection is replaced
+CONNECT_TIMEOUT_SECONDS = 5.0  # to connect, and again for the server's CONNACK
+DRAIN_TIMEOUT_SECONDS = 20.0  # maximum wait for publishes in flight before a connection is replaced
 DRAIN_POLL_SECONDS = 0.05
 READ_TIMEOUT_FACTOR = 1.5  # times the keep-alive (MQTT 5.0, 3.1.2.10)
 
 
 class BrokerConnector(Protocol):
-    """How connections to the broker are made."""
+    """Opens connections to the broker."""
 
     async def connect(self, address: str) -> Channel:
-        """Connect to HOST:PORT. Raises OSError."""
+        """Connect to HOST:PORT. Raise OSError if that fails."""
 
     async def wait_until_outdated(self, channel: Channel) -> None:
         """Return once the connection should be replaced by a new one."""
 
 
 class PlainConnector:
-    """Connections without encryption."""
+    """Opens unencrypted connections to the broker."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
 
     async def connect(self, address: str) -> Channel:
-        """Connect to HOST:PORT. Raises OSError."""
+        """Connect to HOST:PORT. Raise OSError if that fails, TimeoutError after CONNECT_TIMEOUT_SECONDS."""
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             return PlainChannel(self.loop, await sockets.connect(self.loop, address))
 
     async def wait_until_outdated(self, _channel: Channel) -> None:
-        """Never return."""
+        """Never return, because an unencrypted connection does not become outdated."""
         await asyncio.Event().wait()
 
 
 class BrokerLink:
-    """One session's connection to the broker at HOST:PORT.
+    """The connection of one session to the broker at HOST:PORT.
 
-    Set `output_ready` after the session was given something to send.
+    The caller sets `output_ready` after it has given the session something to send.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.output_ready = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve one connection until it breaks. Raises OSError, TimeoutError and MqttError."""
+        """Open one connection and serve it until it ends. Raise OSError, TimeoutError or MqttError then."""
         channel = await self.connector.connect(self.address)
         self.session.open()
         jobs = (self._read(channel), self._write(channel), self._ping(), self._replace(channel))
@@ -77,7 +77,10 @@
             self.session.connection_lost()
 
     async def _replace(self, channel: Channel) -> None:
-        """End a connection that is outdated, once nothing is in flight on it."""
+        """Raise ConnectionAbortedError once the connection is outdated.
+
+        Publishes in flight are awaited first, for at most DRAIN_TIMEOUT_SECONDS.
+        """
         await self.connector.wait_until_outdated(channel)
         self.session.paused = True
         deadline = self.loop.time() + DRAIN_TIMEOUT_SECONDS
@@ -98,7 +101,10 @@
             self.output_ready.set()
 
     def _read_timeout(self) -> float | None:
-        """Seconds, or None where the session has no keep-alive."""
+        """Return the time in seconds without data after which the connection is considered dead.
+
+        None means no limit, if the session has no keep-alive.
+        """
         if not self.session.connected:
             return CONNECT_TIMEOUT_SECONDS
         return READ_TIMEOUT_FACTOR * self.session.keep_alive or None
@@ -121,9 +127,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MqttContext:
-    """What the MQTT frontend and the MQTT transport have in common.
+    """The objects that the MQTT frontend and the MQTT transport share.
 
-    `connector` makes the connections to the broker; without one they are not encrypted.
+    `connector` opens the connections to the broker; if it is None, they are not encrypted.
     """
 
     settings: MqttSettings
@@ -133,7 +139,7 @@
     connector: BrokerConnector | None = None
 
     def create_session(self, suffix: str, session_expiry: int, clean_start: bool = True) -> Session:
-        """A session whose client id ends in `suffix`; `session_expiry` is in seconds."""
+        """Return a session whose client id ends in `suffix`; `session_expiry` is in seconds."""
         session = Session(
             f"{self.settings.client_id}-{suffix}",
             session_expiry,
@@ -145,5 +151,5 @@
         return session
 
     def create_link(self, session: Session) -> BrokerLink:
-        """The link that connects a session to the broker."""
+        """Return the link that connects a session to the broker."""
         return BrokerLink(self.settings.broker, session, self.tasks, self.connector)
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -1,6 +1,6 @@
-"""Calls to endpoints behind an MQTT broker.
+"""Sends calls to endpoints behind an MQTT broker.
 
-Calls are sent on a session that ends with its connection, so that the protocol never repeats one by itself.
+The session for calls ends with its connection, so that the MQTT protocol never sends a call again by itself.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         self.running: dict[Call, OutgoingPublish | None] = {}
 
     def start(self, call: Call) -> None:
-        """Publish a call; without a connection it cannot have been executed."""
+        """Publish a call; without a connection the call fails as one that cannot have been executed."""
         self.running[call] = None
         if not self.session.connected:
             result = CallResult.uniform(Outcome.CONNECT_FAILED, len(call.messages))
@@ -35,7 +35,7 @@
             return
         packet = mqtt_messages.encode_call(call, call.timeout)
         publish = self.session.publish(packet, partial(self._on_done, call), partial(self._on_turn, call))
-        if call in self.running:  # it may have ended by now
+        if call in self.running:  # the call may have ended during `publish`
             self.running[call] = publish
         self.link.output_ready.set()
         self.scheduler.call_at(call.sent_at + call.timeout, lambda: self._stop(call, Outcome.TIMEOUT))
@@ -44,7 +44,7 @@
         self._finish(call, mqtt_messages.interpret_acknowledgement(call, acknowledgement, may_have_left))
 
     def _on_turn(self, call: Call) -> Packet | None:
-        """The packet to send, with the time that is left now; None if the dispatcher withdraws the call."""
+        """Return the packet to send, with the time that remains now, or None if the call is withdrawn."""
         if self.dispatcher.start_call(call):
             return mqtt_messages.encode_call(call, call.sent_at + call.timeout - self.scheduler.now())
         self._finish(call, CallResult([]))
@@ -63,7 +63,7 @@
         if publish is None:
             return
         self.session.withdraw(publish, partial(self._on_late_acknowledgement, call))
-        if not publish.sent:  # it still waited for the broker's receive maximum
+        if not publish.sent:  # the publish was still waiting for the broker's receive maximum
             outcome = Outcome.CONNECT_FAILED
         self._finish(call, CallResult.uniform(outcome, len(call.messages)))
 
@@ -74,8 +74,8 @@
         self.dispatcher.retry_after_received(call.endpoint, result.retry_after)
 
     def cancel(self, call: Call) -> None:
-        """Stop waiting for a call. A publish cannot be revoked: it may be executed."""
+        """Stop waiting for a call. A publish that was sent cannot be revoked, so the call may be executed."""
         self._stop(call, Outcome.CANCELLED)
 
     def close_idle(self, _endpoint: PoolEndpoint) -> None:
-        """Do nothing: all endpoints share one connection, which is always in use."""
+        """Do nothing, because all endpoints share one connection, which is always in use."""
--- a/honeyhitch/transports/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -1,4 +1,4 @@
-"""Connections to the other instances of a fleet, over which messages are forwarded to their owners."""
+"""Forwards messages to the instances of a fleet that own their destinations, over pooled connections."""
 
 from __future__ import annotations
 
@@ -24,12 +24,13 @@
 
 log = logs.get()
 CONNECT_TIMEOUT_SECONDS = 0.1  # owners are on the same network
-FORWARD_TIMEOUT_SECONDS = 0.35  # for everything: a client waits 0.4 s for its reply (protocol page)
+# Limit for all steps of forwarding a message together: a client waits 0.4 s for its reply (protocol page).
+FORWARD_TIMEOUT_SECONDS = 0.35
 
 
 @dataclass(frozen=True, slots=True)
 class PeerConnection:
-    """A connection in use; one that is reused from an earlier request may be closed at the other end."""
+    """A connection in use; `reused` ones carried an earlier request, and the peer may have closed them."""
 
     sock: socket.socket
     address: str
@@ -37,23 +38,24 @@
 
 
 class PeerConnections:
-    """A pool with a limit on open connections; each carries one request at a time."""
+    """A pool with a limit on open connections; each connection carries one request at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, max_connections: int) -> None:
         self.loop = loop
         self.max_connections = max_connections
         self.in_use = 0
-        self.idle: dict[str, deque[socket.socket]] = {}  # by address, the last used one last
+        self.idle: dict[str, deque[socket.socket]] = {}  # by address, the most recently used one last
 
     @property
     def open(self) -> int:
-        """The number of connections, in use or idle."""
+        """The number of open connections, in use or idle."""
         return self.in_use + sum(map(len, self.idle.values()))
 
     async def acquire(self, address: str, deadline: float, fresh: bool = False) -> PeerConnection | None:
-        """A connection to HOST:PORT without a pending reply; a new one if it has to be `fresh`.
+        """Return a connection to HOST:PORT without a pending reply; with `fresh`, a new one in any case.
 
-        None if the limit is reached, or if no connection can be made until `deadline` on the loop's clock.
+        Return None if the limit is reached, or if no connection can be opened until `deadline` on the loop's
+        clock.
         """
         if not fresh and (connection := self._take_idle(address)) is not None:
             return connection
@@ -63,7 +65,7 @@
         try:
             async with asyncio.timeout_at(deadline):
                 return PeerConnection(await sockets.connect(self.loop, address), address, reused=False)
-        except OSError:  # TimeoutError among them
+        except OSError:  # includes TimeoutError
             self.in_use -= 1
             return None
         except BaseException:
@@ -81,7 +83,7 @@
         return None
 
     def release(self, connection: PeerConnection, reusable: bool) -> None:
-        """Return a connection to the pool; one that is not reusable is closed."""
+        """Return a connection to the pool if it is reusable, otherwise close it."""
         self.in_use -= 1
         if reusable:
             self.idle.setdefault(connection.address, deque()).append(connection.sock)
@@ -89,7 +91,10 @@
             connection.sock.close()
 
     def _close_idle(self) -> bool:
-        """Close the longest idle connection of the address that has most of them; false if none is idle."""
+        """Close the longest idle connection to the address with the most idle ones.
+
+        Return false if no connection is idle.
+        """
         largest = max(self.idle.values(), key=len, default=None)
         if not largest:
             return False
@@ -104,7 +109,7 @@
 
 
 class Forwarder:
-    """Forwards messages to owners, one after the other until one was reached."""
+    """Forwards messages to the owners of their destinations."""
 
     def __init__(
         self,
@@ -115,10 +120,10 @@
         clock: Callable[[], int],
         rejection: bytes,
     ) -> None:
-        """`instance` is the name of this one.
+        """Create a forwarder for the instance named `instance`.
 
-        `owners` gives the addresses of a destination's owners in the order in which to ask them; `rejection`
-        is the reply if none of them can be reached; `clock` gives the Unix time in nanoseconds.
+        `owners` returns the addresses of a destination's owners in the order in which to try them.
+        `rejection` is the reply if none of them can be reached. `clock` returns the Unix time in nanoseconds.
         """
         self.settings = settings
         self.instance = instance
@@ -129,7 +134,10 @@
         self.loop = connections.loop
 
     async def forward(self, transaction: Transaction) -> bytes | None:
-        """The reply for the client; None if an owner received some of the request and gave no reply."""
+        """Try the owners in turn until one is reached, and return the reply for the client.
+
+        Return None if an owner may have received part of the request and sent no reply.
+        """
         deadline = self.loop.time() + FORWARD_TIMEOUT_SECONDS
         for address in self.owners(transaction.destination):
             if self.loop.time() >= deadline:
@@ -146,12 +154,12 @@
     async def _forward_to_owner(
         self, address: str, transaction: Transaction, deadline: float
     ) -> ForwardOutcome:
-        """Try once more on a new connection where a reused one has ended."""
+        """Send the request to one owner, and once more on a new connection if a reused connection ended."""
         outcome = await self._attempt(address, transaction, deadline)
         if not isinstance(outcome, ConnectionEnded):
             return outcome
         outcome = await self._attempt(address, transaction, deadline, fresh=True)
-        # The first request was written: no other owner may get the message.
+        # The first request was written, so the message must not be sent to another owner.
         return Unanswered() if isinstance(outcome, NothingWritten) else outcome
 
     async def _attempt(
@@ -166,7 +174,7 @@
             request = forwarding.encode_request(self.settings, transaction, self.instance, self.clock())
             if request is None:
                 return outcome
-            outcome = Unanswered()  # from here on bytes may have been sent
+            outcome = Unanswered()  # holds for any failure from here on, because bytes may have been sent
             async with asyncio.timeout_at(deadline):
                 outcome = await self._exchange(connection, request)
         except (OSError, ValueError) as error:
--- a/honeyhitch/transports/sockets.py
+++ b/honeyhitch/transports/sockets.py
@@ -1,4 +1,4 @@
-"""Non-blocking sockets: connecting, reading into a buffer, and recognizing a dead connection."""
+"""Non-blocking sockets: connecting, reading into a buffer, and detecting a dead connection."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 SO_ATTACH_REUSEPORT_CBPF = 51  # asm-generic/socket.h
 BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K, linux/filter.h
 BPF_INSTRUCTION = "HBBI"  # struct sock_filter: code, jump offsets, constant
-BPF_PROGRAM = "HP"  # struct sock_fprog: number of instructions, their address
-SECOND_LISTENER = 1  # listeners of a shared address are numbered from 0
-NOTHING_AVAILABLE = -1
+BPF_PROGRAM = "HP"  # struct sock_fprog: number of instructions, address of the first one
+SECOND_LISTENER = 1  # listeners on a shared address are numbered from 0
+NOTHING_AVAILABLE = -1  # returned by `read_available`
 
 
 def new_tcp_socket() -> socket.socket:
-    """A non-blocking TCP socket that sends without delay."""
+    """Return a new non-blocking TCP socket that sends without delay (TCP_NODELAY)."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     with contextlib.suppress(OSError):
@@ -29,21 +29,21 @@
 
 
 def check_address_unused(address: tuple[str, int]) -> None:
-    """Raise OSError if anything listens there already, even if it would share the address."""
+    """Raise OSError if a socket already listens on the address, even one with SO_REUSEPORT."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
 
 
 def prefer_second_listener(listener: socket.socket) -> bool:
-    """Direct new connections to the second of two listeners that share an address, which is `listener`.
+    """Direct new connections to `listener`, the second of two listeners that share an address.
 
-    The queue of the older one can then run empty. False where the system does not support it: connections
-    are then distributed at random.
+    The queue of the first listener can then be emptied. Return false if the system does not support this;
+    it then distributes the connections at random.
 
-    It attaches a classic BPF program of one instruction, `return 1`, which selects a listener by its number
-    (socket(7), SO_ATTACH_REUSEPORT_CBPF). With one listener left the number is invalid, and the system
-    selects as it does without a program.
+    The function attaches a classic BPF program of one instruction, `return 1`, which selects a listener by
+    its number (socket(7), SO_ATTACH_REUSEPORT_CBPF). If only one listener is left, the number is invalid, and
+    the system selects a listener as it does without a program.
     """
     instruction = struct.pack(BPF_INSTRUCTION, BPF_RETURN_CONSTANT, 0, 0, SECOND_LISTENER)
     instructions = ctypes.create_string_buffer(instruction)
@@ -56,7 +56,10 @@
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: str) -> socket.socket:
-    """Connect to HOST:PORT; the socket is closed if that fails or is cancelled. Raises OSError."""
+    """Connect to HOST:PORT and return the socket. Raise OSError if that fails.
+
+    The socket is closed if connecting fails or is cancelled.
+    """
     host, _, port = address.rpartition(":")
     sock = new_tcp_socket()
     try:
@@ -68,11 +71,11 @@
 
 
 async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Wait until bytes, or a connection at a listener, have come, and do not take them.
+    """Wait until a socket has received bytes, or a listener a connection, without taking them.
 
-    uvloop's sock_recv_into and sock_accept take what comes in one turn of the loop, and wake their task in
-    the next. In between neither `is_reusable` nor the buffer shows it: the connection looks unused, and a
-    task that is cancelled loses what came.
+    uvloop's sock_recv_into and sock_accept take bytes or a connection in one iteration of the event loop, and
+    resume their task in the next iteration. Between the two, neither `is_reusable` nor the buffer shows the
+    bytes: the connection looks unused, and if the task is cancelled, the bytes or the connection are lost.
     """
     readable = loop.create_future()
 
@@ -88,9 +91,9 @@
 
 
 async def read(loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer) -> int:
-    """Read once into the buffer, after other tasks had their turn.
+    """Read once into the buffer, after other tasks have had the chance to run.
 
-    Returns the number of bytes, 0 at the end of the connection. Raises OSError and BufferOverflowError.
+    Return the number of bytes, 0 at the end of the connection. Raise OSError and BufferOverflowError.
     """
     while True:
         await wait_readable(loop, sock)
@@ -99,7 +102,11 @@
 
 
 def read_available(sock: socket.socket, buffer: Buffer) -> int:
-    """Read once without waiting; 0 at the end of the connection, NOTHING_AVAILABLE if nothing has come."""
+    """Read once into the buffer without waiting, and return the number of bytes.
+
+    Return 0 at the end of the connection, and NOTHING_AVAILABLE if no byte was received. Raise OSError and
+    BufferOverflowError.
+    """
     with buffer.free_space() as space:
         try:
             count = sock.recv_into(space)
@@ -110,18 +117,18 @@
 
 
 def has_pending_connection(listener: socket.socket) -> bool:
-    """Whether a connection waits to be accepted: closing the listener would reset it."""
-    poll = select.poll()  # unlike select(2), it takes descriptors of any number
+    """Return whether a connection waits to be accepted, which closing the listener would reset."""
+    poll = select.poll()  # unlike select(2), poll(2) has no limit on the descriptor's number
     poll.register(listener, select.POLLIN)
     return bool(poll.poll(0))
 
 
 def is_reusable(sock: socket.socket) -> bool:
-    """Whether the connection is alive and nothing has come on it."""
+    """Return whether the connection is alive and has no unread bytes."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return True
     except OSError:
         return False
-    return False  # its end, or unexpected bytes
+    return False  # the end of the connection, or unexpected bytes
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -1,4 +1,4 @@
-"""The event loop as the dispatcher's scheduler, and tasks whose failures are always reported."""
+"""The event loop as the dispatcher's scheduler, and tasks whose failures are always logged."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 log = logs.get()
 INITIAL_RESTART_PAUSE_SECONDS = 0.05
-MAX_RESTART_PAUSE_SECONDS = 2.0  # a task that ran for longer restarts with the initial pause again
+MAX_RESTART_PAUSE_SECONDS = 2.0  # a task that ran for longer than this restarts with the initial pause
 
 
 class LoopScheduler:
-    """A clock that never goes back, and the timers of the running loop."""
+    """A clock that never goes back, and timers of the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """The Unix time in nanoseconds; steps of the system clock after the start are not followed."""
+        """Return the Unix time in nanoseconds; steps of the system clock after the start are ignored."""
         return time.monotonic_ns() + self.offset
 
     def call_at(self, when: int, what: Callable[[], None]) -> None:
-        """Call `what` at a Unix time in nanoseconds, or soon if it is past."""
+        """Call `what` at the Unix time `when` in nanoseconds, or as soon as possible if it is past."""
         delay = when - self.now()
         if delay <= 0:
             self.loop.call_soon(what)
@@ -36,7 +36,7 @@
 
 
 class Tasks:
-    """Every task of the process. A failure is reported; a task that should run forever is restarted."""
+    """All tasks of the process. Failures are logged, and tasks that should never end are restarted."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -44,14 +44,17 @@
         self.stopping = False
 
     def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run something that ends by itself."""
+        """Start a task that ends by itself, and return it."""
         task = self.loop.create_task(coroutine)
         self.running.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     def run_forever(self, function: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
-        """Run something that should not end; if it does, it is restarted after a growing pause."""
+        """Start a task that should never end, and return it.
+
+        Whenever `function` returns or fails, it is called again after a pause, which doubles each time.
+        """
         return self.start(self._restart_forever(function))
 
     async def _restart_forever(self, function: Callable[[], Awaitable[None]]) -> None:
@@ -60,10 +63,10 @@
             began = self.loop.time()
             try:
                 await function()
-            except Exception as error:  # noqa: BLE001  # a task that fails is started again
+            except Exception as error:  # noqa: BLE001  # the function is called again after any failure
                 name = str(getattr(function, "__qualname__", function))
                 log.warning("task.restarted", work=name, error=f"{type(error).__name__}: {error}", key=name)
-            if self.stopping:  # a cancelled task group may raise a failure instead of the cancellation
+            if self.stopping:  # a cancelled task group may raise another exception than CancelledError
                 return
             if self.loop.time() - began > MAX_RESTART_PAUSE_SECONDS:
                 pause = INITIAL_RESTART_PAUSE_SECONDS
--- a/honeyhitch/transports/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -1,4 +1,4 @@
-"""Connections to the MQTT broker over TLS, with the same machine, trust and budget as those to endpoints."""
+"""Connections to the MQTT broker over TLS, verified and limited by the same code as those to endpoints."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from honeyhitch.transports.tls_open import open_verified
 
 log = logs.get()
-CHANGE_POLL_SECONDS = 0.25  # between checks for new trust or a new certificate
-RECONNECT_SPREAD_FRACTION = 0.5  # of the partner's `retire_within`, over which links reconnect
+CHANGE_POLL_SECONDS = 0.25  # between checks for changed trust or a changed certificate of our own
+RECONNECT_SPREAD_FRACTION = 0.5  # part of the partner's `retire_within` over which reconnects are spread
 
 
 @dataclass(frozen=True, slots=True)
 class _Validity:
-    """The generation that a connection was made under, and when its verification ends (Unix time in ns)."""
+    """The partner's generation at a connection's opening, and the end of its verification (Unix time, ns)."""
 
     generation: int
     until: int
 
 
 class TlsConnector:
-    """Connects to the broker as `[mqtt.tls]` says."""
+    """Opens connections to the broker under the terms of the table `[mqtt.tls]`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, partners: Partners, partner: PartnerState) -> None:
         self.loop = loop
         self.partners = partners
         self.partner = partner
-        self.failures = 0  # lasting ones in a row
+        self.failures = 0  # number of consecutive lasting failures
         self.validity: dict[Channel, _Validity] = {}
 
     async def connect(self, address: str) -> Channel:
-        """Connect to HOST:PORT as soon as the budget allows.
+        """Connect to HOST:PORT as soon as the handshake budget allows.
 
-        Raises TlsError, after a pause if the failure is a lasting one.
+        Raise TlsError if that fails, after a pause if the failure is lasting.
         """
         budget = self.partner.budget
         await self._wait_for_budget()
@@ -67,7 +67,10 @@
             await asyncio.sleep(wait / SECOND)
 
     async def _handshake_failed(self, error: TlsError, start: HandshakeStart) -> None:
-        """Report it; after a lasting failure wait, unless files change, which may repair it."""
+        """Log the failure, and after a lasting one wait until the block ends or the partner's files change.
+
+        Changed files may remove the cause of the failure.
+        """
         lasting = error.failure.lasting
         now = self.partners.now()
         self.partner.budget.failed(start, outage=not lasting)
@@ -84,18 +87,18 @@
             await self._wait_for_change(self.partner.generation, until)
 
     async def _wait_for_change(self, generation: int, until: int) -> None:
-        """Return once the partner's files have changed, or at a Unix time in nanoseconds."""
+        """Return once the partner's generation differs from `generation`, or at Unix time `until` in ns."""
         while True:
             if generation != self.partner.generation or self.partners.now() >= until:
                 return
             await asyncio.sleep(CHANGE_POLL_SECONDS)
 
     async def wait_until_outdated(self, channel: Channel) -> None:
-        """Return once files have changed, or when the verification of the connection ends."""
+        """Return once the partner's files have changed, or when the verification of the connection ends."""
         assert isinstance(channel, TlsChannel)
         validity = self.validity.pop(channel)
         await self._wait_for_change(validity.generation, validity.until)
-        if validity.generation != self.partner.generation:  # not all links at the same moment
+        if validity.generation != self.partner.generation:  # prevents that all links reconnect at once
             retire_within = self.partner.partner.terms.retire_within / SECOND
             spread = retire_within * RECONNECT_SPREAD_FRACTION
             await asyncio.sleep(self.partners.rng.uniform(0, spread))
--- a/honeyhitch/transports/tls_channel.py
+++ b/honeyhitch/transports/tls_channel.py
@@ -1,4 +1,4 @@
-"""A channel that encrypts: joins a socket and a TLS machine."""
+"""An encrypted channel, which connects a socket to a TLS machine."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from honeyhitch.tls.machine import Phase, TlsMachine
 from honeyhitch.transports import sockets
 
-IDLE_READ_BYTES = 4096  # taken from an idle connection at once; tickets are shorter
+IDLE_READ_BYTES = 4096  # maximum size of one read from an idle connection; a ticket is smaller
 
 
 class TlsChannel:
-    """A socket with a TLS machine. Reading and writing may be done by two tasks."""
+    """A socket with a TLS machine. One task may read while another task writes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, machine: TlsMachine) -> None:
         self.loop = loop
         self.sock = sock
         self.machine = machine
         self.ciphertext = Buffer()
-        self.sending = False  # records are sent in the order of their encryption, by one task at a time
+        # One task at a time sends, because records must be sent in the order in which they were encrypted.
+        self.sending = False
 
     async def handshake(self) -> None:
-        """Complete the handshake. Raises TlsError."""
+        """Complete the handshake. Raise TlsError if it fails."""
         machine = self.machine
         while True:
             try:
@@ -43,24 +44,31 @@
             raise machine.failure
 
     async def send(self, data: bytes) -> None:
-        """Encrypt and write all of it. Raises OSError if the connection breaks, TlsError among them."""
+        """Encrypt and write all of `data`. Raise OSError, possibly TlsError, if the connection breaks."""
         self.machine.send(data)
         try:
             await self._flush()
         except OSError:
-            self._read_remaining()  # what the peer sent before it closed says more than a broken pipe
+            # An alert that the peer sent before it closed the connection is more specific than EPIPE.
+            self._read_remaining()
             if self.machine.failure is not None:
                 raise self.machine.failure from None
             raise
 
     async def read(self, buffer: Buffer) -> int:
-        """Read until plaintext comes; 0 at the peer's close_notify. Raises TlsError at any other end."""
+        """Wait for plaintext, add it to the buffer and return its length, 0 after the peer's close_notify.
+
+        Raise TlsError if the connection ends in another way, and OSError if the socket fails.
+        """
         data = await self.receive(buffer)
         buffer.feed(data)
         return len(data)
 
     async def receive(self, _buffer: Buffer) -> bytes:
-        """Plaintext of one read; none at the peer's close_notify. Raises TlsError at any other end."""
+        """Wait for plaintext and return it; return no bytes after the peer's close_notify.
+
+        Raise TlsError if the connection ends in another way, and OSError if the socket fails.
+        """
         machine = self.machine
         while not machine.plaintext:
             if machine.failure is not None:
@@ -77,20 +85,20 @@
         return machine.take_plaintext()
 
     def read_available(self, _buffer: Buffer) -> bytes:
-        """Plaintext that has come and was not read, without waiting."""
+        """Return the plaintext that was received and not read yet, without waiting for more."""
         self._read_remaining()
         return self.machine.take_plaintext()
 
     def is_reusable(self) -> bool:
-        """Whether the connection is alive and quiescent, after tickets and KeyUpdates were processed."""
+        """Process received tickets and KeyUpdates; return whether the connection is alive and quiescent."""
         return self.alive() and self.machine.quiescent
 
     def alive(self) -> bool:
-        """Whether the connection is open without unexpected plaintext; a record may be incomplete."""
+        """Return whether the connection is open without unexpected plaintext; a record may be incomplete."""
         return self._process_received() and self._send_pending()
 
     def _process_received(self) -> bool:
-        """Process what has come on an idle connection; false if it ends or carries plaintext."""
+        """Process the bytes received on an idle connection; return false if it ends or carries plaintext."""
         machine = self.machine
         while True:
             try:
@@ -107,7 +115,7 @@
                 return False
 
     def _send_pending(self) -> bool:
-        """Send what the machine has produced; false if the peer does not read it."""
+        """Send the pending output of the machine; return false if the socket does not accept all of it."""
         if not self.machine.outgoing.pending or self.sending:
             return True
         data = self.machine.take_output()
@@ -117,7 +125,7 @@
             return False
 
     def close(self) -> None:
-        """Send close_notify, as far as the socket takes it, and close."""
+        """Close the connection, after a close_notify if the socket accepts it without waiting."""
         self.machine.close()
         with contextlib.suppress(OSError):
             if data := self.machine.take_output():
@@ -131,7 +139,7 @@
 
     async def _flush(self) -> None:
         if self.sending:
-            return  # the task that is sending takes this along
+            return  # the task that is sending also sends this output
         self.sending = True
         try:
             while data := self.machine.take_output():
@@ -141,7 +149,7 @@
 
 
 async def open_tls(loop: asyncio.AbstractEventLoop, address: str, machine: TlsMachine) -> TlsChannel:
-    """Connect to HOST:PORT and complete the handshake. Raises TlsError; nothing is left open then."""
+    """Connect to HOST:PORT and complete the handshake. Raise TlsError, with the socket closed, on failure."""
     try:
         sock = await sockets.connect(loop, address)
     except OSError as error:
@@ -150,6 +158,6 @@
     try:
         await channel.handshake()
     except BaseException:
-        channel.close()  # sends the alert that says why we reject
+        channel.close()  # also sends the alert with our reason to reject the peer
         raise
     return channel
--- a/honeyhitch/transports/tls_open.py
+++ b/honeyhitch/transports/tls_open.py
@@ -1,4 +1,4 @@
-"""Opens and verifies a connection to a TLS partner under its terms, for calls, the broker and checks."""
+"""Opens and verifies connections to a TLS partner under its terms: for calls, the broker and checks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class VerifiedConnection:
-    """An open connection, and what it was verified by."""
+    """An open connection, its session key, and the partner's certificate that was verified."""
 
     channel: TlsChannel
     key: SessionKey
@@ -25,9 +25,9 @@
 async def open_verified(
     loop: asyncio.AbstractEventLoop, partners: Partners, partner: PartnerState, address: str
 ) -> VerifiedConnection:
-    """Connect to HOST:PORT, complete the handshake within the partner's timeout, and verify.
+    """Connect to HOST:PORT, complete the handshake within the partner's timeout, and verify the partner.
 
-    Raises TlsError, STALLED at the timeout; nothing is left open then.
+    Raise TlsError, with the connection closed, on failure; after a timeout its failure is STALLED.
     """
     key = partners.session_key(partner, address)
     try:
--- a/honeyhitch/transports/tls_probe.py
+++ b/honeyhitch/transports/tls_probe.py
@@ -1,4 +1,4 @@
-"""Connects to a partner over TLS as the service would, without a message: for `honeyhitch tls check`."""
+"""Connects to a partner over TLS as the service does, without a message, for `honeyhitch tls check`."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from honeyhitch.tls.partners import Partners, PartnerState
 from honeyhitch.transports.tls_open import VerifiedConnection, open_verified
 
-TICKET_TIMEOUT_SECONDS = 0.5  # for a server to send a ticket, or to reject our certificate
+TICKET_TIMEOUT_SECONDS = 0.5  # time for the server to send a ticket, or to reject our certificate
 
 
 @dataclass(slots=True)
 class ProbeResult:
-    """What one address showed. `failure` is the name of the problem, empty if there is none."""
+    """The result for one address. `failure` is the name of the failure, empty after a success."""
 
     partner: str
     address: str
@@ -30,7 +30,10 @@
 
 
 async def probe(partners: Partners, partner: PartnerState, address: str) -> ProbeResult:
-    """Two handshakes with HOST:PORT: a full one, and one with the session that the first left."""
+    """Perform two handshakes with HOST:PORT, the second with the session of the first, and return the result.
+
+    A failure of either handshake is recorded in the result.
+    """
     result = ProbeResult(partner.name, address)
     loop = asyncio.get_running_loop()
     try:
@@ -55,7 +58,7 @@
     result.version = machine.version
     result.cipher = machine.cipher
     result.chain = [describe_der(der) for der in machine.chain()]
-    # In TLS 1.3 tickets, or the rejection of our certificate, come after the handshake.
+    # In TLS 1.3 the server sends tickets, or rejects our certificate, after the handshake.
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(TICKET_TIMEOUT_SECONDS):
             await opened.channel.read(Buffer())
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -1,10 +1,13 @@
-"""Calls to endpoints over TLS. Connections are opened ahead of calls, which never wait for a handshake.
+"""Sends calls to endpoints over TLS on connections opened in advance, so that no call waits for a handshake.
 
-The policy is told how many calls an endpoint's open connections take (`ConnectionCapacity`), and asks for
-more when messages wait (`OpenConnections`); `tls.connection_gate` and `tls.handshake_budget` decide whether a
-handshake may start. A handshake is no attempt and occupies no slot. A connection is closed when it is idle
-for long, when the partner ends it, and when what it was verified with is outdated: then gradually, and never
-during a call.
+The transport reports to the policy how many calls an endpoint's open connections take (`ConnectionCapacity`).
+The policy requests more connections when messages wait (`OpenConnections`). `tls.connection_gate` and
+`tls.handshake_budget` decide whether a handshake may start. A handshake is not an attempt and occupies no
+slot.
+
+A connection is closed when it has been idle for too long, when the partner closes it, and when the trust, the
+revocation lists or our certificate have changed since it was verified. In the last case the connections are
+closed gradually, and never during a call.
 """
 
 from __future__ import annotations
@@ -41,10 +44,12 @@
 SWEEP_INTERVAL_SECONDS = 0.25  # between checks for connections to be closed
 FILE_POLL_SECONDS = 2.0  # between checks of the partners' files
 EXPIRY_CHECK_SECONDS = 3600.0  # between checks of our own certificates' expiry
-WATCH_DELAY_SECONDS = 0.01  # an idle connection is watched only after this: under load it is reused sooner
-PARTIAL_RECORD_TIMEOUT = 2 * SECOND  # ns for the rest of a record on an idle connection
-REPLACE_IF_USED_WITHIN = 10 * SECOND  # ns; an outdated connection used within this is replaced first
-# Failures that say nothing about the session that was offered.
+# Time before the event loop watches an idle connection. Under load the connection is reused sooner than this.
+WATCH_DELAY_SECONDS = 0.01
+PARTIAL_RECORD_TIMEOUT = 2 * SECOND  # ns to receive the rest of a record on an idle connection
+# ns; an outdated connection that was used within this time is closed only after its replacement is open.
+REPLACE_IF_USED_WITHIN = 10 * SECOND
+# Failures that do not show that the offered session is unusable.
 SESSION_KEEPING_FAILURES = (
     Failure.UNREACHABLE,
     Failure.STALLED,
@@ -55,30 +60,33 @@
 
 @dataclass(slots=True, eq=False)
 class TlsConnection(Connection):
-    """One connection, with what it was verified by. Times are Unix times in nanoseconds."""
+    """One connection, and the certificate by which the partner was verified. Times are Unix times in ns."""
 
     endpoint_id: str = field(kw_only=True)
-    tls: TlsChannel = field(kw_only=True)  # the channel, by its own type
+    tls: TlsChannel = field(kw_only=True)  # the same object as `channel`, with its concrete type
     partner: PartnerState = field(kw_only=True)
     key: SessionKey = field(kw_only=True)
     certificate: CertificateInfo = field(kw_only=True)
-    retire_at: int = field(kw_only=True)  # when the verification ends, or sooner
-    watched: bool = False  # the loop reports when something comes on it
-    replace_at: int = 0  # from when it is closed once there is a replacement, 0 if it is not outdated
+    # No call is started from this time on. It is the end of the verification, or earlier if the connection
+    # is outdated.
+    retire_at: int = field(kw_only=True)
+    watched: bool = False  # the event loop reports when the socket becomes readable
+    # From this time on the connection is closed as soon as a replacement is open. 0 if it is not outdated.
+    replace_at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointGate:
-    """The connections of one endpoint, and the partner whose terms apply."""
+    """The connections of one endpoint, and the partner whose terms apply to them."""
 
     connections: EndpointConnections
     partner: PartnerState
 
 
 class TlsTransport(HttpTransport):
-    """The transport for endpoints that a partner's table in the operator's file matches.
+    """The transport for endpoints that match a partner's table in the operator's configuration file.
 
-    `max_idle` limits the connections that are idle or in a handshake, over all endpoints.
+    `max_idle` is the maximum number of connections to all endpoints that are idle or in a handshake.
     """
 
     def __init__(
@@ -91,16 +99,16 @@
     ) -> None:
         super().__init__(dispatcher, scheduler, tasks, max_idle)
         self.partners = partners
-        self.gates: dict[str, EndpointGate] = {}  # by endpoint
-        self.connections: dict[TlsConnection, None] = {}  # all that are open, oldest first
-        self.unwatched: dict[TlsConnection, None] = {}  # idle for too short a time to be watched
+        self.gates: dict[str, EndpointGate] = {}  # by endpoint id
+        self.connections: dict[TlsConnection, None] = {}  # all open connections, oldest first
+        self.unwatched: dict[TlsConnection, None] = {}  # idle connections that are not watched yet
         self.watch_scheduled = False
         partners.on_change.append(self._on_partner_changed)
 
-    # Opening.
+    # Opening of connections.
 
     def open(self, member: PoolEndpoint, calls: int) -> None:
-        """Open connections for so many more calls, as far as the budget and the descriptors allow."""
+        """Open connections for this number of further calls, as far as budget and descriptors allow."""
         gate = self._gate(member)
         connections = gate.connections
         for _ in range(calls - connections.opening):
@@ -130,7 +138,7 @@
         return gate
 
     def _free_descriptor(self) -> bool:
-        """Whether another connection may be opened; closes the longest idle one if necessary."""
+        """Return whether another connection may be opened; close the longest idle one if necessary."""
         idle = sum(len(connections) for connections in self.idle.values())
         opening = sum(gate.connections.opening for gate in self.gates.values())
         if idle + opening < self.max_idle:
@@ -146,7 +154,7 @@
         self._drop(self._idle_connections(endpoint_id)[0])
 
     def _idle_connections(self, endpoint_id: str) -> list[TlsConnection]:
-        """A copy of the endpoint's idle connections, the last used one last."""
+        """Return a copy of the list of the endpoint's idle connections, the most recently used one last."""
         idle = self.idle.get(endpoint_id, [])
         return [connection for connection in idle if isinstance(connection, TlsConnection)]
 
@@ -192,9 +200,9 @@
             certificate=opened.certificate,
             retire_at=partner.material.valid_until(opened.certificate),
             idle_since=now,
-            used=True,  # by its handshake, where a reached connection limit would have shown
+            used=True,  # by the handshake, in which a reached connection limit would already have shown
         )
-        if not resumed:  # the session that was offered, if any, is useless
+        if not resumed:  # the partner did not accept the session that was offered, if any
             self.partners.sessions.forget(key)
         if key.generation != partner.generation:  # the files changed during the handshake
             self._retire([connection], partner)
@@ -204,13 +212,13 @@
         self._report_capacity(gate.connections)
 
     def _report_capacity(self, connections: EndpointConnections, blocked_for: int = 0) -> None:
-        """Tell the policy; connecting is blocked for at least `blocked_for` nanoseconds."""
+        """Report the capacity to the policy; connecting is blocked for at least `blocked_for` nanoseconds."""
         capacity = connections.capacity(self.scheduler.now())
         if blocked_for > capacity.connect_blocked_for:
             capacity = replace(capacity, connect_blocked_for=blocked_for)
         self.dispatcher.apply_connection_capacity(capacity)
 
-    # Idle connections. Each is watched, so that its end is known before a call is assigned to it.
+    # Idle connections. Each is watched, so that a closed connection is noticed before a call is assigned.
 
     def _add_idle(self, connection: TlsConnection) -> None:
         self.idle.setdefault(connection.endpoint_id, []).append(connection)
@@ -218,11 +226,11 @@
             self.watch_scheduled = True
             self.loop.call_later(WATCH_DELAY_SECONDS, self._watch_idle)
         self.unwatched[connection] = None
-        self._on_idle_data(connection)  # what came with the handshake or after the response
+        self._on_idle_data(connection)  # data may have arrived with the handshake or after the response
         self._enforce_idle_limit()
 
     def _watch_idle(self) -> None:
-        """Watch the connections that were not reused at once."""
+        """Watch the connections that are still idle after WATCH_DELAY_SECONDS."""
         unwatched = self.unwatched
         self.unwatched = {}
         self.watch_scheduled = False
@@ -246,7 +254,7 @@
             )
 
     def _idle_ended(self, connection: TlsConnection) -> None:
-        """The partner ended an idle connection, or sent something unexpected on it."""
+        """Drop an idle connection that the partner closed, or on which it sent unexpected data."""
         endpoint_id = connection.endpoint_id
         failure = connection.tls.machine.failure
         if failure is not None and failure.failure is Failure.OUR_CERTIFICATE_REJECTED:
@@ -255,7 +263,11 @@
         self._drop(connection)
 
     def _record_loss(self, endpoint_id: str, failure: TlsError | None) -> None:
-        """An open connection ended: the endpoint rejects our certificate, or has perhaps restarted."""
+        """Record that an open connection ended.
+
+        The endpoint is blocked if it rejected our certificate. Any other loss counts towards the detection of
+        a restart.
+        """
         gate = self.gates.get(endpoint_id)
         if gate is None:
             return
@@ -288,7 +300,7 @@
         self._remove(connection, busy=False)
 
     def _remove(self, connection: TlsConnection, busy: bool) -> None:
-        """A connection was closed; `busy` if it carried a call."""
+        """Remove a connection that was closed; `busy` means that it carried a call."""
         if connection not in self.connections:
             return
         del self.connections[connection]
@@ -309,7 +321,7 @@
     # Calls.
 
     async def _connection(self, member: PoolEndpoint) -> Connection:
-        """The idle connection that was used last. Raises NoConnectionError if none is alive."""
+        """Return the most recently used idle connection. Raise NoConnectionError if none is alive."""
         now = self.scheduler.now()
         idle = self.idle.get(member.id, [])
         for connection in reversed(idle[:]):
@@ -328,7 +340,11 @@
         raise NoConnectionError(f"{member.id}: its last connection has gone")
 
     def _release(self, member: PoolEndpoint, connection: Connection) -> None:
-        """Return a connection to the pool after a call, unless it is outdated or not clean."""
+        """Return a connection to the pool after a call.
+
+        Close it instead if it is outdated, has ended or has unread plaintext, or if its endpoint is not
+        listed any more.
+        """
         assert isinstance(connection, TlsConnection)
         now = self.scheduler.now()
         connection.idle_since = now
@@ -361,7 +377,10 @@
     # Outdated connections.
 
     def _on_partner_changed(self, partner: PartnerState) -> None:
-        """Trust, lists or our certificate are new: connections made before are replaced gradually."""
+        """Replace the partner's connections gradually, and unblock its endpoints.
+
+        This is called after its trust, its revocation lists or our certificate have changed.
+        """
         self._retire(
             [connection for connection in self.connections if connection.partner is partner], partner
         )
@@ -378,13 +397,13 @@
         times = retirement.plan_retirement(len(connections), now, duration, self.partners.rng)
         for connection, replace_at in zip(connections, times, strict=True):
             if partner.material.find_objection(connection.certificate, now) is not None:
-                connection.retire_at = now  # no further call, but the one in flight is completed
+                connection.retire_at = now  # no further call is started, and a call in flight is completed
             else:
                 connection.replace_at = min(connection.replace_at or replace_at, replace_at)
                 connection.retire_at = min(connection.retire_at, now + duration)
 
     async def sweep(self) -> None:
-        """Close connections that are too old, outdated, or whose endpoint is not listed. Never returns."""
+        """Close idle connections that are too old, outdated or of an unlisted endpoint. Never returns."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self.scheduler.now()
@@ -413,9 +432,9 @@
             self._idle_ended(connection)
 
     def _replace(self, endpoint: PoolEndpoint, connection: TlsConnection, now: int) -> None:
-        """Close an outdated connection once there is a new one, or if it is rarely used.
+        """Close an outdated connection if it is rarely used or replaced; otherwise open a replacement.
 
-        It is closed in any case at its `retire_at`.
+        At its `retire_at` the connection is closed in any case.
         """
         has_replacement = any(
             not other.replace_at for other in self.connections if other.endpoint_id == endpoint.id
@@ -427,24 +446,24 @@
 
     @staticmethod
     def _has_stalled_record(connection: TlsConnection, now: int) -> bool:
-        """A record was begun and is not completed in time."""
+        """Return whether the rest of a partially received record has not arrived in time."""
         idle_time = now - connection.idle_since
         return not connection.tls.machine.quiescent and idle_time > PARTIAL_RECORD_TIMEOUT
 
     async def watch_files(self) -> None:
-        """Read the partners' files again when they change. Never returns."""
+        """Read the partners' files again whenever they change. Never returns."""
         while True:
             await asyncio.sleep(FILE_POLL_SECONDS)
             await self.reload_certificates()
 
     async def reload_certificates(self, everything: bool = False) -> None:
-        """Read changed files once, in a thread; with `everything`, all files."""
+        """Read changed files, or with `everything` all files, once and in a thread."""
         for partner, stamps in await asyncio.to_thread(self.partners.changed_files, everything):
             loaded = await asyncio.to_thread(self.partners.read_files, partner)
             self.partners.apply_files(partner, stamps, loaded)
 
     async def watch_ends(self) -> None:
-        """Report our own certificates that expire soon. Never returns."""
+        """Log warnings about our own certificates that expire soon. Never returns."""
         while True:
             self.partners.warn_of_expiry()
             await asyncio.sleep(EXPIRY_CHECK_SECONDS)
