--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -85,9 +85,9 @@
         if call in self.running:
             self.running[call].cancel()
 
-    def close_idle(self, member: PoolEndpoint) -> None:
+    def close_idle(self, endpoint: PoolEndpoint) -> None:
         """Close the idle connections to an endpoint."""
-        for connection in self.idle.pop(member.id, []):
+        for connection in self.idle.pop(endpoint.id, []):
             connection.channel.close()
 
     def set_max_idle(self, max_idle: int) -> None:
@@ -102,7 +102,11 @@
             for endpoint_id in list(self.idle):
                 endpoint = self.dispatcher.pool.endpoints.get(endpoint_id)
                 connections = self.idle.pop(endpoint_id)
-                usable = [connection for connection in connections if self._usable(connection, endpoint)]
+                usable = [
+                    connection
+                    for connection in connections
+                    if self._close_unless_usable(connection, endpoint)
+                ]
                 if usable:
                     self.idle[endpoint_id] = usable
 
@@ -115,7 +119,7 @@
         too_old = self.max_idle_time and idle_time > self.max_idle_time
         return endpoint is not None and connection.address == endpoint.address and not too_old
 
-    def _usable(self, connection: Connection, endpoint: PoolEndpoint | None) -> bool:
+    def _close_unless_usable(self, connection: Connection, endpoint: PoolEndpoint | None) -> bool:
         """Return whether an idle connection may carry another call; close it if not."""
         if self._may_reuse(connection, endpoint) and connection.channel.is_reusable():
             return True
@@ -156,7 +160,7 @@
         return late_result(call, progress) or failed_result(call, progress, outcome)
 
     async def _exchange(self, call: Call, progress: CallProgress) -> CallResult:
-        connection = await self._connection(call.endpoint)
+        connection = await self._acquire_connection(call.endpoint)
         progress.connection = connection
         if not self.dispatcher.start_call(call):
             progress.not_started = True
@@ -194,34 +198,34 @@
         except TimeoutError:
             raise http1.HttpError("answer: its rest does not come") from None
 
-    async def _connection(self, member: PoolEndpoint) -> Connection:
+    async def _acquire_connection(self, endpoint: PoolEndpoint) -> Connection:
         """Return a pooled connection to an endpoint, or a new one. Raise OSError if none can be opened."""
-        pooled = self.idle.get(member.id, [])
+        pooled = self.idle.get(endpoint.id, [])
         while pooled:
             connection = pooled.pop()
-            if self._usable(connection, member):
+            if self._close_unless_usable(connection, endpoint):
                 return connection
         timeout = self.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT
         try:
             async with asyncio.timeout(timeout / SECOND):
-                sock = await sockets.connect(self.loop, member.address)
+                sock = await sockets.connect(self.loop, endpoint.address)
         except TimeoutError:
             raise ConnectionRefusedError("the connection never came up") from None
         channel = PlainChannel(self.loop, sock)
         parser = http1.ResponseParser(max_bytes=MAX_RESPONSE_BYTES)
-        return Connection(channel, member.address, Buffer(), parser)
+        return Connection(channel, endpoint.address, Buffer(), parser)
 
-    def _release(self, member: PoolEndpoint, connection: Connection) -> None:
+    def _release(self, endpoint: PoolEndpoint, connection: Connection) -> None:
         """Return a connection to the pool after a call."""
         connection.idle_since = self.scheduler.now()
-        self.idle.setdefault(member.id, []).append(connection)
+        self.idle.setdefault(endpoint.id, []).append(connection)
         self._enforce_idle_limit()
 
     def _enforce_idle_limit(self) -> None:
         while sum(map(len, self.idle.values())) > self.max_idle:
-            self._drop_oldest()
+            self._drop_longest_idle()
 
-    def _drop_oldest(self) -> None:
+    def _drop_longest_idle(self) -> None:
         """Close the connection that has been idle for the longest time."""
         oldest = [(connections[0].idle_since, name) for name, connections in self.idle.items() if connections]
         _, endpoint_id = min(oldest)
--- a/honeyhitch/transports/mqtt_frontend.py
+++ b/honeyhitch/transports/mqtt_frontend.py
@@ -88,12 +88,12 @@
         self._publish(mqtt_messages.encode_final_answer(transaction), transaction)
 
     def _publish(self, answer: Packet, transaction: Transaction | None) -> None:
-        def on_done(acknowledgement: Packet | None, _may_have_left: bool) -> None:
+        def on_done(acknowledgement: Packet | None, _may_have_been_sent: bool) -> None:
             if acknowledgement is not None and acknowledgement.reason == mqtt_messages.QUOTA_EXCEEDED:
                 retry_at = self.scheduler.now() + QUOTA_RETRY_DELAY
                 self.scheduler.call_at(retry_at, lambda: self._publish(answer, transaction))
                 return
-            _report_unconfirmed(answer, acknowledgement)
+            _log_if_unconfirmed(answer, acknowledgement)
             if transaction is not None:
                 self.dispatcher.answer_sent(transaction)
 
@@ -101,7 +101,7 @@
         self.replies_link.output_ready.set()
 
 
-def _report_unconfirmed(answer: Packet, acknowledgement: Packet | None) -> None:
+def _log_if_unconfirmed(answer: Packet, acknowledgement: Packet | None) -> None:
     if acknowledgement is None:
         problem = "no acknowledgement"
     elif acknowledgement.reason >= FIRST_ERROR_REASON:
--- a/honeyhitch/transports/mqtt_link.py
+++ b/honeyhitch/transports/mqtt_link.py
@@ -65,7 +65,12 @@
         """Open one connection and serve it until it ends. Raise OSError, TimeoutError or MqttError then."""
         channel = await self.connector.connect(self.address)
         self.session.open()
-        jobs = (self._read(channel), self._write(channel), self._ping(), self._replace(channel))
+        jobs = (
+            self._read(channel),
+            self._write(channel),
+            self._send_pings(),
+            self._drain_when_outdated(channel),
+        )
         try:
             async with asyncio.TaskGroup() as group:
                 for job in jobs:
@@ -76,7 +81,7 @@
             channel.close()
             self.session.connection_lost()
 
-    async def _replace(self, channel: Channel) -> None:
+    async def _drain_when_outdated(self, channel: Channel) -> None:
         """Raise ConnectionAbortedError once the connection is outdated.
 
         Publishes in flight are awaited first, for at most DRAIN_TIMEOUT_SECONDS.
@@ -117,7 +122,7 @@
                 self.output_ready.clear()
                 await self.output_ready.wait()
 
-    async def _ping(self) -> None:
+    async def _send_pings(self) -> None:
         while True:
             await asyncio.sleep(self.session.keep_alive / 2 or CONNECT_TIMEOUT_SECONDS)
             if self.session.connected and self.session.keep_alive:
--- a/honeyhitch/transports/mqtt_transport.py
+++ b/honeyhitch/transports/mqtt_transport.py
@@ -34,16 +34,18 @@
             self.scheduler.call_at(self.scheduler.now(), lambda: self._finish(call, result))
             return
         packet = mqtt_messages.encode_call(call, call.timeout)
-        publish = self.session.publish(packet, partial(self._on_done, call), partial(self._on_turn, call))
+        publish = self.session.publish(
+            packet, partial(self._on_done, call), partial(self._create_packet, call)
+        )
         if call in self.running:  # the call may have ended during `publish`
             self.running[call] = publish
         self.link.output_ready.set()
         self.scheduler.call_at(call.sent_at + call.timeout, lambda: self._stop(call, Outcome.TIMEOUT))
 
-    def _on_done(self, call: Call, acknowledgement: Packet | None, may_have_left: bool) -> None:
-        self._finish(call, mqtt_messages.interpret_acknowledgement(call, acknowledgement, may_have_left))
+    def _on_done(self, call: Call, acknowledgement: Packet | None, may_have_been_sent: bool) -> None:
+        self._finish(call, mqtt_messages.interpret_acknowledgement(call, acknowledgement, may_have_been_sent))
 
-    def _on_turn(self, call: Call) -> Packet | None:
+    def _create_packet(self, call: Call) -> Packet | None:
         """Return the packet to send, with the time that remains now, or None if the call is withdrawn."""
         if self.dispatcher.start_call(call):
             return mqtt_messages.encode_call(call, call.sent_at + call.timeout - self.scheduler.now())
@@ -68,9 +70,9 @@
         self._finish(call, CallResult.uniform(outcome, len(call.messages)))
 
     def _on_late_acknowledgement(
-        self, call: Call, acknowledgement: Packet | None, may_have_left: bool
+        self, call: Call, acknowledgement: Packet | None, may_have_been_sent: bool
     ) -> None:
-        result = mqtt_messages.interpret_acknowledgement(call, acknowledgement, may_have_left)
+        result = mqtt_messages.interpret_acknowledgement(call, acknowledgement, may_have_been_sent)
         self.dispatcher.retry_after_received(call.endpoint, result.retry_after)
 
     def cancel(self, call: Call) -> None:
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -60,7 +60,7 @@
     async def _restart_forever(self, function: Callable[[], Awaitable[None]]) -> None:
         pause = INITIAL_RESTART_PAUSE_SECONDS
         while True:
-            began = self.loop.time()
+            started_at = self.loop.time()
             try:
                 await function()
             except Exception as error:  # noqa: BLE001  # the function is called again after any failure
@@ -68,7 +68,7 @@
                 log.warning("task.restarted", work=name, error=f"{type(error).__name__}: {error}", key=name)
             if self.stopping:  # a cancelled task group may raise another exception than CancelledError
                 return
-            if self.loop.time() - began > MAX_RESTART_PAUSE_SECONDS:
+            if self.loop.time() - started_at > MAX_RESTART_PAUSE_SECONDS:
                 pause = INITIAL_RESTART_PAUSE_SECONDS
             await asyncio.sleep(pause)
             pause = min(2 * pause, MAX_RESTART_PAUSE_SECONDS)
--- a/honeyhitch/transports/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -24,7 +24,7 @@
     """The partner's generation at a connection's opening, and the end of its verification (Unix time, ns)."""
 
     generation: int
-    until: int
+    valid_until: int
 
 
 class TlsConnector:
@@ -48,15 +48,15 @@
         try:
             opened = await open_verified(self.loop, self.partners, self.partner, address)
         except TlsError as error:
-            await self._handshake_failed(error, start)
+            await self._on_handshake_failed(error, start)
             raise
         except BaseException:
             budget.failed(start, outage=False)
             raise
         self.failures = 0
         budget.succeeded(start, self.partners.now(), opened.channel.machine.resumed)
-        until = self.partner.material.valid_until(opened.certificate)
-        self.validity[opened.channel] = _Validity(opened.key.generation, until)
+        valid_until = self.partner.material.valid_until(opened.certificate)
+        self.validity[opened.channel] = _Validity(opened.key.generation, valid_until)
         return opened.channel
 
     async def _wait_for_budget(self) -> None:
@@ -66,7 +66,7 @@
                 return
             await asyncio.sleep(wait / SECOND)
 
-    async def _handshake_failed(self, error: TlsError, start: HandshakeStart) -> None:
+    async def _on_handshake_failed(self, error: TlsError, start: HandshakeStart) -> None:
         """Log the failure, and after a lasting one wait until the block ends or the partner's files change.
 
         Changed files may remove the cause of the failure.
@@ -82,14 +82,14 @@
             key=f"{self.partner.name} {error.failure.label}",
         )
         if lasting:
-            until = now + self.partners.block_duration(self.failures)
+            blocked_until = now + self.partners.block_duration(self.failures)
             self.failures += 1
-            await self._wait_for_change(self.partner.generation, until)
+            await self._wait_for_change(self.partner.generation, blocked_until)
 
-    async def _wait_for_change(self, generation: int, until: int) -> None:
-        """Return once the partner's generation differs from `generation`, or at Unix time `until` in ns."""
+    async def _wait_for_change(self, generation: int, deadline: int) -> None:
+        """Return once the partner's generation is not `generation`, or at `deadline` (Unix time in ns)."""
         while True:
-            if generation != self.partner.generation or self.partners.now() >= until:
+            if generation != self.partner.generation or self.partners.now() >= deadline:
                 return
             await asyncio.sleep(CHANGE_POLL_SECONDS)
 
@@ -97,7 +97,7 @@
         """Return once the partner's files have changed, or when the verification of the connection ends."""
         assert isinstance(channel, TlsChannel)
         validity = self.validity.pop(channel)
-        await self._wait_for_change(validity.generation, validity.until)
+        await self._wait_for_change(validity.generation, validity.valid_until)
         if validity.generation != self.partner.generation:  # prevents that all links reconnect at once
             retire_within = self.partner.partner.terms.retire_within / SECOND
             spread = retire_within * RECONNECT_SPREAD_FRACTION
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -107,9 +107,9 @@
 
     # Opening of connections.
 
-    def open(self, member: PoolEndpoint, calls: int) -> None:
+    def open(self, endpoint: PoolEndpoint, calls: int) -> None:
         """Open connections for this number of further calls, as far as budget and descriptors allow."""
-        gate = self._gate(member)
+        gate = self._find_or_create_gate(endpoint)
         connections = gate.connections
         for _ in range(calls - connections.opening):
             now = self.scheduler.now()
@@ -121,9 +121,9 @@
                 if not connections.opening:
                     self._report_capacity(connections)
                 return
-            self.tasks.start(self._open(member, gate, start))
+            self.tasks.start(self._open(endpoint, gate, start))
 
-    def _gate(self, endpoint: PoolEndpoint) -> EndpointGate:
+    def _find_or_create_gate(self, endpoint: PoolEndpoint) -> EndpointGate:
         gate = self.gates.get(endpoint.id)
         if gate is None:
             kind = self.settings.kind(endpoint.kind).name
@@ -145,10 +145,10 @@
             return True
         if not idle:
             return False
-        self._drop_oldest()
+        self._drop_longest_idle()
         return True
 
-    def _drop_oldest(self) -> None:
+    def _drop_longest_idle(self) -> None:
         oldest = [(connections[0].idle_since, name) for name, connections in self.idle.items() if connections]
         _, endpoint_id = min(oldest)
         self._drop(self._idle_connections(endpoint_id)[0])
@@ -247,13 +247,13 @@
 
     def _on_idle_data(self, connection: TlsConnection) -> None:
         if not connection.tls.alive():
-            self._idle_ended(connection)
+            self._on_idle_connection_ended(connection)
         elif connection.tls.machine.may_have_ticket:
             self.partners.keep_session(
                 connection.partner, connection.key, connection.tls.machine, connection.certificate
             )
 
-    def _idle_ended(self, connection: TlsConnection) -> None:
+    def _on_idle_connection_ended(self, connection: TlsConnection) -> None:
         """Drop an idle connection that the partner closed, or on which it sent unexpected data."""
         endpoint_id = connection.endpoint_id
         failure = connection.tls.machine.failure
@@ -313,33 +313,33 @@
             gate.connections.idle -= 1
         self._report_capacity(gate.connections)
 
-    def close_idle(self, member: PoolEndpoint) -> None:
+    def close_idle(self, endpoint: PoolEndpoint) -> None:
         """Close the idle connections to an endpoint."""
-        for connection in self._idle_connections(member.id):
+        for connection in self._idle_connections(endpoint.id):
             self._drop(connection)
 
     # Calls.
 
-    async def _connection(self, member: PoolEndpoint) -> Connection:
+    async def _acquire_connection(self, endpoint: PoolEndpoint) -> Connection:
         """Return the most recently used idle connection. Raise NoConnectionError if none is alive."""
         now = self.scheduler.now()
-        idle = self.idle.get(member.id, [])
+        idle = self.idle.get(endpoint.id, [])
         for connection in reversed(idle[:]):
             assert isinstance(connection, TlsConnection)
-            if connection.retire_at <= now or not self._may_reuse(connection, member):
+            if connection.retire_at <= now or not self._may_reuse(connection, endpoint):
                 self._drop(connection)
             elif not connection.tls.alive():
-                self._idle_ended(connection)
+                self._on_idle_connection_ended(connection)
             elif connection.tls.machine.quiescent:
                 self._unwatch(connection)
                 idle.remove(connection)
-                connections = self.gates[member.id].connections
+                connections = self.gates[endpoint.id].connections
                 connections.idle -= 1
                 connections.busy += 1
                 return connection
-        raise NoConnectionError(f"{member.id}: its last connection has gone")
+        raise NoConnectionError(f"{endpoint.id}: its last connection has gone")
 
-    def _release(self, member: PoolEndpoint, connection: Connection) -> None:
+    def _release(self, endpoint: PoolEndpoint, connection: Connection) -> None:
         """Return a connection to the pool after a call.
 
         Close it instead if it is outdated, has ended or has unread plaintext, or if its endpoint is not
@@ -353,11 +353,11 @@
             connection.channel.close()
             self._remove(connection, busy=True)
             return
-        if member.id not in self.gates or member.id not in self.dispatcher.pool.endpoints:
+        if endpoint.id not in self.gates or endpoint.id not in self.dispatcher.pool.endpoints:
             self.connections.pop(connection, None)
             connection.channel.close()
             return
-        connections = self.gates[member.id].connections
+        connections = self.gates[endpoint.id].connections
         connections.idle += 1
         connections.busy -= 1
         self._add_idle(connection)
@@ -429,7 +429,7 @@
         elif not self._may_reuse(connection, endpoint) or self._has_stalled_record(connection, now):
             self._drop(connection)
         elif not connection.tls.alive():
-            self._idle_ended(connection)
+            self._on_idle_connection_ended(connection)
 
     def _replace(self, endpoint: PoolEndpoint, connection: TlsConnection, now: int) -> None:
         """Close an outdated connection if it is rarely used or replaced; otherwise open a replacement.
