--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -183,7 +183,9 @@
             if response is not None:
                 return response
             if not data:
-                raise ConnectionResetError("the connection ended before the answer")
+                raise ConnectionResetError(
+                    f"{call.endpoint.id}: expected a complete response, but the connection was closed"
+                )
 
     async def _read(self, call: Call, connection: Connection) -> bytes:
         read = connection.channel.receive(connection.buffer)
@@ -196,7 +198,9 @@
             async with asyncio.timeout(stall_timeout):
                 return await read
         except TimeoutError:
-            raise http1.HttpError("answer: its rest does not come") from None
+            raise http1.HttpError(
+                f"{call.endpoint.id}: incomplete response, and no further bytes within {stall_timeout} s"
+            ) from None
 
     async def _acquire_connection(self, endpoint: PoolEndpoint) -> Connection:
         """Return a pooled connection to an endpoint, or a new one. Raise OSError if none can be opened."""
@@ -210,7 +214,9 @@
             async with asyncio.timeout(timeout / SECOND):
                 sock = await sockets.connect(self.loop, endpoint.address)
         except TimeoutError:
-            raise ConnectionRefusedError("the connection never came up") from None
+            raise ConnectionRefusedError(
+                f"{endpoint.id}: no connection to {endpoint.address} within {timeout / SECOND} s"
+            ) from None
         channel = PlainChannel(self.loop, sock)
         parser = http1.ResponseParser(max_bytes=MAX_RESPONSE_BYTES)
         return Connection(channel, endpoint.address, Buffer(), parser)
--- a/honeyhitch/transports/mqtt_link.py
+++ b/honeyhitch/transports/mqtt_link.py
@@ -93,7 +93,9 @@
             if not self.session.outgoing or self.loop.time() >= deadline:
                 break
             await asyncio.sleep(DRAIN_POLL_SECONDS)
-        raise ConnectionAbortedError("made anew: what it was verified with has changed")
+        raise ConnectionAbortedError(
+            f"{self.address}: reconnecting, the connection's verification is outdated"
+        )
 
     async def _read(self, channel: Channel) -> None:
         buffer = Buffer()
@@ -101,7 +103,7 @@
             async with asyncio.timeout(self._read_timeout()):
                 count = await channel.read(buffer)
             if not count:
-                raise ConnectionResetError("the broker closed the connection")
+                raise ConnectionResetError(f"{self.address}: the broker closed the connection")
             self.session.receive(buffer)
             self.output_ready.set()
 
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -337,7 +337,7 @@
                 connections.idle -= 1
                 connections.busy += 1
                 return connection
-        raise NoConnectionError(f"{endpoint.id}: its last connection has gone")
+        raise NoConnectionError(f"{endpoint.id}: none of the open connections is alive")
 
     def _release(self, endpoint: PoolEndpoint, connection: Connection) -> None:
         """Return a connection to the pool after a call.
