--- a/tests/partner.py
+++ b/tests/partner.py
@@ -1,4 +1,4 @@
-"""A stand-in for an endpoint over plain HTTP: it reads complete requests and answers as it is set up."""
+"""A test endpoint over unencrypted HTTP, which reads complete requests and answers each with a set status."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class Partner:
-    """An endpoint that answers every call with `status`, once `released` is set; without `holds` it is."""
+    """An endpoint that answers every call with `status` once the event `released` is set.
+
+    With `holds` the event is initially not set, so that calls stay without an answer.
+    """
 
     def __init__(self, status: int, holds: bool = False) -> None:
         self.status = status
@@ -24,7 +27,7 @@
         return self
 
     def on_call(self, body: bytes) -> None:
-        """A complete call was received."""
+        """Record the body of a call that was received completely."""
         self.bodies.append(body)
 
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -1,4 +1,4 @@
-"""Slots of clients: who keeps one, who loses it, and who is closed at a timeout, on loopback."""
+"""Tests over loopback of which clients keep their slot, which lose it, and which are closed at a timeout."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
             idle, partial = await dial(server), await dial(server)
             partial[1].write(b"*1\r\n$4\r\nPI")
             new = await dial(server)
-            await ping(new)  # it had to wait, and was not closed
+            await ping(new)  # the new connection waited for a slot and was not closed
             assert await idle[0].read() == b""
             partial[1].write(b"NG\r\n")
             assert await partial[0].readline() == PONG
@@ -72,14 +72,14 @@
             newer = await dial(server)
             await ping(newer)
             assert await partial[0].read() == b"", "the one that has been unused for longest"
-            for _ in range(20):  # a crowd that asks once and stays: none of it is left out
+            for _ in range(20):  # each of many clients that send one request and stay connected gets a slot
                 await ping(await dial(server))
 
     play(work())
 
 
 def test_a_server_is_not_quiescent_while_connections_wait_for_a_slot() -> None:
-    """Closed then, as at the end of an upgrade's old process, it would reset them."""
+    """A listener that is closed then, as the old process does at the end of an upgrade, resets them."""
 
     async def work() -> None:
         async with served(1) as server:
@@ -112,7 +112,7 @@
                 reader, writer = await dial(server)
                 writer.write(begun)
                 assert await reader.read() == expected + client_server.REQUEST_TIMEOUT_REPLY
-            await ping(used)  # a client that was answered may be silent
+            await ping(used)  # the timeout does not apply to a client that was answered and sends nothing
 
     play(work())
 
@@ -157,7 +157,7 @@
             streams = [await dial(server) for _ in range(4)]
             for stream in streams[:3]:
                 await ping(stream)
-            streams[3][1].write(b"*1\r\n$4\r\nPI")  # half a command: this client uses its slot
+            streams[3][1].write(b"*1\r\n$4\r\nPI")  # an incomplete command, so this client uses its slot
             await poll_condition(
                 lambda: any(client.has_partial_request for client in server.clients), interval=0
             )
@@ -172,7 +172,7 @@
 
 
 class Crossing:
-    """Something else that the loop does in the same turn as it reads, right behind it."""
+    """A callback that runs in the same iteration of the event loop as a read, right after it."""
 
     def __init__(self, what: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
@@ -187,14 +187,17 @@
         self.done.set()
 
     async def follow(self, act: Callable[[], object]) -> None:
-        """`act` makes something readable, then this does, and both are read in one turn of the loop."""
+        """Call `act`, which makes a socket readable, and have the callback run in the same loop iteration."""
         act()
         self.there.send(b"x")
         await self.done.wait()
 
 
 async def plain(server: ClientServer) -> socket.socket:
-    """A client's socket without a stream, so that bytes go at a named moment; it has been answered once."""
+    """Return a client's socket that has been answered once.
+
+    It is not wrapped in a stream, so that the test controls when bytes are sent.
+    """
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.send(PING)
     await poll_condition(lambda: any(client.answered for client in server.clients), interval=0)
@@ -204,7 +207,7 @@
 
 
 def test_a_request_that_is_read_as_its_server_drains_has_its_reply() -> None:
-    """The loop reads in one turn and the task handles it in the next; between them SIGTERM is heard."""
+    """The loop reads in one iteration and the task resumes in the next; SIGTERM is handled in between."""
 
     async def work() -> None:
         async with served(10) as server:
@@ -237,7 +240,7 @@
 def test_a_request_that_crosses_the_close_of_its_connection_is_not_read(
     monkeypatch: pytest.MonkeyPatch, moment: str
 ) -> None:
-    """Its client submits it again elsewhere; if it was accepted here too, nobody would get the answer."""
+    """The client submits the request again elsewhere; if accepted here, too, nobody would get the answer."""
     accepted: list[object] = []
 
     def spied() -> resp.Session:
@@ -259,7 +262,7 @@
             def crossed(checked: socket.socket) -> bool:
                 reusable = is_reusable(checked)
                 if reusable and checked.getpeername() == sock.getsockname():
-                    sock.send(raw(ENQUEUE))  # right after the check, before the shutdown
+                    sock.send(raw(ENQUEUE))  # after the server's check and before its shutdown of the socket
                 return reusable
 
             with monkeypatch.context() as patch:
@@ -271,7 +274,7 @@
                 else:
                     server.set_max_clients(0)
             reader, _ = await asyncio.open_connection(sock=sock)
-            with contextlib.suppress(ConnectionResetError):  # unread bytes make a reset of its end
+            with contextlib.suppress(ConnectionResetError):  # closing with unread bytes resets the connection
                 assert await reader.read() == b""
             await poll_condition(lambda: not server.clients, interval=0)
             assert not accepted
@@ -280,7 +283,7 @@
 
 
 class Stuck:
-    """A loop whose writes stop after some bytes till the test lets them go on."""
+    """An event loop whose writes pause after 3 bytes until the test sets an event."""
 
     def __init__(self) -> None:
         self.loop, self.go = asyncio.get_running_loop(), asyncio.Event()
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -1,7 +1,7 @@
-"""The last check before a call's first byte: what was received since the policy decided it counts.
+"""Tests of the last check before a call's first byte.
 
-Meanwhile a connection has to be opened. The connections here wait until a test releases them, so that each
-race is forced.
+While a connection for the call is opened, events may arrive that change the policy's decision to start it.
+The connections in these tests wait until a test releases them, so that each such race is forced.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class HeldConnections:
-    """Connections of the transport: while `held` is set, each waits for its release event."""
+    """Replaces `sockets.connect`: while `held` is true, each connect waits for its event in `releases`."""
 
     def __init__(self) -> None:
         self.releases: list[asyncio.Event] = []
@@ -58,7 +58,7 @@
 
 
 class Endpoint:
-    """It reads complete calls and answers each with what the test gives it."""
+    """An HTTP endpoint that reads complete calls and answers each with the next response from its queue."""
 
     def __init__(self) -> None:
         self.calls: list[bytes] = []
@@ -80,12 +80,13 @@
                 assert length is not None
                 self.calls.append(head + await reader.readexactly(int(length[1])))
                 writer.write(await self.answers.get())
-        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):  # the last: the loop ends
+        # CancelledError is raised when the event loop ends.
+        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             writer.close()
 
 
 class Rig:
-    """A dispatcher with the real transport, on the loop's clock."""
+    """A dispatcher with the real HTTP transport, on the event loop's clock."""
 
     def __init__(self, directory: Path, endpoints: list[Endpoint], kind: str = "small", **more: Any) -> None:
         self.loop = asyncio.get_running_loop()
@@ -118,7 +119,7 @@
         return transaction
 
     def change_listing(self, changed_fields: dict[str, Any]) -> None:
-        """Discovery changes these fields of an endpoint, of the first unless another id is given."""
+        """Apply a change of these fields from discovery, to the first endpoint unless they include an id."""
         change = {
             "revision": self.dispatcher.pool.revision + 1,
             "members": [{**self.rows[0], **changed_fields}],
@@ -126,7 +127,7 @@
         self.dispatcher.apply_list_update(self.dispatcher.pool.update(change))
 
     def retry_after_until(self) -> int:
-        """When the Retry-After of the one destination ends."""
+        """Return when the Retry-After of the only destination ends, as a Unix time in nanoseconds."""
         return max(
             known.state.retry_after_until
             for known in self.dispatcher.policy.destinations[1].endpoints.values()
@@ -152,7 +153,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Let the loop turn until the condition holds."""
+    """Check the condition in every iteration of the loop, and return once it holds."""
     await poll_condition(condition, interval=0, limit=LIMIT_SECONDS)
 
 
@@ -181,7 +182,7 @@
         rig.submit("a")
         await until(lambda: endpoint.calls)
         held_connections.held = True
-        rig.submit("b")  # its connection is being opened
+        rig.submit("b")  # the connection for this message is now being opened
         await until(lambda: held_connections.releases)
         endpoint.answers.put_nowait(LATER)
         await until(lambda: rig.retry_after_until() > 0)
@@ -277,7 +278,7 @@
 def test_a_failed_connection_counts_as_an_attempt_after_a_restart(tmp_path: Path) -> None:
     async def work() -> None:
         endpoint = Endpoint()
-        endpoint.port = 9  # nobody listens there
+        endpoint.port = 9  # a port on which no process listens
         rig = Rig(tmp_path, [endpoint])
         rig.submit("a")
         await until(
@@ -300,7 +301,7 @@
         rig = Rig(tmp_path, [endpoint], "large")
         rig.submit("brief", left=SECOND // 4)
         rig.submit("long")
-        await until(lambda: "brief" in rig.answers)  # while the call with both is in flight
+        await until(lambda: "brief" in rig.answers)  # the call with both messages is still in flight
         body = b"brief accepted\r\nlong accepted\r\n"
         endpoint.answers.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         endpoint.answers.put_nowait(OK)
@@ -319,8 +320,9 @@
 def test_a_retry_after_that_arrives_as_its_call_ends_is_heeded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str, reply: str
 ) -> None:
-    """The reply is in the socket, or was just read for a task that runs next, as the call times out or is
-    cancelled: its Retry-After binds.
+    """The Retry-After of a response counts even if its call times out or is cancelled at the same moment.
+
+    At that moment the response is in the socket, or was just read for a task that has not resumed yet.
     """
 
     async def work() -> None:
@@ -335,15 +337,15 @@
             if end == "cancelled":
                 rig.transport.cancel(call)
             while rig.dispatcher.scheduler.now() < call.sent_at + call.timeout:
-                pass  # block the loop until the timeout is due: its next turn finds both
+                pass  # block the loop until the timeout is due, so that its next iteration finds both
 
         rig.loop.add_reader(here, ends)
 
         def write_immediately(self: asyncio.StreamWriter, data: bytes) -> None:
-            """In this turn of the loop, not at its end."""
+            """Write in the current iteration of the loop instead of at its end."""
             sides = [lambda: os.write(self.get_extra_info("socket").fileno(), data), lambda: there.send(b"x")]
             for side in sides if reply == "just read" else reversed(sides):
-                side()  # what is written first is read first
+                side()  # the socket that is written first is read first
 
         monkeypatch.setattr(asyncio.StreamWriter, "write", write_immediately)
         rig.submit("a", left=SECOND)
@@ -361,13 +363,13 @@
 def test_a_retry_after_in_a_reply_malformed_after_it_is_heeded(
     tmp_path: Path, remainder: bytes, status: bytes
 ) -> None:
-    """It may have been executed, as no complete reply came; yet the endpoint sent Retry-After."""
+    """The call may have been executed, because its response is incomplete; the Retry-After in it counts."""
 
     async def work() -> None:
         endpoint = await Endpoint().start()
         rig = Rig(tmp_path, [endpoint])
         rig.submit("a")
-        length = len(remainder) + (len(remainder) < 100)  # the short one ends too soon
+        length = len(remainder) + (len(remainder) < 100)  # the short remainder ends before Content-Length
         head = b"HTTP/1.1 %s\r\nRetry-After: 0.6\r\nContent-Length: %d\r\n\r\n" % (status, length)
         endpoint.answers.put_nowait(head + remainder)
         await until(lambda: endpoint.calls)
@@ -385,19 +387,19 @@
 
 
 class BrokerSide:
-    """Plays the broker to the session of a transport, packet by packet."""
+    """Acts as the broker for the session of a transport, packet by packet."""
 
     def __init__(self, transport: MqttTransport) -> None:
         self.session = transport.session
         self.buffer = Buffer()
 
     def receive(self, packet: Packet) -> None:
-        """Have the session receive this packet."""
+        """Pass a packet from the broker to the session."""
         self.buffer.feed(encode(packet))
         self.session.receive(self.buffer)
 
     def published(self) -> list[Packet]:
-        """What the session published since the last call."""
+        """Return the packets that the session has published since the last call of this method."""
         sent = Buffer()
         sent.feed(self.session.take_output())
         packets = list(iter(lambda: decode(sent), None))
@@ -405,7 +407,7 @@
 
 
 def test_a_publish_that_waits_for_the_receive_maximum_heeds_a_retry_after(tmp_path: Path) -> None:
-    """The broker accepts one at a time: the second publish is due once the first is acknowledged."""
+    """With a receive maximum of 1, the second publish may be sent once the first one is acknowledged."""
 
     async def work() -> None:
         setup = MqttSettings("127.0.0.1:1", "in", "n0")
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwarding over reused connections: what happens when one ends as a request is written. On loopback."""
+"""Tests over loopback of forwarding on reused connections, one of which ends while a request is written."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Owner:
-    """A stand-in for another instance: a test says what it does with each request that has come."""
+    """A test double for the instance that owns a destination; `act` handles each request that it receives."""
 
     def __init__(self, act: Callable[[int, asyncio.StreamWriter], Awaitable[None]]) -> None:
         self.act = act
@@ -60,7 +60,7 @@
 
 
 async def accept_once_then_close(number: int, writer: asyncio.StreamWriter) -> None:
-    """As a dispatcher that closes an idle connection while the next request is on its way."""
+    """Act as a dispatcher that closes an idle connection while the next request is in transit."""
     if number == 2:
         writer.close()
     else:
--- a/tests/test_http_transport.py
+++ b/tests/test_http_transport.py
@@ -1,4 +1,4 @@
-"""What the end of a call says of its connection, in addition to what the programs in tests/programs show."""
+"""Tests of which failed calls mark their connection as stale, in addition to those in tests/programs."""
 
 from __future__ import annotations
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are restarted, and how they are stopped."""
+"""Tests of stopping the tasks that are restarted when they fail."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     async def work() -> None:
         nonlocal begun
         begun += 1
-        if begun > 1:  # it was not to begin again; one that can be cancelled lets the test fail, not hang
+        if begun > 1:  # an unexpected restart; waiting can be cancelled, so the test fails instead of hanging
             await asyncio.Event().wait()
 
         async def fails() -> None:
