--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -39,7 +39,7 @@
 
 
 @asynccontextmanager
-async def served(max_clients: int) -> AsyncIterator[ClientServer]:
+async def running_server(max_clients: int) -> AsyncIterator[ClientServer]:
     tasks = Tasks(asyncio.get_running_loop())
     server = ClientServer(("127.0.0.1", 0), create_session, max_clients, tasks)
     tasks.run_forever(server.accept)
@@ -49,7 +49,7 @@
     await tasks.stop()
 
 
-async def dial(server: ClientServer) -> Stream:
+async def connect(server: ClientServer) -> Stream:
     return await asyncio.open_connection("127.0.0.1", server.port)
 
 
@@ -60,20 +60,20 @@
 
 def test_the_longest_unused_client_loses_its_slot_and_those_in_use_do_not() -> None:
     async def work() -> None:
-        async with served(2) as server:
-            idle, partial = await dial(server), await dial(server)
+        async with running_server(2) as server:
+            idle, partial = await connect(server), await connect(server)
             partial[1].write(b"*1\r\n$4\r\nPI")
-            new = await dial(server)
+            new = await connect(server)
             await ping(new)  # the new connection waited for a slot and was not closed
             assert await idle[0].read() == b""
             partial[1].write(b"NG\r\n")
             assert await partial[0].readline() == PONG
             await ping(new)
-            newer = await dial(server)
+            newer = await connect(server)
             await ping(newer)
             assert await partial[0].read() == b"", "the one that has been unused for longest"
             for _ in range(20):  # each of many clients that send one request and stay connected gets a slot
-                await ping(await dial(server))
+                await ping(await connect(server))
 
     play(work())
 
@@ -82,12 +82,12 @@
     """A listener that is closed then, as the old process does at the end of an upgrade, resets them."""
 
     async def work() -> None:
-        async with served(1) as server:
+        async with running_server(1) as server:
             assert server.quiescent
-            partial = await dial(server)
+            partial = await connect(server)
             partial[1].write(b"*1\r\n$4\r\nPI")
             await asyncio.sleep(0.05)
-            queued = [await dial(server) for _ in range(3)]
+            queued = [await connect(server) for _ in range(3)]
             partial[1].write(b"NG\r\n")
             assert await partial[0].readline() == PONG
             assert not server.quiescent, "one waits for a slot, two to be accepted"
@@ -105,12 +105,12 @@
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL_SECONDS", 0.02)
 
     async def work() -> None:
-        async with served(10) as server:
-            used = await dial(server)
+        async with running_server(10) as server:
+            used = await connect(server)
             await ping(used)
-            for begun, expected in ((b"", b""), (b"*1\r\n$4\r\nPI", b""), (PING + b"*", PONG)):
-                reader, writer = await dial(server)
-                writer.write(begun)
+            for request, expected in ((b"", b""), (b"*1\r\n$4\r\nPI", b""), (PING + b"*", PONG)):
+                reader, writer = await connect(server)
+                writer.write(request)
                 assert await reader.read() == expected + client_server.REQUEST_TIMEOUT_REPLY
             await ping(used)  # the timeout does not apply to a client that was answered and sends nothing
 
@@ -125,8 +125,8 @@
     assert session.has_more_requests
 
     async def work() -> None:
-        async with served(10) as server:
-            flood, usual = await dial(server), await dial(server)
+        async with running_server(10) as server:
+            flood, usual = await connect(server), await connect(server)
             flood[1].write(PING * 100_000)
             await flood[0].readline()
             await ping(usual)
@@ -142,19 +142,22 @@
     content = json.loads(path.read_text())
     content["settings"]["family-info"]["call-slots"] = 200
     path.write_text(json.dumps({**content, "limits": {"sockets": sockets}}))
-    read = config.read({}, str(path))
+    configuration = config.read({}, str(path))
     for processes in (1, 2):
-        clients, idle = descriptor_budget(read, processes)
+        clients, idle = descriptor_budget(configuration, processes)
         assert clients > 0
         assert idle > 0
-        each = clients + idle + config.RESERVED_DESCRIPTORS
-        assert processes * each + read.settings.max_concurrent_calls <= sockets or (clients, idle) == (1, 1)
+        per_process = clients + idle + config.RESERVED_DESCRIPTORS
+        assert processes * per_process + configuration.settings.max_concurrent_calls <= sockets or (
+            clients,
+            idle,
+        ) == (1, 1)
 
 
 def test_with_fewer_slots_the_unused_ones_are_freed_at_once() -> None:
     async def work() -> None:
-        async with served(4) as server:
-            streams = [await dial(server) for _ in range(4)]
+        async with running_server(4) as server:
+            streams = [await connect(server) for _ in range(4)]
             for stream in streams[:3]:
                 await ping(stream)
             streams[3][1].write(b"*1\r\n$4\r\nPI")  # an incomplete command, so this client uses its slot
@@ -171,29 +174,29 @@
     play(work())
 
 
-class Crossing:
+class SameIterationCallback:
     """A callback that runs in the same iteration of the event loop as a read, right after it."""
 
-    def __init__(self, what: Callable[[], None]) -> None:
+    def __init__(self, callback: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.here, self.there = socket.socketpair()
-        self.here.setblocking(False)
+        self.receiver, self.sender = socket.socketpair()
+        self.receiver.setblocking(False)
         self.done = asyncio.Event()
-        self.loop.add_reader(self.here, self._act, what)
+        self.loop.add_reader(self.receiver, self._run, callback)
 
-    def _act(self, what: Callable[[], None]) -> None:
-        self.loop.remove_reader(self.here)
-        what()
+    def _run(self, callback: Callable[[], None]) -> None:
+        self.loop.remove_reader(self.receiver)
+        callback()
         self.done.set()
 
-    async def follow(self, act: Callable[[], object]) -> None:
-        """Call `act`, which makes a socket readable, and have the callback run in the same loop iteration."""
-        act()
-        self.there.send(b"x")
+    async def run_after(self, action: Callable[[], object]) -> None:
+        """Call `action`, which makes a socket readable, and run the callback in the same loop iteration."""
+        action()
+        self.sender.send(b"x")
         await self.done.wait()
 
 
-async def plain(server: ClientServer) -> socket.socket:
+async def connect_answered_socket(server: ClientServer) -> socket.socket:
     """Return a client's socket that has been answered once.
 
     It is not wrapped in a stream, so that the test controls when bytes are sent.
@@ -210,10 +213,10 @@
     """The loop reads in one iteration and the task resumes in the next; SIGTERM is handled in between."""
 
     async def work() -> None:
-        async with served(10) as server:
-            sock = await plain(server)
-            crossing = Crossing(server.drain)
-            await crossing.follow(lambda: sock.send(PING))
+        async with running_server(10) as server:
+            sock = await connect_answered_socket(server)
+            callback = SameIterationCallback(server.drain)
+            await callback.run_after(lambda: sock.send(PING))
             reader, _ = await asyncio.open_connection(sock=sock)
             assert await reader.read() == PONG, "whole, and only then the end"
 
@@ -222,15 +225,15 @@
 
 def test_a_connection_accepted_in_this_turn_keeps_the_server_from_being_quiescent() -> None:
     async def work() -> None:
-        async with served(10) as server:
-            (await plain(server)).close()
+        async with running_server(10) as server:
+            (await connect_answered_socket(server)).close()
             await poll_condition(lambda: server.quiescent, interval=0)
-            settled: list[bool] = []
-            crossing = Crossing(lambda: settled.append(server.quiescent))
+            quiescent_states: list[bool] = []
+            callback = SameIterationCallback(lambda: quiescent_states.append(server.quiescent))
             sock = socket.socket()
             sock.setblocking(False)
-            await crossing.follow(lambda: sock.connect_ex(("127.0.0.1", server.port)))
-            assert settled == [False]
+            await callback.run_after(lambda: sock.connect_ex(("127.0.0.1", server.port)))
+            assert quiescent_states == [False]
             sock.close()
 
     play(work())
@@ -243,7 +246,7 @@
     """The client submits the request again elsewhere; if accepted here, too, nobody would get the answer."""
     accepted: list[object] = []
 
-    def spied() -> resp.Session:
+    def create_recording_session() -> resp.Session:
         session = create_session()
 
         def submit(transaction: Transaction) -> Admission:
@@ -254,19 +257,19 @@
         return session
 
     async def work() -> None:
-        async with served(1) as server:
-            server.create_session = spied
-            sock = await plain(server)
+        async with running_server(1) as server:
+            server.create_session = create_recording_session
+            sock = await connect_answered_socket(server)
             is_reusable = sockets.is_reusable
 
-            def crossed(checked: socket.socket) -> bool:
-                reusable = is_reusable(checked)
-                if reusable and checked.getpeername() == sock.getsockname():
+            def send_after_check(checked_sock: socket.socket) -> bool:
+                reusable = is_reusable(checked_sock)
+                if reusable and checked_sock.getpeername() == sock.getsockname():
                     sock.send(raw(ENQUEUE))  # after the server's check and before its shutdown of the socket
                 return reusable
 
             with monkeypatch.context() as patch:
-                patch.setattr(sockets, "is_reusable", crossed)
+                patch.setattr(sockets, "is_reusable", send_after_check)
                 if moment == "drain":
                     server.drain()
                 elif moment == "room":
@@ -282,34 +285,34 @@
     play(work())
 
 
-class Stuck:
+class StallingLoop:
     """An event loop whose writes pause after 3 bytes until the test sets an event."""
 
     def __init__(self) -> None:
-        self.loop, self.go = asyncio.get_running_loop(), asyncio.Event()
+        self.loop, self.resume = asyncio.get_running_loop(), asyncio.Event()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
     async def sock_sendall(self, sock: socket.socket, data: bytes) -> None:
         await self.loop.sock_sendall(sock, data[:3])
-        await self.go.wait()
+        await self.resume.wait()
         await self.loop.sock_sendall(sock, data[3:])
 
 
 def test_a_partly_written_reply_is_not_cut_by_a_drain_or_for_a_slot() -> None:
     async def work() -> None:
-        async with served(1) as server:
-            sock, stuck = await plain(server), Stuck()
+        async with running_server(1) as server:
+            sock, stalling_loop = await connect_answered_socket(server), StallingLoop()
             (client,) = server.clients
-            server.loop = stuck  # type: ignore[assignment]
+            server.loop = stalling_loop  # type: ignore[assignment]
             sock.send(PING)
             await poll_condition(lambda: client.sending, interval=0)
             server.drain()
             server.set_max_clients(0)
             assert len(server.clients) == 1
             assert not server.quiescent
-            stuck.go.set()
+            stalling_loop.resume.set()
             reader, _ = await asyncio.open_connection(sock=sock)
             assert await reader.read() == PONG, "whole, and then the end"
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -51,10 +51,10 @@
             release = asyncio.Event()
             self.releases.append(release)
             await release.wait()
-        return await connect(loop, address)
+        return await original_connect(loop, address)
 
 
-connect = sockets.connect
+original_connect = sockets.connect
 
 
 class Endpoint:
@@ -62,8 +62,8 @@
 
     def __init__(self) -> None:
         self.calls: list[bytes] = []
-        self.answers: asyncio.Queue[bytes] = asyncio.Queue()
-        self.accepted = 0
+        self.responses: asyncio.Queue[bytes] = asyncio.Queue()
+        self.connection_count = 0
         self.port = 0
 
     async def start(self) -> Endpoint:
@@ -72,14 +72,14 @@
         return self
 
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.accepted += 1
+        self.connection_count += 1
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = re.search(rb"Content-Length: (\d+)", head)
                 assert length is not None
                 self.calls.append(head + await reader.readexactly(int(length[1])))
-                writer.write(await self.answers.get())
+                writer.write(await self.responses.get())
         # CancelledError is raised when the event loop ends.
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             writer.close()
@@ -88,11 +88,13 @@
 class Rig:
     """A dispatcher with the real HTTP transport, on the event loop's clock."""
 
-    def __init__(self, directory: Path, endpoints: list[Endpoint], kind: str = "small", **more: Any) -> None:
+    def __init__(
+        self, directory: Path, endpoints: list[Endpoint], kind: str = "small", **overrides: Any
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.tasks, scheduler = Tasks(self.loop), LoopScheduler(self.loop)
         self.settings = settings(
-            **{**SETTINGS, "max_concurrent_calls": 12, "connect_timeout": 20 * SECOND, **more}
+            **{**SETTINGS, "max_concurrent_calls": 12, "connect_timeout": 20 * SECOND, **overrides}
         )
         directory.mkdir(exist_ok=True)
         self.journal = Journal(directory, 3_000_000, scheduler.now, retention)
@@ -104,17 +106,17 @@
         self.rows = [
             {**endpoint_row(f"s-{i}", 1, kind), "host_port": address} for i, address in enumerate(addresses)
         ]
-        listed = {"revision": 1, "complete": True, "members": self.rows}
-        self.dispatcher.apply_list_update(self.dispatcher.pool.update(listed, cached=True))
+        endpoint_list = {"revision": 1, "complete": True, "members": self.rows}
+        self.dispatcher.apply_list_update(self.dispatcher.pool.update(endpoint_list, cached=True))
         self.dispatcher.recover()
 
     def answer(self, transaction: Transaction) -> None:
         self.answers[transaction.id] = transaction.ending
         self.dispatcher.answer_sent(transaction)
 
-    def submit(self, name: str, left: int = 20 * SECOND) -> Transaction:
+    def submit(self, name: str, time_left: int = 20 * SECOND) -> Transaction:
         now = self.dispatcher.scheduler.now()
-        transaction = Transaction(name, 0, 1, now + left, b"body", key=f"k-{name}")
+        transaction = Transaction(name, 0, 1, now + time_left, b"body", key=f"k-{name}")
         assert self.dispatcher.submit(transaction).accepted
         return transaction
 
@@ -129,8 +131,8 @@
     def retry_after_until(self) -> int:
         """Return when the Retry-After of the only destination ends, as a Unix time in nanoseconds."""
         return max(
-            known.state.retry_after_until
-            for known in self.dispatcher.policy.destinations[1].endpoints.values()
+            endpoint.state.retry_after_until
+            for endpoint in self.dispatcher.policy.destinations[1].endpoints.values()
         )
 
     async def close(self) -> None:
@@ -143,8 +145,8 @@
         return [fields for fields in records if fields["t"] == kind]
 
 
-LATER = b"HTTP/1.1 429 Later\r\nRetry-After: 0.3\r\nContent-Length: 0\r\n\r\n"
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+RETRY_AFTER_RESPONSE = b"HTTP/1.1 429 Later\r\nRetry-After: 0.3\r\nContent-Length: 0\r\n\r\n"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 def batch(count: int, names: list[str]) -> bytes:
@@ -152,7 +154,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Check the condition in every iteration of the loop, and return once it holds."""
     await poll_condition(condition, interval=0, limit=LIMIT_SECONDS)
 
@@ -180,22 +182,22 @@
         endpoint = await Endpoint().start()
         rig = Rig(tmp_path, [endpoint])
         rig.submit("a")
-        await until(lambda: endpoint.calls)
+        await wait_until(lambda: endpoint.calls)
         held_connections.held = True
         rig.submit("b")  # the connection for this message is now being opened
-        await until(lambda: held_connections.releases)
-        endpoint.answers.put_nowait(LATER)
-        await until(lambda: rig.retry_after_until() > 0)
-        ends = rig.retry_after_until()
+        await wait_until(lambda: held_connections.releases)
+        endpoint.responses.put_nowait(RETRY_AFTER_RESPONSE)
+        await wait_until(lambda: rig.retry_after_until() > 0)
+        retry_after_end = rig.retry_after_until()
         held_connections.held = False
         held_connections.releases[0].set()
         for _ in range(2):
-            endpoint.answers.put_nowait(OK)
-        await until(lambda: len(endpoint.calls) == 2)
-        assert rig.dispatcher.scheduler.now() >= ends, "started before the Retry-After was over"
-        await until(lambda: len(rig.dispatcher.messages) == 0)
+            endpoint.responses.put_nowait(OK_RESPONSE)
+        await wait_until(lambda: len(endpoint.calls) == 2)
+        assert rig.dispatcher.scheduler.now() >= retry_after_end, "started before the Retry-After was over"
+        await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert {fields["n"] for fields in rig.records("attempt") if fields["id"] == "b"} == {0}
-        assert endpoint.accepted == 2, "the connection that was opened is pooled and used"
+        assert endpoint.connection_count == 2, "the connection that was opened is pooled and used"
         await rig.close()
 
     play(work())
@@ -207,16 +209,16 @@
     async def work() -> None:
         endpoint = await Endpoint().start()
         rig, held_connections.held = Rig(tmp_path, [endpoint], "large"), True
-        rig.submit("brief", left=SECOND // 4)
+        rig.submit("brief", time_left=SECOND // 4)
         rig.submit("long")
-        await until(lambda: held_connections.releases)
+        await wait_until(lambda: held_connections.releases)
         assert len(rig.dispatcher.calls_in_flight) == 2
         assert len({id(call) for call in rig.dispatcher.calls_in_flight.values()}) == 1
-        await until(lambda: "brief" in rig.answers)
+        await wait_until(lambda: "brief" in rig.answers)
         assert rig.answers["brief"] is Ending.REJECTED, "it was never executed"
         held_connections.releases[0].set()
-        endpoint.answers.put_nowait(OK)
-        await until(lambda: len(rig.dispatcher.messages) == 0)
+        endpoint.responses.put_nowait(OK_RESPONSE)
+        await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert len(endpoint.calls) == 1
         assert b"X-Txn: long" in endpoint.calls[0]
         assert [fields["id"] for fields in rig.records("attempt")] == ["long"]
@@ -233,17 +235,17 @@
         endpoint, second = await Endpoint().start(), await Endpoint().start()
         rig, held_connections.held = Rig(tmp_path, [endpoint]), True
         rig.submit("a")
-        await until(lambda: held_connections.releases)
+        await wait_until(lambda: held_connections.releases)
         held_connections.held = False
         rig.change_listing(
             {"host_port": f"127.0.0.1:{second.port}", "id": "s-0" if change == "other address" else "s-1"}
         )
         if change != "other address":
             rig.change_listing({"cell": 2} if change == "other destination" else {"phase": change})
-        await until(lambda: not rig.dispatcher.event_queue.events)
+        await wait_until(lambda: not rig.dispatcher.event_queue.events)
         held_connections.releases[0].set()
-        second.answers.put_nowait(OK)
-        await until(lambda: len(rig.dispatcher.messages) == 0)
+        second.responses.put_nowait(OK_RESPONSE)
+        await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert (len(endpoint.calls), len(second.calls)) == (0, 1)
         assert [fields["n"] for fields in rig.records("attempt")] == [0], "no attempt was used up"
         await rig.close()
@@ -259,10 +261,10 @@
         endpoint = await Endpoint().start()
         rig, held_connections.held = Rig(tmp_path, [endpoint]), True
         rig.submit("a")
-        await until(lambda: held_connections.releases)
+        await wait_until(lambda: held_connections.releases)
         rig.dispatcher.stop_deciding(SECOND) if how == "shutdown" else rig.dispatcher.hand_over()
         held_connections.releases[0].set()
-        await until(lambda: not rig.dispatcher.calls_in_flight and not rig.tasks.running)
+        await wait_until(lambda: not rig.dispatcher.calls_in_flight and not rig.tasks.running)
         rig.dispatcher.hand_over()
         assert list(rig.dispatcher.messages.by_id) == ["a"]
         assert not endpoint.calls
@@ -281,15 +283,15 @@
         endpoint.port = 9  # a port on which no process listens
         rig = Rig(tmp_path, [endpoint])
         rig.submit("a")
-        await until(
+        await wait_until(
             lambda: (
                 rig.dispatcher.messages.by_id["a"].attempt_count == 1 and not rig.dispatcher.calls_in_flight
             )
         )
         await rig.close()
         restarted = Rig(tmp_path, [endpoint])
-        known = restarted.dispatcher.messages.by_id["a"]
-        assert (known.attempt_count, known.possible_executions) == (1, [])
+        transaction = restarted.dispatcher.messages.by_id["a"]
+        assert (transaction.attempt_count, transaction.possible_executions) == (1, [])
         await restarted.close()
 
     play(work())
@@ -299,13 +301,13 @@
     async def work() -> None:
         endpoint = await Endpoint().start()
         rig = Rig(tmp_path, [endpoint], "large")
-        rig.submit("brief", left=SECOND // 4)
+        rig.submit("brief", time_left=SECOND // 4)
         rig.submit("long")
-        await until(lambda: "brief" in rig.answers)  # the call with both messages is still in flight
+        await wait_until(lambda: "brief" in rig.answers)  # the call with both messages is still in flight
         body = b"brief accepted\r\nlong accepted\r\n"
-        endpoint.answers.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-        endpoint.answers.put_nowait(OK)
-        await until(lambda: len(rig.dispatcher.messages) == 0)
+        endpoint.responses.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        endpoint.responses.put_nowait(OK_RESPONSE)
+        await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert [b"messages:batch" in call for call in endpoint.calls] == [True, False]
         assert b"X-Txn: long" in endpoint.calls[1]
         attempts = [(fields["id"], fields["n"]) for fields in rig.records("attempt")]
@@ -328,30 +330,33 @@
     async def work() -> None:
         endpoint = await Endpoint().start()
         rig = Rig(tmp_path, [endpoint])
-        here, there = socket.socketpair()
-        here.setblocking(False)
+        receiver, sender = socket.socketpair()
+        receiver.setblocking(False)
 
-        def ends() -> None:
-            rig.loop.remove_reader(here)
+        def end_call() -> None:
+            rig.loop.remove_reader(receiver)
             (call,) = set(rig.dispatcher.calls_in_flight.values())
             if end == "cancelled":
                 rig.transport.cancel(call)
             while rig.dispatcher.scheduler.now() < call.sent_at + call.timeout:
                 pass  # block the loop until the timeout is due, so that its next iteration finds both
 
-        rig.loop.add_reader(here, ends)
+        rig.loop.add_reader(receiver, end_call)
 
         def write_immediately(self: asyncio.StreamWriter, data: bytes) -> None:
             """Write in the current iteration of the loop instead of at its end."""
-            sides = [lambda: os.write(self.get_extra_info("socket").fileno(), data), lambda: there.send(b"x")]
-            for side in sides if reply == "just read" else reversed(sides):
-                side()  # the socket that is written first is read first
+            writes = [
+                lambda: os.write(self.get_extra_info("socket").fileno(), data),
+                lambda: sender.send(b"x"),
+            ]
+            for write in writes if reply == "just read" else reversed(writes):
+                write()  # the socket that is written first is read first
 
         monkeypatch.setattr(asyncio.StreamWriter, "write", write_immediately)
-        rig.submit("a", left=SECOND)
-        await until(lambda: endpoint.calls)
-        endpoint.answers.put_nowait(LATER)
-        await until(lambda: len(rig.dispatcher.calls_in_flight) == 0)
+        rig.submit("a", time_left=SECOND)
+        await wait_until(lambda: endpoint.calls)
+        endpoint.responses.put_nowait(RETRY_AFTER_RESPONSE)
+        await wait_until(lambda: len(rig.dispatcher.calls_in_flight) == 0)
         assert rig.dispatcher.journal.retry_after_until, "the Retry-After was received"
         await rig.close()
 
@@ -371,14 +376,15 @@
         rig.submit("a")
         length = len(remainder) + (len(remainder) < 100)  # the short remainder ends before Content-Length
         head = b"HTTP/1.1 %s\r\nRetry-After: 0.6\r\nContent-Length: %d\r\n\r\n" % (status, length)
-        endpoint.answers.put_nowait(head + remainder)
-        await until(lambda: endpoint.calls)
-        await until(lambda: not rig.dispatcher.calls_in_flight)
-        ends = rig.dispatcher.scheduler.now() + int(0.55 * SECOND)  # longer than the first backoff step
-        endpoint.answers.put_nowait(OK)
-        await until(lambda: len(endpoint.calls) == 2)
-        assert rig.dispatcher.scheduler.now() >= ends, "started before the Retry-After was over"
-        await until(lambda: len(rig.dispatcher.messages) == 0)
+        endpoint.responses.put_nowait(head + remainder)
+        await wait_until(lambda: endpoint.calls)
+        await wait_until(lambda: not rig.dispatcher.calls_in_flight)
+        # 0.55 s is longer than the first backoff step.
+        retry_after_end = rig.dispatcher.scheduler.now() + int(0.55 * SECOND)
+        endpoint.responses.put_nowait(OK_RESPONSE)
+        await wait_until(lambda: len(endpoint.calls) == 2)
+        assert rig.dispatcher.scheduler.now() >= retry_after_end, "started before the Retry-After was over"
+        await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert [fields["n"] for fields in rig.records("attempt")] == [0, 1]
         assert not rig.records("never")
         await rig.close()
@@ -386,7 +392,7 @@
     play(work())
 
 
-class BrokerSide:
+class SessionBroker:
     """Acts as the broker for the session of a transport, packet by packet."""
 
     def __init__(self, transport: MqttTransport) -> None:
@@ -410,34 +416,36 @@
     """With a receive maximum of 1, the second publish may be sent once the first one is acknowledged."""
 
     async def work() -> None:
-        setup = MqttSettings("127.0.0.1:1", "in", "n0")
+        mqtt_settings = MqttSettings("127.0.0.1:1", "in", "n0")
         rig = Rig(tmp_path, [])
-        context = MqttContext(setup, rig.dispatcher, rig.dispatcher.scheduler, rig.tasks)  # type: ignore[arg-type]
+        context = MqttContext(mqtt_settings, rig.dispatcher, rig.dispatcher.scheduler, rig.tasks)  # type: ignore[arg-type]
         transport = MqttTransport(context)
         rig.dispatcher.transports["mqtt"] = transport
         endpoint = PoolEndpoint("m", "partner/1", 1, kind=1, listed_rate=100.0, transport="mqtt")
         rig.dispatcher.pool.pin(endpoint)
-        listed = {"revision": 2, "complete": True, "members": []}
-        rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(listed))
-        broker = BrokerSide(transport)
+        endpoint_list = {"revision": 2, "complete": True, "members": []}
+        rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(endpoint_list))
+        broker = SessionBroker(transport)
         broker.session.open()
         broker.session.take_output()
         broker.receive(Packet(Kind.CONNACK, properties={"receive_maximum": 1}))
         rig.submit("a")
         rig.submit("b")
-        await until(lambda: len(rig.dispatcher.calls_in_flight) == 2)
+        await wait_until(lambda: len(rig.dispatcher.calls_in_flight) == 2)
         (first_publish,) = broker.published()
         rig.dispatcher.retry_after_received(endpoint, SECOND // 2)
-        ends = rig.dispatcher.scheduler.now() + SECOND // 2
-        await until(lambda: rig.retry_after_until() >= ends - SECOND // 10)
+        retry_after_end = rig.dispatcher.scheduler.now() + SECOND // 2
+        await wait_until(lambda: rig.retry_after_until() >= retry_after_end - SECOND // 10)
         broker.receive(Packet(Kind.PUBACK, id=first_publish.id))
         assert not broker.published()
         assert not rig.dispatcher.calls_in_flight
-        later: list[Packet] = []
-        await until(lambda: later.extend(broker.published()) or later)  # type: ignore[func-returns-value]
-        assert rig.dispatcher.scheduler.now() >= ends - 10**7, "started before the Retry-After was over"
-        broker.receive(Packet(Kind.PUBACK, id=later[0].id))
-        await until(lambda: len(rig.dispatcher.messages) == 0)
+        publishes: list[Packet] = []
+        await wait_until(lambda: publishes.extend(broker.published()) or publishes)  # type: ignore[func-returns-value]
+        assert rig.dispatcher.scheduler.now() >= retry_after_end - 10**7, (
+            "started before the Retry-After was over"
+        )
+        broker.receive(Packet(Kind.PUBACK, id=publishes[0].id))
+        await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert [fields["n"] for fields in rig.records("attempt")] == [0, 0], "no attempt was used up"
         await rig.close()
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -19,10 +19,10 @@
 
 
 class Owner:
-    """A test double for the instance that owns a destination; `act` handles each request that it receives."""
+    """A test double for the instance that owns a destination; `on_request` handles each received request."""
 
-    def __init__(self, act: Callable[[int, asyncio.StreamWriter], Awaitable[None]]) -> None:
-        self.act = act
+    def __init__(self, on_request: Callable[[int, asyncio.StreamWriter], Awaitable[None]]) -> None:
+        self.on_request = on_request
         self.requests: list[bytes] = []
         self.connections = 0
         self.port = 0
@@ -37,21 +37,21 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 self.requests.append(await reader.readuntil(b"\r\nbody\r\n"))
-                await self.act(len(self.requests), writer)
+                await self.on_request(len(self.requests), writer)
 
 
-def forwarder(*owners: Owner) -> Forwarder:
+def create_forwarder(*owners: Owner) -> Forwarder:
     loop = asyncio.get_running_loop()
     addresses = [f"127.0.0.1:{owner.port}" for owner in owners]
     connections = PeerConnections(loop, 4)
     return Forwarder(settings(**SETTINGS), "x", lambda _: addresses, connections, lambda: 0, BUSY)
 
 
-def message(name: str) -> Transaction:
+def create_message(name: str) -> Transaction:
     return Transaction(name, 0, 1, 5 * SECOND, b"body", key=name)
 
 
-def run(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_test(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
     play(work())
 
 
@@ -70,45 +70,45 @@
 def test_a_request_that_crosses_the_end_of_a_reused_connection_is_sent_again_to_the_same_owner() -> None:
     async def work() -> None:
         owner, other = await Owner(accept_once_then_close).start(), await Owner(accept).start()
-        instance = forwarder(owner, other)
-        assert await instance.forward(message("a")) == b"+OK\r\n"
-        assert await instance.forward(message("b")) == b"+OK\r\n"
+        forwarder = create_forwarder(owner, other)
+        assert await forwarder.forward(create_message("a")) == b"+OK\r\n"
+        assert await forwarder.forward(create_message("b")) == b"+OK\r\n"
         assert owner.requests[1] == owner.requests[2], "the same request, by the same id"
         assert owner.connections == 2
         assert not other.requests
 
-    run(work)
+    run_test(work)
 
 
 def test_it_is_not_sent_to_another_owner_if_the_first_has_gone_by_then() -> None:
     async def work() -> None:
-        async def end_for_good(number: int, writer: asyncio.StreamWriter) -> None:
+        async def close_owner(number: int, writer: asyncio.StreamWriter) -> None:
             if number == 2:
                 owner.server.close()
                 writer.transport.abort()
             else:
                 writer.write(b"+OK\r\n")
 
-        owner, other = await Owner(end_for_good).start(), await Owner(accept).start()
-        instance = forwarder(owner, other)
-        assert await instance.forward(message("a")) == b"+OK\r\n"
-        assert await instance.forward(message("b")) is None
+        owner, other = await Owner(close_owner).start(), await Owner(accept).start()
+        forwarder = create_forwarder(owner, other)
+        assert await forwarder.forward(create_message("a")) == b"+OK\r\n"
+        assert await forwarder.forward(create_message("b")) is None
         assert not other.requests, "the first one may have accepted it"
 
-    run(work)
+    run_test(work)
 
 
 def test_a_new_connection_that_ends_without_a_reply_is_not_retried() -> None:
     async def work() -> None:
-        async def end(_number: int, writer: asyncio.StreamWriter) -> None:
+        async def close_connection(_number: int, writer: asyncio.StreamWriter) -> None:
             writer.close()
 
-        owner, other = await Owner(end).start(), await Owner(accept).start()
-        assert await forwarder(owner, other).forward(message("a")) is None
+        owner, other = await Owner(close_connection).start(), await Owner(accept).start()
+        assert await create_forwarder(owner, other).forward(create_message("a")) is None
         assert len(owner.requests) == 1
         assert not other.requests
 
-    run(work)
+    run_test(work)
 
 
 def test_a_partial_reply_on_a_reused_connection_is_not_retried() -> None:
@@ -119,26 +119,26 @@
                 writer.close()
 
         owner = await Owner(reply_partly).start()
-        instance = forwarder(owner)
-        assert await instance.forward(message("a")) == b"+OK\r\n"
-        assert await instance.forward(message("b")) is None
+        forwarder = create_forwarder(owner)
+        assert await forwarder.forward(create_message("a")) == b"+OK\r\n"
+        assert await forwarder.forward(create_message("b")) is None
         assert len(owner.requests) == 2
 
-    run(work)
+    run_test(work)
 
 
 def test_connections_are_limited_and_reused() -> None:
     async def work() -> None:
         owners = [await Owner(accept).start() for _ in range(6)]
-        instance = forwarder(owners[0])
+        forwarder = create_forwarder(owners[0])
         for _ in range(5):
-            assert await instance.forward(message("a")) == b"+OK\r\n"
+            assert await forwarder.forward(create_message("a")) == b"+OK\r\n"
         assert owners[0].connections == 1
         for number, owner in enumerate(owners):
-            instance.owners = lambda _, port=owner.port: [f"127.0.0.1:{port}"]  # type: ignore[misc]
-            assert await instance.forward(message(f"m{number}")) == b"+OK\r\n"
-            assert instance.connections.open <= instance.connections.max_connections == 4
-        instance.connections.close()
-        assert instance.connections.open == 0
+            forwarder.owners = lambda _, port=owner.port: [f"127.0.0.1:{port}"]  # type: ignore[misc]
+            assert await forwarder.forward(create_message(f"m{number}")) == b"+OK\r\n"
+            assert forwarder.connections.open <= forwarder.connections.max_connections == 4
+        forwarder.connections.close()
+        assert forwarder.connections.open == 0
 
-    run(work)
+    run_test(work)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -12,36 +12,37 @@
 
 
 def test_a_task_group_that_fails_while_it_is_stopped_is_not_restarted() -> None:
-    begun = 0
+    start_count = 0
 
-    async def work() -> None:
-        nonlocal begun
-        begun += 1
-        if begun > 1:  # an unexpected restart; waiting can be cancelled, so the test fails instead of hanging
+    async def run_failing_group() -> None:
+        nonlocal start_count
+        start_count += 1
+        # After an unexpected restart, wait: this can be cancelled, so the test fails instead of hanging.
+        if start_count > 1:
             await asyncio.Event().wait()
 
-        async def fails() -> None:
+        async def fail_when_cancelled() -> None:
             try:
                 await asyncio.Event().wait()
             finally:
-                raise ConnectionResetError("as it is cancelled")
+                raise ConnectionResetError("raised while the task is cancelled")
 
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(fails())
-                group.create_task(fails())
-        except BaseExceptionGroup as several:
-            raise several.exceptions[0] from None
+                group.create_task(fail_when_cancelled())
+                group.create_task(fail_when_cancelled())
+        except BaseExceptionGroup as failures:
+            raise failures.exceptions[0] from None
 
-    async def stopped() -> None:
+    async def run_and_stop() -> None:
         tasks = Tasks(asyncio.get_running_loop())
-        tasks.run_forever(work)
-        await poll_condition(lambda: begun, interval=0)
+        tasks.run_forever(run_failing_group)
+        await poll_condition(lambda: start_count, interval=0)
         await asyncio.sleep(0)
         async with asyncio.timeout(5):
             await tasks.stop()
-        assert begun == 1
+        assert start_count == 1
         assert not tasks.running
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(stopped())
+        runner.run(run_and_stop())
