--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -254,7 +254,7 @@
 
     async def _forward(self, client: Client, transaction: Transaction) -> bool:
         """Send the reply of another instance to the client; return false if there is no reply."""
-        client.has_partial_request = True  # prevents that a drain or a new client closes the connection
+        client.has_partial_request = True  # keeps a drain or a new client from closing the connection
         self._record_state_change(client)
         reply = await self.forward(transaction) if self.forward is not None else None
         if reply is None:
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -72,7 +72,8 @@
     def _bind(self) -> None:
         if self.path.is_socket():
             self._remove_stale_socket()
-        previous_umask = os.umask(OWNER_ONLY_UMASK)  # set before bind(), so that no other user can connect
+        # The umask is set before bind(), so that no other user can connect, not even briefly.
+        previous_umask = os.umask(OWNER_ONLY_UMASK)
         try:
             self.listener.bind(str(self.path))
         finally:
@@ -116,7 +117,7 @@
                         return
                 await self._answer_requests(sock, parser, buffer.consume_all())
         except (OSError, BufferOverflowError, TimeoutError):
-            pass  # the client closed the connection, sent too much, or sent nothing in time
+            pass  # the client closed the connection, sent more than the buffer holds, or nothing in time
         finally:
             self.open_connections -= 1
             sock.close()
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -92,7 +92,7 @@
         self.dispatcher.apply_list_update(self.dispatcher.pool.update(update))
 
     def answer(self, transaction: Transaction) -> None:
-        """Send a notice of the final answer to the agent, as the frontend of clients that use RESP."""
+        """Send the agent a notice of the final answer, as the frontend for clients that use RESP."""
         self.pending_notices.append(transaction)
         self.notice_added.set()
 
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -53,7 +53,8 @@
     def run_forever(self, function: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
         """Start a task that should never end, and return it.
 
-        Whenever `function` returns or fails, it is called again after a pause, which doubles each time.
+        Whenever `function` returns or fails, it is called again after a pause, which doubles each time up to
+        MAX_RESTART_PAUSE_SECONDS.
         """
         return self.start(self._restart_forever(function))
 
--- a/honeyhitch/transports/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -98,7 +98,7 @@
         assert isinstance(channel, TlsChannel)
         validity = self.validity.pop(channel)
         await self._wait_for_change(validity.generation, validity.valid_until)
-        if validity.generation != self.partner.generation:  # prevents that all links reconnect at once
+        if validity.generation != self.partner.generation:  # spreads the links' reconnects over time
             retire_within = self.partner.partner.terms.retire_within / SECOND
             spread = retire_within * RECONNECT_SPREAD_FRACTION
             await asyncio.sleep(self.partners.rng.uniform(0, spread))
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -128,7 +128,7 @@
         if gate is None:
             kind = self.settings.kind(endpoint.kind).name
             partner = self.partners.find(endpoint.id, endpoint.destination, kind)
-            assert partner is not None  # the pool assigns other endpoints to the plain transport
+            assert partner is not None  # the pool assigns endpoints without a partner to the HTTP transport
             connections = EndpointConnections(
                 endpoint.id, endpoint.destination, partner.budget, self.partners.block_duration
             )
