--- a/honeyhitch/dead_letters/audit.py
+++ b/honeyhitch/dead_letters/audit.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """One entry. `at` is a Unix time in nanoseconds; an entry of no record has the sequence 0."""
+    """One audit entry. `at` is a Unix time in nanoseconds; an entry about no record has the sequence 0."""
 
     at: int
     sequence: int
@@ -24,18 +24,18 @@
     reason: str
 
     def columns(self) -> dict[str, Any]:
-        """The values by column."""
+        """Return the values by column name."""
         values = (self.at, self.sequence, self.record_id, self.actor, self.action, self.reason)
         return dict(zip(AUDIT_COLUMNS, values, strict=True))
 
     def sealed_bytes(self) -> bytes:
-        """What the entry's seal covers. Raises TypeError if a damaged value cannot have been sealed."""
+        """Return the bytes that the entry's seal covers. Raise TypeError if a value cannot be sealed."""
         return canonical_bytes(self.columns(), b"")
 
 
 @dataclass(frozen=True, slots=True)
 class StoredAuditEntry:
-    """An entry as it was read; `intact` tells whether its seal proves it."""
+    """An audit entry as read from the store; `intact` tells whether its seal was verified."""
 
     number: int
     entry: AuditEntry
@@ -43,7 +43,7 @@
 
     @classmethod
     def from_row(cls, row: tuple[Any, ...], keys: SealKeys) -> StoredAuditEntry:
-        """From the entry's number, its columns, the number of its key and its seal."""
+        """Return the entry in a row: its number, its columns, the number of its key, and its seal."""
         number, *values, key_number, seal = row
         entry = AuditEntry(*values)
         try:
@@ -53,5 +53,5 @@
         return cls(number, entry, intact)
 
     def export(self) -> dict[str, Any]:
-        """The entry as the control socket and the command show it."""
+        """Return the entry as the control socket and the commands show it."""
         return {"number": self.number, **self.entry.columns(), "intact": self.intact}
--- a/honeyhitch/dead_letters/connection.py
+++ b/honeyhitch/dead_letters/connection.py
@@ -1,4 +1,4 @@
-"""An open store: its lock, its database, its keys, and transactions over them."""
+"""The connection to a store: its lock, its database, its keys and its transactions."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 from honeyhitch.dead_letters.seal import SealError, SealKeys
 from honeyhitch.dead_letters.settings import ResendSettings, StoreLimits
 
-NOT_LOCKED = -1  # in place of the descriptor of the lock file
-DEFAULT_COMPRESS_MIN_BYTES = 512  # of a body
+NOT_LOCKED = -1  # value of the lock file's descriptor while the lock is not held
+DEFAULT_COMPRESS_MIN_BYTES = 512  # size from which a body is compressed
 
 
 class StoreConnection:
-    """One store. With `writes` it holds the lock until `close`; without, it only reads.
+    """A connection to one store. With `writes` it holds the lock until `close`; without, it only reads.
 
-    Raises StoreError where the files cannot be used, and StoreInUseError where another process writes.
+    The constructor raises StoreError if the files cannot be used, and StoreInUseError if another process
+    writes the store.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         self.codec = RecordCodec(compress_min_bytes)
         self.record_count = 0
         self.stored_bytes = 0
-        self._keys_version = (0, 0)  # modification time and inode of the key file that was read
+        self._keys_version = (0, 0)  # modification time (ns) and inode of the key file at its last refresh
         self._lock_descriptor = files.acquire_lock(directory) if writes else NOT_LOCKED
         try:
             self._open(writes)
@@ -50,7 +51,7 @@
 
     @property
     def writable(self) -> bool:
-        """Whether this process holds the lock, and may write."""
+        """Whether this process holds the lock and may write."""
         return self._lock_descriptor != NOT_LOCKED
 
     def _open(self, writes: bool) -> None:
@@ -69,7 +70,8 @@
             totals = self.database.execute("SELECT count(*), total(size) FROM record").fetchone()
             self.record_count, self.stored_bytes = totals
             (last_key,) = self.database.execute("SELECT max(key_number) FROM detail").fetchone()
-            # A lost key file is created anew under another number: what the lost key sealed stays unproved.
+            # If the key file was lost, its replacement starts with a key number that no record has, so that
+            # records sealed with a lost key are reported as unverifiable.
             first_number = last_key + 1 if isinstance(last_key, int) else 1
             self._file_identity = files.identity(self.directory / files.DATABASE_FILE)
             self.keys = SealKeys.load(self.directory / files.KEY_FILE, writes, first_number)
@@ -79,14 +81,14 @@
             raise StoreError(str(error)) from error
 
     def file_unmoved(self) -> bool:
-        """Whether the open file still has its name: what is written to one that was moved would be lost."""
+        """Return whether the path still names the open file; writes to a moved file would be lost."""
         try:
             return files.identity(self.directory / files.DATABASE_FILE) == self._file_identity
         except OSError:
             return False
 
     def close(self) -> None:
-        """Close the database, and release the lock."""
+        """Close the database and release the lock."""
         self.database.close()
         self._unlock()
 
@@ -97,7 +99,10 @@
 
     @contextmanager
     def transaction(self) -> Iterator[None]:
-        """What is written inside is committed together or not at all; a nested one joins the outer one."""
+        """Commit all writes in this context together, or none after an exception.
+
+        A nested transaction joins the outer one.
+        """
         if self.database.in_transaction:
             yield
             return
@@ -113,7 +118,7 @@
             raise
 
     def refresh_keys(self) -> None:
-        """Read the key file again if this is a reader and the writer has replaced the file since."""
+        """Read the key file again if this connection only reads and the writer has replaced the file."""
         if self.writable:
             return
         path = self.directory / files.KEY_FILE
@@ -124,8 +129,8 @@
                 self.keys = SealKeys.load(path)
                 self._keys_version = version
         except (OSError, SealError):
-            pass  # the keys that were read will do, or show what they cannot prove
+            pass  # keep the known keys; a record that they cannot verify is reported with a fault
 
     def save_keys(self) -> None:
-        """Write the key file. Raises SealError."""
+        """Write the key file. Raise SealError if that fails."""
         self.keys.save(self.directory / files.KEY_FILE)
--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -1,7 +1,8 @@
-"""Which messages are duplicates of a dead letter, and what follows. No I/O; the clock is passed in.
+"""Recognises messages that are duplicates of a dead letter, and decides what happens to them.
 
 Duplicates have the same idempotency key at the same destination, and are recognised while the dead letter is
-remembered: a client's duplicate and a resend are never in flight together (docs/design/undelivered.md).
+remembered: a client's duplicate and a resend are never in flight together (docs/design/undelivered.md). This
+module does no I/O; the time is passed in.
 """
 
 from __future__ import annotations
@@ -16,65 +17,68 @@
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.settings import Idempotency
 
-EXPIRY_BATCH = 50  # cases checked at a time, so that the loop is not stalled
+EXPIRY_BATCH = 50  # cases checked per call, so that the event loop is not blocked for long
 Key = tuple[int, str]  # destination and idempotency key
 
 
 class DuplicateState(Enum):
-    """What a dead letter means for its duplicates."""
+    """The state of a dead letter, which decides what happens to its duplicates."""
 
-    OPEN = "open"  # a duplicate is sent like any message, and no resend is meanwhile
+    OPEN = "open"  # a duplicate is delivered like any message, and no resend starts meanwhile
     RESENDING = "sending"  # a resend is in flight; a duplicate waits for its end
-    RESENT = "done"  # a resend was delivered; a duplicate takes that as its own end
-    CLOSED = "over"  # nothing more will be done for it
+    RESENT = "done"  # a resend was delivered; a duplicate is answered as already delivered
+    CLOSED = "over"  # the dead letter will not be resent
 
 
 @dataclass(slots=True)
 class DuplicateCase:
-    """One dead letter. Times are Unix times in nanoseconds."""
+    """The latest dead letter with a key, as its duplicates need it. Times are Unix times in nanoseconds."""
 
     state: DuplicateState
-    ended_at: int  # duplicates are recognised for a while from then on
+    ended_at: int  # duplicates are recognised for the index's `retention` after this time
     uses_idempotency_key: bool
     deduplication_window: int  # nanoseconds
-    first_execution: tuple[int, int] | None = None  # when and in which zone it may first have been executed
-    resend_attempted: bool = False  # a resend may be among what was executed
+    first_execution: tuple[int, int] | None = None  # time and zone of the first possible execution
+    resend_attempted: bool = False  # whether a resend was attempted, which may have been executed
 
 
 class DuplicateIndex:
-    """All dead letters by key, and how many clients' messages with each key are live.
+    """The dead letters by key, and the number of live messages from clients with each key.
 
-    A message is live while the dispatcher holds it or its dead letter waits for the store. `retention` is
-    for how many nanoseconds a dead letter's duplicates are recognised.
+    A message is live while the dispatcher holds it or its dead letter waits for the store. `retention` is the
+    time in nanoseconds for which the duplicates of a dead letter are recognised.
     """
 
     def __init__(self, retention: int) -> None:
         self.retention = retention
         self.cases: dict[Key, DuplicateCase] = {}
         self.live_counts: dict[Key, int] = {}
-        self._counted_ids: set[str] = set()  # of the clients' messages that are counted in `live_counts`
+        self._counted_ids: set[str] = set()  # of the messages that are counted in `live_counts`
 
     @staticmethod
     def key_of(transaction: Transaction) -> Key | None:
-        """The key by which a message's duplicates are recognised, None if it has none."""
+        """Return the key by which the duplicates of a message are recognised, or None if it has none."""
         return (transaction.destination, transaction.key) if transaction.key else None
 
     @classmethod
     def from_records(cls, records: list[KeyedRecord], retention: int) -> DuplicateIndex:
-        """The index of what the store holds, oldest first; it takes long and runs off the event loop."""
+        """Return the index of the store's records, which are given oldest first.
+
+        This takes too long for the event loop and runs in another thread.
+        """
         index = cls(retention)
-        for record in records:  # the latest of those with the same key counts
+        for record in records:  # the latest record with a key replaces the earlier ones
             index.update(record)
         return index
 
     def merge(self, stored: DuplicateIndex) -> None:
-        """Add what the store holds; what this index has learnt meanwhile is newer."""
+        """Add the cases loaded from the store; cases that this index already has are newer and stay."""
         learnt = self.cases
         self.cases = stored.cases
         self.cases.update(learnt)
 
     def expire(self, now: int, max_cases: int) -> None:
-        """Forget a few cases that no duplicate is expected for, and the oldest beyond `max_cases`."""
+        """Remove a few of the oldest cases that are past their retention or in excess of `max_cases`."""
         for key in list(islice(self.cases, EXPIRY_BATCH)):
             case = self.cases[key]
             expected = now - case.ended_at <= self.retention and len(self.cases) <= max_cases
@@ -83,14 +87,14 @@
             del self.cases[key]
 
     def update(self, record: KeyedRecord) -> None:
-        """Take over a record's present state."""
+        """Set the case of a record's key to the present state of the record."""
         if not record.key:
             return
         key = record.destination, record.key
         known = self.cases.get(key)
         resending = known is not None and known.state is DuplicateState.RESENDING
         if resending and record.status != RecordStatus.RESENDING.value:
-            return  # `resend_ended` tells of a resend's end
+            return  # only `resend_ended` ends the case of a resend in flight
         first_execution = None
         if record.first_possible_execution is not None:
             first_execution = record.first_possible_execution, record.first_execution_zone
@@ -104,7 +108,7 @@
         )
 
     def find(self, transaction: Transaction, now: int) -> DuplicateCase | None:
-        """The dead letter that a message is a duplicate of, if there is one."""
+        """Return the dead letter that a message is a duplicate of, or None."""
         key = self.key_of(transaction)
         case = self.cases.get(key) if key is not None else None
         if case is None or now - case.ended_at > self.retention:
@@ -112,9 +116,9 @@
         return case
 
     def decide_arrival(self, transaction: Transaction, now: int) -> ArrivalDecision:
-        """What becomes of a message that a client submitted.
+        """Return what is to be done with a message that a client submitted, and count it as live.
 
-        Sets its `earlier_execution` where a resend may have been executed.
+        Set the message's `earlier_execution` if a resend may have been executed.
         """
         self.add_live(transaction)
         case = self.find(transaction, now)
@@ -122,26 +126,26 @@
             return ArrivalDecision.DELIVER
         if case.resend_attempted and case.first_execution is not None:
             transaction.earlier_execution = case.first_execution
-        if transaction.attempt_count:  # it was in flight before a restart; no resend began meanwhile
+        if transaction.attempt_count:  # in flight before a restart, so no resend has started since
             return ArrivalDecision.DELIVER
         if case.state is DuplicateState.RESENDING:
             return ArrivalDecision.WAIT
         if case.state is not DuplicateState.RESENT:
             return ArrivalDecision.DELIVER
-        if _receiver_has_forgotten(case, now):  # the key makes a new message
+        if _receiver_has_forgotten(case, now):  # the receiver takes the key for that of a new message
             transaction.earlier_execution = None
             return ArrivalDecision.DELIVER
         return ArrivalDecision.ALREADY_DELIVERED
 
     def add_live(self, transaction: Transaction) -> None:
-        """A client's message is held, or waits for the store."""
+        """Count a client's message that the dispatcher holds or whose dead letter waits for the store."""
         key = self.key_of(transaction)
         if key is not None and transaction.id not in self._counted_ids:
             self._counted_ids.add(transaction.id)
             self.live_counts[key] = self.live_counts.get(key, 0) + 1
 
     def remove_live(self, transaction: Transaction) -> None:
-        """A client's message is no longer held, and its dead letter, if any, is in the store."""
+        """Stop counting a client's message that is no longer held and has no dead letter left to store."""
         key = self.key_of(transaction)
         if key is None or transaction.id not in self._counted_ids:
             return
@@ -153,13 +157,16 @@
             self.live_counts.pop(key, None)
 
     def blocked(self, key: Key) -> bool:
-        """Whether no resend with this key may begin: a client's message is live, or a resend in flight."""
+        """Return whether no resend with this key may start.
+
+        A live message from a client or a resend in flight blocks resends.
+        """
         case = self.cases.get(key)
         resending = case is not None and case.state is DuplicateState.RESENDING
         return bool(self.live_counts.get(key)) or resending
 
     def resend_started(self, transaction: Transaction, now: int) -> None:
-        """A resend begins."""
+        """Record that a resend starts."""
         key = self.key_of(transaction)
         if key is None:
             return
@@ -169,7 +176,7 @@
         self.cases[key] = case
 
     def resend_ended(self, transaction: Transaction, record: KeyedRecord | None) -> None:
-        """A resend has ended, and left its record so; None if there is no such record any more."""
+        """Record that a resend has ended; `record` is its record afterwards, or None if it was deleted."""
         key = self.key_of(transaction)
         if key is None:
             return
--- a/honeyhitch/dead_letters/files.py
+++ b/honeyhitch/dead_letters/files.py
@@ -1,4 +1,4 @@
-"""The store's files: the lock that one writer has, and the opening of the database."""
+"""The files of a store: the lock of its one writer, and the opening of its database."""
 
 from __future__ import annotations
 
@@ -15,41 +15,40 @@
 LOCK_FILE = "lock"
 DIRECTORY_MODE = 0o700
 FILE_MODE = 0o600
-BUSY_TIMEOUT_SECONDS = 5.0  # that a statement waits for another connection's lock
+BUSY_TIMEOUT_SECONDS = 5.0  # how long a statement waits for another connection's lock
 CACHE_KILOBYTES = 8_000
-JOURNAL_SIZE_BYTES = 4_000_000  # of the write-ahead log between transactions
-FILE_OVERHEAD_BYTES = (
-    16_000_000  # by which the file may outgrow what its records take, and half of that again
-)
-HOLDER_BYTES = 32  # of the lock file, which names the process that holds it
+JOURNAL_SIZE_BYTES = 4_000_000  # limit of the write-ahead log file between transactions
+# The file may exceed the limit of its records by half of that limit and by this overhead.
+FILE_OVERHEAD_BYTES = 16_000_000
+HOLDER_BYTES = 32  # read from the lock file, which holds the id of the process that has the lock
 
-# UnicodeDecodeError stands where SQLite's own message quotes a damaged name.
+# sqlite3 raises UnicodeDecodeError if the message of an SQLite error quotes a damaged name.
 DAMAGE_ERRORS = (sqlite3.Error, UnicodeDecodeError)
 
 
 class StoreError(Exception):
-    """The store cannot be used; the message says why, and names the file."""
+    """The store cannot be used; the message names the file and gives the reason."""
 
 
 class StoreInUseError(StoreError):
-    """Another process writes this store."""
+    """Another process holds the lock of this store."""
 
 
 def decode_text(data: bytes) -> str:
-    """The text in a column; a damaged one is decoded too, and its seal tells."""
+    """Return the text of a column, with invalid bytes replaced; the seal of the row detects the damage."""
     return data.decode(errors="replace")
 
 
 def identity(path: Path) -> tuple[int, int]:
-    """The device and inode of a file, which stay while it is open and renamed. Raises OSError."""
+    """Return the device and inode of a file, which do not change when the file is renamed. Raise OSError."""
     status = os.stat(path)
     return status.st_dev, status.st_ino
 
 
 def acquire_lock(directory: Path) -> int:
-    """Become the store's one writer; the descriptor holds the lock until it is closed.
+    """Acquire the lock of the store's one writer; return a descriptor that holds it until it is closed.
 
-    Raises StoreError, and StoreInUseError where another process writes.
+    Raise StoreError if the lock file cannot be opened, and StoreInUseError if another process holds the lock.
     """
     try:
         directory.mkdir(parents=True, exist_ok=True, mode=DIRECTORY_MODE)
@@ -69,9 +68,9 @@
 
 
 def open_for_writing(directory: Path, max_bytes: int) -> sqlite3.Connection:
-    """The database for its one writer, brought to the present schema; `max_bytes` bounds its records.
+    """Open the database for its one writer, migrated to the latest schema; `max_bytes` limits its records.
 
-    Raises StoreError.
+    Raise StoreError if the file cannot be used.
     """
     path = directory / DATABASE_FILE
     if not path.exists():
@@ -81,8 +80,8 @@
     )
     database.text_factory = decode_text
     try:
-        schema.read_version(database)  # before anything is changed
-        database.execute("PRAGMA auto_vacuum=INCREMENTAL")  # heeded by a file that is still empty
+        schema.read_version(database)  # rejects an unsupported file before anything is changed
+        database.execute("PRAGMA auto_vacuum=INCREMENTAL")  # takes effect only while the file is empty
         database.execute("PRAGMA journal_mode=WAL")
         database.execute("PRAGMA synchronous=FULL")
         database.execute("PRAGMA foreign_keys=ON")
@@ -99,7 +98,7 @@
 
 
 def open_for_reading(directory: Path) -> sqlite3.Connection:
-    """The database for reading alone; it does not block the writer. Raises StoreError."""
+    """Open the database read-only, without blocking the writer. Raise StoreError if it cannot be used."""
     path = directory / DATABASE_FILE
     if not path.exists():
         raise StoreError(f"{path}: there is no store")
--- a/honeyhitch/dead_letters/filters.py
+++ b/honeyhitch/dead_letters/filters.py
@@ -1,4 +1,4 @@
-"""Which records a request is about: read from the request's texts, and turned into SQL. No I/O."""
+"""Filters that select the records of a request: parsed from texts, and translated into SQL. No I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 from honeyhitch.dead_letters.records import RecordStatus
 
-MAX_INTEGER = (1 << 63) - 1  # as great a number as the store holds
+MAX_INTEGER = (1 << 63) - 1  # largest integer that SQLite stores
 MAX_DIGITS = 19
 ENDINGS = ("failed", "rejected")
 
-# The names of filters in requests, and the fields of RecordFilter. The first two groups are columns, too.
+# The names of filters in requests, and the fields of RecordFilter. The integer and text filters are also
+# columns, except for `since` and `until`.
 INTEGER_FILTERS = {"seq": "sequence", "destination": "destination", "since": "since", "until": "until"}
 TEXT_FILTERS = {
     "id": "id",
@@ -29,19 +30,19 @@
 BOOLEAN_TEXTS = {"yes": True, "no": False}
 CHOICES = {"ending": ENDINGS, "standing": tuple(status.value for status in RecordStatus)}
 
-# The columns that a record must equal, in the order of the SQL.
+# The columns that are compared for equality, in the order of the SQL conditions.
 EQUAL_COLUMNS = (
     "seq", "id", "key", "destination", "cls", "tenant", "front", "ending", "reason", "standing",
 )  # fmt: skip
 
 
 class FilterError(ValueError):
-    """A filter that cannot be used; the message names it."""
+    """An unknown or invalid filter; the message names it."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordFilter:
-    """Which records; None matches all. Times are Unix times in nanoseconds."""
+    """Conditions that a record must meet; None matches any value. Times are Unix times in nanoseconds."""
 
     sequence: int | None = None
     id: str | None = None
@@ -54,11 +55,11 @@
     reason: str | None = None
     status: str | None = None  # the stored value of a RecordStatus
     may_have_executed: bool | None = None
-    since: int | None = None  # ended at or after
-    until: int | None = None  # ended before
+    since: int | None = None  # the message ended at or after this time
+    until: int | None = None  # the message ended before this time
 
     def sql_condition(self, *more: str) -> tuple[str, list[Any]]:
-        """The condition on the table `record`, with `more` before it, and its values."""
+        """Return the SQL condition on the table `record`, which starts with `more`, and its parameters."""
         conditions = list(more)
         values = list[Any]()
         for column in EQUAL_COLUMNS:
@@ -76,7 +77,7 @@
 
     @classmethod
     def parse(cls, texts: Mapping[str, str]) -> RecordFilter:
-        """From the names and texts of a request. Raises FilterError."""
+        """Return the filter with these names and texts of a request. Raise FilterError if one is invalid."""
         fields = dict[str, Any]()
         for name, text in texts.items():
             if name not in FILTERS:
@@ -88,7 +89,7 @@
         return cls(**fields)
 
     def to_texts(self) -> dict[str, str]:
-        """The reverse of `parse`."""
+        """Return the names and texts from which `parse` returns an equal filter."""
         values = {name: getattr(self, field) for name, field in FILTERS.items()}
         return {name: _format_value(value) for name, value in values.items() if value is not None}
 
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -1,8 +1,8 @@
-"""Moves messages that ended undelivered out of the journal and into the store. It does no I/O itself.
+"""Moves messages that ended undelivered from the journal to the store. This module itself does no I/O.
 
-A message is in the journal until the store's transaction has been committed; a transfer that is repeated
-after a kill in between finds the record there already and changes nothing. Where the store fails, messages
-wait in the journal, in a fraction of it that leaves room for live traffic.
+A message stays in the journal until the store's transaction has been committed. If the process is killed in
+between, the transfer is repeated, finds the record already in the store, and changes nothing. While the store
+fails, messages wait in the journal, in a fraction of it that leaves room for live traffic.
 """
 
 from __future__ import annotations
@@ -21,26 +21,28 @@
 from honeyhitch.time_units import SECOND
 
 log = logs.get()
-BATCH_SIZE = 64  # messages in one transaction
+BATCH_SIZE = 64  # messages per transaction of the store
 MIN_RETRY_PAUSE = SECOND  # between attempts while the store fails
 MAX_RETRY_PAUSE = 60 * SECOND
-MAX_JOURNAL_FRACTION = 0.25  # of the journal's disk that messages may take which only wait for the store
+MAX_JOURNAL_FRACTION = 0.25  # of the journal's disk space, for messages that only wait for the store
 
 
 @dataclass(slots=True)
 class TransferCounts:
-    """What has been done since the start."""
+    """The numbers of messages moved to the store and discarded since the start."""
 
     moved: int = 0
-    # By whether the message may have been executed.
+    # The key tells whether the message may have been executed.
     discarded: dict[bool, int] = field(default_factory=lambda: {False: 0, True: 0})
 
 
 class JournalTransfer:
-    """The dispatcher's DeadLetterSink: one transaction at a time, with all that has come meanwhile.
+    """The dispatcher's DeadLetterSink, which writes messages to the store in one transaction at a time.
 
-    `submit` queues a job for the store's thread; `on_stored` is called with each message that the store holds
-    or that was discarded, and the journal need not keep any longer.
+    Messages that end during a transaction wait for the next one.
+
+    `submit` queues a job for the store's thread. `on_stored` is called with each message that was stored or
+    discarded, which the journal does not need to keep any longer.
     """
 
     def __init__(
@@ -56,16 +58,16 @@
         self.scheduler = scheduler
         self.submit = submit
         self.on_stored = on_stored
-        self.pending: dict[tuple[str, int], Transaction] = {}  # by id and end, the oldest first
-        self.batch: list[Transaction] = []  # what the store is writing
+        self.pending: dict[tuple[str, int], Transaction] = {}  # by id and end time, oldest first
+        self.batch: list[Transaction] = []  # messages that the store is writing
         self.paused = False
         self.retry_pause = MIN_RETRY_PAUSE
         self.last_error = ""  # of the store, empty while it works
         self.counts = TransferCounts()
-        self.stored_listeners: list[Callable[[list[Record]], None]] = []  # told of records that were stored
+        self.stored_listeners: list[Callable[[list[Record]], None]] = []  # called with stored records
 
     def store(self, transaction: Transaction) -> None:
-        """Move a message that ended undelivered as soon as possible."""
+        """Move a message that ended undelivered to the store as soon as possible."""
         self.pending[transaction.id, transaction.ended_at] = transaction
         self._discard_excess()
         self._submit_batch()
@@ -115,9 +117,10 @@
         self._submit_batch()
 
     def _discard_excess(self) -> None:
-        """Discard what has waited for longest where live traffic needs the journal's room.
+        """Discard the longest waiting messages until the others are within MAX_JOURNAL_FRACTION.
 
-        What may have been executed goes last.
+        This keeps room in the journal for live traffic. Messages that may have been executed are discarded
+        last.
         """
         if not self._over_fraction():
             return
@@ -126,7 +129,7 @@
             for transaction in self.pending.values()
             if transaction.id not in self.journal.messages.by_id
         ]
-        for transaction in sorted(answered, key=_may_have_executed):  # else in their order
+        for transaction in sorted(answered, key=_may_have_executed):  # a stable sort: otherwise oldest first
             if not self._over_fraction():
                 return
             if transaction not in self.batch:
@@ -148,7 +151,7 @@
 
 
 def log_dropped(dropped: list[DroppedRecords]) -> None:
-    """Log what the store had to drop."""
+    """Log the records that the store dropped because of its limits."""
     for records in dropped:
         log.warning(
             "dead-letter.records-dropped",
--- a/honeyhitch/dead_letters/key_rotation.py
+++ b/honeyhitch/dead_letters/key_rotation.py
@@ -1,7 +1,7 @@
-"""Replaces the key under which a store is sealed, in steps that may be interrupted at any moment.
+"""Replaces the key that seals a store, in steps that can be interrupted at any moment.
 
-Until `retire_old_keys` the old keys verify, too, so that a rotation that was interrupted goes on when it is
-started again.
+The old keys still verify until `retire_old_keys` deletes them, so that an interrupted rotation continues when
+it is started again.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def start(store: Store) -> int:
-    """Seal with a new key from now on, unless an interrupted rotation goes on; the number of the key."""
+    """Add a new key, unless an interrupted rotation has already added it; return the key's number."""
     if len(store.keys.keys) == 1:
         store.keys.add()
         store.save_keys()
@@ -22,7 +22,10 @@
 
 
 def reseal_records(store: Store, after: int = 0) -> int | None:
-    """Seal the next page of records with the newest key; the number of the last one, None at the end."""
+    """Seal the intact records of the page after `after` with the newest key.
+
+    Return the number of the last record of the page, or None if the page is empty.
+    """
     with store.transaction():
         found = store.page(RecordFilter(), after, PAGE_SIZE)
         for stored in found:
@@ -32,7 +35,10 @@
 
 
 def reseal_audit(store: Store, after: int = 0) -> int | None:
-    """Seal the next page of audit entries with the newest key; the number of the last, None at the end."""
+    """Seal the intact audit entries of the page after `after` with the newest key.
+
+    Return the number of the last entry of the page, or None if the page is empty.
+    """
     with store.transaction():
         entries = store.audit_page(after=after)
         for entry in entries:
@@ -42,7 +48,7 @@
 
 
 def retire_old_keys(store: Store) -> int:
-    """Delete the old keys, unless rows are left that only they could verify; the number of such rows."""
+    """Delete the old keys unless rows are left that are sealed with them; return the number of such rows."""
     remaining = 0
     for table in SEALED_TABLES:
         text = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
--- a/honeyhitch/dead_letters/reader.py
+++ b/honeyhitch/dead_letters/reader.py
@@ -1,6 +1,6 @@
-"""What is read from a store: records, their groups, audit entries, and faults.
+"""The read operations of a store: records, counts of records, audit entries, and faults.
 
-Every call does I/O; sqlite3.Error comes through where the disk fails or the file is damaged.
+All methods do blocking I/O, and raise sqlite3.Error if the disk fails or the file is damaged.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 PAGE_SIZE = 200  # records read, deleted or sealed at a time
 
-# By what records are counted: the names that are asked for and exported, and their SQL.
+# The values by which records can be counted: names in requests and exports, and their SQL expressions.
 GROUP_EXPRESSIONS = {
     "destination": "record.destination",
     "cls": "record.cls",
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordGroup:
-    """How many records have these values, in the order of the names they were counted by."""
+    """The number of records with these values, which are in the order of the requested names."""
 
     values: tuple[Any, ...]
     count: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DroppedTotal:
-    """How many records the store's limits have cost so far."""
+    """The number and size of the records dropped so far because of one limit of the store."""
 
     reason: str  # "age" or "room"
     may_have_executed: bool
@@ -52,10 +52,10 @@
 
 
 class StoreReader(StoreConnection):
-    """The reading side of a store."""
+    """A store with its read operations."""
 
     def get(self, sequence: int) -> StoredRecord | None:
-        """The record with this number, or None."""
+        """Return the record with this number, or None."""
         self.refresh_keys()
         row = self.database.execute(f"{SELECT_RECORD} WHERE record.seq = ?", (sequence,)).fetchone()
         return self.codec.decode(row, self.keys) if row is not None else None
@@ -63,7 +63,7 @@
     def page(
         self, record_filter: RecordFilter, after: int = 0, limit: int = 50, newest_first: bool = False
     ) -> list[StoredRecord]:
-        """The next records after the one with this number, oldest first or in the reverse order."""
+        """Return the records that follow the record with the number `after`, in the chosen order."""
         self.refresh_keys()
         comparison = "<" if newest_first and after else ">"
         direction = "DESC" if newest_first else "ASC"
@@ -74,14 +74,14 @@
         return [self.codec.decode(row, self.keys) for row in rows]
 
     def iterate(self, record_filter: RecordFilter) -> Iterator[StoredRecord]:
-        """All chosen records, read a page at a time; the store may change meanwhile."""
+        """Yield all records that match the filter, read page by page; the store may change in between."""
         after = 0
         while found := self.page(record_filter, after, PAGE_SIZE):
             yield from found
             after = found[-1].record.sequence
 
     def count_by(self, record_filter: RecordFilter, group_names: tuple[str, ...]) -> list[RecordGroup]:
-        """How many records there are for each combination of these names (GROUP_EXPRESSIONS)."""
+        """Return the number of records for each combination of these values (keys of GROUP_EXPRESSIONS)."""
         groups = [GROUP_EXPRESSIONS[name] for name in group_names]
         condition, values = record_filter.sql_condition()
         text = f"SELECT {', '.join([*groups, 'count(*)', 'total(plain)'])} FROM record WHERE {condition}"
@@ -91,7 +91,7 @@
         return [RecordGroup(tuple(row[:-2]), row[-2], row[-1]) for row in rows]
 
     def dropped_totals(self) -> list[DroppedTotal]:
-        """What the store's limits have cost so far."""
+        """Return the number and size of the records that the store's limits have dropped so far."""
         rows = self.database.execute(
             "SELECT why, may_have_run, count, size FROM dropped ORDER BY why, may_have_run"
         )
@@ -103,7 +103,10 @@
     def audit_page(
         self, sequence: int | None = None, after: int = 0, limit: int = PAGE_SIZE
     ) -> list[StoredAuditEntry]:
-        """The next audit entries of one record, or of all, after the entry with this number, oldest first."""
+        """Return the audit entries that follow the entry with the number `after`, oldest first.
+
+        With `sequence`, only the entries of the record with this number are returned.
+        """
         self.refresh_keys()
         where, values = ("seq = ? AND ", (sequence,)) if sequence is not None else ("", ())
         columns = ", ".join(AUDIT_COLUMNS)
@@ -112,7 +115,7 @@
         return [StoredAuditEntry.from_row(row, self.keys) for row in rows]
 
     def verify(self) -> Iterator[str]:
-        """Every fault that is found in the file, its records and its audit entries, one line each."""
+        """Yield one line for each fault in the file, its records and its audit entries."""
         for (line,) in self.database.execute("PRAGMA integrity_check(100)"):
             if line != "ok":
                 yield f"file: {line}"
--- a/honeyhitch/dead_letters/record_codec.py
+++ b/honeyhitch/dead_letters/record_codec.py
@@ -1,6 +1,6 @@
 """The stored form of a record: its columns, its compressed body, and the bytes that are sealed. No I/O.
 
-Column names are part of what is sealed and never change; this module alone maps them to the fields of Record.
+Column names are part of the sealed bytes and never change; only this module maps them to fields of Record.
 """
 
 from __future__ import annotations
@@ -15,9 +15,10 @@
 from honeyhitch.dead_letters.seal import SealKeys
 from honeyhitch.journal.transactions import Attempt
 
-COMPRESSION_LEVEL = 3  # of zstandard
-MAX_BODY_BYTES = 16 << 20  # of a body when unpacked; nothing that was accepted is greater
-FIXED_RECORD_BYTES = 300  # of a record apart from its texts, as counted against the store's limit
+COMPRESSION_LEVEL = 3  # zstandard level
+MAX_BODY_BYTES = 16 << 20  # of a decompressed body; no accepted body is larger
+# Counted against the store's limit for each record, in addition to its texts, attempts and stored body.
+FIXED_RECORD_BYTES = 300
 
 # The columns of the table `record` that hold a field of Record, in the order in which they are written.
 FIELD_OF_COLUMN = {
@@ -48,10 +49,12 @@
     "told_again": "client_retry_at",
     "asked": "resend_request",
 }
-COLUMNS = (*FIELD_OF_COLUMN, "plain", "size")  # bytes of the body as accepted, and of the record as stored
+# `plain` is the size of the accepted body and `size` that of the stored record, both in bytes.
+COLUMNS = (*FIELD_OF_COLUMN, "plain", "size")
 DETAIL_COLUMNS = ("tries", "packed", "body", "key_number", "seal")
 BOOLEAN_COLUMNS = ("zoned", "came_again")
-ADDED_COLUMN_DEFAULTS = {"told_again": None, "asked": ""}  # of later schemas: their values in older records
+# The columns that later schemas added, with their values in older records.
+ADDED_COLUMN_DEFAULTS = {"told_again": None, "asked": ""}
 
 
 def _column_list() -> str:
@@ -65,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedRecord:
-    """A record's columns, and its row in the table `detail` without the seal."""
+    """The columns of a record, and its row in the table `detail` without the seal."""
 
     columns: dict[str, Any]
     attempts: str
@@ -73,12 +76,12 @@
     body: bytes
 
     def sealed_bytes(self, sequence: int) -> bytes:
-        """What the seal of the record with this number covers."""
+        """Return the bytes that the seal of the record covers when it is stored under this number."""
         return _sealed_bytes(self.columns, sequence, self.attempts, self.packed, self.body)
 
 
 class RecordCodec:
-    """Turns records into rows and back; bodies of `compress_min_bytes` or more are compressed."""
+    """Converts records to rows and back; bodies of at least `compress_min_bytes` are compressed."""
 
     def __init__(self, compress_min_bytes: int) -> None:
         self.compress_min_bytes = compress_min_bytes
@@ -86,7 +89,7 @@
         self._decompressor = zstandard.ZstdDecompressor()
 
     def encode(self, record: Record) -> EncodedRecord:
-        """The row of a record."""
+        """Return the row of a record."""
         attempts = pack_attempts(record.attempts)
         packed, body = self._pack_body(record.body)
         columns: dict[str, Any] = {name: getattr(record, field) for name, field in FIELD_OF_COLUMN.items()}
@@ -105,9 +108,9 @@
         return (1, compressed) if len(compressed) < len(body) else (0, body)
 
     def decode(self, row: tuple[Any, ...], keys: SealKeys) -> StoredRecord:
-        """The record in a row of SELECT_RECORD, its seal verified.
+        """Return the record in a row of SELECT_RECORD, after its seal was verified.
 
-        Never fails: whatever stands in the row, the record comes with the fault that was found.
+        A damaged row raises no exception: the record is returned with the fault that was detected.
         """
         sequence, *values = row[: 1 + len(COLUMNS)]
         columns = dict(zip(COLUMNS, values, strict=True))
@@ -146,9 +149,10 @@
 
 
 def canonical_bytes(columns: dict[str, Any], body: bytes) -> bytes:
-    """What a seal covers: every column that a row has, by name, and the stored body behind its length.
+    """Return the bytes that a seal covers: the length of the JSON text, the JSON text, and the stored body.
 
-    A later schema's column is left out where it holds its default, so that seals of older records stay valid.
+    The JSON text holds the columns by name. A column that a later schema added is left out while it holds its
+    default, so that the seals of older records stay valid.
     """
     present = {
         name: value
@@ -160,7 +164,7 @@
 
 
 def pack_attempts(attempts: tuple[Attempt, ...]) -> str:
-    """The history of attempts as it is stored."""
+    """Return the history of attempts in its stored form."""
     rows = [
         [
             attempt.number,
@@ -177,5 +181,5 @@
 
 
 def unpack_attempts(text: str) -> tuple[Attempt, ...]:
-    """The history of attempts from the store. Raises ValueError or TypeError if the text holds none."""
+    """Return the history of attempts from its stored form. Raise ValueError or TypeError if it is invalid."""
     return tuple(Attempt(*row) for row in json.loads(text))
--- a/honeyhitch/dead_letters/record_export.py
+++ b/honeyhitch/dead_letters/record_export.py
@@ -1,4 +1,4 @@
-"""The exported form of a record: the JSON object that the control socket, the command and exports show."""
+"""The exported form of a record: the JSON object in replies of the control socket, commands and exports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 PROVED_NOT_EXECUTED = frozenset(outcome.value for outcome in Outcome if outcome.proves_not_executed)
 
-# Exported under the names of their columns, in this order, before the status and the attempts.
+# The columns that are exported under their own names, in this order, before the status and the attempts.
 EXPORTED_COLUMNS = (
     "id", "key", "cls", "tenant", "destination", "front", "came_at", "deadline", "ended_at", "ending",
     "reason", "come_back", "came_again", "effect", "window", "first_ran", "evidence", "settled_by", "resends",
@@ -20,7 +20,7 @@
 
 
 def export_record(record: Record, include_body: bool = False) -> dict[str, Any]:
-    """The object of a record; a body that is no UTF-8 is exported as hexadecimal digits."""
+    """Return the exported form of a record; a body that is not UTF-8 is exported as hexadecimal digits."""
     exported: dict[str, Any] = {"seq": record.sequence}
     exported |= {name: getattr(record, FIELD_OF_COLUMN[name]) for name in EXPORTED_COLUMNS}
     exported["standing"] = record.status.value
--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -1,6 +1,6 @@
-"""A dead letter: a message that ended undelivered, as the program holds it. No I/O.
+"""The record of a dead letter, a message that ended undelivered, as it is held in memory. No I/O.
 
-Its stored, sealed and exported forms have names of their own; `record_codec` and `record_export` map them.
+The stored, sealed and exported forms use other field names; `record_codec` and `record_export` map them.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 from honeyhitch.journal.transactions import Attempt, Ending, Transaction
 from honeyhitch.policy.settings import DeduplicationScope, Settings
 
-# Reasons that are no outcomes of an attempt.
-NOT_ATTEMPTED = "not-tried"  # nothing was sent
-OUTCOME_UNKNOWN = "lost"  # an attempt began, and its end was never seen
+# Failure reasons that are not the outcome of an attempt.
+NOT_ATTEMPTED = "not-tried"  # no attempt was started
+OUTCOME_UNKNOWN = "lost"  # an attempt was started, and its outcome was never observed
 
 
 class RecordStatus(Enum):
-    """What has become of a record; the values are those of the store."""
+    """The state of a record; the values are those in the store."""
 
     PENDING = "kept"
     RESENDING = "sending"  # a resend is in flight
-    SETTLED = "settled"  # delivered since, or settled by a person
-    REPLACED = "replaced"  # a duplicate ended undelivered, too, and stands for both
+    SETTLED = "settled"  # delivered in the meantime, or settled by a person
+    REPLACED = "replaced"  # a duplicate also ended undelivered, and its record stands for both
     DISCARDED = "discarded"
 
 
-UNRESOLVED = (RecordStatus.PENDING, RecordStatus.RESENDING)  # those that still ask for something
+UNRESOLVED = (RecordStatus.PENDING, RecordStatus.RESENDING)  # the end of the message is not decided yet
 
 
 @dataclass(slots=True)
 class Record:
-    """One undelivered message. Times are Unix times and durations lengths, both in nanoseconds."""
+    """One undelivered message. Times are Unix times in nanoseconds, durations are in nanoseconds."""
 
     id: str
     ended_at: int
@@ -40,28 +40,28 @@
     destination: int
     class_name: str
     idempotency: str  # a value of policy.settings.Idempotency
-    deduplication_window: int  # in which the receiver drops a repeat with the same key
-    zone_scoped: bool  # and only within the zone of the first attempt
+    deduplication_window: int  # time during which the receiver drops a repeat with the same key
+    zone_scoped: bool  # whether the receiver drops repeats only within the zone of the first attempt
     tenant: str
     key: str
     frontend: str
-    recovered_from_journal: bool  # it was held over a restart
+    recovered_from_journal: bool  # the dispatcher was restarted while it held the message
     ending: str
-    reason: str  # the last outcome, or why there was none
-    retry_after: int  # sent to the client, 0 if nothing was
+    reason: str  # outcome of the last attempt, NOT_ATTEMPTED or OUTCOME_UNKNOWN
+    retry_after: int  # Retry-After that was sent to the client, 0 if none was
     first_possible_execution: int | None  # None if no attempt can have been executed
     first_execution_zone: int
     attempts: tuple[Attempt, ...]
     body: bytes
-    sequence: int = 0  # its number in the store
+    sequence: int = 0  # number of the record in the store, 0 before it is stored
     status: RecordStatus = RecordStatus.PENDING
     settled_by: str = ""
-    evidence: str = ""  # the receiver's statement that it was not applied, by which a person released it
+    evidence: str = ""  # receiver's statement that the message was not applied, cited by who released it
     resend_count: int = 0
-    resend_id: str = ""  # of the latest resend
+    resend_id: str = ""  # id of the latest resend
     changed_at: int = 0
-    client_retry_at: int | None = None  # when the client was asked to submit it again, if it was
-    resend_request: str = ""  # who wants it resent whatever the rules say, and why
+    client_retry_at: int | None = None  # time at which the client was asked to submit it again
+    resend_request: str = ""  # who requested a resend regardless of the rules, and why
 
     @property
     def may_have_executed(self) -> bool:
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """A record as it was read; `fault` says how it was altered on disk, and is empty if it was not."""
+    """A record as read from the store; `fault` says how it was altered on disk, or is empty."""
 
     record: Record
     fault: str = ""
@@ -85,11 +85,11 @@
     may_have_executed: bool
     count: int
     size_bytes: int
-    ids: tuple[str, ...]  # of the first few
+    ids: tuple[str, ...]  # ids of the first few records
 
 
 def record_of(transaction: Transaction, settings: Settings) -> Record:
-    """The record of a transaction that ended undelivered."""
+    """Return the record of a transaction that ended undelivered."""
     message_class = settings.classes[transaction.class_index]
     first_execution = transaction.first_possible_execution()
     rejected = transaction.ending is Ending.REJECTED
@@ -126,7 +126,10 @@
 
 
 def failure_reason(transaction: Transaction) -> str:
-    """Why it was not delivered: the last attempt's outcome, NOT_ATTEMPTED or OUTCOME_UNKNOWN."""
+    """Return why the message was not delivered.
+
+    That is the outcome of the last attempt, NOT_ATTEMPTED or OUTCOME_UNKNOWN.
+    """
     if not transaction.attempt_count:
         return NOT_ATTEMPTED
     last_outcome = transaction.attempt_history[-1].outcome if transaction.attempt_history else ""
--- a/honeyhitch/dead_letters/report.py
+++ b/honeyhitch/dead_letters/report.py
@@ -1,6 +1,6 @@
-"""The accountants' report: what became of undelivered messages, by destination, tenant, reason and day.
+"""The report for accountants: dispositions of undelivered messages by destination, tenant, reason and day.
 
-It counts records one by one, as they come from the store, and keeps sums alone. Rendered by Jinja2.
+The report counts records as they are read from the store, and keeps only the sums. Jinja2 renders it.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from honeyhitch.dead_letters.settings import ResendSettings
 from honeyhitch.time_units import DAY, SECOND
 
-MAX_AMOUNT = Decimal(10) ** 15  # beyond it a body's number is taken for a mistake
+MAX_AMOUNT = Decimal(10) ** 15  # a larger number in a body is treated as an error
 EPOCH = datetime.date(1970, 1, 1)
 
 
 class Disposition(Enum):
-    """What became of a record, in the accountants' words."""
+    """The state of a record as the report names it for accountants."""
 
     SAFE = "safe to resend"
     NOT_SAFE = "not safe"
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class Cell:
-    """A cell of a table: records, and the sum of the amounts in their bodies."""
+    """A cell of a table: the number of records, and the sum of the amounts in their bodies."""
 
     count: int = 0
     amount: Decimal = Decimal(0)
     without_amount: int = 0  # records in whose body no amount was found
 
     def add(self, amount: Decimal | None) -> None:
-        """Count one more record with this amount."""
+        """Count one more record with this amount, or None if its body has no amount."""
         self.count += 1
         if amount is None:
             self.without_amount += 1
@@ -54,16 +54,16 @@
 
 
 def day_of(at: int) -> str:
-    """The UTC day of a Unix time in nanoseconds."""
+    """Return the UTC day of a Unix time in nanoseconds, or "unknown" if the value is not a valid time."""
     try:
         return (EPOCH + datetime.timedelta(days=at // DAY)).isoformat()
-    except (TypeError, OverflowError):  # of an altered record
+    except (TypeError, OverflowError):  # the value is from an altered record
         return "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class Grouping:
-    """A table of the report: its title, and by which value of a record it has rows."""
+    """A table of the report: its title, and the value of a record that selects the row."""
 
     title: str
     value_of: Callable[[Record], str]
@@ -79,19 +79,19 @@
 
 @dataclass(slots=True)
 class Report:
-    """The sums. `amount_field` names the number in a JSON body by its path, as in `invoice.total`."""
+    """The sums of a report. `amount_field` is the path of a number in a JSON body, as in `invoice.total`."""
 
     resend_settings: ResendSettings
-    now: int  # Unix time in nanoseconds, for what is safe
+    now: int  # Unix time in nanoseconds at which it is judged whether a resend is safe
     amount_field: str = ""
     groups: dict[str, dict[str, dict[Disposition, Cell]]] = field(
         default_factory=lambda: {name: {} for name in GROUPINGS}
     )
     total: dict[Disposition, Cell] = field(default_factory=dict)
-    replaced: int = 0  # duplicates that count under another record
+    replaced: int = 0  # duplicates that are counted under the record that replaced them
 
     def add(self, records: Iterable[StoredRecord]) -> None:
-        """Count these records, too."""
+        """Add these records to the sums."""
         for stored in records:
             record = stored.record
             if not stored.fault and record.status is RecordStatus.REPLACED:
@@ -112,7 +112,7 @@
             row.setdefault(disposition, Cell()).add(amount)
 
     def html(self, title: str) -> str:
-        """The page."""
+        """Return the report as an HTML page."""
         loader = jinja2.PackageLoader("honeyhitch.dead_letters")
         environment = jinja2.Environment(loader=loader, autoescape=True, undefined=jinja2.StrictUndefined)
         return environment.get_template("report.html").render(
@@ -137,7 +137,7 @@
 
 
 def disposition_of(record: Record, resend_settings: ResendSettings, now: int) -> Disposition:
-    """What became of an intact record, at `now` (Unix time, ns)."""
+    """Return the disposition of an intact record at `now` (Unix time in nanoseconds)."""
     if record.status is RecordStatus.PENDING:
         decision = resend_decision(record, resend_settings, now, 0)
         return Disposition.NOT_SAFE if decision.verdict is Verdict.HOLD else Disposition.SAFE
@@ -150,7 +150,7 @@
 
 
 def amount_of(body: bytes, path: str) -> Decimal | None:
-    """The number at this path in a JSON body, None if there is none that can be an amount."""
+    """Return the number at this path in a JSON body, or None if no valid amount is there."""
     try:
         value = json.loads(body, parse_float=Decimal, parse_int=Decimal)
         for name in path.split("."):
@@ -165,5 +165,5 @@
 
 
 def format_minute(at: int) -> str:
-    """A Unix time in nanoseconds for people: UTC, to the minute."""
+    """Format a Unix time in nanoseconds as date and time in UTC, to the minute."""
     return datetime.datetime.fromtimestamp(at / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M UTC")
--- a/honeyhitch/dead_letters/retention.py
+++ b/honeyhitch/dead_letters/retention.py
@@ -1,16 +1,20 @@
-"""Deletes what is over the store's limits, the records that are missed least first."""
+"""Deletes records that exceed the store's limits, the least important records first."""
 
 from __future__ import annotations
 
 from honeyhitch.dead_letters.connection import StoreConnection
 from honeyhitch.dead_letters.records import DroppedRecords, RecordStatus
 
-TABLES = ("plan", "detail", "record")  # with rows of a record; the one that the others refer to is last
-MAX_NAMED_IDS = 5  # ids of dropped records that are reported
+TABLES = (
+    "plan",
+    "detail",
+    "record",
+)  # that hold rows of a record; the table that the others reference is last
+MAX_NAMED_IDS = 5  # number of ids of dropped records that are reported
 NO_LIMIT = -1
 
-# Records that may have been executed, and are still undecided, are dropped last; resends in flight
-# are never dropped. The second value is whether the record may have been executed.
+# Pending records that may have been executed are dropped last; records with a resend in flight are never
+# dropped. The second value tells whether the record may have been executed.
 DROP_ORDER = (
     (RecordStatus.REPLACED, False),
     (RecordStatus.REPLACED, True),
@@ -24,7 +28,7 @@
 
 
 def drop_over_age(store: StoreConnection) -> list[DroppedRecords]:
-    """Delete the records and the audit entries that are older than the store's limit."""
+    """Delete the records and audit entries that are over the age limit; return the dropped records."""
     oldest = store.clock() - store.limits.max_age
     dropped = list[DroppedRecords]()
     for may_have_executed in (False, True):
@@ -35,7 +39,10 @@
 
 
 def drop_over_size(store: StoreConnection) -> list[DroppedRecords]:
-    """Delete records in DROP_ORDER, oldest first, until the rest is within the limits of count and bytes."""
+    """Delete records in DROP_ORDER, oldest first, until the store is within its limits of count and bytes.
+
+    Return the dropped records.
+    """
     dropped = list[DroppedRecords]()
     where = "standing = ? AND (first_ran IS NOT NULL) = ? ORDER BY seq"
     for status, may_have_executed in DROP_ORDER:
@@ -78,7 +85,7 @@
 
 
 def delete_rows(store: StoreConnection, sequences: list[int], size_bytes: int) -> None:
-    """Delete all rows of these records, which count with so many bytes together."""
+    """Delete all rows of these records, whose sizes add up to `size_bytes`."""
     for table in TABLES:
         store.database.executemany(
             f"DELETE FROM {table} WHERE seq = ?", [(sequence,) for sequence in sequences]
--- a/honeyhitch/dead_letters/schema.py
+++ b/honeyhitch/dead_letters/schema.py
@@ -1,7 +1,7 @@
-"""The schema of the store, by version, and the migration of an older one to the present one.
+"""The schema of the store's database by version, and the migration from older versions.
 
-The version stands in SQLite's `user_version`, and `application_id` tells that the file is a store. A newer
-version, or another program's file, is rejected and left as it was.
+SQLite's `user_version` holds the schema version, and `application_id` marks the file as a store. A file with
+a newer version, or of another program, is rejected and not changed.
 """
 
 from __future__ import annotations
@@ -74,6 +74,8 @@
 );
 """
 
+# The added columns are left out of a record's sealed bytes while they hold their defaults, so that the seals
+# of older records stay valid (record_codec.ADDED_COLUMN_DEFAULTS).
 SCHEMA_2 = """
 ALTER TABLE record ADD COLUMN told_again INTEGER;
 ALTER TABLE record ADD COLUMN asked TEXT NOT NULL DEFAULT '';
@@ -84,20 +86,20 @@
 );
 CREATE INDEX plan_by_destination ON plan (destination, next_at);
 INSERT INTO plan SELECT seq, destination, 0 FROM record WHERE standing = 'kept';
-"""  # an older record's seal leaves these columns out (record_codec.ADDED_COLUMN_DEFAULTS)
+"""
 
-MIGRATIONS = (SCHEMA_1, SCHEMA_2)  # each makes the next version of the one before it
+MIGRATIONS = (SCHEMA_1, SCHEMA_2)  # item N migrates a file from version N to version N + 1
 VERSION = len(MIGRATIONS)
 
 
 class SchemaError(Exception):
-    """The file is not one that this version may change; the message says why."""
+    """The file is not a store, or its schema version is not supported; the message gives the reason."""
 
 
 def read_version(database: sqlite3.Connection) -> int:
-    """The file's version, 0 if it is empty; nothing is changed.
+    """Return the schema version of the file, or 0 if it is empty, without changing the file.
 
-    Raises SchemaError if the file is of a newer version, or is no store.
+    Raise SchemaError if the version is newer than VERSION or the file is not a store.
     """
     (application,) = database.execute("PRAGMA application_id").fetchone()
     (version,) = database.execute("PRAGMA user_version").fetchone()
@@ -112,7 +114,10 @@
 
 
 def migrate(database: sqlite3.Connection) -> int:
-    """Bring the file to the present version in one transaction; the version that it had."""
+    """Migrate the file to VERSION in one transaction; return the version that it had before.
+
+    Raise SchemaError if the version is newer than VERSION or the file is not a store.
+    """
     version_before = read_version(database)
     if version_before < VERSION:
         statements = "".join(MIGRATIONS[version_before:])
--- a/honeyhitch/dead_letters/seal.py
+++ b/honeyhitch/dead_letters/seal.py
@@ -1,6 +1,7 @@
-"""Seals: a keyed BLAKE3 over each record, so that one altered on disk is shown as such and never resent.
+"""Seals: a keyed BLAKE3 hash of each record, so that a record altered on disk is detected and never resent.
 
-The keys are in a file of their own (0600). The newest seals; older ones verify until they are dropped.
+The keys are in a separate file (mode 0600). The newest key makes seals; older keys verify theirs until they
+are deleted.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 from blake3 import blake3
 
-KEY_BYTES = 32  # also the length of a seal
+KEY_BYTES = 32  # length of a key, and of a seal
 FILE_MODE = 0o600
-PUBLIC_MODE_BITS = 0o077  # the permissions that the group and others must not have
+PUBLIC_MODE_BITS = 0o077  # permissions that the group and others must not have
 
 
 class SealError(Exception):
@@ -24,7 +25,7 @@
 
 
 class SealKeys:
-    """The keys of one store, by number; the newest seals, and all verify."""
+    """The keys of one store by number; the newest key makes seals, and all keys verify them."""
 
     def __init__(self, keys: dict[int, bytes]) -> None:
         self.keys = keys
@@ -32,9 +33,10 @@
 
     @classmethod
     def load(cls, path: Path, create: bool = False, first_number: int = 1) -> SealKeys:
-        """From the file; with `create`, a missing file is written with a new key of this number.
+        """Return the keys in the file; with `create`, write a missing file with one new key of this number.
 
-        Raises SealError.
+        Raise SealError if the file is missing, cannot be read or written, has no valid keys, or is accessible
+        to others than its owner.
         """
         try:
             descriptor = os.open(path, os.O_RDONLY)
@@ -52,7 +54,7 @@
             return cls(_parse_keys(path, file.read()))
 
     def save(self, path: Path) -> None:
-        """Replace the file atomically, readable by its owner alone. Raises SealError."""
+        """Replace the file atomically, readable only by its owner. Raise SealError if that fails."""
         new_path = path.with_name(path.name + ".new")
         text = json.dumps({"keys": {str(number): key.hex() for number, key in self.keys.items()}})
         try:
@@ -67,7 +69,7 @@
             raise SealError(f"{path}: cannot be written: {error.strerror}") from error
 
     def add(self) -> None:
-        """Seal with a new key from now on; the others still verify."""
+        """Add a new key, which makes all seals from now on; the older keys still verify theirs."""
         self.current += 1
         self.keys[self.current] = secrets.token_bytes(KEY_BYTES)
 
@@ -76,11 +78,11 @@
         self.keys = {self.current: self.keys[self.current]}
 
     def seal(self, data: bytes) -> tuple[int, bytes]:
-        """The number of the newest key, and the seal that it makes."""
+        """Return the number of the newest key, and the seal of the data that it makes."""
         return self.current, blake3(data, key=self.keys[self.current]).digest()
 
     def verifies(self, number: int, seal: bytes, data: bytes) -> bool:
-        """Whether the key with this number made this seal of the data."""
+        """Return whether the key with this number made this seal of the data."""
         key = self.keys.get(number)
         return key is not None and hmac.compare_digest(blake3(data, key=key).digest(), seal)
 
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -1,7 +1,7 @@
-"""The store of undelivered messages: records under seal in SQLite, written by one process.
+"""The store of undelivered messages: sealed records in an SQLite database that one process writes.
 
-Every call does I/O: a running dispatcher makes them in a thread of their own (worker.py). sqlite3.Error comes
-through where the disk fails or the file is damaged.
+All methods do blocking I/O: a running dispatcher calls them in a separate thread (worker.py). They raise
+sqlite3.Error if the disk fails or the file is damaged.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from honeyhitch.dead_letters.records import UNRESOLVED, DroppedRecords, Record, RecordStatus
 from honeyhitch.journal.transactions import Ending
 
-ACTOR = "honeyhitch"  # in audit entries of what no person asked for
-VACUUM_PAGES = 256  # given back to the disk at a time
+ACTOR = "honeyhitch"  # in audit entries of changes that no person requested
+VACUUM_PAGES = 256  # free pages returned to the file system per call
 
 
 class Store(StoreReader):
-    """The writing side of a store, for the one process that holds its lock."""
+    """A store with its write operations, which need the connection that holds the lock."""
 
     def add(self, records: Iterable[Record]) -> list[DroppedRecords]:
-        """Store these records; one that is there already is left as it is.
+        """Store these records, and return the records that the store's limits required to drop.
 
-        A delivered duplicate settles the records with its key, an undelivered one replaces them. Returns what
-        had to be dropped because of the store's limits.
+        A record that is already stored is not changed. A delivered duplicate is not stored, but settles the
+        records with its key; an undelivered duplicate replaces them.
         """
         with self.transaction():
             for record in records:
@@ -44,7 +44,7 @@
     def _add_undelivered(self, record: Record) -> None:
         duplicates = self.unresolved_duplicates(record)
         resending = [found for found in duplicates if found.status is RecordStatus.RESENDING]
-        if resending:  # it waited for a resend, and ended before that did
+        if resending:  # the message waited for this resend and ended before the resend did
             record.status = RecordStatus.REPLACED
             record.settled_by = f"record:{resending[0].sequence}"
         self._insert(record)
@@ -55,7 +55,10 @@
                 self._replace(duplicate, record)
 
     def unresolved_duplicates(self, record: Record) -> list[Record]:
-        """The intact unresolved records of other messages with this one's key."""
+        """Return the intact unresolved records of other messages with this record's key and destination.
+
+        A record that ended longer ago than `duplicate_retention` before this one is left out.
+        """
         if not record.key:
             return []
         text = f"{SELECT_RECORD} WHERE record.destination = ? AND record.key = ? AND record.ended_at > ?"
@@ -66,13 +69,20 @@
         return [other for other in intact if other.status in UNRESOLVED and other.id != record.id]
 
     def _extend_client_retry(self, record: Record, duplicate: Record) -> None:
-        """A duplicate ended while it waited for the resend of `record`: its client may come back later."""
+        """Set the client retry time of `record` to that of `duplicate` if that is later.
+
+        The duplicate ended while it waited for the resend of `record`, and its client may submit the message
+        again.
+        """
         latest = max(record.client_retry_at or 0, duplicate.client_retry_at or 0)
         record.client_retry_at = latest or None
         self.update(record, ACTOR, "copy-ended", f"message {duplicate.id} waited for it")
 
     def _replace(self, old: Record, new: Record) -> None:
-        """A duplicate of `old` ended undelivered: `new` stands for both, with what either may have done."""
+        """Replace `old` by its undelivered duplicate `new`, which takes over the earlier execution of both.
+
+        `new` also gets the earlier acceptance time and the higher number of resends.
+        """
         old.status = RecordStatus.REPLACED
         old.settled_by = f"record:{new.sequence}"
         self.update(old, ACTOR, "replaced", f"message {new.id} has its key")
@@ -85,9 +95,10 @@
         self.update(new, ACTOR, "replaces", f"message {old.id}")
 
     def _settle_duplicates(self, delivered: Record) -> None:
-        """A client's duplicate was delivered: the records with its key are settled.
+        """Settle the unresolved records with the key of a client's message that was delivered.
 
-        One with another body may be another message: all that is sure then is that the key was used.
+        A record with a different body may be a different message: it stays unresolved, but the receiver has
+        seen its key, so it may have been executed and earlier evidence against that is removed.
         """
         for record in self.unresolved_duplicates(delivered):
             if record.body == delivered.body:
@@ -124,9 +135,10 @@
         )
 
     def schedule(self, record: Record, at: int | None) -> None:
-        """Set when the record is next considered for a resend (Unix time, nanoseconds; None for never).
+        """Set when the record is next considered for a resend (Unix time in nanoseconds; None for never).
 
-        The schedule is under no seal: whatever it says, the record and the rules decide.
+        The schedule is not sealed: an altered time is harmless because the record and the rules decide
+        whether the message is resent.
         """
         if at is None or record.status is not RecordStatus.PENDING:
             self.database.execute("DELETE FROM plan WHERE seq = ?", (record.sequence,))
@@ -137,7 +149,7 @@
         )
 
     def update(self, record: Record, actor: str, action: str, reason: str) -> None:
-        """Replace a record by its present state, with an audit entry. Raises KeyError if it is not there."""
+        """Write a record's present state with an audit entry. Raise KeyError if it is not in the store."""
         with self.transaction():
             record.changed_at = self.clock()
             encoded = self.codec.encode(record)
@@ -154,7 +166,7 @@
             self.append_audit(record.sequence, record.id, actor, action, reason)
 
     def append_audit(self, sequence: int, record_id: str, actor: str, action: str, reason: str) -> None:
-        """Write an audit entry; one of no record has the sequence 0."""
+        """Write an audit entry; an entry that concerns no record has the sequence 0."""
         entry = AuditEntry(self.clock(), sequence, record_id, actor, action, reason)
         key_number, seal = self.keys.seal(entry.sealed_bytes())
         self.database.execute(
@@ -164,12 +176,15 @@
         )
 
     def enforce_limits(self) -> list[DroppedRecords]:
-        """Drop what is over age, and then records until the rest is within the limits of size."""
+        """Drop records over the age limit, then records over the size limits; return what was dropped."""
         with self.transaction():
             return [*retention.drop_over_age(self), *retention.drop_over_size(self)]
 
     def purge(self, record_filter: RecordFilter, actor: str, reason: str, limit: int = PAGE_SIZE) -> int:
-        """Delete at most `limit` of the chosen records that are resolved; how many. 0 means none is left."""
+        """Delete at most `limit` resolved records that match the filter, and return how many.
+
+        0 means that no such record is left.
+        """
         with self.transaction():
             where, values = record_filter.sql_condition(
                 "record.standing IN ('settled', 'discarded', 'replaced')"
@@ -181,7 +196,7 @@
         return len(rows)
 
     def remove(self, record: Record, actor: str, reason: str) -> int:
-        """Delete one record, whatever its row holds; 0 if it was not there, else 1."""
+        """Delete one record, even with a damaged row; return 1, or 0 if it was not in the store."""
         with self.transaction():
             text = "SELECT size FROM record WHERE seq = ?"
             row = self.database.execute(text, (record.sequence,)).fetchone()
@@ -196,7 +211,7 @@
         retention.delete_rows(self, [sequence], size_bytes)
 
     def reclaim_space(self) -> None:
-        """Give some of the space that was freed back to the disk."""
+        """Return some of the freed space to the file system."""
         self.database.execute(f"PRAGMA incremental_vacuum({VACUUM_PAGES})").fetchall()
 
     def reseal(self, record: Record) -> None:
