--- a/honeyhitch/dead_letters/audit.py
+++ b/honeyhitch/dead_letters/audit.py
@@ -14,9 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """One audit entry. `at` is a Unix time in nanoseconds; an entry about no record has the sequence 0."""
+    """One audit entry. `recorded_at` is a Unix time in nanoseconds.
 
-    at: int
+    An entry that concerns no record has the sequence 0.
+    """
+
+    recorded_at: int
     sequence: int
     record_id: str
     actor: str
@@ -25,7 +28,7 @@
 
     def columns(self) -> dict[str, Any]:
         """Return the values by column name."""
-        values = (self.at, self.sequence, self.record_id, self.actor, self.action, self.reason)
+        values = (self.recorded_at, self.sequence, self.record_id, self.actor, self.action, self.reason)
         return dict(zip(AUDIT_COLUMNS, values, strict=True))
 
     def sealed_bytes(self) -> bytes:
--- a/honeyhitch/dead_letters/connection.py
+++ b/honeyhitch/dead_letters/connection.py
@@ -123,8 +123,8 @@
             return
         path = self.directory / files.KEY_FILE
         try:
-            status = os.stat(path)
-            version = status.st_mtime_ns, status.st_ino
+            file_status = os.stat(path)
+            version = file_status.st_mtime_ns, file_status.st_ino
             if version != self._keys_version:
                 self.keys = SealKeys.load(path)
                 self._keys_version = version
--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -71,11 +71,11 @@
             index.update(record)
         return index
 
-    def merge(self, stored: DuplicateIndex) -> None:
+    def merge(self, stored_index: DuplicateIndex) -> None:
         """Add the cases loaded from the store; cases that this index already has are newer and stay."""
-        learnt = self.cases
-        self.cases = stored.cases
-        self.cases.update(learnt)
+        newer_cases = self.cases
+        self.cases = stored_index.cases
+        self.cases.update(newer_cases)
 
     def expire(self, now: int, max_cases: int) -> None:
         """Remove a few of the oldest cases that are past their retention or in excess of `max_cases`."""
@@ -91,8 +91,8 @@
         if not record.key:
             return
         key = record.destination, record.key
-        known = self.cases.get(key)
-        resending = known is not None and known.state is DuplicateState.RESENDING
+        existing = self.cases.get(key)
+        resending = existing is not None and existing.state is DuplicateState.RESENDING
         if resending and record.status != RecordStatus.RESENDING.value:
             return  # only `resend_ended` ends the case of a resend in flight
         first_execution = None
@@ -132,7 +132,7 @@
             return ArrivalDecision.WAIT
         if case.state is not DuplicateState.RESENT:
             return ArrivalDecision.DELIVER
-        if _receiver_has_forgotten(case, now):  # the receiver takes the key for that of a new message
+        if _deduplication_window_is_over(case, now):  # the receiver takes the key for that of a new message
             transaction.earlier_execution = None
             return ArrivalDecision.DELIVER
         return ArrivalDecision.ALREADY_DELIVERED
@@ -198,6 +198,6 @@
     return DuplicateState.CLOSED
 
 
-def _receiver_has_forgotten(case: DuplicateCase, now: int) -> bool:
+def _deduplication_window_is_over(case: DuplicateCase, now: int) -> bool:
     first_executed_at = case.first_execution[0] if case.first_execution is not None else case.ended_at
     return case.uses_idempotency_key and now >= first_executed_at + case.deduplication_window
--- a/honeyhitch/dead_letters/files.py
+++ b/honeyhitch/dead_letters/files.py
@@ -41,8 +41,8 @@
 
 def identity(path: Path) -> tuple[int, int]:
     """Return the device and inode of a file, which do not change when the file is renamed. Raise OSError."""
-    status = os.stat(path)
-    return status.st_dev, status.st_ino
+    file_status = os.stat(path)
+    return file_status.st_dev, file_status.st_ino
 
 
 def acquire_lock(directory: Path) -> int:
@@ -102,9 +102,9 @@
     path = directory / DATABASE_FILE
     if not path.exists():
         raise StoreError(f"{path}: there is no store")
-    address = f"file:{quote(str(path))}?mode=ro"
+    uri = f"file:{quote(str(path))}?mode=ro"
     try:
-        database = sqlite3.connect(address, uri=True, timeout=BUSY_TIMEOUT_SECONDS, isolation_level=None)
+        database = sqlite3.connect(uri, uri=True, timeout=BUSY_TIMEOUT_SECONDS, isolation_level=None)
         database.text_factory = decode_text
         try:
             _require_present_schema(database)
--- a/honeyhitch/dead_letters/filters.py
+++ b/honeyhitch/dead_letters/filters.py
@@ -58,9 +58,12 @@
     since: int | None = None  # the message ended at or after this time
     until: int | None = None  # the message ended before this time
 
-    def sql_condition(self, *more: str) -> tuple[str, list[Any]]:
-        """Return the SQL condition on the table `record`, which starts with `more`, and its parameters."""
-        conditions = list(more)
+    def sql_condition(self, *leading_conditions: str) -> tuple[str, list[Any]]:
+        """Return the SQL condition on the table `record`, and its parameters.
+
+        The condition starts with `leading_conditions`, which have no parameters.
+        """
+        conditions = list(leading_conditions)
         values = list[Any]()
         for column in EQUAL_COLUMNS:
             value = getattr(self, FILTERS[column])
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -79,10 +79,10 @@
         records = [record_of(transaction, self.settings) for transaction in batch]
         self.batch = batch
 
-        def done(result: Any) -> None:
+        def on_result(result: Any) -> None:
             self._batch_done(batch, records, result)
 
-        if not self.submit(lambda store: store.add(records), done):
+        if not self.submit(lambda store: store.add(records), on_result):
             self._batch_failed("the queue to the store is full")
 
     def _batch_done(self, batch: list[Transaction], records: list[Record], result: Any) -> None:
@@ -139,10 +139,15 @@
         return self.journal.dead_letter_bytes > MAX_JOURNAL_FRACTION * self.journal.max_bytes
 
     def _discard(self, transaction: Transaction) -> None:
-        executed = _may_have_executed(transaction)
+        may_have_executed = _may_have_executed(transaction)
         del self.pending[transaction.id, transaction.ended_at]
-        self.counts.discarded[executed] += 1
-        log.error("dead-letter.discarded", message=transaction.id, may_have_run=executed, key=str(executed))
+        self.counts.discarded[may_have_executed] += 1
+        log.error(
+            "dead-letter.discarded",
+            message=transaction.id,
+            may_have_run=may_have_executed,
+            key=str(may_have_executed),
+        )
         self.on_stored(transaction)
 
 
--- a/honeyhitch/dead_letters/key_rotation.py
+++ b/honeyhitch/dead_letters/key_rotation.py
@@ -21,26 +21,26 @@
     return store.keys.current
 
 
-def reseal_records(store: Store, after: int = 0) -> int | None:
-    """Seal the intact records of the page after `after` with the newest key.
+def reseal_records(store: Store, after_sequence: int = 0) -> int | None:
+    """Seal the intact records of the page after `after_sequence` with the newest key.
 
     Return the number of the last record of the page, or None if the page is empty.
     """
     with store.transaction():
-        found = store.page(RecordFilter(), after, PAGE_SIZE)
-        for stored in found:
+        records = store.page(RecordFilter(), after_sequence, PAGE_SIZE)
+        for stored in records:
             if not stored.fault:
                 store.reseal(stored.record)
-    return found[-1].record.sequence if found else None
+    return records[-1].record.sequence if records else None
 
 
-def reseal_audit(store: Store, after: int = 0) -> int | None:
-    """Seal the intact audit entries of the page after `after` with the newest key.
+def reseal_audit(store: Store, after_number: int = 0) -> int | None:
+    """Seal the intact audit entries of the page after `after_number` with the newest key.
 
     Return the number of the last entry of the page, or None if the page is empty.
     """
     with store.transaction():
-        entries = store.audit_page(after=after)
+        entries = store.audit_page(after=after_number)
         for entry in entries:
             if entry.intact:
                 store.reseal_audit(entry)
@@ -51,8 +51,8 @@
     """Delete the old keys unless rows are left that are sealed with them; return the number of such rows."""
     remaining = 0
     for table in SEALED_TABLES:
-        text = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
-        remaining += int(store.database.execute(text, (store.keys.current,)).fetchone()[0])
+        statement = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
+        remaining += int(store.database.execute(statement, (store.keys.current,)).fetchone()[0])
     if not remaining:
         store.keys.drop_old()
         store.save_keys()
--- a/honeyhitch/dead_letters/reader.py
+++ b/honeyhitch/dead_letters/reader.py
@@ -61,33 +61,39 @@
         return self.codec.decode(row, self.keys) if row is not None else None
 
     def page(
-        self, record_filter: RecordFilter, after: int = 0, limit: int = 50, newest_first: bool = False
+        self,
+        record_filter: RecordFilter,
+        after_sequence: int = 0,
+        limit: int = 50,
+        newest_first: bool = False,
     ) -> list[StoredRecord]:
-        """Return the records that follow the record with the number `after`, in the chosen order."""
+        """Return the records that follow the record with the number `after_sequence`, in the chosen order."""
         self.refresh_keys()
-        comparison = "<" if newest_first and after else ">"
+        comparison = "<" if newest_first and after_sequence else ">"
         direction = "DESC" if newest_first else "ASC"
         condition, values = record_filter.sql_condition()
         where = f"record.seq {comparison} ? AND {condition}"
-        text = f"{SELECT_RECORD} WHERE {where} ORDER BY record.seq {direction} LIMIT ?"
-        rows = self.database.execute(text, (after, *values, limit))
+        statement = f"{SELECT_RECORD} WHERE {where} ORDER BY record.seq {direction} LIMIT ?"
+        rows = self.database.execute(statement, (after_sequence, *values, limit))
         return [self.codec.decode(row, self.keys) for row in rows]
 
     def iterate(self, record_filter: RecordFilter) -> Iterator[StoredRecord]:
         """Yield all records that match the filter, read page by page; the store may change in between."""
-        after = 0
-        while found := self.page(record_filter, after, PAGE_SIZE):
-            yield from found
-            after = found[-1].record.sequence
+        after_sequence = 0
+        while records := self.page(record_filter, after_sequence, PAGE_SIZE):
+            yield from records
+            after_sequence = records[-1].record.sequence
 
     def count_by(self, record_filter: RecordFilter, group_names: tuple[str, ...]) -> list[RecordGroup]:
         """Return the number of records for each combination of these values (keys of GROUP_EXPRESSIONS)."""
-        groups = [GROUP_EXPRESSIONS[name] for name in group_names]
+        expressions = [GROUP_EXPRESSIONS[name] for name in group_names]
         condition, values = record_filter.sql_condition()
-        text = f"SELECT {', '.join([*groups, 'count(*)', 'total(plain)'])} FROM record WHERE {condition}"
-        if groups:
-            text += f" GROUP BY {', '.join(groups)} ORDER BY {', '.join(groups)}"
-        rows = self.database.execute(text, values)
+        statement = (
+            f"SELECT {', '.join([*expressions, 'count(*)', 'total(plain)'])} FROM record WHERE {condition}"
+        )
+        if expressions:
+            statement += f" GROUP BY {', '.join(expressions)} ORDER BY {', '.join(expressions)}"
+        rows = self.database.execute(statement, values)
         return [RecordGroup(tuple(row[:-2]), row[-2], row[-1]) for row in rows]
 
     def dropped_totals(self) -> list[DroppedTotal]:
@@ -96,8 +102,8 @@
             "SELECT why, may_have_run, count, size FROM dropped ORDER BY why, may_have_run"
         )
         return [
-            DroppedTotal(reason, bool(executed), count, size_bytes)
-            for reason, executed, count, size_bytes in rows
+            DroppedTotal(reason, bool(may_have_executed), count, size_bytes)
+            for reason, may_have_executed, count, size_bytes in rows
         ]
 
     def audit_page(
@@ -110,8 +116,8 @@
         self.refresh_keys()
         where, values = ("seq = ? AND ", (sequence,)) if sequence is not None else ("", ())
         columns = ", ".join(AUDIT_COLUMNS)
-        text = f"SELECT number, {columns}, key_number, seal FROM audit WHERE {where}number > ?"
-        rows = self.database.execute(f"{text} ORDER BY number LIMIT ?", (*values, after, limit))
+        statement = f"SELECT number, {columns}, key_number, seal FROM audit WHERE {where}number > ?"
+        rows = self.database.execute(f"{statement} ORDER BY number LIMIT ?", (*values, after, limit))
         return [StoredAuditEntry.from_row(row, self.keys) for row in rows]
 
     def verify(self) -> Iterator[str]:
@@ -122,9 +128,9 @@
         for stored in self.iterate(RecordFilter()):
             if stored.fault:
                 yield f"record {stored.record.sequence} ({stored.record.id}): {stored.fault}"
-        after = 0
-        while entries := self.audit_page(after=after):
+        after_number = 0
+        while entries := self.audit_page(after=after_number):
             for entry in entries:
                 if not entry.intact:
                     yield f"audit {entry.number}: altered since it was sealed"
-            after = entries[-1].number
+            after_number = entries[-1].number
--- a/honeyhitch/dead_letters/record_codec.py
+++ b/honeyhitch/dead_letters/record_codec.py
@@ -96,9 +96,9 @@
         columns["standing"] = record.status.value
         for name in BOOLEAN_COLUMNS:
             columns[name] = int(columns[name])
-        text_bytes = sum(len(value) for value in columns.values() if isinstance(value, str))
+        text_length = sum(len(value) for value in columns.values() if isinstance(value, str))
         columns["plain"] = len(record.body)
-        columns["size"] = FIXED_RECORD_BYTES + text_bytes + len(attempts) + len(body)
+        columns["size"] = FIXED_RECORD_BYTES + text_length + len(attempts) + len(body)
         return EncodedRecord(columns, attempts, packed, body)
 
     def _pack_body(self, body: bytes) -> tuple[int, bytes]:
@@ -116,20 +116,20 @@
         columns = dict(zip(COLUMNS, values, strict=True))
         attempts, packed, body, key_number, seal = row[1 + len(COLUMNS) :]
         status, fault = RecordStatus.PENDING, ""
-        history, plain = tuple[Attempt, ...](), b""
+        history, plain_body = tuple[Attempt, ...](), b""
         try:
             status = RecordStatus(columns["standing"])
             sealed = _sealed_bytes(columns, sequence, attempts, packed, body)
             fault = _seal_fault(keys, key_number, seal, sealed)
             if not fault:
                 history = unpack_attempts(attempts)
-                plain = self._unpack_body(body) if packed else body
+                plain_body = self._unpack_body(body) if packed else body
         except (TypeError, ValueError, KeyError, zstandard.ZstdError) as error:
             status, fault = RecordStatus.PENDING, f"altered: {error}"
         fields = {field: columns[name] for name, field in FIELD_OF_COLUMN.items() if name != "standing"}
         for name in BOOLEAN_COLUMNS:
             fields[FIELD_OF_COLUMN[name]] = bool(columns[name])
-        record = Record(sequence=sequence, status=status, attempts=history, body=plain, **fields)
+        record = Record(sequence=sequence, status=status, attempts=history, body=plain_body, **fields)
         return StoredRecord(record, fault)
 
     def _unpack_body(self, body: bytes) -> bytes:
@@ -154,12 +154,12 @@
     The JSON text holds the columns by name. A column that a later schema added is left out while it holds its
     default, so that the seals of older records stay valid.
     """
-    present = {
+    sealed_columns = {
         name: value
         for name, value in columns.items()
         if name not in ADDED_COLUMN_DEFAULTS or value != ADDED_COLUMN_DEFAULTS[name]
     }
-    text = json.dumps(present, separators=(",", ":"), sort_keys=True).encode()
+    text = json.dumps(sealed_columns, separators=(",", ":"), sort_keys=True).encode()
     return len(text).to_bytes(4, "big") + text + body
 
 
--- a/honeyhitch/dead_letters/report.py
+++ b/honeyhitch/dead_letters/report.py
@@ -53,10 +53,10 @@
             self.amount += amount
 
 
-def day_of(at: int) -> str:
+def day_of(unix_time: int) -> str:
     """Return the UTC day of a Unix time in nanoseconds, or "unknown" if the value is not a valid time."""
     try:
-        return (EPOCH + datetime.timedelta(days=at // DAY)).isoformat()
+        return (EPOCH + datetime.timedelta(days=unix_time // DAY)).isoformat()
     except (TypeError, OverflowError):  # the value is from an altered record
         return "unknown"
 
@@ -128,12 +128,12 @@
         )
 
     def _rows(self, name: str) -> list[tuple[str, dict[Disposition, Cell]]]:
-        def order(row: tuple[str, dict[Disposition, Cell]]) -> tuple[int, str]:
+        def sort_key(row: tuple[str, dict[Disposition, Cell]]) -> tuple[int, str]:
             value = row[0]
             numeric = name == "destination" and value.lstrip("-").isdigit()
             return (int(value) if numeric else 0), value
 
-        return sorted(self.groups[name].items(), key=order)
+        return sorted(self.groups[name].items(), key=sort_key)
 
 
 def disposition_of(record: Record, resend_settings: ResendSettings, now: int) -> Disposition:
@@ -164,6 +164,6 @@
     return value
 
 
-def format_minute(at: int) -> str:
+def format_minute(unix_time: int) -> str:
     """Format a Unix time in nanoseconds as date and time in UTC, to the minute."""
-    return datetime.datetime.fromtimestamp(at / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M UTC")
+    return datetime.datetime.fromtimestamp(unix_time / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M UTC")
--- a/honeyhitch/dead_letters/retention.py
+++ b/honeyhitch/dead_letters/retention.py
@@ -49,10 +49,10 @@
         excess = _excess_records(store)
         while excess or store.stored_bytes > store.limits.max_bytes:
             values = (status.value, int(may_have_executed))
-            found = _drop(store, "room", may_have_executed, where, values, excess or 1)
-            if not found:
+            newly_dropped = _drop(store, "room", may_have_executed, where, values, excess or 1)
+            if not newly_dropped:
                 break
-            dropped += found
+            dropped += newly_dropped
             excess = _excess_records(store)
     return dropped
 
@@ -69,8 +69,8 @@
     values: tuple[object, ...],
     limit: int = NO_LIMIT,
 ) -> list[DroppedRecords]:
-    text = f"SELECT seq, id, size FROM record WHERE {where} LIMIT ?"
-    rows = store.database.execute(text, (*values, limit)).fetchall()
+    statement = f"SELECT seq, id, size FROM record WHERE {where} LIMIT ?"
+    rows = store.database.execute(statement, (*values, limit)).fetchall()
     if not rows:
         return []
     size_bytes = sum(row[2] for row in rows)
--- a/honeyhitch/dead_letters/schema.py
+++ b/honeyhitch/dead_letters/schema.py
@@ -101,10 +101,10 @@
 
     Raise SchemaError if the version is newer than VERSION or the file is not a store.
     """
-    (application,) = database.execute("PRAGMA application_id").fetchone()
+    (application_id,) = database.execute("PRAGMA application_id").fetchone()
     (version,) = database.execute("PRAGMA user_version").fetchone()
     (table_count,) = database.execute("SELECT count(*) FROM sqlite_schema").fetchone()
-    if application != APPLICATION_ID and (table_count or version or application):
+    if application_id != APPLICATION_ID and (table_count or version or application_id):
         raise SchemaError("is not a store of undelivered messages; it was left as it is")
     if version > VERSION:
         raise SchemaError(
@@ -121,6 +121,6 @@
     version_before = read_version(database)
     if version_before < VERSION:
         statements = "".join(MIGRATIONS[version_before:])
-        marks = f"PRAGMA application_id={APPLICATION_ID}; PRAGMA user_version={VERSION};"
-        database.executescript(f"BEGIN IMMEDIATE;{statements}{marks}COMMIT;")
+        pragmas = f"PRAGMA application_id={APPLICATION_ID}; PRAGMA user_version={VERSION};"
+        database.executescript(f"BEGIN IMMEDIATE;{statements}{pragmas}COMMIT;")
     return version_before
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -38,12 +38,12 @@
             return self.enforce_limits()
 
     def _contains(self, record: Record) -> bool:
-        text = "SELECT seq FROM record WHERE id = ? AND ended_at = ?"
-        return self.database.execute(text, (record.id, record.ended_at)).fetchone() is not None
+        statement = "SELECT seq FROM record WHERE id = ? AND ended_at = ?"
+        return self.database.execute(statement, (record.id, record.ended_at)).fetchone() is not None
 
     def _add_undelivered(self, record: Record) -> None:
         duplicates = self.unresolved_duplicates(record)
-        resending = [found for found in duplicates if found.status is RecordStatus.RESENDING]
+        resending = [duplicate for duplicate in duplicates if duplicate.status is RecordStatus.RESENDING]
         if resending:  # the message waited for this resend and ended before the resend did
             record.status = RecordStatus.REPLACED
             record.settled_by = f"record:{resending[0].sequence}"
@@ -61,11 +61,11 @@
         """
         if not record.key:
             return []
-        text = f"{SELECT_RECORD} WHERE record.destination = ? AND record.key = ? AND record.ended_at > ?"
-        oldest = record.ended_at - self.resend_settings.duplicate_retention
-        rows = self.database.execute(text, (record.destination, record.key, oldest))
-        found = [self.codec.decode(row, self.keys) for row in rows]
-        intact = [stored.record for stored in found if not stored.fault]
+        statement = f"{SELECT_RECORD} WHERE record.destination = ? AND record.key = ? AND record.ended_at > ?"
+        earliest_end = record.ended_at - self.resend_settings.duplicate_retention
+        rows = self.database.execute(statement, (record.destination, record.key, earliest_end))
+        candidates = [self.codec.decode(row, self.keys) for row in rows]
+        intact = [stored.record for stored in candidates if not stored.fault]
         return [other for other in intact if other.status in UNRESOLVED and other.id != record.id]
 
     def _extend_client_retry(self, record: Record, duplicate: Record) -> None:
@@ -118,8 +118,8 @@
         encoded = self.codec.encode(record)
         names = ", ".join(COLUMNS)
         placeholders = ", ".join("?" * len(COLUMNS))
-        text = f"INSERT INTO record ({names}) VALUES ({placeholders})"
-        cursor = self.database.execute(text, list(encoded.columns.values()))
+        statement = f"INSERT INTO record ({names}) VALUES ({placeholders})"
+        cursor = self.database.execute(statement, list(encoded.columns.values()))
         record.sequence = int(cursor.lastrowid or 0)
         self._write_detail(record.sequence, encoded)
         self.schedule(record, 0)
@@ -134,18 +134,18 @@
             (sequence, encoded.attempts, encoded.packed, encoded.body, key_number, seal),
         )
 
-    def schedule(self, record: Record, at: int | None) -> None:
+    def schedule(self, record: Record, next_at: int | None) -> None:
         """Set when the record is next considered for a resend (Unix time in nanoseconds; None for never).
 
         The schedule is not sealed: an altered time is harmless because the record and the rules decide
         whether the message is resent.
         """
-        if at is None or record.status is not RecordStatus.PENDING:
+        if next_at is None or record.status is not RecordStatus.PENDING:
             self.database.execute("DELETE FROM plan WHERE seq = ?", (record.sequence,))
             return
         self.database.execute(
             "INSERT OR REPLACE INTO plan (seq, destination, next_at) VALUES (?, ?, ?)",
-            (record.sequence, record.destination, at),
+            (record.sequence, record.destination, next_at),
         )
 
     def update(self, record: Record, actor: str, action: str, reason: str) -> None:
@@ -153,8 +153,8 @@
         with self.transaction():
             record.changed_at = self.clock()
             encoded = self.codec.encode(record)
-            text = "SELECT size FROM record WHERE seq = ?"
-            row = self.database.execute(text, (record.sequence,)).fetchone()
+            statement = "SELECT size FROM record WHERE seq = ?"
+            row = self.database.execute(statement, (record.sequence,)).fetchone()
             if row is None:
                 raise KeyError(record.sequence)
             assignments = ", ".join(f"{name} = ?" for name in COLUMNS)
@@ -189,8 +189,8 @@
             where, values = record_filter.sql_condition(
                 "record.standing IN ('settled', 'discarded', 'replaced')"
             )
-            text = f"SELECT seq, id, size FROM record WHERE {where} LIMIT ?"
-            rows = self.database.execute(text, (*values, limit)).fetchall()
+            statement = f"SELECT seq, id, size FROM record WHERE {where} LIMIT ?"
+            rows = self.database.execute(statement, (*values, limit)).fetchall()
             for sequence, record_id, size_bytes in rows:
                 self._delete(sequence, record_id, size_bytes, actor, reason)
         return len(rows)
@@ -198,8 +198,8 @@
     def remove(self, record: Record, actor: str, reason: str) -> int:
         """Delete one record, even with a damaged row; return 1, or 0 if it was not in the store."""
         with self.transaction():
-            text = "SELECT size FROM record WHERE seq = ?"
-            row = self.database.execute(text, (record.sequence,)).fetchone()
+            statement = "SELECT size FROM record WHERE seq = ?"
+            row = self.database.execute(statement, (record.sequence,)).fetchone()
             if row is None:
                 return 0
             size_bytes = row[0] if isinstance(row[0], int) else 0
