--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -126,7 +126,7 @@
             return ArrivalDecision.DELIVER
         if case.resend_attempted and case.first_execution is not None:
             transaction.earlier_execution = case.first_execution
-        if transaction.attempt_count:  # in flight before a restart, so no resend has started since
+        if transaction.attempt_count:  # in flight before a restart; no resend has started since
             return ArrivalDecision.DELIVER
         if case.state is DuplicateState.RESENDING:
             return ArrivalDecision.WAIT
--- a/honeyhitch/dead_letters/files.py
+++ b/honeyhitch/dead_letters/files.py
@@ -40,7 +40,7 @@
 
 
 def identity(path: Path) -> tuple[int, int]:
-    """Return the device and inode of a file, which do not change when the file is renamed. Raise OSError."""
+    """Return the device and inode of a file, which a rename does not change. Raise OSError if stat fails."""
     file_status = os.stat(path)
     return file_status.st_dev, file_status.st_ino
 
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -24,7 +24,7 @@
 BATCH_SIZE = 64  # messages per transaction of the store
 MIN_RETRY_PAUSE = SECOND  # between attempts while the store fails
 MAX_RETRY_PAUSE = 60 * SECOND
-MAX_JOURNAL_FRACTION = 0.25  # of the journal's disk space, for messages that only wait for the store
+MAX_JOURNAL_FRACTION = 0.25  # of the journal's disk space, at most for messages that only wait for the store
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
         self.batch: list[Transaction] = []  # messages that the store is writing
         self.paused = False
         self.retry_pause = MIN_RETRY_PAUSE
-        self.last_error = ""  # of the store, empty while it works
+        self.last_error = ""  # error text of the store, empty while the store works
         self.counts = TransferCounts()
         self.stored_listeners: list[Callable[[list[Record]], None]] = []  # called with stored records
 
--- a/honeyhitch/dead_letters/reader.py
+++ b/honeyhitch/dead_letters/reader.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DroppedTotal:
-    """The number and size of the records dropped so far because of one limit of the store."""
+    """The number and size of the records that the store has dropped so far for this reason."""
 
     reason: str  # "age" or "room"
     may_have_executed: bool
--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -26,7 +26,7 @@
     DISCARDED = "discarded"
 
 
-UNRESOLVED = (RecordStatus.PENDING, RecordStatus.RESENDING)  # the end of the message is not decided yet
+UNRESOLVED = (RecordStatus.PENDING, RecordStatus.RESENDING)  # not yet settled, replaced or discarded
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
     sequence: int = 0  # number of the record in the store, 0 before it is stored
     status: RecordStatus = RecordStatus.PENDING
     settled_by: str = ""
-    evidence: str = ""  # receiver's statement that the message was not applied, cited by who released it
+    evidence: str = ""  # receiver's statement that the message was not applied, cited for its release
     resend_count: int = 0
     resend_id: str = ""  # id of the latest resend
     changed_at: int = 0
--- a/honeyhitch/dead_letters/schema.py
+++ b/honeyhitch/dead_letters/schema.py
@@ -8,7 +8,7 @@
 
 import sqlite3
 
-APPLICATION_ID = 0x686F6E79  # "hony"
+APPLICATION_ID = 0x686F6E79  # "hony" in ASCII
 
 SCHEMA_1 = """
 CREATE TABLE record (
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -21,7 +21,7 @@
 
 
 class Store(StoreReader):
-    """A store with its write operations, which need the connection that holds the lock."""
+    """A store with its write operations, which are for the one process that holds the lock."""
 
     def add(self, records: Iterable[Record]) -> list[DroppedRecords]:
         """Store these records, and return the records that the store's limits required to drop.
@@ -79,7 +79,7 @@
         self.update(record, ACTOR, "copy-ended", f"message {duplicate.id} waited for it")
 
     def _replace(self, old: Record, new: Record) -> None:
-        """Replace `old` by its undelivered duplicate `new`, which takes over the earlier execution of both.
+        """Replace `old` by its undelivered duplicate `new`, which takes over the earlier first execution.
 
         `new` also gets the earlier acceptance time and the higher number of resends.
         """
