--- a/tests/dead_letter_records.py
+++ b/tests/dead_letter_records.py
@@ -1,4 +1,4 @@
-"""Dead letters for tests, and a store with a clock that stands still."""
+"""Makes dead-letter records for tests, and stores whose clock does not advance."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def make_record(ran: bool = False, **fields: Any) -> Record:
-    """The record of another message each time; with `ran`, it may have been executed."""
+    """Return a record with a new message id; with `ran`, the message may have been executed."""
     name = f"m{next(_numbers)}"
     defaults: dict[str, Any] = {
         "id": name,
@@ -45,5 +45,5 @@
 
 
 def open_store(folder: Path, **more: Any) -> Store:
-    """A store whose clock always shows START."""
+    """Open a store whose clock always returns START."""
     return Store(folder, clock=lambda: START, **more)
--- a/tests/test_dead_letters_record_codec.py
+++ b/tests/test_dead_letters_record_codec.py
@@ -1,4 +1,4 @@
-"""The sealed and exported forms of records and audit entries equal earlier releases', byte for byte."""
+"""Tests that the sealed and exported forms of records and audit entries are those of earlier releases."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     client_retry_at=1_700_000_002_000_000_005,
     resend_request="anna: please",
 )
-# As the release with schema 2 and the columns told_again and asked wrote them.
+# Bytes and text as written by the release with schema 2, which has the columns told_again and asked.
 SEALED_EXECUTED = (
     b'\x00\x00\x02m{"came_again":1,"came_at":1700000000000000001,"changed_at":1700000000000000005,'
     b'"cls":"standard","come_back":2000000000,"deadline":1700000000000000003,"destination":7,'
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -1,4 +1,4 @@
-"""The store: records come back intact, limits hold, and what was altered or is not ours is reported."""
+"""Tests the store of dead letters: its records, limits, files, seals, and the operations on it."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
     assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(never.id,)]
     newest = make_record()
     assert [dropped.ids for dropped in store.add([newest])] == [(newest.id,)], (
-        "rather the new record than an open question"
+        "the new record is dropped rather than one that may have been executed"
     )
     assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(ran.id,)]
     assert {stored.record.id for stored in store.page(RecordFilter())} >= {sending.id}
@@ -142,7 +142,7 @@
 
 
 def test_the_file_itself_is_bounded_too(tmp_path: Path) -> None:
-    """Where a page limit stands in for a full disk: the add fails whole, and works again with room."""
+    """A page limit simulates a full disk: an add fails without effect, and succeeds once there is room."""
     store = open_store(tmp_path)
     (pages,) = store.database.execute("PRAGMA page_count").fetchone()
     store.database.execute(f"PRAGMA max_page_count={pages + 4}")
@@ -155,7 +155,7 @@
     assert store.record_count == 1
 
 
-# Files that are not ours, damaged, or in use.
+# Files of other programs, damaged files, and files in use.
 
 
 def test_a_second_writer_is_refused_and_a_reader_is_not(tmp_path: Path) -> None:
@@ -169,7 +169,7 @@
 
 
 def contents(folder: Path) -> dict[str, bytes]:
-    """The lasting files; SQLite adds its shared memory even to a file that is only read."""
+    """Return the contents of the permanent files; SQLite adds a shared-memory file even for a reader."""
     transient = (files.LOCK_FILE, f"{files.DATABASE_FILE}-shm", f"{files.DATABASE_FILE}-wal")
     return {path.name: path.read_bytes() for path in folder.iterdir() if path.name not in transient}
 
@@ -244,7 +244,7 @@
 
 
 def test_a_bit_flipped_in_any_record_is_shown_and_the_others_stay_good(tmp_path: Path) -> None:
-    """In each column of each table that is under seal."""
+    """Each column of the sealed tables is altered in turn."""
     store = open_store(tmp_path)
     store.add([make_record(ran=True, body=b"x" * 600), make_record(), make_record()])
     tables = {"record": "seq", "detail": "seq"}
@@ -281,7 +281,7 @@
 
 
 def test_a_bit_flipped_in_any_page_is_told_or_harmless(tmp_path: Path) -> None:
-    """No flipped bit makes a record read as something that was never kept."""
+    """No flipped bit makes the store return a record that was never added."""
     store = open_store(tmp_path / "whole")
     made = [make_record(ran=bool(i % 2), body=os.urandom(700), key=f"key-{i}") for i in range(12)]
     store.add(made)
@@ -302,7 +302,9 @@
         try:
             reader = open_store(folder, writes=False)
             for kept in reader.iterate(RecordFilter()):
-                assert kept.fault or kept.record == good[kept.record.sequence], f"a flip at {at} went unseen"
+                assert kept.fault or kept.record == good[kept.record.sequence], (
+                    f"the flipped bit at {at} was not reported"
+                )
             reader.close()
         except (StoreError, *files.DAMAGE_ERRORS):
             pass
@@ -340,7 +342,7 @@
 
 
 def rekey(store: Store) -> int:
-    """All steps; how much could not be sealed anew."""
+    """Run all steps of a key rotation; return the number of rows that could not be sealed again."""
     arguments: dict[str, Any] = {"step": "start"}
     while arguments["step"]:
         answer = operations.execute(store, "rekey", arguments, "me")
@@ -395,7 +397,7 @@
     assert [bool(stored.fault) for stored in store.page(RecordFilter())] == [True, False]
 
 
-# What people ask.
+# Operations that people request.
 
 
 def test_filters_pages_and_counts(tmp_path: Path) -> None:
@@ -541,7 +543,7 @@
 
 
 def test_an_older_schema_is_brought_up_to_date_with_its_seals_good(tmp_path: Path) -> None:
-    """The fixture was made by the program when its schema was of the first version."""
+    """The fixture was written by a release with schema version 1."""
     folder = tmp_path / "old"
     folder.mkdir()
     for path in (Path(__file__).parent / "fixtures" / "undelivered-1").iterdir():
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -1,4 +1,7 @@
-"""Undelivered messages move from the journal to the store: once, whatever fails, without delaying traffic."""
+"""Tests the transfer of undelivered messages from the journal to the store.
+
+Each message is stored exactly once despite failures and kills, and live traffic is not delayed.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +25,14 @@
 
 
 def kept(rig: DeadLetterRig) -> list[Record]:
-    """All records of the store, none of which may be altered."""
+    """Return all records of the store, after asserting that none of them is altered."""
     found = rig.store.page(RecordFilter(), limit=1000)
     assert not [stored.fault for stored in found if stored.fault]
     return [stored.record for stored in found]
 
 
 def failed(rig: DeadLetterRig, name: str, outcome: Outcome = Outcome.ERROR, **more: object) -> None:
-    """Submit a message that fails with this outcome until no attempt is left."""
+    """Submit a message, and end all its attempts with this outcome."""
     assert rig.submit(name, **more)  # type: ignore[arg-type]
     for _ in range(60):
         for call in rig.run(0.5):
@@ -106,12 +109,15 @@
 
 
 def test_while_the_store_fails_live_traffic_keeps_its_room(tmp_path: Path) -> None:
-    """Messages that only wait for the store take a share of the journal; the never-run ones go first."""
+    """Messages that only wait for the store have a limited fraction of the journal.
+
+    Messages that were certainly not executed are discarded first.
+    """
     rig = DeadLetterRig(tmp_path, disk=100_000)
     rig.worker.failure = sqlite3.OperationalError("database or disk is full")
     failed(rig, "ran", Outcome.ERROR)
     for i in range(60):
-        assert rig.submit(f"m{i}", left=SECOND // 2), "a live message was turned away"
+        assert rig.submit(f"m{i}", left=SECOND // 2), "a live message was rejected"
         for call in rig.run(1):
             rig.end(call, Outcome.REJECTED)
     assert rig.journal.dead_letter_bytes <= 0.25 * 100_000
@@ -158,7 +164,10 @@
 
 
 def play(folder: Path, at: int, seed: int) -> tuple[int, dict[str, Ending | None], DeadLetterRig]:
-    """A day of failures, with a kill at that step and a start after it; how many steps there were."""
+    """Run a dispatcher with failing calls, kill it at step `at`, and start it again.
+
+    Return the number of steps, the final answers by message id, and the last rig.
+    """
     rng, kill_points, clock = random.Random(seed), KillPoints(at), VirtualTime()
     answers: dict[str, Ending | None] = {}
     submitted: set[str] = set()
@@ -177,7 +186,9 @@
             was_killed = True
             kill_points = KillPoints()
         for one in rig.answers:
-            assert answers.setdefault(one.id, one.ending) is one.ending, "two different answers"
+            assert answers.setdefault(one.id, one.ending) is one.ending, (
+                "the message got two different answers"
+            )
         if not was_killed:
             return kill_points.count, answers, rig
         rig.close_as_killed()
@@ -191,7 +202,7 @@
     for at in range(1, steps + 1):
         _, answers, rig = play(tmp_path / str(at), at, seed)
         found = kept(rig)
-        assert len({record.id for record in found}) == len(found), f"kept twice after a kill at step {at}"
+        assert len({record.id for record in found}) == len(found), f"stored twice after a kill at step {at}"
         assert {record.id for record in found} == set(answers), f"lost after a kill at step {at}"
         assert not rig.journal.messages.pending_dead_letters
         assert not rig.journal.messages.by_id
