--- a/tests/dead_letter_records.py
+++ b/tests/dead_letter_records.py
@@ -13,14 +13,14 @@
 from .rig import START
 from .world import SECOND
 
-_numbers = itertools.count()
+_record_numbers = itertools.count()
 
 
 def make_record(ran: bool = False, **fields: Any) -> Record:
     """Return a record with a new message id; with `ran`, the message may have been executed."""
-    name = f"m{next(_numbers)}"
+    message_id = f"m{next(_record_numbers)}"
     defaults: dict[str, Any] = {
-        "id": name,
+        "id": message_id,
         "ended_at": START,
         "accepted_at": START - SECOND,
         "deadline": START + SECOND,
@@ -30,7 +30,7 @@
         "deduplication_window": 5 * SECOND,
         "zone_scoped": False,
         "tenant": "studio",
-        "key": f"k-{name}",
+        "key": f"k-{message_id}",
         "frontend": "resp",
         "recovered_from_journal": False,
         "ending": "failed",
@@ -44,6 +44,6 @@
     return Record(**{**defaults, **fields})
 
 
-def open_store(folder: Path, **more: Any) -> Store:
+def open_store(folder: Path, **arguments: Any) -> Store:
     """Open a store whose clock always returns START."""
-    return Store(folder, clock=lambda: START, **more)
+    return Store(folder, clock=lambda: START, **arguments)
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -24,29 +24,29 @@
 from .rig import START
 
 
-def test_a_record_comes_back_whole(tmp_path: Path) -> None:
+def test_a_stored_record_is_read_unchanged(tmp_path: Path) -> None:
     store = open_store(tmp_path)
-    made = [
+    records = [
         make_record(body=bytes(range(256))),
         make_record(ran=True, body=b"x" * 20_000),
         make_record(body=b"", key=""),
     ]
-    assert store.add(made) == []
+    assert store.add(records) == []
     store.close()
-    again = open_store(tmp_path, writes=False)
-    for record in made:
-        kept = again.get(record.sequence)
-        assert kept is not None
-        assert not kept.fault
-        assert kept.record == record
-    assert again.get(99) is None
-    (size,) = again.database.execute("SELECT length(body) FROM detail WHERE seq = 2").fetchone()
+    reopened = open_store(tmp_path, writes=False)
+    for record in records:
+        stored = reopened.get(record.sequence)
+        assert stored is not None
+        assert not stored.fault
+        assert stored.record == record
+    assert reopened.get(99) is None
+    (size,) = reopened.database.execute("SELECT length(body) FROM detail WHERE seq = 2").fetchone()
     assert size < 200, "a body beyond the threshold is compressed"
-    assert again.record_count == 3
-    assert again.stored_bytes == store.stored_bytes
+    assert reopened.record_count == 3
+    assert reopened.stored_bytes == store.stored_bytes
 
 
-def test_files_are_for_their_owner_alone(tmp_path: Path) -> None:
+def test_only_the_owner_can_access_the_files(tmp_path: Path) -> None:
     store = open_store(tmp_path / "inner")
     store.add([make_record()])
     assert stat.S_IMODE(os.stat(tmp_path / "inner").st_mode) == 0o700
@@ -54,14 +54,14 @@
         assert stat.S_IMODE(path.stat().st_mode) & 0o077 == 0, path.name
 
 
-def test_kept_twice_is_kept_once(tmp_path: Path) -> None:
+def test_a_record_added_twice_is_stored_once(tmp_path: Path) -> None:
     store, record = open_store(tmp_path), make_record()
     store.add([record])
     store.add([record, make_record(id=record.id, ended_at=START + 1)])
     assert store.record_count == 2 == store.count_by(RecordFilter(), ())[0].count
 
 
-def test_a_transaction_that_breaks_leaves_all_as_it_was(tmp_path: Path) -> None:
+def test_a_failed_transaction_is_rolled_back(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     store.add([make_record()])
     before = store.record_count, store.stored_bytes
@@ -80,26 +80,26 @@
 # Limits.
 
 
-def test_room_is_made_with_settled_ones_first_and_what_may_have_run_last(tmp_path: Path) -> None:
+def test_settled_records_are_dropped_first_and_possibly_executed_ones_last(tmp_path: Path) -> None:
     store = open_store(tmp_path, limits=StoreLimits(max_records=4))
-    ran, never, settled = (
+    possibly_executed, never_executed, settled = (
         make_record(ran=True),
         make_record(),
         make_record(ran=True, status=RecordStatus.SETTLED),
     )
-    sending = make_record(status=RecordStatus.RESENDING)
-    store.add([ran, never, settled, sending])
+    resending = make_record(status=RecordStatus.RESENDING)
+    store.add([possibly_executed, never_executed, settled, resending])
     assert [
         (dropped.reason, dropped.may_have_executed, dropped.ids)
         for dropped in store.add([make_record(ran=True)])
     ] == [("room", True, (settled.id,))]
-    assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(never.id,)]
+    assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(never_executed.id,)]
     newest = make_record()
     assert [dropped.ids for dropped in store.add([newest])] == [(newest.id,)], (
         "the new record is dropped rather than one that may have been executed"
     )
-    assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(ran.id,)]
-    assert {stored.record.id for stored in store.page(RecordFilter())} >= {sending.id}
+    assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(possibly_executed.id,)]
+    assert {stored.record.id for stored in store.page(RecordFilter())} >= {resending.id}
     assert store.record_count == 4
     totals = {
         (dropped.reason, dropped.may_have_executed): dropped.count for dropped in store.dropped_totals()
@@ -107,19 +107,19 @@
     assert totals == {("room", False): 2, ("room", True): 2}
 
 
-def test_bytes_are_bounded_and_counted_the_same_after_a_start(tmp_path: Path) -> None:
+def test_stored_bytes_are_limited_and_counted_the_same_after_reopening(tmp_path: Path) -> None:
     store = open_store(tmp_path, limits=StoreLimits(max_bytes=20_000), compress_min_bytes=1 << 30)
     for _ in range(100):
         store.add([make_record(body=os.urandom(500))])
         assert store.stored_bytes <= 20_000
     assert 10 < store.record_count < 30
-    count, size = store.record_count, store.stored_bytes
+    count, stored_bytes = store.record_count, store.stored_bytes
     store.close()
-    again = open_store(tmp_path, limits=StoreLimits(max_bytes=20_000))
-    assert (again.record_count, again.stored_bytes) == (count, size)
+    reopened = open_store(tmp_path, limits=StoreLimits(max_bytes=20_000))
+    assert (reopened.record_count, reopened.stored_bytes) == (count, stored_bytes)
 
 
-def test_what_is_over_age_goes_but_not_a_resend_on_its_way(tmp_path: Path) -> None:
+def test_records_over_the_age_limit_are_dropped_but_not_a_resend_in_flight(tmp_path: Path) -> None:
     now = START
     store = Store(tmp_path, StoreLimits(max_age=10 * DAY), clock=lambda: now)
     store.add(
@@ -141,11 +141,11 @@
     assert [stored.record.status.value for stored in store.page(RecordFilter())] == ["sending", "kept"]
 
 
-def test_the_file_itself_is_bounded_too(tmp_path: Path) -> None:
+def test_the_file_size_is_limited_too(tmp_path: Path) -> None:
     """A page limit simulates a full disk: an add fails without effect, and succeeds once there is room."""
     store = open_store(tmp_path)
-    (pages,) = store.database.execute("PRAGMA page_count").fetchone()
-    store.database.execute(f"PRAGMA max_page_count={pages + 4}")
+    (page_count,) = store.database.execute("PRAGMA page_count").fetchone()
+    store.database.execute(f"PRAGMA max_page_count={page_count + 4}")
     with pytest.raises(sqlite3.OperationalError, match="full"):
         store.add([make_record(body=os.urandom(5000)) for _ in range(50)])
     assert store.record_count == 0
@@ -168,7 +168,7 @@
     open_store(tmp_path).close()
 
 
-def contents(folder: Path) -> dict[str, bytes]:
+def file_contents(folder: Path) -> dict[str, bytes]:
     """Return the contents of the permanent files; SQLite adds a shared-memory file even for a reader."""
     transient = (files.LOCK_FILE, f"{files.DATABASE_FILE}-shm", f"{files.DATABASE_FILE}-wal")
     return {path.name: path.read_bytes() for path in folder.iterdir() if path.name not in transient}
@@ -178,30 +178,30 @@
     store = open_store(tmp_path)
     store.add([make_record()])
     store.close()
-    db = sqlite3.connect(tmp_path / files.DATABASE_FILE)
-    db.execute(f"PRAGMA user_version={schema.VERSION + 1}")
-    db.execute("ALTER TABLE record ADD COLUMN more TEXT")
-    db.commit()
-    db.close()
-    before = contents(tmp_path)
+    database = sqlite3.connect(tmp_path / files.DATABASE_FILE)
+    database.execute(f"PRAGMA user_version={schema.VERSION + 1}")
+    database.execute("ALTER TABLE record ADD COLUMN more TEXT")
+    database.commit()
+    database.close()
+    before = file_contents(tmp_path)
     for writes in (True, False):
         with pytest.raises(StoreError, match="newer honeyhitch"):
             open_store(tmp_path, writes=writes)
-    assert contents(tmp_path) == before
+    assert file_contents(tmp_path) == before
 
 
-def test_a_file_of_someone_elses_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
-    db = sqlite3.connect(tmp_path / files.DATABASE_FILE)
-    db.execute("CREATE TABLE mine (x)")
-    db.commit()
-    db.close()
-    before = contents(tmp_path)
+def test_a_file_of_another_program_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
+    database = sqlite3.connect(tmp_path / files.DATABASE_FILE)
+    database.execute("CREATE TABLE mine (x)")
+    database.commit()
+    database.close()
+    before = file_contents(tmp_path)
     with pytest.raises(StoreError, match="not a store"):
         open_store(tmp_path)
-    assert contents(tmp_path) == before
+    assert file_contents(tmp_path) == before
 
 
-def test_a_folder_that_cannot_be_written_is_told(tmp_path: Path) -> None:
+def test_an_unusable_directory_is_reported(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(StoreError, match="file/inner"):
         open_store(tmp_path / "file" / "inner")
@@ -209,28 +209,28 @@
         open_store(tmp_path, writes=False)
 
 
-def test_a_moved_file_is_noticed(tmp_path: Path) -> None:
+def test_a_moved_file_is_detected(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     assert store.file_unmoved()
     os.rename(tmp_path / files.DATABASE_FILE, tmp_path / "away")
     assert not store.file_unmoved()
 
 
-def test_cut_anywhere_it_is_refused_or_told_and_never_taken_for_whole(tmp_path: Path) -> None:
+def test_a_file_truncated_anywhere_is_refused_or_reported(tmp_path: Path) -> None:
     store = open_store(tmp_path / "whole")
     store.add([make_record(body=os.urandom(3000)) for _ in range(20)])
     store.close()
     data = (tmp_path / "whole" / files.DATABASE_FILE).read_bytes()
-    for at in range(0, len(data), 1024 + 512):
-        folder = tmp_path / f"cut{at}"
+    for length in range(0, len(data), 1024 + 512):
+        folder = tmp_path / f"cut{length}"
         folder.mkdir()
         (folder / files.KEY_FILE).write_bytes((tmp_path / "whole" / files.KEY_FILE).read_bytes())
         (folder / files.KEY_FILE).chmod(0o600)
-        (folder / files.DATABASE_FILE).write_bytes(data[:at])
-        assert at == 0 or found_fault(folder), f"cut at {at} of {len(data)}"
+        (folder / files.DATABASE_FILE).write_bytes(data[:length])
+        assert length == 0 or is_reported_as_damaged(folder), f"cut at {length} of {len(data)}"
 
 
-def found_fault(folder: Path) -> bool:
+def is_reported_as_damaged(folder: Path) -> bool:
     try:
         store = open_store(folder)
     except StoreError:
@@ -243,36 +243,36 @@
         store.close()
 
 
-def test_a_bit_flipped_in_any_record_is_shown_and_the_others_stay_good(tmp_path: Path) -> None:
+def test_a_changed_value_in_any_sealed_column_is_reported_for_that_record_alone(tmp_path: Path) -> None:
     """Each column of the sealed tables is altered in turn."""
     store = open_store(tmp_path)
     store.add([make_record(ran=True, body=b"x" * 600), make_record(), make_record()])
     tables = {"record": "seq", "detail": "seq"}
-    for table, number in tables.items():
+    for table, key_column in tables.items():
         for _, column, *_ in store.database.execute(f"PRAGMA table_info({table})").fetchall():
-            if column == number:
+            if column == key_column:
                 continue
-            (old,) = store.database.execute(f"SELECT {column} FROM {table} WHERE seq = 1").fetchone()
-            for new in (flipped(old), None, "text", 1 << 40, b"\xff"):
-                if new == old:
+            (original,) = store.database.execute(f"SELECT {column} FROM {table} WHERE seq = 1").fetchone()
+            for altered in (with_a_flipped_bit(original), None, "text", 1 << 40, b"\xff"):
+                if altered == original:
                     continue
                 try:
-                    store.database.execute(f"UPDATE {table} SET {column} = ? WHERE seq = 1", (new,))
+                    store.database.execute(f"UPDATE {table} SET {column} = ? WHERE seq = 1", (altered,))
                 except sqlite3.IntegrityError:
                     continue
                 stored = store.get(1)
                 assert stored is not None
-                assert stored.fault, f"{table}.{column}: {old!r} became {new!r}"
+                assert stored.fault, f"{table}.{column}: {original!r} became {altered!r}"
                 assert "altered" in stored.fault or "key" in stored.fault
                 assert len([line for line in store.verify() if line.startswith("record 1 ")]) == 1
                 arguments = {"verb": "release", "filter": {"seq": "1"}, "why": "x"}
                 assert operations.execute(store, "change", arguments, "me")["left"][0]["why"] == stored.fault
                 assert operations.execute(store, "show", {"seq": 1}, "me")["record"]["intact"] is False
-            store.database.execute(f"UPDATE {table} SET {column} = ? WHERE seq = 1", (old,))
+            store.database.execute(f"UPDATE {table} SET {column} = ? WHERE seq = 1", (original,))
             assert list(store.verify()) == []
 
 
-def flipped(value: Any) -> Any:
+def with_a_flipped_bit(value: Any) -> Any:
     if isinstance(value, int):
         return value ^ 1
     if isinstance(value, str):
@@ -280,42 +280,42 @@
     return bytes([value[0] ^ 1]) + value[1:] if value else 1
 
 
-def test_a_bit_flipped_in_any_page_is_told_or_harmless(tmp_path: Path) -> None:
+def test_a_flipped_bit_in_the_file_is_reported_or_harmless(tmp_path: Path) -> None:
     """No flipped bit makes the store return a record that was never added."""
     store = open_store(tmp_path / "whole")
-    made = [make_record(ran=bool(i % 2), body=os.urandom(700), key=f"key-{i}") for i in range(12)]
-    store.add(made)
-    store.update(made[0], "me", "release", "the partner's letter of today")
+    records = [make_record(ran=bool(i % 2), body=os.urandom(700), key=f"key-{i}") for i in range(12)]
+    store.add(records)
+    store.update(records[0], "me", "release", "the partner's letter of today")
     store.close()
     data = bytearray((tmp_path / "whole" / files.DATABASE_FILE).read_bytes())
-    good = {record.sequence: record for record in made}
+    original_records = {record.sequence: record for record in records}
     folder = tmp_path / "flipped"
     folder.mkdir()
     SealKeys.load(tmp_path / "whole" / files.KEY_FILE).save(folder / files.KEY_FILE)
-    faults_found = 0
-    for at in range(0, len(data), 97):
-        data[at] ^= 1 << at % 8
+    damage_reports = 0
+    for offset in range(0, len(data), 97):
+        data[offset] ^= 1 << offset % 8
         for path in folder.glob(f"{files.DATABASE_FILE}*"):
             path.unlink()
         (folder / files.DATABASE_FILE).write_bytes(data)
-        faults_found += found_fault(folder)
+        damage_reports += is_reported_as_damaged(folder)
         try:
             reader = open_store(folder, writes=False)
-            for kept in reader.iterate(RecordFilter()):
-                assert kept.fault or kept.record == good[kept.record.sequence], (
-                    f"the flipped bit at {at} was not reported"
+            for stored in reader.iterate(RecordFilter()):
+                assert stored.fault or stored.record == original_records[stored.record.sequence], (
+                    f"the flipped bit at {offset} was not reported"
                 )
             reader.close()
         except (StoreError, *files.DAMAGE_ERRORS):
             pass
-        data[at] ^= 1 << at % 8
-    assert faults_found > 50
+        data[offset] ^= 1 << offset % 8
+    assert damage_reports > 50
 
 
 # Keys.
 
 
-def test_a_key_file_that_others_may_read_or_that_is_none_is_refused(tmp_path: Path) -> None:
+def test_a_key_file_that_others_may_read_or_that_is_malformed_is_refused(tmp_path: Path) -> None:
     open_store(tmp_path).close()
     path = tmp_path / files.KEY_FILE
     path.chmod(0o640)
@@ -328,20 +328,20 @@
             SealKeys.load(path)
 
 
-def test_with_its_key_lost_a_record_is_shown_as_unproved(tmp_path: Path) -> None:
+def test_a_record_whose_key_is_lost_is_reported_as_unverifiable(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     store.add([make_record()])
     store.close()
     (tmp_path / files.KEY_FILE).unlink()
-    again = open_store(tmp_path)
-    again.add([make_record()])
-    assert [stored.fault for stored in again.page(RecordFilter())] == [
+    reopened = open_store(tmp_path)
+    reopened.add([make_record()])
+    assert [stored.fault for stored in reopened.page(RecordFilter())] == [
         "sealed with key 1, which is not there",
         "",
     ]
 
 
-def rekey(store: Store) -> int:
+def rotate_key(store: Store) -> int:
     """Run all steps of a key rotation; return the number of rows that could not be sealed again."""
     arguments: dict[str, Any] = {"step": "start"}
     while arguments["step"]:
@@ -350,49 +350,49 @@
     return int(answer["left"])
 
 
-def test_a_reader_follows_the_writers_new_key(tmp_path: Path) -> None:
+def test_a_reader_loads_the_writers_new_key(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     store.add([make_record()])
     reader = open_store(tmp_path, writes=False)
-    assert rekey(store) == 0
+    assert rotate_key(store) == 0
     assert [stored.fault for stored in reader.page(RecordFilter())] == [""]
     assert reader.audit_page()[0].intact
 
 
-@pytest.mark.parametrize("broken_off", [None, 0, 1, 2, 3])
-def test_a_new_key_takes_over_whatever_moment_it_is_broken_off_at(
-    tmp_path: Path, broken_off: int | None
+@pytest.mark.parametrize("interrupted_at", [None, 0, 1, 2, 3])
+def test_a_key_rotation_interrupted_at_any_step_can_be_completed(
+    tmp_path: Path, interrupted_at: int | None
 ) -> None:
     store = open_store(tmp_path)
     store.add([make_record() for _ in range(500)])
     store.update(store.page(RecordFilter())[0].record, "me", "discard", "because")
-    if broken_off is not None:
-        steps = iter(range(100))
-        begin = store.transaction
+    if interrupted_at is not None:
+        transaction_numbers = iter(range(100))
+        begin_transaction = store.transaction
 
-        def breaking() -> Any:
-            if next(steps) == broken_off:
+        def interrupted_transaction() -> Any:
+            if next(transaction_numbers) == interrupted_at:
                 raise KeyboardInterrupt
-            return begin()
+            return begin_transaction()
 
-        store.transaction = breaking  # type: ignore[method-assign]
+        store.transaction = interrupted_transaction  # type: ignore[method-assign]
         with pytest.raises(KeyboardInterrupt):
-            rekey(store)
+            rotate_key(store)
     else:
-        assert rekey(store) == 0
+        assert rotate_key(store) == 0
     store.close()
-    again = open_store(tmp_path)
-    assert list(again.verify()) == []
-    assert rekey(again) == 0
-    assert list(again.verify()) == []
-    assert list(json.loads((tmp_path / files.KEY_FILE).read_text())["keys"]) == [str(again.keys.current)]
+    reopened = open_store(tmp_path)
+    assert list(reopened.verify()) == []
+    assert rotate_key(reopened) == 0
+    assert list(reopened.verify()) == []
+    assert list(json.loads((tmp_path / files.KEY_FILE).read_text())["keys"]) == [str(reopened.keys.current)]
 
 
-def test_the_old_key_stays_while_a_record_is_not_proved(tmp_path: Path) -> None:
+def test_the_old_key_stays_while_a_record_cannot_be_verified(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     store.add([make_record(), make_record()])
     store.database.execute("UPDATE record SET tenant = 'other' WHERE seq = 1")
-    assert rekey(store) == 1
+    assert rotate_key(store) == 1
     assert sorted(store.keys.keys) == [1, 2]
     assert [bool(stored.fault) for stored in store.page(RecordFilter())] == [True, False]
 
@@ -410,26 +410,26 @@
                 )
             ]
         )
-    chosen = {"destination": "3", "may_have_run": "yes"}
-    seen: list[int] = []
-    arguments: dict[str, Any] = {"filter": chosen, "most": 10}
+    filter_texts = {"destination": "3", "may_have_run": "yes"}
+    sequences: list[int] = []
+    arguments: dict[str, Any] = {"filter": filter_texts, "most": 10}
     while True:
         page = operations.execute(store, "list", arguments, "me")
-        seen += [exported["seq"] for exported in page["records"]]
+        sequences += [exported["seq"] for exported in page["records"]]
         arguments["after"] = page["after"]
         if not page["more"]:
             break
-    assert len(seen) == 25 == len(set(seen))
-    assert seen == sorted(seen)
+    assert len(sequences) == 25 == len(set(sequences))
+    assert sequences == sorted(sequences)
     newest = operations.execute(store, "list", {"newest_first": True, "most": 2}, "me")
     assert [exported["id"] for exported in newest["records"]] == ["n249", "n248"]
-    older = operations.execute(
+    next_page = operations.execute(
         store, "list", {"newest_first": True, "most": 2, "after": newest["after"]}, "me"
     )
-    assert [exported["id"] for exported in older["records"]] == ["n247", "n246"]
-    between = {"since": str(START + 10), "until": str(START + 20)}
-    assert len(operations.execute(store, "list", {"filter": between}, "me")["records"]) == 10
-    groups = operations.execute(store, "stats", {"by": ["tenant"], "filter": chosen}, "me")["groups"]
+    assert [exported["id"] for exported in next_page["records"]] == ["n247", "n246"]
+    time_range = {"since": str(START + 10), "until": str(START + 20)}
+    assert len(operations.execute(store, "list", {"filter": time_range}, "me")["records"]) == 10
+    groups = operations.execute(store, "stats", {"by": ["tenant"], "filter": filter_texts}, "me")["groups"]
     assert sum(group["count"] for group in groups) == 25
     assert {group["tenant"] for group in groups} == {
         "t0",
@@ -475,14 +475,14 @@
 def test_a_faulty_request_is_refused_with_its_field(
     tmp_path: Path, name: str, arguments: dict[str, Any], error: str
 ) -> None:
-    with pytest.raises(operations.OperationError) as refused:
+    with pytest.raises(operations.OperationError) as raised:
         operations.execute(open_store(tmp_path), name, arguments, "me")
-    assert str(refused.value).startswith(error)
+    assert str(raised.value).startswith(error)
 
 
-def test_a_filter_goes_to_words_and_back() -> None:
-    chosen = RecordFilter(sequence=3, class_name="standard", may_have_executed=False, since=5)
-    assert RecordFilter.parse(chosen.to_texts()) == chosen
+def test_a_filter_is_converted_to_texts_and_back() -> None:
+    record_filter = RecordFilter(sequence=3, class_name="standard", may_have_executed=False, since=5)
+    assert RecordFilter.parse(record_filter.to_texts()) == record_filter
     with pytest.raises(FilterError, match="seq"):
         RecordFilter.parse({"seq": "³"})
 
@@ -504,8 +504,13 @@
         operations.execute(store, "change", arguments | {"dry_run": False}, "anna")["done"] == preview["done"]
     )
     assert operations.execute(store, "change", arguments | {"dry_run": False}, "anna")["done"] == []
-    (row,) = operations.execute(store, "show", {"seq": 1}, "x")["audit"]
-    assert (row["who"], row["what"], row["why"], row["intact"]) == ("anna", "release", arguments["why"], True)
+    (audit_entry,) = operations.execute(store, "show", {"seq": 1}, "x")["audit"]
+    assert (audit_entry["who"], audit_entry["what"], audit_entry["why"], audit_entry["intact"]) == (
+        "anna",
+        "release",
+        arguments["why"],
+        True,
+    )
     operations.execute(
         store, "change", {"verb": "settle", "why": "seen in their books", "filter": {"seq": "1"}}, "bo"
     )
@@ -518,20 +523,20 @@
     assert list(store.verify()) == ["audit 1: altered since it was sealed"]
 
 
-def test_purge_takes_only_what_is_settled_or_discarded_or_one_altered(tmp_path: Path) -> None:
+def test_purge_deletes_only_resolved_records_or_one_altered_record(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     store.add([make_record() for _ in range(450)])
     arguments: dict[str, Any] = {"verb": "discard", "why": "a test", "filter": {}}
-    more = True
-    while more:
+    has_more = True
+    while has_more:
         page = operations.execute(store, "change", arguments, "me")
-        arguments["after"], more = page["after"], page["more"]
+        arguments["after"], has_more = page["after"], page["more"]
     store.add([make_record()])
     assert operations.execute(store, "purge", {"why": "room", "dry_run": True}, "me")["count"] == 450
-    count, more = 0, True
-    while more:
+    count, has_more = 0, True
+    while has_more:
         page = operations.execute(store, "purge", {"why": "room"}, "me")
-        count, more = count + page["count"], page["more"]
+        count, has_more = count + page["count"], page["more"]
     assert count == 450
     assert store.record_count == 1
     store.database.execute("UPDATE record SET key = 'other'")
@@ -542,7 +547,7 @@
     assert store.audit_page(451)[0].entry.action == "purge"
 
 
-def test_an_older_schema_is_brought_up_to_date_with_its_seals_good(tmp_path: Path) -> None:
+def test_an_older_schema_is_migrated_and_its_seals_stay_valid(tmp_path: Path) -> None:
     """The fixture was written by a release with schema version 1."""
     folder = tmp_path / "old"
     folder.mkdir()
@@ -553,11 +558,11 @@
         open_store(folder, writes=False)
     store = open_store(folder)
     assert list(store.verify()) == []
-    found = {stored.record.id: stored.record for stored in store.page(RecordFilter())}
-    assert [record.status.value for record in found.values()] == ["kept"] * 3
+    records = {stored.record.id: stored.record for stored in store.page(RecordFilter())}
+    assert [record.status.value for record in records.values()] == ["kept"] * 3
     assert [stored.entry.action for stored in store.audit_page()] == ["discard"]
-    assert found["old-1"].body == b"x" * 2000
-    assert found["old-1"].client_retry_at is None
+    assert records["old-1"].body == b"x" * 2000
+    assert records["old-1"].client_retry_at is None
     assert store.database.execute("SELECT seq FROM plan ORDER BY seq").fetchall() == [(1,), (2,), (3,)]
     operations.execute(store, "change", {"verb": "resend", "why": "x", "filter": {"id": "old-3"}}, "me")
     assert list(store.verify()) == []
