--- a/honeyhitch/dead_letters/key_rotation.py
+++ b/honeyhitch/dead_letters/key_rotation.py
@@ -1,7 +1,7 @@
-"""Replaces the key under which a store is sealed, in steps that may be interrupted at any moment.
+"""Replaces the key that seals a store, in steps that can be interrupted at any moment.
 
-Until `retire_old_keys` the old keys verify, too, so that a rotation that was interrupted goes on when it is
-started again.
+The old keys still verify until `retire_old_keys` deletes them, so that an interrupted rotation continues when
+it is started again.
 """
 
 from __future__ import annotations
@@ -14,27 +14,33 @@
 
 
 def start(store: Store) -> int:
-    """Seal with a new key from now on, unless an interrupted rotation goes on; the number of the key."""
+    """Add a new key, unless an interrupted rotation has already added it; return the key's number."""
     if len(store.keys.keys) == 1:
         store.keys.add()
         store.save_keys()
     return store.keys.current
 
 
-def reseal_records(store: Store, after: int = 0) -> int | None:
-    """Seal the next page of records with the newest key; the number of the last one, None at the end."""
+def reseal_records(store: Store, after_sequence: int = 0) -> int | None:
+    """Seal the intact records of the page after `after_sequence` with the newest key.
+
+    Return the number of the last record of the page, or None if the page is empty.
+    """
     with store.transaction():
-        found = store.page(RecordFilter(), after, PAGE_SIZE)
-        for stored in found:
+        records = store.page(RecordFilter(), after_sequence, PAGE_SIZE)
+        for stored in records:
             if not stored.fault:
                 store.reseal(stored.record)
-    return found[-1].record.sequence if found else None
+    return records[-1].record.sequence if records else None
+
 
+def reseal_audit(store: Store, after_number: int = 0) -> int | None:
+    """Seal the intact audit entries of the page after `after_number` with the newest key.
 
-def reseal_audit(store: Store, after: int = 0) -> int | None:
-    """Seal the next page of audit entries with the newest key; the number of the last, None at the end."""
+    Return the number of the last entry of the page, or None if the page is empty.
+    """
     with store.transaction():
-        entries = store.audit_page(after=after)
+        entries = store.audit_page(after=after_number)
         for entry in entries:
             if entry.intact:
                 store.reseal_audit(entry)
@@ -42,11 +48,11 @@
 
 
 def retire_old_keys(store: Store) -> int:
-    """Delete the old keys, unless rows are left that only they could verify; the number of such rows."""
+    """Delete the old keys unless rows are left that are sealed with them; return the number of such rows."""
     remaining = 0
     for table in SEALED_TABLES:
-        text = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
-        remaining += int(store.database.execute(text, (store.keys.current,)).fetchone()[0])
+        statement = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
+        remaining += int(store.database.execute(statement, (store.keys.current,)).fetchone()[0])
     if not remaining:
         store.keys.drop_old()
         store.save_keys()
