--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -1,9 +1,9 @@
-"""Whether an undelivered message may be sent again without being applied twice.
+"""Decides whether an undelivered message may be resent without the risk that it is applied twice.
 
-No I/O; the clock is passed in. See docs/design/undelivered.md, "What may be resent".
+Does no I/O; the caller passes the time in. See docs/design/undelivered.md, "What may be resent".
 
-It follows the rules that the policy keeps for live messages (policy/engine.py) and adds what a resend needs:
-a person's release, and the time until which a client may still submit its duplicate.
+The decision applies the rules that the policy applies to retries of live messages (policy/engine.py), and two
+further inputs: a release by an operator, and the time until which a client may still submit a duplicate.
 """
 
 from __future__ import annotations
@@ -15,42 +15,46 @@
 
 
 class Verdict(Enum):
-    """What may become of a record."""
+    """Whether a record may be resent now, later, or not at all."""
 
     RESEND = "resend"
-    WAIT = "wait"  # a client received Retry-After, and may still submit the message again
-    HOLD = "hold"  # no rule may resend it; a person may release it with the receiver's evidence
+    WAIT = "wait"  # a client received Retry-After and may still submit the message again
+    HOLD = "hold"  # no rule may resend the record; an operator may release it with the receiver's evidence
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutionHistory:
-    """What is known of an undelivered message. Times are Unix times in nanoseconds."""
+    """What is known about an undelivered message and its possible executions.
+
+    Times are Unix times in nanoseconds.
+    """
 
     idempotency: Idempotency
-    deduplication_window: int = 0  # nanoseconds from the first attempt in which a repeat is dropped
+    deduplication_window: int = 0  # ns after the first attempt during which the receiver drops a repeat
     first_possible_execution: int | None = None  # None if no attempt can have been executed
     deduplication_reachable: bool = True  # the resend reaches receivers that remember the key
-    client_retry_at: int | None = None  # when a client was asked to submit it again, None if it was not
+    client_retry_at: int | None = None  # when the client was asked to submit a duplicate, if at all
     accepted_at: int = 0
-    duplicate_may_be_unseen: bool = False  # a client may have submitted a duplicate elsewhere
-    released: bool = False  # a person named the receiver's evidence that it was not applied
+    duplicate_may_be_unseen: bool = False  # a client may have submitted a duplicate that was not recognised
+    released: bool = False  # an operator recorded the receiver's evidence that the message was not applied
 
 
 @dataclass(frozen=True, slots=True)
 class ResendDecision:
-    """The verdict, the reason in a word for the record, and for how long it holds."""
+    """A verdict on a record, the code of its reason, and the time until which the verdict is valid."""
 
     verdict: Verdict
     reason: str
-    until: int | None = None  # Unix time, ns: a resend must have ended by then; a wait ends then
+    # Unix time in nanoseconds. RESEND: when the resend must have ended. WAIT: when the wait ends.
+    until: int | None = None
 
 
 def decide_resend(history: ExecutionHistory, now: int, grace: int, resend_duration: int) -> ResendDecision:
-    """Whether the message may be resent at `now` (Unix time, nanoseconds).
+    """Return whether the message may be resent at `now` (Unix time in nanoseconds).
 
-    `grace` is how long after the client's retry time its duplicate is still expected; `resend_duration` is
-    what a resend may take at most. Both are nanoseconds: a resend that could run past a keyed message's
-    deduplication window must not begin.
+    `grace` is how long after the client's retry time a duplicate from the client is still expected.
+    `resend_duration` is the longest time that a resend may take: a resend that could run past the
+    deduplication window of a keyed message must not begin. Both are in nanoseconds.
     """
     if history.client_retry_at is not None:
         expected_until = history.client_retry_at + grace
@@ -70,7 +74,10 @@
 
 
 def _first_possible_execution(history: ExecutionHistory) -> int | None:
-    """When the message may first have been executed; an unseen duplicate, from its acceptance on."""
+    """Return when the message may first have been executed, None if it cannot have been.
+
+    A duplicate that was not recognised may have been executed at any time since the message was accepted.
+    """
     first_execution = history.first_possible_execution
     if not history.duplicate_may_be_unseen:
         return first_execution
@@ -80,8 +87,8 @@
 def _decide_keyed(
     history: ExecutionHistory, first_execution: int, now: int, resend_duration: int
 ) -> ResendDecision:
-    """The decision for a message whose receiver drops repeats of its key for a while."""
-    if now < first_execution:  # the clock has stepped back: the window's age is unknown
+    """Return the decision for a message whose receiver drops repeats of its key during a window."""
+    if now < first_execution:  # the clock was set back, so the age of the window is unknown
         return ResendDecision(Verdict.HOLD, "clock-stepped")
     if not history.deduplication_reachable:
         return ResendDecision(Verdict.HOLD, "key-not-known-there")
--- a/honeyhitch/dead_letters/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -1,4 +1,4 @@
-"""What the operator's rules say of a record. No I/O; the clock is passed in."""
+"""Applies the operator's rules to a record. Does no I/O; the caller passes the time in."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from honeyhitch.dead_letters.settings import MATCHED_SETS, Action, ResendSettings, Rule
 from honeyhitch.policy.settings import Idempotency
 
-# Stands for a rule where a person has asked for the resend.
+# The rule that applies to a record whose resend an operator has requested.
 OPERATOR_REQUEST = Rule(name="asked", action=Action.RESEND, min_healthy_duration=0, rate_per_second=10.0)
 MAX_PAUSE_DOUBLINGS = 20
 
-# The field of a record that each set of a rule is matched with.
+# For each set of a rule, the field of a record that the set is matched against.
 RECORD_FIELD = {
     "destinations": "destination",
     "classes": "class_name",
@@ -31,27 +31,27 @@
 
 
 class Step(Enum):
-    """What is to be done with a record now."""
+    """The action to take on a record now."""
 
     RESEND = "resend"
     DISCARD = "discard"
     POSTPONE = "later"
-    NONE = "nothing"  # until the record changes, or the rules do
+    NONE = "nothing"  # until the record or the rules change
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The step, why, and by which rule. Times are Unix times in nanoseconds."""
+    """A step, the code of its reason, and the rule that it follows. Times are Unix times in nanoseconds."""
 
     step: Step
     reason: str
     rule: Rule | None = None
     retry_at: int = 0  # with POSTPONE: when to plan the record again
-    must_end_by: int = 0  # with RESEND: when the resend must have ended, 0 if at any time
+    must_end_by: int = 0  # with RESEND: when the resend must have ended, 0 if there is no limit
 
 
 def matches(rule: Rule, record: Record) -> bool:
-    """Whether the rule applies to the record, its age aside."""
+    """Return whether the rule applies to the record, without regard to the record's age."""
     if rule.may_have_executed is not None and rule.may_have_executed != record.may_have_executed:
         return False
     return all(
@@ -61,12 +61,12 @@
 
 
 def execution_history(record: Record, resend_settings: ResendSettings) -> ExecutionHistory:
-    """What is known of the record, for the question whether a resend could apply it twice.
+    """Return what is known about the record's executions, for the decision whether a resend is safe.
 
-    A duplicate is not seen where it may go to another dispatcher, or has no key to be recognised by.
+    A duplicate may go unrecognised if it may be sent to another dispatcher, or if it has no key.
     """
     duplicate_possible = record.client_retry_at is not None or record.recovered_from_journal
-    unseen = resend_settings.duplicates_elsewhere or not record.key
+    unrecognisable = resend_settings.duplicates_elsewhere or not record.key
     return ExecutionHistory(
         idempotency=Idempotency(record.idempotency),
         deduplication_window=record.deduplication_window,
@@ -74,7 +74,7 @@
         deduplication_reachable=not record.zone_scoped,
         client_retry_at=record.client_retry_at,
         accepted_at=record.accepted_at,
-        duplicate_may_be_unseen=duplicate_possible and unseen,
+        duplicate_may_be_unseen=duplicate_possible and unrecognisable,
         released=bool(record.evidence),
     )
 
@@ -82,7 +82,10 @@
 def resend_decision(
     record: Record, resend_settings: ResendSettings, now: int, resend_duration: int
 ) -> ResendDecision:
-    """Whether the record may be resent at `now` (ns), whoever wants it; a resend takes so long (ns)."""
+    """Return whether the record may be resent at `now`, by a rule or at an operator's request.
+
+    `now` is a Unix time and `resend_duration` the time that the resend takes, both in nanoseconds.
+    """
     history = execution_history(record, resend_settings)
     return decide_resend(history, now, resend_settings.client_retry_grace, resend_duration)
 
@@ -90,7 +93,10 @@
 def plan_record(
     record: Record, rules: tuple[Rule, ...], resend_settings: ResendSettings, now: int, resend_duration: int
 ) -> Plan:
-    """What is to be done with a record at `now`; `resend_duration` is what a resend needs at least (ns)."""
+    """Return the action to take on a record at `now` (Unix time in nanoseconds).
+
+    `resend_duration` is the time in nanoseconds that a resend needs.
+    """
     if record.status is not RecordStatus.PENDING:
         return Plan(Step.NONE, record.status.value)
     rule, next_rule_at = _applicable_rule(record, rules, now)
@@ -100,9 +106,9 @@
         return Plan(Step.DISCARD, "discarded-by-rule", rule)
     if rule.action is Action.HOLD:
         return _wait_for_rule("held-by-rule", rule, next_rule_at)
-    refusal = _resend_limit(record, rule, now, next_rule_at)
-    if refusal is not None:
-        return refusal
+    limited_plan = _resend_limit(record, rule, now, next_rule_at)
+    if limited_plan is not None:
+        return limited_plan
     decision = resend_decision(record, resend_settings, now, resend_duration)
     if decision.verdict is Verdict.WAIT:
         return Plan(Step.POSTPONE, decision.reason, rule, retry_at=decision.until or now)
@@ -112,7 +118,11 @@
 
 
 def _applicable_rule(record: Record, rules: tuple[Rule, ...], now: int) -> tuple[Rule | None, int]:
-    """The first rule that applies now, and when one for older records will apply, 0 if none will."""
+    """Return the first rule that applies now, and when an earlier rule for older records will apply.
+
+    The rule is None if none applies now. The time is a Unix time in nanoseconds, or 0 if no such rule will
+    apply.
+    """
     if record.resend_request:
         return OPERATOR_REQUEST, 0
     next_rule_at = 0
@@ -132,7 +142,7 @@
 
 
 def _resend_limit(record: Record, rule: Rule, now: int, next_rule_at: int) -> Plan | None:
-    """The plan where the rule's own limits forbid a resend now, None where they allow it."""
+    """Return the plan if the rule's own limits forbid a resend now, None if they allow one."""
     if rule is OPERATOR_REQUEST:
         return None
     if record.resend_count >= rule.max_resends:
--- a/honeyhitch/dead_letters/settings.py
+++ b/honeyhitch/dead_letters/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets up for undelivered messages, as typed values; config/dead_letters.py reads them."""
+"""Typed settings for undelivered messages; config/dead_letters.py reads them from the operator's file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 from honeyhitch.time_units import DAY, SECOND
 
-MATCHED_SETS = ("destinations", "classes", "tenants", "frontends", "endings", "reasons")  # of a rule
+# The fields of a rule that are sets of values to match.
+MATCHED_SETS = ("destinations", "classes", "tenants", "frontends", "endings", "reasons")
 
 
 class Action(Enum):
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One `[[undelivered.rule]]`. An empty set matches anything; durations are nanoseconds."""
+    """One `[[undelivered.rule]]` table. An empty set matches anything; durations are in nanoseconds."""
 
     name: str
     action: Action
@@ -32,55 +33,55 @@
     endings: frozenset[str] = frozenset()
     reasons: frozenset[str] = frozenset()
     may_have_executed: bool | None = None
-    min_age: int = 0  # since the message's end
-    max_resends: int = 3  # of one record
-    max_age: int = DAY  # since the message was accepted
-    min_healthy_duration: int = 60 * SECOND  # for which the destination must have been healthy
-    retry_pause: int = 60 * SECOND  # after a resend that failed; doubled with each further one
-    rate_per_second: float = 1.0  # resends by this rule
+    min_age: int = 0  # time since the message ended undelivered
+    max_resends: int = 3  # for each record
+    max_age: int = DAY  # time since the message was accepted
+    min_healthy_duration: int = 60 * SECOND  # how long the destination must have been healthy
+    retry_pause: int = 60 * SECOND  # pause after a failed resend; doubled after each further one
+    rate_per_second: float = 1.0  # resends that this rule may start
 
     def covers(self, later: Rule) -> bool:
-        """Whether this rule, which stands earlier, applies to whatever the later one matches."""
+        """Return whether this rule, listed earlier, applies to every record that `later` matches."""
         for name in MATCHED_SETS:
-            own: frozenset[object] = getattr(self, name)
-            matched: frozenset[object] = getattr(later, name)
-            if own and (not matched or not matched <= own):
+            own_values: frozenset[object] = getattr(self, name)
+            later_values: frozenset[object] = getattr(later, name)
+            if own_values and (not later_values or not later_values <= own_values):
                 return False
-        same_execution = self.may_have_executed in (None, later.may_have_executed)
-        return same_execution and self.min_age <= later.min_age
+        covers_execution = self.may_have_executed in (None, later.may_have_executed)
+        return covers_execution and self.min_age <= later.min_age
 
 
 @dataclass(frozen=True, slots=True)
 class ResendSettings:
-    """What holds for every resend. Durations are nanoseconds."""
+    """Settings that apply to every resend. Durations are in nanoseconds."""
 
-    client_retry_grace: int = 30 * SECOND  # after a client's retry time, in which its duplicate is expected
-    duplicates_elsewhere: bool = (
-        True  # a client's duplicate may go to another dispatcher, where it is not seen
-    )
-    duplicate_retention: int = DAY  # for which a message with the same key counts as a duplicate
-    capacity_fraction: float = 0.1  # of the call slots and of a destination's quota that resends may take
+    # How long after its retry time a client's duplicate is still expected.
+    client_retry_grace: int = 30 * SECOND
+    # Whether a client may submit a duplicate to another dispatcher, where this one does not see it.
+    duplicates_elsewhere: bool = True
+    duplicate_retention: int = DAY  # how long a message with the same key counts as a duplicate
+    capacity_fraction: float = 0.1  # share of the call slots and of a destination's quota for resends
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """How much the store may hold; what is over is dropped, resolved records first."""
+    """The most that the store may hold. Records beyond these limits are dropped, resolved ones first."""
 
-    max_bytes: int = 256_000_000  # of records as stored
+    max_bytes: int = 256_000_000  # size of the records as stored
     max_records: int = 100_000
-    max_age: int = 90 * DAY  # ns since a message's end
+    max_age: int = 90 * DAY  # ns since the message ended
 
 
 @dataclass(frozen=True, slots=True)
 class DeadLetterSettings:
-    """The table `[undelivered]`."""
+    """The settings table `[undelivered]`."""
 
-    directory: Path | None = None  # `undelivered` in the state directory where it is not set
+    directory: Path | None = None  # None for the directory `undelivered` in the state directory
     limits: StoreLimits = field(default_factory=StoreLimits)
-    compress_min_bytes: int = 512  # of a body
-    rules: tuple[Rule, ...] = ()  # the first that matches applies
+    compress_min_bytes: int = 512  # size from which a body is compressed
+    rules: tuple[Rule, ...] = ()  # the first rule that matches a record applies
     resend_settings: ResendSettings = field(default_factory=ResendSettings)
 
     def directory_in(self, state_directory: Path) -> Path:
-        """Where the store is."""
+        """Return the store's directory."""
         return self.directory if self.directory is not None else state_directory / "undelivered"
