--- a/honeyhitch/dead_letters/commands.py
+++ b/honeyhitch/dead_letters/commands.py
@@ -1,4 +1,4 @@
-"""The store's operations as commands of the control socket: POST /undelivered/NAME with JSON arguments."""
+"""Offers the store's operations on the control socket, as POST /undelivered/NAME with JSON arguments."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def register(commands: CommandRegistry, service: DeadLetterService) -> None:
-    """Add a command for each operation."""
+    """Add a control command for each operation on the store."""
 
     async def execute(request: ControlRequest) -> dict[str, Any]:
         try:
--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -33,7 +33,7 @@
     deduplication_window: int = 0  # ns after the first attempt during which the receiver drops a repeat
     first_possible_execution: int | None = None  # None if no attempt can have been executed
     deduplication_reachable: bool = True  # the resend reaches receivers that remember the key
-    client_retry_at: int | None = None  # when the client was asked to submit a duplicate, if at all
+    client_retry_at: int | None = None  # when the client was asked to submit the message again, else None
     accepted_at: int = 0
     duplicate_may_be_unseen: bool = False  # a client may have submitted a duplicate that was not recognised
     released: bool = False  # an operator recorded the receiver's evidence that the message was not applied
--- a/honeyhitch/dead_letters/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -1,7 +1,7 @@
-"""What people ask of a store: the same whether a running dispatcher does it or the command line itself.
+"""The operations on a store that operators request, through a running dispatcher or from the command line.
 
-Each operation takes and returns plain values that fit in JSON, and works on some hundred records at most, so
-that a long one is many short transactions: its answer tells after which record to go on.
+Each operation takes and returns values that can be written as JSON, and works on one page of records at most:
+a long task is split into many short transactions, and each answer says after which record to continue.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from honeyhitch.dead_letters.rules import resend_decision
 from honeyhitch.dead_letters.store import Store
 
-MAX_PAGE_SIZE = 1000  # records or audit entries of one answer
+MAX_PAGE_SIZE = 1000  # records or audit entries in one answer
 DEFAULT_LIST_SIZE = 50
 MAX_REASON_LENGTH = 1000  # characters
 MAX_NUMBER = 1 << 62
@@ -32,7 +32,7 @@
 
 
 class OperationError(ValueError):
-    """A request that cannot be done as it stands; the message says why."""
+    """A request with invalid arguments or to a damaged store; the message says why it failed."""
 
 
 def _number(arguments: Arguments, name: str, default: int, maximum: int = MAX_NUMBER) -> int:
@@ -72,21 +72,21 @@
 
 
 def list_records(store: Store, arguments: Arguments) -> Answer:
-    """A page of records: `filter`, `after`, `most`, `newest_first`, `bodies`."""
-    after = _number(arguments, "after", 0)
+    """Return a page of records. Arguments: `filter`, `after`, `most`, `newest_first`, `bodies`."""
+    after_sequence = _number(arguments, "after", 0)
     limit = _number(arguments, "most", DEFAULT_LIST_SIZE, MAX_PAGE_SIZE)
     include_bodies = _flag(arguments, "bodies")
     newest_first = _flag(arguments, "newest_first")
-    found = store.page(_filter(arguments), after, limit, newest_first)
+    page = store.page(_filter(arguments), after_sequence, limit, newest_first)
     return {
-        "records": [_export(stored, include_bodies) for stored in found],
-        "after": found[-1].record.sequence if found else after,
-        "more": len(found) == limit > 0,
+        "records": [_export(stored, include_bodies) for stored in page],
+        "after": page[-1].record.sequence if page else after_sequence,
+        "more": len(page) == limit > 0,
     }
 
 
 def show_record(store: Store, arguments: Arguments) -> Answer:
-    """One record with its body and its audit entries: `seq`."""
+    """Return one record with its body and its audit entries. Argument: `seq`."""
     sequence = _number(arguments, "seq", 0)
     stored = store.get(sequence)
     if stored is None:
@@ -96,7 +96,10 @@
 
 
 def count_records(store: Store, arguments: Arguments) -> Answer:
-    """How many records there are for each combination of `by`, and what was dropped."""
+    """Return record counts by group, the store's totals and limits, and how many records were dropped.
+
+    Arguments: `by` with the names of the fields to group by, and `filter`.
+    """
     group_names = arguments.get("by", ["standing", "may_have_run"])
     if not isinstance(group_names, list) or not all(name in GROUP_NAMES for name in group_names):
         raise OperationError(f"by: expected some of {', '.join(GROUP_NAMES)}")
@@ -123,26 +126,26 @@
 
 
 def list_audit(store: Store, arguments: Arguments) -> Answer:
-    """A page of all audit entries: `after`, `most`."""
-    after = _number(arguments, "after", 0)
+    """Return a page of all audit entries. Arguments: `after`, `most`."""
+    after_number = _number(arguments, "after", 0)
     limit = _number(arguments, "most", PAGE_SIZE, MAX_PAGE_SIZE)
-    entries = store.audit_page(after=after, limit=limit)
+    entries = store.audit_page(after=after_number, limit=limit)
     return {
         "audit": [entry.export() for entry in entries],
-        "after": entries[-1].number if entries else after,
+        "after": entries[-1].number if entries else after_number,
         "more": len(entries) == limit > 0,
     }
 
 
-# The changes that a person may make to a record. Each has an obstacle, which says why it does not apply to
-# a record and is empty if it does, and an effect.
+# The changes that an operator may make to a record. Each has a function that returns the obstacle
+# to the change (a text, empty if the change is possible) and a function that applies the change.
 
 
-def _not_pending(record: Record) -> str:
+def _pending_obstacle(record: Record) -> str:
     return "" if record.status is RecordStatus.PENDING else f"it is {record.status.value}"
 
 
-def _not_releasable(record: Record) -> str:
+def _release_obstacle(record: Record) -> str:
     if record.status is not RecordStatus.PENDING:
         return f"it is {record.status.value}"
     duplicate_possible = record.client_retry_at is not None or record.recovered_from_journal
@@ -170,49 +173,50 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordChange:
-    """A change that a person may make to a record."""
+    """A change that an operator may make to a record."""
 
     obstacle: Callable[[Record], str]
-    apply: Callable[[Record, str, str], None]  # to a record, by this actor, for this reason
+    apply: Callable[[Record, str, str], None]  # takes the record, the actor and the reason
 
 
 CHANGES = {
-    "discard": RecordChange(_not_pending, _discard),
-    "settle": RecordChange(_not_pending, _settle),
-    "release": RecordChange(_not_releasable, _release),
-    "resend": RecordChange(_not_pending, _request_resend),
+    "discard": RecordChange(_pending_obstacle, _discard),
+    "settle": RecordChange(_pending_obstacle, _settle),
+    "release": RecordChange(_release_obstacle, _release),
+    "resend": RecordChange(_pending_obstacle, _request_resend),
 }
 
 
 def change_records(store: Store, arguments: Arguments, actor: str) -> Answer:
-    """Change some of the chosen records: `verb`, `filter`, `why`, `dry_run`, `after`.
+    """Apply a change to the next page of the selected records, and return which records were changed.
 
-    A record that was altered on disk is never changed: a new seal would hide that.
+    Arguments: `verb`, `filter`, `why`, `dry_run`, `after`. A record that was altered on disk is never
+    changed, because a new seal would hide the alteration.
     """
-    name = arguments.get("verb")
+    change = arguments.get("verb")
     reason = _reason(arguments)
     dry_run = _flag(arguments, "dry_run")
-    if name not in CHANGES:
-        raise OperationError(f"verb: expected one of {', '.join(CHANGES)}, got {name!r}")
-    after = _number(arguments, "after", 0)
-    done = list[Answer]()
-    left = list[Answer]()
-    found = store.page(_filter(arguments), after, PAGE_SIZE)
-    for stored in found:
+    if change not in CHANGES:
+        raise OperationError(f"verb: expected one of {', '.join(CHANGES)}, got {change!r}")
+    after_sequence = _number(arguments, "after", 0)
+    changed = list[Answer]()
+    unchanged = list[Answer]()
+    page = store.page(_filter(arguments), after_sequence, PAGE_SIZE)
+    for stored in page:
         record = stored.record
         identity = {"seq": record.sequence, "id": record.id}
-        if obstacle := _obstacle(store, name, stored):
-            left.append(identity | {"why": obstacle})
+        if obstacle := _obstacle(store, change, stored):
+            unchanged.append(identity | {"why": obstacle})
             continue
         if not dry_run:
-            CHANGES[name].apply(record, actor, reason)
-            store.update(record, actor, name, reason)
-        done.append(identity)
+            CHANGES[change].apply(record, actor, reason)
+            store.update(record, actor, change, reason)
+        changed.append(identity)
     return {
-        "done": done,
-        "left": left,
-        "after": found[-1].record.sequence if found else after,
-        "more": len(found) == PAGE_SIZE,
+        "done": changed,
+        "left": unchanged,
+        "after": page[-1].record.sequence if page else after_sequence,
+        "more": len(page) == PAGE_SIZE,
         "dry_run": dry_run,
     }
 
@@ -221,15 +225,16 @@
     obstacle = stored.fault or CHANGES[change].obstacle(stored.record)
     if obstacle or change != "resend":
         return obstacle
-    # As it stands now: the decision is taken again when the record is resent.
+    # The decision holds for the present state of the record and is made again when the record is resent.
     decision = resend_decision(stored.record, store.resend_settings, store.clock(), 0)
     return decision.reason if decision.verdict is Verdict.HOLD else ""
 
 
 def purge_records(store: Store, arguments: Arguments, actor: str) -> Answer:
-    """Delete some of the chosen records that are settled or discarded: `filter`, `why`, `dry_run`.
+    """Delete a page of the selected records that are settled, discarded or replaced, and return the count.
 
-    With `altered` and a `seq`, the one record with that number if its seal is broken.
+    Arguments: `filter`, `why`, `dry_run`, `altered`. With `altered`, delete the one record whose number is
+    the filter's `seq`, whatever its status; its seal must be broken.
     """
     record_filter = _filter(arguments)
     reason = _reason(arguments)
@@ -250,24 +255,24 @@
 
 
 def rotate_keys(store: Store, arguments: Arguments, actor: str) -> Answer:
-    """One step of sealing everything with a new key: `step` says which, `after` what it goes on from.
+    """Do one step of resealing the whole store with a new key, and return the next step.
 
-    The answer says what comes next.
+    Arguments: `step`, and `after` with the number of the row after which the step continues.
     """
-    after = _number(arguments, "after", 0)
+    after_number = _number(arguments, "after", 0)
     match arguments.get("step", "start"):
         case "start":
             return {"next": "records", "after": 0, "key": key_rotation.start(store)}
         case "records":
-            last = key_rotation.reseal_records(store, after)
-            return {"next": "audit" if last is None else "records", "after": last or 0}
+            last_number = key_rotation.reseal_records(store, after_number)
+            return {"next": "audit" if last_number is None else "records", "after": last_number or 0}
         case "audit":
-            last = key_rotation.reseal_audit(store, after)
-            return {"next": "end" if last is None else "audit", "after": last or 0}
+            last_number = key_rotation.reseal_audit(store, after_number)
+            return {"next": "end" if last_number is None else "audit", "after": last_number or 0}
         case "end":
             store.append_audit(0, "", actor, "rekey", f"key {store.keys.current}")
-            left = key_rotation.retire_old_keys(store)
-            return {"next": "", "left": left, "key": store.keys.current}
+            remaining = key_rotation.retire_old_keys(store)
+            return {"next": "", "left": remaining, "key": store.keys.current}
         case other:
             raise OperationError(f"step: expected start, records, audit or end, got {other!r}")
 
@@ -286,7 +291,11 @@
 
 
 def execute(store: Store, name: str, arguments: Arguments, actor: str) -> Answer:
-    """Do the operation of this name. Raises OperationError, and sqlite3.Error from the file."""
+    """Run the operation with this name and return its answer.
+
+    Raises OperationError if the request is invalid or the store is damaged, and sqlite3.Error if the
+    database cannot be read or written.
+    """
     try:
         if name in READS:
             return READS[name](store, arguments)
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -1,4 +1,4 @@
-"""Binds the store to a running dispatcher: the threads, the transfer, the resends and the maintenance."""
+"""Connects the dead-letter store to a running dispatcher: threads, transfer, resends and maintenance."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 log = logs.get()
 MAINTENANCE_INTERVAL_SECONDS = 600.0
-QUEUE_TIMEOUT_SECONDS = 2.0  # for what the store is to do at the start, and for the queues at the end
-SWITCH_INTERVAL_SECONDS = 0.0002  # the standard 5 ms would stall the loop for as long
+QUEUE_TIMEOUT_SECONDS = 2.0  # limit for loading the store at start and for finishing the queues at stop
+SWITCH_INTERVAL_SECONDS = 0.0002  # Python's default of 5 ms would stall the event loop for that long
 MAX_WAITING_READS = 64
 
 
@@ -30,7 +30,7 @@
 
 
 class DeadLetterService:
-    """One store under a running dispatcher; a second thread reads, so that no question delays a write."""
+    """The dead-letter store of a running dispatcher. A second thread reads, so queries delay no write."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self._loop = loop
-        # The threads hold the interpreter for this long at most before the loop gets its turn.
+        # A store thread holds the interpreter lock for at most this long before the event loop can run.
         sys.setswitchinterval(min(sys.getswitchinterval(), SWITCH_INTERVAL_SECONDS))
         directory = settings.directory_in(state_directory)
 
@@ -70,7 +70,10 @@
         self.journal_transfer.stored_listeners.append(self.resend_scheduler.records_stored)
 
     def start(self, on_ready: Callable[[], None]) -> None:
-        """Learn what the store holds; `on_ready` is called then, or once it has taken too long."""
+        """Load the state of the store.
+
+        `on_ready` is called once, when loading has ended or after QUEUE_TIMEOUT_SECONDS, whichever is first.
+        """
         called = False
 
         def call_ready() -> None:
@@ -83,7 +86,7 @@
         self._loop.call_later(QUEUE_TIMEOUT_SECONDS, call_ready)
 
     def metrics(self) -> dict[str, Any]:
-        """The service's state, for the control socket."""
+        """Return the service's state for the control socket."""
         transfer = self.journal_transfer
         discarded = transfer.counts.discarded
         return {
@@ -95,9 +98,10 @@
         }
 
     async def execute(self, operation: str, arguments: dict[str, Any], actor: str) -> dict[str, Any]:
-        """Do an operation on the store (operations.py).
+        """Run an operation on the store (operations.py) and return its answer.
 
-        Raises StoreBusyError, OperationError, StoreError, sqlite3.Error.
+        Raises StoreBusyError if the queue to the store is full, OperationError if the request is invalid or
+        the store is damaged, and StoreError or sqlite3.Error if the store cannot be opened, read or written.
         """
         worker = self._reader if operation in operations.READS else self._writer
         return dict(
@@ -105,10 +109,10 @@
         )
 
     async def _run(self, worker: StoreWorker, job: Job) -> Any:
-        """The job's result. Raises StoreBusyError, and whatever the job raises."""
+        """Return the job's result. Raises StoreBusyError if the queue is full, and any error of the job."""
         future: asyncio.Future[Any] = self._loop.create_future()
 
-        def done(result: Any) -> None:
+        def on_done(result: Any) -> None:
             if future.done():  # the request was cancelled
                 return
             if isinstance(result, Exception):
@@ -116,22 +120,25 @@
             else:
                 future.set_result(result)
 
-        if not worker.submit(job, done):
+        if not worker.submit(job, on_done):
             raise StoreBusyError("the queue to the store is full")
         return await future
 
     async def maintain(self) -> None:
-        """Drop from time to time what is over age, also where nothing new comes."""
+        """Drop records beyond the store's limits every MAINTENANCE_INTERVAL_SECONDS, and free their space.
+
+        Records that are over age are dropped in this way even if no new record arrives.
+        """
         while True:
             try:
                 log_dropped(await self._run(self._writer, Store.enforce_limits))
                 await self._run(self._writer, Store.reclaim_space)
-            except Exception as error:  # noqa: BLE001  # whatever failed, the next job opens the store again
+            except Exception as error:  # noqa: BLE001  # the next job opens the store again after any failure
                 log.error("dead-letter.store-failed", error=str(error), key=str(error))
             await asyncio.sleep(MAINTENANCE_INTERVAL_SECONDS)
 
     async def stop(self) -> None:
-        """Finish what is queued, for a bounded time; the rest stays in the journal."""
+        """Finish the queued jobs within a bounded time; messages not stored by then stay in the journal."""
         await asyncio.gather(
             *(
                 asyncio.to_thread(worker.stop, QUEUE_TIMEOUT_SECONDS)
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -1,4 +1,4 @@
-"""A thread that does a store's I/O, so that no sync of the disk stalls the event loop."""
+"""A thread that does a store's I/O, so that an fsync does not stall the event loop."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from honeyhitch.dead_letters.store import Store
 
 log = logs.get()
-MAX_BATCH_JOBS = 64  # in one transaction
+MAX_BATCH_JOBS = 64  # jobs in one transaction
 MAX_QUEUED_JOBS = 1024
 Job = Callable[[Store], Any]
-JobCallback = Callable[[Any], None]  # given the job's result, or the exception that it ended with
+JobCallback = Callable[[Any], None]  # receives the job's result, or the exception that the job raised
 
 
 class StoreWorker:
-    """One thread, one store, and a bounded queue of jobs; `post` runs a callback on the event loop."""
+    """A thread that runs jobs on one store from a bounded queue; `post` runs a callback on the event loop."""
 
     def __init__(
         self,
@@ -36,23 +36,26 @@
         self._thread = threading.Thread(target=self._run, name="undelivered", daemon=True)
         self._thread.start()
 
-    def submit(self, job: Job, done: JobCallback) -> bool:
-        """Queue a job; `done` is called on the loop in any case then. Returns False if the queue is full."""
+    def submit(self, job: Job, on_done: JobCallback) -> bool:
+        """Queue a job and return True, or return False if the queue is full.
+
+        `on_done` is called on the event loop with the result of each queued job, also if the job failed.
+        """
         try:
-            self._jobs.put_nowait((job, done))
+            self._jobs.put_nowait((job, on_done))
         except queue.Full:
             return False
         return True
 
     def stop(self, timeout_seconds: float) -> None:
-        """Finish the queued jobs within this time, and end the thread."""
+        """Ask the thread to end after the queued jobs, and wait for it at most twice `timeout_seconds`."""
         try:
             self._jobs.put(None, timeout=timeout_seconds)
         except queue.Full:
             return
         self._thread.join(timeout_seconds)
 
-    # In the thread.
+    # The methods below run in the thread.
 
     def _run(self) -> None:
         stopping = False
@@ -63,7 +66,7 @@
         self._close()
 
     def _next_batch(self) -> list[tuple[Job, JobCallback] | None]:
-        """Wait for a job, and take what is queued behind it; None stands for the end."""
+        """Wait for a job, and return it with the jobs queued behind it. None is the request to stop."""
         batch = [self._jobs.get()]
         while len(batch) < MAX_BATCH_JOBS:
             try:
@@ -75,21 +78,21 @@
     def _run_batch(self, batch: list[tuple[Job, JobCallback]]) -> None:
         try:
             results = self._run_in_transaction([job for job, _ in batch])
-        except Exception as error:  # noqa: BLE001  # it must reach the callback, and not end the thread
-            if len(batch) > 1:  # one of them may be at fault: each in a separate transaction
+        except Exception as error:  # noqa: BLE001  # the error must reach the callback and not end the thread
+            if len(batch) > 1:  # one job may have failed: run each job in a separate transaction
                 for queued in batch:
                     self._run_batch([queued])
                 return
             self._handle_failure(error)
             results = [error]
-        for (_, done), result in zip(batch, results, strict=True):
-            self._report(done, result)
+        for (_, on_done), result in zip(batch, results, strict=True):
+            self._report(on_done, result)
 
     def _handle_failure(self, error: Exception) -> None:
         if not isinstance(error, (StoreError, sqlite3.Error, OSError)):
             log.error("dead-letter.job-failed", exc_info=error)
         if isinstance(error, (sqlite3.DatabaseError, OSError)):
-            self._close()  # opened anew for the next job
+            self._close()  # the next job opens the store again
 
     def _run_in_transaction(self, jobs: list[Job]) -> list[Any]:
         if self._store is not None and not self._store.file_unmoved():
@@ -104,9 +107,9 @@
         with store.transaction():
             return [job(store) for job in jobs]
 
-    def _report(self, done: JobCallback, result: Any) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop is closed
-            self._post(lambda: done(result))
+    def _report(self, on_done: JobCallback, result: Any) -> None:
+        with contextlib.suppress(RuntimeError):  # the event loop is closed
+            self._post(lambda: on_done(result))
 
     def _close(self) -> None:
         if self._store is None:
