--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -1,12 +1,14 @@
-"""Resends what the rules allow: from the store through the journal and the policy, and back to the store.
+"""Resends the dead letters that the rules allow, and coordinates the resends with clients' duplicates.
 
-It does no I/O itself: the store's work is submitted to its thread, the clock is the dispatcher's. Every step
-is written down before the next one, and may be repeated after a kill (docs/design/undelivered.md):
+The scheduler does no I/O itself: it submits the store's work to the store's thread and uses the dispatcher's
+clock. Each step is made durable before the next one starts, and may be repeated after the process was killed
+(docs/design/undelivered.md):
 
-1. the resend is written to the journal, under an id that follows from the record;
-2. the store claims the record for it (`sending`), or says that it must not be sent;
-3. the policy gets it, at low priority;
-4. its end is written to the journal, then to the record, and then it leaves the journal.
+1. the dispatcher writes the resend to the journal, under an id that is derived from the record;
+2. the store claims the record for the resend (status `sending`), or refuses the resend;
+3. the policy schedules the resend at low priority;
+4. the resend's ending is written to the journal and then to the record; after that the resend is removed from
+   the journal.
 """
 
 from __future__ import annotations
@@ -38,13 +40,14 @@
 from honeyhitch.time_units import MILLISECOND, NEVER, SECOND
 
 log = logs.get()
-POLL_INTERVAL = SECOND // 5  # at which resends are started
-REFRESH_INTERVAL = 5 * SECOND  # at which the store is asked what is due, whatever is known to be
-MIN_RETRY_PAUSE = SECOND  # between attempts to write an end while the store fails
+POLL_INTERVAL = SECOND // 5  # between checks for resends that may start
+# Longest time between queries of the store, even if no record is known to be due.
+REFRESH_INTERVAL = 5 * SECOND
+MIN_RETRY_PAUSE = SECOND  # between attempts to write a resend's ending while the store fails
 MAX_RETRY_PAUSE = 60 * SECOND
 DESTINATIONS_PER_POLL = 64
-UNLIMITED = NEVER  # ns of health, for a single probe of an unhealthy destination
-ANSWER_LEAD_TIME = 50 * MILLISECOND  # before its deadline at which a waiting duplicate is answered
+UNLIMITED = NEVER  # healthy duration in ns that satisfies every rule, so that a single resend may probe
+ANSWER_LEAD_TIME = 50 * MILLISECOND  # how long before its deadline a waiting duplicate is answered
 QUEUE_FULL = "the queue to the store is full"
 
 
@@ -53,7 +56,7 @@
 
 
 class ResendScheduler:
-    """The frontend that submits resends, and the ResendCoordinator between them and clients' duplicates."""
+    """The frontend that submits resends, and the ResendCoordinator of resends and clients' duplicates."""
 
     def __init__(
         self,
@@ -76,8 +79,9 @@
         self.rule_rates = RuleRates()
         capacity_fraction = settings.resend_settings.capacity_fraction
         self.pacing = ResendPacing(capacity_fraction, policy_settings.max_concurrent_calls)
-        self.resends_in_progress: dict[str, Transaction] = {}  # from the journal's record to the store's
-        self.waiting_duplicates: dict[Key, list[Transaction]] = {}  # that wait for the end of a resend
+        # By id: resends that are in the journal and whose ending is not yet in the store.
+        self.resends_in_progress: dict[str, Transaction] = {}
+        self.waiting_duplicates: dict[Key, list[Transaction]] = {}  # each waits for a resend with its key
         self.due_at: dict[int, int] = {}  # by destination: when the first scheduled record is due
         self.rotation: list[int] = []  # destinations in the order in which they are polled
         self.loaded = False
@@ -87,14 +91,14 @@
         dispatcher.frontends[RESEND_FRONTEND] = self
         dispatcher.resend_coordinator = self
 
-    # The start, and new rules.
+    # Start and change of rules.
 
     def load(self, on_ready: Callable[[], None]) -> None:
-        """Learn what the store holds; `on_ready` is called once that is known, or cannot be."""
+        """Load the state of the store. `on_ready` is called when that has succeeded or failed."""
         messages = self.dispatcher.messages
         for transaction in (*messages.by_id.values(), *messages.pending_dead_letters.values()):
-            live = transaction.ending is None or _awaits_store(transaction)
-            if transaction.frontend != RESEND_FRONTEND and live:
+            is_live = transaction.ending is None or _awaits_store(transaction)
+            if transaction.frontend != RESEND_FRONTEND and is_live:
                 self.duplicates.add_live(transaction)
         journaled_ids = frozenset(messages.by_id)
         now = self.scheduler.now()
@@ -102,18 +106,18 @@
         def job(store: Store) -> tuple[DuplicateIndex, dict[int, int], int]:
             lost_count = resend_store.release_lost_resends(store, journaled_ids)
             resend_store.schedule_all(store)
-            keyed = resend_store.keyed_records(store, now)
-            index = DuplicateIndex.from_records(keyed, store.resend_settings.duplicate_retention)
+            keyed_records = resend_store.keyed_records(store, now)
+            index = DuplicateIndex.from_records(keyed_records, store.resend_settings.duplicate_retention)
             return index, resend_store.due_by_destination(store), lost_count
 
-        def done(result: Any) -> None:
-            self._loaded(result)
+        def on_done(result: Any) -> None:
+            self._on_loaded(result)
             on_ready()
 
-        if not self.submit(job, done):
-            done(RuntimeError(QUEUE_FULL))
+        if not self.submit(job, on_done):
+            on_done(RuntimeError(QUEUE_FULL))
 
-    def _loaded(self, result: Any) -> None:
+    def _on_loaded(self, result: Any) -> None:
         if isinstance(result, Exception):
             log.error("dead-letter.index-not-loaded", error=str(result), key=str(result))
             retry_at = self.scheduler.now() + MAX_RETRY_PAUSE
@@ -127,15 +131,15 @@
         self._poll()
 
     def replace_rules(self, rules: tuple[Rule, ...]) -> None:
-        """New rules: they hold for resends that begin from now on; those in progress come to their end."""
+        """Apply new rules to the resends that start from now on. Resends in progress run to their end."""
         self.rules = rules
         self.submit(resend_store.schedule_all, lambda _: self.refresh_soon())
 
     def refresh_soon(self) -> None:
-        """Ask the store at the next poll, as something in it is new."""
+        """Query the store at the next poll, because it holds new or changed records."""
         self.refresh_at = 0
 
-    # What may be resent.
+    # Selection and start of resends.
 
     def _poll(self) -> None:
         now = self.scheduler.now()
@@ -144,7 +148,7 @@
         self._query_due()
 
     def _query_due(self) -> None:
-        """Ask the store for records that are due, unless it is being asked or nothing can be."""
+        """Query the store for due records, unless a query is pending or no resend may start."""
         now = self.scheduler.now()
         accepting = self.dispatcher.accepting and not self.dispatcher.draining
         if not self.loaded or self.query_pending or not accepting:
@@ -157,17 +161,17 @@
         rules = self._resend_rules()
 
         def job(store: Store) -> tuple[list[ResendCandidate], dict[int, int]]:
-            found = resend_store.due_candidates(store, demand, rules, now)
-            return found, resend_store.due_by_destination(store)
+            candidates = resend_store.due_candidates(store, demand, rules, now)
+            return candidates, resend_store.due_by_destination(store)
 
-        if not self.submit(job, self._due_found):
+        if not self.submit(job, self._on_due_candidates):
             self.query_pending = False
 
     def _resend_rules(self) -> ResendRules:
         return ResendRules(self.rules, self.resend_durations)
 
     def _demand(self, now: int) -> dict[int, DestinationDemand]:
-        """The next destinations in turn at which resends may begin."""
+        """Return, for the next destinations in the rotation, how many resends may start, if any."""
         if len(self.rotation) < DESTINATIONS_PER_POLL or not self.rotation:
             self.rotation += sorted(self.due_at.keys() - set(self.rotation))
         polled = self.rotation[:DESTINATIONS_PER_POLL]
@@ -185,7 +189,7 @@
                 remaining -= available
         return demand
 
-    def _due_found(self, result: Any) -> None:
+    def _on_due_candidates(self, result: Any) -> None:
         self.query_pending = False
         if isinstance(result, Exception):
             log.error("dead-letter.store-failed", error=str(result), key=str(result))
@@ -203,7 +207,7 @@
             return
         health = destination_health(self.dispatcher.policy, record.destination, now)
         if not self.pacing.available_resends(record.destination, health, now):
-            return  # its health has changed meanwhile; the record is still due
+            return  # the destination's health has changed since the query; the record is still due
         if not self.rule_rates.acquire(rule.name, rule.rate_per_second, now):
             self._postpone(record, now + int(SECOND / rule.rate_per_second))
             return
@@ -215,8 +219,8 @@
         self._track(resend, now)
         self._claim(resend)
 
-    def _postpone(self, record: Record, at: int) -> None:
-        self.submit(lambda store: resend_store.postpone(store, record.sequence, at), lambda _: None)
+    def _postpone(self, record: Record, due_at: int) -> None:
+        self.submit(lambda store: resend_store.postpone(store, record.sequence, due_at), lambda _: None)
 
     def _track(self, resend: Transaction, now: int) -> None:
         self.resends_in_progress[resend.id] = resend
@@ -224,7 +228,7 @@
         self.pacing.resend_started(resend.destination, now)
 
     def _claim(self, resend: Transaction) -> None:
-        """Claim the resend's record in the store; send it if that succeeds."""
+        """Claim the resend's record in the store, and send the resend if the claim succeeds."""
         rules = self._resend_rules()
         now = self.scheduler.now()
         sequence = int(resend.reply_context)
@@ -232,36 +236,37 @@
         def job(store: Store) -> Record | None:
             return resend_store.claim(store, sequence, resend.id, rules, now)
 
-        def done(result: Any) -> None:
-            if resend.ending is not None:  # cancelled meanwhile
+        def on_done(result: Any) -> None:
+            if resend.ending is not None:  # the resend was cancelled while the claim was queued
                 return
             if isinstance(result, Record):
                 resend.earlier_execution = resend_store.earlier_execution(result)
                 self.dispatcher.release(resend)
                 return
-            if isinstance(result, Exception):  # it may have been claimed all the same: its end is written
+            # The record may be claimed in spite of the error: concluding the resend updates the record.
+            if isinstance(result, Exception):
                 log.error("dead-letter.claim-failed", resend=resend.id, error=str(result), key=str(result))
             self.dispatcher.conclude(resend, Ending.REJECTED)
 
-        if not self.submit(job, done):
+        if not self.submit(job, on_done):
             self.dispatcher.conclude(resend, Ending.REJECTED)
 
-    # As a frontend: the end of a resend.
+    # Methods of a frontend: the ending of a resend.
 
     def answer(self, transaction: Transaction) -> None:
-        """Write a resend's end into the record; only then it leaves the journal."""
-        if transaction.id not in self.resends_in_progress:  # from before a start
+        """Write a resend's ending into its record, and remove the resend from the journal after that."""
+        if transaction.id not in self.resends_in_progress:  # recovered from the journal at a start
             self._track(transaction, self.scheduler.now())
 
-        def done(result: Any) -> None:
+        def on_done(result: Any) -> None:
             if isinstance(result, Exception):
                 self._retry_answer(transaction, result)
                 return
             self.retry_pause = MIN_RETRY_PAUSE
             self._resend_finished(transaction, result)
 
-        if not self.submit(lambda store: resend_store.finish(store, transaction), done):
-            done(RuntimeError(QUEUE_FULL))
+        if not self.submit(lambda store: resend_store.finish(store, transaction), on_done):
+            on_done(RuntimeError(QUEUE_FULL))
 
     def _retry_answer(self, transaction: Transaction, error: Exception) -> None:
         log.error("dead-letter.store-failed", error=str(error), key=str(error))
@@ -273,7 +278,7 @@
         self.pacing.resend_ended(resend.destination)
         self.duplicates.resend_ended(resend, KeyedRecord.of(record) if record is not None else None)
         self.dispatcher.answer_sent(resend)
-        if not self.resends_in_progress:  # the next ones need not wait for the poll
+        if not self.resends_in_progress:  # the next resends need not wait for the next poll
             self.scheduler.call_at(self.scheduler.now(), self._query_due)
         key = self.duplicates.key_of(resend)
         duplicates = self.waiting_duplicates.pop(key, []) if key is not None else []
@@ -289,10 +294,10 @@
         duplicate.earlier_execution = case.first_execution if case is not None and resend_attempted else None
         self.dispatcher.release(duplicate)
 
-    # As the ResendCoordinator.
+    # Methods of a ResendCoordinator.
 
     def decide_arrival(self, transaction: Transaction) -> ArrivalDecision:
-        """Decide on a message that a client submitted; one that must wait for a resend is set aside."""
+        """Return how to handle a client's message, and hold the message if it must wait for a resend."""
         now = self.scheduler.now()
         decision = self.duplicates.decide_arrival(transaction, now)
         key = self.duplicates.key_of(transaction)
@@ -310,18 +315,21 @@
                 self._cancel_resend(resend)
 
     def recover_resend(self, transaction: Transaction) -> None:
-        """Resume a resend that the journal still holds after a start: the store says if it was claimed."""
+        """Resume a resend that was found in the journal after a start.
+
+        The claim is repeated, as the store may not have made it. The resend is sent if the claim succeeds.
+        """
         self._track(transaction, self.scheduler.now())
         self._claim(transaction)
 
     def _cancel_resend(self, resend: Transaction) -> None:
-        """End a resend early, as its client has submitted a duplicate, unless an attempt is in flight."""
+        """End a resend whose client has submitted a duplicate, unless an attempt is in flight."""
         if resend.id not in self.dispatcher.calls_in_flight:
             not_executed = resend.first_possible_execution() is None
             self.dispatcher.conclude(resend, Ending.REJECTED if not_executed else Ending.FAILED)
 
     def _answer_waiting(self, duplicate: Transaction) -> None:
-        """Answer a duplicate whose deadline comes while the resend is still in flight."""
+        """Answer a duplicate whose deadline is near while the resend is still in progress."""
         key = self.duplicates.key_of(duplicate)
         if key is None or not self._stop_waiting(duplicate, key):
             return
@@ -331,7 +339,7 @@
             self.dispatcher.conclude(duplicate, Ending.FAILED)
 
     def _stop_waiting(self, duplicate: Transaction, key: Key) -> bool:
-        """Whether the duplicate was waiting; it does not any longer."""
+        """Remove the duplicate from those that wait for a resend, and return whether it was one of them."""
         waiting = self.waiting_duplicates.get(key, [])
         if duplicate not in waiting:
             return False
@@ -339,7 +347,7 @@
         return True
 
     def _may_repeat(self, transaction: Transaction) -> bool:
-        """Whether submitting the message once more is harmless, whatever the resend did."""
+        """Return whether the client may submit the message again, even if the resend was executed."""
         message_class = self.dispatcher.settings.classes[transaction.class_index]
         if message_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -349,7 +357,7 @@
         )
 
     def attempt_ended(self, transaction: Transaction, outcome: Outcome) -> None:
-        """One attempt of a message is over."""
+        """Handle the end of one attempt of a message."""
         if outcome is Outcome.DELIVERED:
             self.pacing.call_delivered(transaction.destination)
         key = self.duplicates.key_of(transaction)
@@ -358,28 +366,31 @@
             self._cancel_resend(transaction)
 
     def message_concluded(self, transaction: Transaction) -> None:
-        """A message's end is decided; one that the store gets stays live until it is there."""
+        """Handle the decided ending of a message, or its withdrawal.
+
+        A dead letter stays live until the store has it.
+        """
         if transaction.frontend == RESEND_FRONTEND or _awaits_store(transaction):
             return
         self.duplicates.remove_live(transaction)
         key = self.duplicates.key_of(transaction)
-        if key is not None:  # it may have been withdrawn while it waited
+        if key is not None:  # the message may have been withdrawn while it waited for a resend
             self._stop_waiting(transaction, key)
 
     def dead_letter_stored(self, transaction: Transaction) -> None:
-        """The store holds the message, or it was discarded."""
+        """Handle that the dead-letter store has stored or discarded a dead letter."""
         self.duplicates.remove_live(transaction)
         self.refresh_soon()
 
     def settles_dead_letter(self, transaction: Transaction) -> bool:
-        """Whether the delivery of a client's message settles a dead letter."""
+        """Return whether the delivery of a client's message settles a dead letter."""
         key = self.duplicates.key_of(transaction)
         if key is not None and self.duplicates.live_counts.get(key, 0) > 1:
-            return True  # one of the others may wait for the store
+            return True  # another live message with this key may be a dead letter that waits for the store
         return self.duplicates.find(transaction, self.scheduler.now()) is not None
 
     def state_summary(self) -> dict[str, Any]:
-        """The scheduler's state, for the control socket."""
+        """Return the scheduler's state for the control socket."""
         return {
             "loaded": self.loaded,
             "resends_out": len(self.resends_in_progress),
@@ -388,7 +399,7 @@
         }
 
     def records_stored(self, records: list[Record]) -> None:
-        """The store now holds these records."""
+        """Update the index of duplicates with records that the store now holds."""
         for record in records:
             if record.sequence:
                 self.duplicates.update(KeyedRecord.of(record))
--- a/honeyhitch/dead_letters/resend_store.py
+++ b/honeyhitch/dead_letters/resend_store.py
@@ -1,8 +1,8 @@
-"""The steps of a resend in the store: each is one transaction, and may be repeated after a kill.
+"""The steps of a resend in the store. Each is one transaction, and may be repeated after a kill.
 
-A record is claimed for a resend under an id that follows from its own, so that a claim repeated names the
-same resend. It has the status RESENDING until the resend's end is written into it; then it is settled, or
-pending as before with the resend's attempts in its history.
+A record is claimed for a resend whose id is derived from the record, so that a repeated claim names the same
+resend. The record has the status RESENDING until the resend's ending is written into it. Then it is settled,
+or pending again with the resend's attempts added to its history.
 """
 
 from __future__ import annotations
@@ -20,16 +20,18 @@
 from honeyhitch.policy.settings import Settings
 from honeyhitch.time_units import SECOND
 
-MAX_PLANNED_RECORDS = 64  # of a destination, planned at a time
-HEALTH_RECHECK_INTERVAL = (
-    30 * SECOND
-)  # until a record that waits for its destination's health is planned again
-RESEND_ID_BYTES = 8  # of the hash in a resend's id
+MAX_PLANNED_RECORDS = 64  # records of one destination planned in one query
+# Longest time after which a record that waits for its destination to be healthy is planned again.
+HEALTH_RECHECK_INTERVAL = 30 * SECOND
+RESEND_ID_BYTES = 8  # bytes of the hash in a resend's id
 
 
 @dataclass(frozen=True, slots=True)
 class ResendCandidate:
-    """A record that may be resent now, by this rule; `must_end_by` (ns) is 0 if it may end at any time."""
+    """A record that a rule allows to be resent now.
+
+    `must_end_by` is when the resend must have ended, a Unix time in nanoseconds, or 0 if there is no limit.
+    """
 
     record: Record
     rule: Rule
@@ -39,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationDemand:
-    """How many resends may begin at a destination, and for how long it has been healthy (ns)."""
+    """How many resends may start at a destination, and how long it has been healthy, in nanoseconds."""
 
     max_resends: int
     healthy_duration: int
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResendRules:
-    """The rules, and for each message class how long a resend takes at least (ns)."""
+    """The operator's rules and, for each message class by name, the time a resend needs, in nanoseconds."""
 
     rules: tuple[Rule, ...]
     durations: Mapping[str, int]
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """What has to be known of a record whose duplicates may come. Times are Unix times in nanoseconds."""
+    """The part of a record that is needed to handle its duplicates. Times are Unix times in nanoseconds."""
 
     sequence: int
     destination: int
@@ -71,7 +73,7 @@
 
     @classmethod
     def of(cls, record: Record) -> KeyedRecord:
-        """What has to be known of this record."""
+        """Return the part of the record that is needed to handle its duplicates."""
         return cls(
             sequence=record.sequence,
             destination=record.destination,
@@ -87,7 +89,7 @@
         )
 
 
-# The columns of KeyedRecord's fields, in their order.
+# Selects the columns in the order of KeyedRecord's fields.
 SELECT_KEYED = (
     "SELECT seq, destination, key, effect, window, standing, settled_by, ended_at, first_ran, first_zone,"
     " resends FROM record"
@@ -95,26 +97,26 @@
 
 
 def resend_id(record: Record) -> str:
-    """The id of a record's next resend: the same, whoever asks, until the record has been claimed."""
-    name = f"{record.id} {record.ended_at} {record.resend_count + 1}".encode()
-    return "r" + blake3(name).hexdigest(RESEND_ID_BYTES)
+    """Return the id of a record's next resend, which stays the same until the record is claimed."""
+    hashed_text = f"{record.id} {record.ended_at} {record.resend_count + 1}".encode()
+    return "r" + blake3(hashed_text).hexdigest(RESEND_ID_BYTES)
 
 
 def keyed_records(store: Store, now: int) -> list[KeyedRecord]:
-    """All records with a key whose duplicates may still come, at `now` (ns)."""
+    """Return all records with a key whose duplicates may still arrive at `now` (Unix time in nanoseconds)."""
     text = f"{SELECT_KEYED} WHERE key <> '' AND ended_at > ? AND standing <> 'replaced'"
-    oldest = now - store.resend_settings.duplicate_retention
-    return [KeyedRecord(*row) for row in store.database.execute(text, (oldest,))]
+    earliest_end = now - store.resend_settings.duplicate_retention
+    return [KeyedRecord(*row) for row in store.database.execute(text, (earliest_end,))]
 
 
 def schedule_all(store: Store) -> None:
-    """Plan each pending record again, as the rules are new."""
+    """Schedule every pending record to be planned now, because the rules may have changed."""
     store.database.execute("DELETE FROM plan")
     store.database.execute("INSERT INTO plan SELECT seq, destination, 0 FROM record WHERE standing = 'kept'")
 
 
 def due_by_destination(store: Store) -> dict[int, int]:
-    """The destinations for which records are scheduled, and when the first of them is due (ns)."""
+    """Return, by destination, when the first scheduled record is due (Unix time in nanoseconds)."""
     rows = store.database.execute("SELECT destination, min(next_at) FROM plan GROUP BY destination")
     return {int(destination): int(due_at) for destination, due_at in rows}
 
@@ -122,15 +124,15 @@
 def due_candidates(
     store: Store, demand: Mapping[int, DestinationDemand], rules: ResendRules, now: int
 ) -> list[ResendCandidate]:
-    """Records that may be resent now, by destination as many as are demanded.
+    """Return the records that may be resent now, at most as many for each destination as are demanded.
 
-    What may not be resent is scheduled for later, or discarded where a rule says so.
+    Other due records are scheduled for later, removed from the schedule, or discarded if a rule says so.
     """
-    found = list[ResendCandidate]()
+    candidates = list[ResendCandidate]()
     with store.transaction():
-        for destination, demanded in demand.items():
-            found += _destination_candidates(store, destination, demanded, rules, now)
-    return found
+        for destination, destination_demand in demand.items():
+            candidates += _destination_candidates(store, destination, destination_demand, rules, now)
+    return candidates
 
 
 def _destination_candidates(
@@ -138,20 +140,20 @@
 ) -> list[ResendCandidate]:
     text = "SELECT seq FROM plan WHERE destination = ? AND next_at <= ? ORDER BY next_at, seq LIMIT ?"
     rows = store.database.execute(text, (destination, now, MAX_PLANNED_RECORDS)).fetchall()
-    found = list[ResendCandidate]()
+    candidates = list[ResendCandidate]()
     for (sequence,) in rows:
-        if len(found) == demand.max_resends:
+        if len(candidates) == demand.max_resends:
             break
         candidate = _plan_scheduled(store, sequence, demand.healthy_duration, rules, now)
         if candidate is not None:
-            found.append(candidate)
-    return found
+            candidates.append(candidate)
+    return candidates
 
 
 def _plan_scheduled(
     store: Store, sequence: int, healthy_duration: int, rules: ResendRules, now: int
 ) -> ResendCandidate | None:
-    """Plan one scheduled record, and do what the plan says; the candidate if that is a resend now."""
+    """Plan one scheduled record and carry out the plan. Return a candidate if it may be resent now."""
     record = _resendable(store, sequence, rules)
     if record is None:
         store.database.execute("DELETE FROM plan WHERE seq = ?", (sequence,))
@@ -163,10 +165,10 @@
     elif plan.step is Step.POSTPONE:
         store.schedule(record, max(plan.retry_at, now + 1))
     elif plan.step is Step.RESEND and plan.rule is not None:
-        missing = plan.rule.min_healthy_duration - healthy_duration
-        if missing <= 0:
+        remaining_duration = plan.rule.min_healthy_duration - healthy_duration
+        if remaining_duration <= 0:
             return ResendCandidate(record, plan.rule, plan.reason, plan.must_end_by)
-        store.schedule(record, now + min(HEALTH_RECHECK_INTERVAL, missing))
+        store.schedule(record, now + min(HEALTH_RECHECK_INTERVAL, remaining_duration))
     else:
         store.schedule(record, None)
     return None
@@ -178,7 +180,7 @@
 
 
 def _resendable(store: Store, sequence: int, rules: ResendRules) -> Record | None:
-    """The record if it is intact and of a class that the settings still have."""
+    """Return the record if it is intact and the settings still have its message class, else None."""
     record = _intact(store, sequence)
     return record if record is not None and record.class_name in rules.durations else None
 
@@ -188,15 +190,15 @@
     return plan_record(record, rules.rules, store.resend_settings, now, duration)
 
 
-def postpone(store: Store, sequence: int, at: int) -> None:
-    """Plan a scheduled record again at this time (ns)."""
-    store.database.execute("UPDATE plan SET next_at = ? WHERE seq = ?", (at, sequence))
+def postpone(store: Store, sequence: int, due_at: int) -> None:
+    """Schedule a record, if it is scheduled already, for `due_at` (Unix time in nanoseconds)."""
+    store.database.execute("UPDATE plan SET next_at = ? WHERE seq = ?", (due_at, sequence))
 
 
 def claim(store: Store, sequence: int, claimed_id: str, rules: ResendRules, now: int) -> Record | None:
-    """Take the record for the resend with this id; None if that must not be sent.
+    """Claim a record for the resend `claimed_id` and return it, or None if the resend must not be sent.
 
-    Repeated, it answers the same.
+    A repeated claim returns the same result.
     """
     with store.transaction():
         record = _intact(store, sequence)
@@ -216,47 +218,47 @@
         return record
 
 
-def finish(store: Store, ended: Transaction) -> Record | None:
-    """Write a resend's end into the record that waits for it.
+def finish(store: Store, resend: Transaction) -> Record | None:
+    """Write a resend's ending into the record that was claimed for the resend.
 
-    Returns the record as it is then, None if there is none that is intact.
+    Returns the record in its new state, or None if the store has no intact record for the resend.
     """
     with store.transaction():
-        record = _intact(store, int(ended.reply_context))
+        record = _intact(store, int(resend.reply_context))
         if record is None:
             return None
-        if record.resend_id != ended.id or record.status is not RecordStatus.RESENDING:
-            return record  # never claimed; or written already, before a kill
-        _add_attempts(record, ended)
+        if record.resend_id != resend.id or record.status is not RecordStatus.RESENDING:
+            return record  # never claimed, or the ending was written already, before a kill
+        _add_attempts(record, resend)
         record.resend_request = ""
-        if ended.ending is Ending.DELIVERED:
+        if resend.ending is Ending.DELIVERED:
             record.status = RecordStatus.SETTLED
-            record.settled_by = f"resend:{ended.id}"
-            store.update(record, ACTOR, "settled", f"resend {ended.id} was delivered")
+            record.settled_by = f"resend:{resend.id}"
+            store.update(record, ACTOR, "settled", f"resend {resend.id} was delivered")
             return record
         record.status = RecordStatus.PENDING
-        reason = failure_reason(ended)
-        if ended.attempt_count:
+        reason = failure_reason(resend)
+        if resend.attempt_count:
             record.reason = reason
-        store.update(record, ACTOR, "resend-ended", f"resend {ended.id}: {reason}")
+        store.update(record, ACTOR, "resend-ended", f"resend {resend.id}: {reason}")
         return record
 
 
-def _add_attempts(record: Record, ended: Transaction) -> None:
-    record.attempts = (*record.attempts, *ended.attempt_history)
-    executed = ended.first_possible_execution()
-    if executed is None:
+def _add_attempts(record: Record, resend: Transaction) -> None:
+    record.attempts = (*record.attempts, *resend.attempt_history)
+    resend_execution = resend.first_possible_execution()
+    if resend_execution is None:
         return
-    known = record.first_possible_execution
-    if known is None or executed[0] < known or record.evidence:
-        record.first_possible_execution, record.first_execution_zone = executed
-    record.evidence = ""  # what was proved of earlier attempts says nothing of this one
+    recorded_execution = record.first_possible_execution
+    if recorded_execution is None or resend_execution[0] < recorded_execution or record.evidence:
+        record.first_possible_execution, record.first_execution_zone = resend_execution
+    record.evidence = ""  # the evidence covered earlier attempts only, not the resend's attempts
 
 
 def release_lost_resends(store: Store, journaled_ids: frozenset[str]) -> int:
-    """Make records pending whose resend the journal does not hold, as after the loss of its directory.
+    """Make records pending again whose resend is missing from the journal, and return how many there were.
 
-    Such resends may have been executed. Returns how many there were.
+    A resend is missing if the journal's directory was lost, for example. It may have been executed.
     """
     count = 0
     with store.transaction():
@@ -276,7 +278,10 @@
 
 
 def resend_transaction(candidate: ResendCandidate, settings: Settings, now: int) -> Transaction:
-    """The fresh message that a resend is: a new id and a new deadline, the same key."""
+    """Return the message to send for a resend. It has a new id and deadline, and the record's key and body.
+
+    `now` is a Unix time in nanoseconds.
+    """
     record = candidate.record
     class_index = settings.class_names.index(record.class_name)
     deadline = now + settings.classes[class_index].deadline
@@ -297,7 +302,11 @@
 
 
 def earlier_execution(record: Record) -> tuple[int, int] | None:
-    """When (ns) and in which zone earlier attempts may have been executed, unless it is proved none was."""
+    """Return when and in which zone the record's attempts may first have been executed.
+
+    The time is a Unix time in nanoseconds. The result is None if no attempt can have been executed, or if the
+    receiver's evidence shows that none was.
+    """
     if record.first_possible_execution is None or record.evidence:
         return None
     return record.first_possible_execution, record.first_execution_zone
