--- a/tests/dead_letters_rig.py
+++ b/tests/dead_letters_rig.py
@@ -1,4 +1,4 @@
-"""A dispatcher in virtual time with a real store of dead letters, which can be killed at any write."""
+"""A dispatcher in virtual time with a real dead-letter store. A test can kill it at any write."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 
 
 class Killed(BaseException):
-    """The process was killed in the middle of what it did."""
+    """Stands for the kill of the process: raised at a kill point and not handled by the code under test."""
 
 
 class KillPoints:
-    """Counts the points at which a kill may strike, and kills at one of them."""
+    """Counts the points at which the process may be killed, and kills it at the point `kill_at`."""
 
     def __init__(self, kill_at: int = NEVER_KILLED) -> None:
         self.kill_at = kill_at
         self.count = 0
 
     def reaches_kill(self) -> bool:
-        """Count one more point; whether the kill strikes there."""
+        """Count one more point, and return whether the process is killed there."""
         self.count += 1
         return self.count == self.kill_at
 
     def pass_point(self) -> None:
-        """Count one more point. Raises Killed if the kill strikes there."""
+        """Count one more point. Raises Killed if the process is killed there."""
         if self.reaches_kill():
             raise Killed
 
 
 class KilledJournal(Journal):
-    """A journal whose process may be killed before, in the middle of and after each write."""
+    """A journal whose process may be killed before, during and after each write."""
 
     kill_points = KillPoints()
 
@@ -61,7 +61,7 @@
 
 
 class KilledStore(Store):
-    """A store whose process may be killed before, inside and after each transaction."""
+    """A store whose process may be killed before, during and after each transaction."""
 
     kill_points = KillPoints()
 
@@ -78,7 +78,7 @@
 
 
 class InlineWorker:
-    """Stands for the worker's thread: a job is done on the loop's next turn, and fails with `failure`."""
+    """Replaces the worker's thread: a job runs at the next event in virtual time, or fails with `failure`."""
 
     def __init__(self, open_store: Callable[[], Store], time: VirtualTime) -> None:
         self._open_store = open_store
@@ -86,12 +86,12 @@
         self.store: Store | None = None
         self.failure: Exception | None = None
 
-    def submit(self, job: Job, done: JobCallback) -> bool:
-        """Queue a job, as StoreWorker does; the queue is never full."""
-        self.time.call_at(self.time.time, lambda: self._run(job, done))
+    def submit(self, job: Job, on_done: JobCallback) -> bool:
+        """Queue a job like StoreWorker.submit and return True; the queue is never full."""
+        self.time.call_at(self.time.time, lambda: self._run(job, on_done))
         return True
 
-    def _run(self, job: Job, done: JobCallback) -> None:
+    def _run(self, job: Job, on_done: JobCallback) -> None:
         try:
             if self.failure is not None:
                 raise self.failure
@@ -100,10 +100,10 @@
                 result = job(store)
         except (sqlite3.Error, OSError) as error:
             result = error
-        done(result)
+        on_done(result)
 
     def open(self) -> Store:
-        """The store, opened if it is not."""
+        """Open the store if it is not open, and return it."""
         if self.store is None:
             self.store = self._open_store()
         return self.store
@@ -116,7 +116,7 @@
 
 
 class DeadLetterRig(DispatcherRig):
-    """A dispatcher with a store. `kill_points` decides where it is killed."""
+    """A dispatcher with a dead-letter store. `kill_points` determines where the process is killed."""
 
     resend_settings = ResendSettings()
 
@@ -126,16 +126,16 @@
         time: VirtualTime | None = None,
         kill_points: KillPoints | None = None,
         limits: StoreLimits | None = None,
-        **more: Any,
+        **rig_options: Any,
     ) -> None:
         self.folder = folder
         self.kill_points = kill_points or KillPoints()
         self.limits = limits or StoreLimits()
-        super().__init__(folder, time, **more)
+        super().__init__(folder, time, **rig_options)
 
     def make_journal(self, folder: Path, disk: int) -> Journal:
         journal = KilledJournal.__new__(KilledJournal)
-        journal.kill_points = self.kill_points  # before __init__, which writes already
+        journal.kill_points = self.kill_points  # set before __init__, which already writes
         journal.__init__(folder, disk, self.time.now, lambda _ended: 20 * SECOND, detailed=True)  # type: ignore[misc]
         return journal
 
@@ -158,11 +158,11 @@
 
     @property
     def store(self) -> Store:
-        """The store, opened if it is not."""
+        """The store, which is opened if it is not open."""
         return self.worker.open()
 
     def close_as_killed(self) -> None:
-        """Close the files as the system does for a process that was killed, and drop its timers."""
+        """Close the files, as the system does when a process is killed, and drop the timers."""
         self.worker.close()
         self.journal.close()
         self.time.heap.clear()
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -1,7 +1,8 @@
-"""A receiver that fails in mixed ways, with a ledger of what it applied, and clients that send duplicates.
+"""A receiver that fails in mixed ways and records what it applied, and clients that submit duplicates.
 
-One run is a day in virtual time with a real dispatcher, journal and store, killed at random steps. Afterwards
-the ledgers tell whether anything was applied twice, and the store whether anything was not resent.
+One run is a series of steps in virtual time, called a day, with a real dispatcher, journal and store. The
+process is killed at points that the test chooses. Afterwards the receiver's ledger shows whether any message
+was applied twice, and the store shows whether any message was not resent.
 """
 
 from __future__ import annotations
@@ -54,11 +55,16 @@
     rate_per_second=20.0,
 )
 RESEND_SETTINGS = ResendSettings(client_retry_grace=8 * SECOND, duplicates_elsewhere=False)
-FAILURE_MODES = (
+RESPONSE_MODES = (
     "deliver", "refuse", "reset-before", "reset-after", "late", "late-lost", "500-after", "500-before",
     "spoilt", "part",
 )  # fmt: skip
-APPLYING_MODES = ("deliver", "reset-after", "500-after", "spoilt")  # the receiver applies all messages
+APPLYING_MODES = (
+    "deliver",
+    "reset-after",
+    "500-after",
+    "spoilt",
+)  # modes in which the receiver applies all messages
 OUTCOME_OF_MODE = {
     "deliver": Outcome.DELIVERED,
     "refuse": Outcome.REJECTED,
@@ -66,37 +72,39 @@
     "late-lost": Outcome.TIMEOUT,
     "reset-before": Outcome.RESET,
     "reset-after": Outcome.RESET,
-}  # all others are errors
-MAX_SUBMISSIONS = 4  # of a client's message, its duplicates included
+}  # the outcome of all other modes is ERROR
+MAX_SUBMISSIONS = 4  # submissions of one client's message, including its duplicates
 DEADLINE = 6 * SECOND
 STEP_SECONDS = 0.2
 
 
 @dataclass
-class Partner:
-    """The receiver's ledger: when it applied each key.
+class Receiver:
+    """The receiver of the messages. Its ledger holds the times at which it applied each key.
 
-    A keyed repeat inside the deduplication window is dropped; any other is noted again.
+    A repeat inside the deduplication window of its class is dropped. Any other repeat is applied, too.
     """
 
     ledger: dict[str, list[int]] = field(default_factory=dict)
-    due: list[tuple[int, int, str, int]] = field(default_factory=list)  # when, order, key, window
+    due: list[tuple[int, int, str, int]] = field(
+        default_factory=list
+    )  # time, order, key and deduplication window
     sequence: int = 0
 
-    def schedule_apply(self, when: int, message: Transaction) -> None:
-        """Apply the message at this time."""
+    def schedule_apply(self, apply_at: int, message: Transaction) -> None:
+        """Schedule the message to be applied at a Unix time in nanoseconds."""
         self.sequence += 1
         window = CLASSES[message.class_index].deduplication_window
-        heapq.heappush(self.due, (when, self.sequence, message.key, window))
+        heapq.heappush(self.due, (apply_at, self.sequence, message.key, window))
 
     def apply_due(self, now: int) -> None:
-        """Apply what is due."""
+        """Apply the messages that are due at `now` (Unix time in nanoseconds)."""
         while self.due and self.due[0][0] <= now:
-            when, _, key, window = heapq.heappop(self.due)
-            applied = self.ledger.setdefault(key, [])
-            is_dropped = applied and window and when < applied[0] + window
+            apply_at, _, key, window = heapq.heappop(self.due)
+            applied_at = self.ledger.setdefault(key, [])
+            is_dropped = applied_at and window and apply_at < applied_at[0] + window
             if not is_dropped:
-                applied.append(when)
+                applied_at.append(apply_at)
 
 
 class ResendRig(DeadLetterRig):
@@ -106,22 +114,22 @@
         self,
         folder: Path,
         time: VirtualTime,
-        partner: Partner,
+        receiver: Receiver,
         rng: random.Random,
         kill_points: KillPoints | None = None,
         rules: tuple[Rule, ...] = (RULE,),
         resend_settings: ResendSettings = RESEND_SETTINGS,
-        **more: Any,
+        **rig_options: Any,
     ) -> None:
-        self.partner = partner
+        self.receiver = receiver
         self.rng = rng
         self.rules = rules
         self.resend_settings = resend_settings
-        self.modes: tuple[str, ...] = FAILURE_MODES
+        self.modes: tuple[str, ...] = RESPONSE_MODES
         self.sent: list[Transaction] = []
-        more.setdefault("classes", CLASSES)
-        more.setdefault("max_messages", 50)
-        super().__init__(folder, time, kill_points, **more)
+        rig_options.setdefault("classes", CLASSES)
+        rig_options.setdefault("max_messages", 50)
+        super().__init__(folder, time, kill_points, **rig_options)
 
     def prepare(self) -> None:
         super().prepare()
@@ -138,7 +146,7 @@
         self.resend_scheduler.load(on_ready)
 
     def start(self, call: Call) -> None:
-        """Answer the call in one of the modes, drawn at random."""
+        """Answer the call in a mode that is drawn at random from `modes`."""
         super().start(call)
         self.sent += call.messages
         mode = self.rng.choice(self.modes)
@@ -147,45 +155,48 @@
         now = self.time.time
         if mode == "late":
             for message in call.messages:
-                self.partner.schedule_apply(now + int(self.rng.uniform(0, 9) * SECOND), message)
+                self.receiver.schedule_apply(now + int(self.rng.uniform(0, 9) * SECOND), message)
         if outcome is Outcome.TIMEOUT:
             elapsed = call.timeout
         results = [outcome] * len(call.messages)
         for index, message in enumerate(call.messages):
             is_delivered_alone = mode == "part" and index % 2 == 0
             if mode in APPLYING_MODES or is_delivered_alone:
-                self.partner.schedule_apply(now + elapsed // 2, message)
+                self.receiver.schedule_apply(now + elapsed // 2, message)
             if is_delivered_alone:
                 results[index] = Outcome.DELIVERED
         self.time.call_at(now + elapsed, lambda: self.end_call(call, results))
 
     def end_call(self, call: Call, outcomes: list[Outcome]) -> None:
-        """End the call with an outcome for each of its messages."""
+        """End the call with one outcome for each of its messages."""
         results = [(outcome, outcome is Outcome.DELIVERED) for outcome in outcomes]
         self.dispatcher.call_ended(call, CallResult(results))
 
 
 @dataclass
 class Client:
-    """What one client knows of its message, and when it submits a duplicate."""
+    """A client with one message: the answers it received, and when it submits a duplicate."""
 
     key: str
     class_index: int
     destination: int
-    ids: list[str]  # of the message and its duplicates
-    answered: dict[str, Ending | None] = field(default_factory=dict)
+    ids: list[str]  # ids of the message and its duplicates
+    endings: dict[str, Ending | None] = field(default_factory=dict)
     duplicate_at: int | None = None
 
     def receive(self, answer: Transaction) -> bool:
-        """Take a final answer; whether it is the first. After a kill it may come again, and is the same."""
-        assert self.answered.get(answer.id, answer.ending) is answer.ending, f"{answer.id}: two answers"
-        is_first = answer.id not in self.answered
-        self.answered[answer.id] = answer.ending
-        return is_first
+        """Record a final answer, and return whether it is the first one for its message.
+
+        After a kill an answer may be repeated, and must have the same ending.
+        """
+        assert self.endings.get(answer.id, answer.ending) is answer.ending, f"{answer.id}: two answers"
+        is_first_answer = answer.id not in self.endings
+        self.endings[answer.id] = answer.ending
+        return is_first_answer
 
 
 def plans_of(rig: ResendRig, records: list[Record]) -> dict[str, Plan]:
-    """What the rules say of each record now."""
+    """Return the plan that the rules make now for each record, by message id."""
     now = rig.time.now()
     durations = {message_class.name: message_class.latency_objective for message_class in CLASSES}
     return {
@@ -195,14 +206,14 @@
 
 
 def stored_records(rig: ResendRig) -> list[Record]:
-    """All records of the store, none of which may be altered."""
-    found = rig.store.page(RecordFilter(), limit=1000)
-    assert not [stored.fault for stored in found if stored.fault]
-    return [stored.record for stored in found]
+    """Return all records of the store; fail if one was altered on disk."""
+    stored_page = rig.store.page(RecordFilter(), limit=1000)
+    assert not [stored.fault for stored in stored_page if stored.fault]
+    return [stored.record for stored in stored_page]
 
 
 def run_step(rig: ResendRig, clients: list[Client], rng: random.Random, new_messages: bool) -> None:
-    """A fifth of a second of the clients' day: new messages, and duplicates of rejected ones."""
+    """Run STEP_SECONDS in which clients submit new messages, and duplicates of rejected ones."""
     now = rig.time.now()
     if new_messages and rng.random() < 0.25 and rig.dispatcher.accepting:
         name = f"m{len(clients)}"
@@ -218,32 +229,35 @@
     answers_before = len(rig.answers)
     try:
         rig.run(STEP_SECONDS)
-    finally:  # clients receive what was sent before a kill
+    finally:  # clients receive the answers that were sent before a kill
         for answer in rig.answers[answers_before:]:
             client = next(client for client in clients if answer.id in client.ids)
             receive_answer(client, answer, rig.time.now(), rng)
-    rig.partner.apply_due(rig.time.now())
+    rig.receiver.apply_due(rig.time.now())
 
 
 def receive_answer(client: Client, answer: Transaction, now: int, rng: random.Random) -> None:
-    """A client whose message was rejected mostly submits it again: late, early, or not at all."""
-    is_first = client.receive(answer)
-    may_repeat = is_first and answer.ending is Ending.REJECTED and len(client.ids) < MAX_SUBMISSIONS
+    """Deliver an answer to its client. After a rejection the client usually schedules a duplicate.
+
+    The duplicate follows up to 12 seconds after the Retry-After time, or is never submitted.
+    """
+    is_first_answer = client.receive(answer)
+    may_repeat = is_first_answer and answer.ending is Ending.REJECTED and len(client.ids) < MAX_SUBMISSIONS
     if may_repeat and rng.random() < 0.6:
         client.duplicate_at = now + answer.retry_after + int(rng.uniform(0, 12) * SECOND)
 
 
 def reconsider_after_kill(clients: list[Client], now: int, rng: random.Random) -> None:
-    """After a kill, a client without an answer may submit a duplicate if a repeat does no harm."""
+    """Let some clients without an answer schedule a duplicate after a kill, if a repeat is harmless."""
     for client in clients:
-        waits = client.ids[-1] not in client.answered and len(client.ids) < MAX_SUBMISSIONS
+        is_unanswered = client.ids[-1] not in client.endings and len(client.ids) < MAX_SUBMISSIONS
         may_repeat = client.class_index != UNSAFE and client.duplicate_at is None
-        if waits and may_repeat and rng.random() < 0.3:
+        if is_unanswered and may_repeat and rng.random() < 0.3:
             client.duplicate_at = now + int(rng.uniform(1, 8) * SECOND)
 
 
 def submit(rig: ResendRig, client: Client, name: str) -> None:
-    """Submit the client's message under this id; if it is not accepted, again a second later."""
+    """Submit the client's message with the id `name`; if it is not accepted, schedule it a second later."""
     message = Transaction(
         name,
         client.class_index,
@@ -260,21 +274,21 @@
 
 @dataclass
 class DayResult:
-    """What one run showed."""
+    """The result of one run."""
 
     clients: list[Client]
     rig: ResendRig
-    partner: Partner
+    receiver: Receiver
     kills: int
-    steps: int  # points at which a kill could strike
+    kill_point_count: int  # points passed at which the process could be killed
 
     def applied_twice(self) -> list[str]:
-        """The keys that were applied twice although a repeat does harm."""
+        """Return the keys that were applied twice although a repeat is harmful."""
         classes = {client.key: client.class_index for client in self.clients}
-        return [key for key, times in self.partner.ledger.items() if len(times) > 1 and classes[key] != SAFE]
+        return [key for key, times in self.receiver.ledger.items() if len(times) > 1 and classes[key] != SAFE]
 
     def unresolved(self) -> list[str]:
-        """What the rules would still have resent, or whose resend does not end."""
+        """Describe the records that the rules would still resend, or whose resend has not ended."""
         records = stored_records(self.rig)
         plans = plans_of(self.rig, records)
         return [
@@ -288,32 +302,32 @@
 def run_day(
     folder: Path, seed: int, kill_at: tuple[int, ...] = (), failing_steps: int = 200, healthy_steps: int = 700
 ) -> DayResult:
-    """Steps in which the receiver fails in mixed ways, and then steps in which it is healthy.
+    """Run steps in which the receiver fails in mixed ways, and then steps in which it is healthy.
 
-    The process is killed at the points `kill_at`, each counted from the start before it.
+    The process is killed at the points `kill_at`; each is counted from the preceding start of the process.
     """
     rng = random.Random(seed)
     clock = VirtualTime()
-    partner = Partner()
+    receiver = Receiver()
     clients: list[Client] = []
     folder.mkdir(parents=True, exist_ok=True)
     kills = list(kill_at)
-    points_passed = 0
+    kill_point_count = 0
     step = 0
     while True:
         kill_points = KillPoints(kills.pop(0) if kills else NEVER_KILLED)
         rig: ResendRig | None = None
         try:
-            rig = ResendRig(folder, clock, partner, rng, kill_points)
+            rig = ResendRig(folder, clock, receiver, rng, kill_points)
             while step < failing_steps + healthy_steps:
                 if step >= failing_steps:
                     rig.modes = ("deliver",)
                 step += 1
                 run_step(rig, clients, rng, new_messages=step < failing_steps)
-            points_passed += kill_points.count
-            return DayResult(clients, rig, partner, len(kill_at) - len(kills), points_passed)
+            kill_point_count += kill_points.count
+            return DayResult(clients, rig, receiver, len(kill_at) - len(kills), kill_point_count)
         except Killed:
-            points_passed += kill_points.count
+            kill_point_count += kill_points.count
             assert rig is not None
             rig.close_as_killed()
             reconsider_after_kill(clients, clock.time, rng)
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -1,4 +1,4 @@
-"""One message, resent, with a kill at every single step of its way: none lost, none repeated."""
+"""Resends one message and kills the process at every kill point: the message is neither lost nor repeated."""
 
 from __future__ import annotations
 
@@ -12,71 +12,76 @@
 from honeyhitch.journal.transactions import Ending, Transaction
 
 from .dead_letters_rig import NEVER_KILLED, Killed, KillPoints
-from .resend_world import UNSAFE, Partner, ResendRig
+from .resend_world import UNSAFE, Receiver, ResendRig
 from .rig import VirtualTime
 from .world import SECOND
 
 
 class KillScenario:
-    """A message that is rejected, stored and resent, with kills at the given points.
+    """A message that is rejected, stored and resent, with kills of the process at the kill points `kills`.
 
-    `resend` is the mode in which the receiver answers the resend; at `copy` seconds, if it is not None, the
-    client submits a duplicate. Each kill counts from the start before it.
+    `resend_mode` is the mode in which the receiver answers the resend. The client submits a duplicate after
+    `duplicate_after` seconds, unless that is None. Each kill point is counted from the preceding start of the
+    process.
     """
 
-    def __init__(self, folder: Path, kills: list[int], resend: str, copy: float | None) -> None:
+    def __init__(
+        self, folder: Path, kills: list[int], resend_mode: str, duplicate_after: float | None
+    ) -> None:
         folder.mkdir(parents=True)
         self.folder = folder
         self.kills = kills
-        self.resend = resend
-        self.copy = copy
+        self.resend_mode = resend_mode
+        self.duplicate_after = duplicate_after
         self.clock = VirtualTime()
-        self.partner = Partner()
+        self.receiver = Receiver()
         self.rng = random.Random(5)
         self.answers: dict[str, Ending | None] = {}
         self.started_at = self.clock.time
-        self.steps = 0
+        self.kill_point_count = 0
         self.submitted: set[str] = set()
         self.rig = self.start()
         while self.clock.time < self.started_at + 150 * SECOND:
             try:
                 self.step()
             except Killed:
-                self.steps += self.rig.kill_points.count
+                self.kill_point_count += self.rig.kill_points.count
                 self.receive_answers()
                 self.rig.close_as_killed()
                 self.clock.time += SECOND
                 self.rig = self.start()
-        self.steps += self.rig.kill_points.count
+        self.kill_point_count += self.rig.kill_points.count
 
     def start(self) -> ResendRig:
-        points = KillPoints(self.kills.pop(0) if self.kills else NEVER_KILLED)
-        return ResendRig(self.folder, self.clock, self.partner, self.rng, points)
+        kill_points = KillPoints(self.kills.pop(0) if self.kills else NEVER_KILLED)
+        return ResendRig(self.folder, self.clock, self.receiver, self.rng, kill_points)
 
     def submit(self, name: str) -> None:
         if name not in self.submitted and self.rig.dispatcher.accepting:
             self.submitted.add(name)
-            at = self.clock.time + 6 * SECOND
-            self.rig.dispatcher.submit(Transaction(name, UNSAFE, 1, at, b"body", key="k", frontend="mqtt"))
+            deadline = self.clock.time + 6 * SECOND
+            self.rig.dispatcher.submit(
+                Transaction(name, UNSAFE, 1, deadline, b"body", key="k", frontend="mqtt")
+            )
 
     def step(self) -> None:
         elapsed = (self.clock.time - self.started_at) / SECOND
         self.rig.modes = (self.mode_at(elapsed),)
         if elapsed > 1:
             self.submit("m")
-        if self.copy is not None and elapsed > self.copy:
+        if self.duplicate_after is not None and elapsed > self.duplicate_after:
             self.submit("copy")
         try:
             self.rig.run(0.2)
         finally:
             self.receive_answers()
-        self.partner.apply_due(self.clock.time)
+        self.receiver.apply_due(self.clock.time)
 
     def mode_at(self, elapsed: float) -> str:
-        """How the receiver answers after so many seconds."""
+        """Return the mode in which the receiver answers after `elapsed` seconds."""
         if elapsed < 12:
             return "refuse"
-        return self.resend if elapsed < 60 else "deliver"
+        return self.resend_mode if elapsed < 60 else "deliver"
 
     def receive_answers(self) -> None:
         for answer in self.rig.answers:
@@ -85,8 +90,8 @@
 
     def check(self) -> None:
         records = [stored.record for stored in self.rig.store.page(RecordFilter(), limit=100)]
-        applied = self.partner.ledger.get("k", [])
-        assert len(applied) <= 1, "applied twice"
+        applied_at = self.receiver.ledger.get("k", [])
+        assert len(applied_at) <= 1, "applied twice"
         assert len([record for record in records if record.status in UNRESOLVED]) <= 1, (
             "a message stands twice"
         )
@@ -102,7 +107,7 @@
         ]
         if "m" in self.answers or records:
             assert delivered or in_doubt, "neither settled nor in doubt"
-        if applied and not delivered:
+        if applied_at and not delivered:
             assert in_doubt, "it was applied, and no record tells"
 
 
@@ -116,26 +121,28 @@
 ]
 
 
-@pytest.mark.parametrize(("resend", "copy"), CASES)
-def test_killed_at_every_step(tmp_path: Path, resend: str, copy: float | None) -> None:
-    undisturbed = KillScenario(tmp_path / "0", [], resend, copy)
+@pytest.mark.parametrize(("resend_mode", "duplicate_after"), CASES)
+def test_killed_at_every_step(tmp_path: Path, resend_mode: str, duplicate_after: float | None) -> None:
+    undisturbed = KillScenario(tmp_path / "0", [], resend_mode, duplicate_after)
     undisturbed.check()
     undisturbed.rig.close_as_killed()
-    assert undisturbed.steps > 40
-    for at in range(1, undisturbed.steps + 1):
-        scenario = KillScenario(tmp_path / f"{at}", [at], resend, copy)
+    assert undisturbed.kill_point_count > 40
+    for kill_point in range(1, undisturbed.kill_point_count + 1):
+        scenario = KillScenario(tmp_path / f"{kill_point}", [kill_point], resend_mode, duplicate_after)
         try:
             scenario.check()
         except AssertionError as error:
-            raise AssertionError(f"killed at step {at} of {undisturbed.steps}: {error}") from error
+            raise AssertionError(
+                f"killed at point {kill_point} of {undisturbed.kill_point_count}: {error}"
+            ) from error
         scenario.rig.close_as_killed()
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_killed_and_killed_again_while_it_comes_back(tmp_path: Path, seed: int) -> None:
     rng = random.Random(seed)
-    resend, copy = CASES[seed % len(CASES)].values
+    resend_mode, duplicate_after = CASES[seed % len(CASES)].values
     kills = [rng.randrange(30, 90), *(rng.randrange(1, 40) for _ in range(4))]
-    scenario = KillScenario(tmp_path / "day", kills, str(resend), copy)  # type: ignore[arg-type]
+    scenario = KillScenario(tmp_path / "day", kills, str(resend_mode), duplicate_after)  # type: ignore[arg-type]
     scenario.check()
     scenario.rig.close_as_killed()
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -1,4 +1,4 @@
-"""Resends: nothing applied twice and nothing forgotten, whatever fails and whenever the process is killed."""
+"""Resends under failures and kills: no message is applied twice, and none that may be resent is left out."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     RULE,
     SAFE,
     UNSAFE,
-    Partner,
+    Receiver,
     ResendRig,
     run_day,
     stored_records,
@@ -86,65 +86,65 @@
             result.rig.close_as_killed()
         if applied_twice:
             return
-    raise AssertionError("the ledgers show nothing applied twice")
+    raise AssertionError("no run with the faulty dispatcher applied a message twice")
 
 
-# One thing at a time.
+# Single cases, without random failures.
 
 
 class ResendScenario:
-    """A dispatcher with a receiver that answers as the test says: in one of the modes of ResendRig."""
+    """A dispatcher and a receiver that answers in the response mode that the test has set."""
 
-    def __init__(self, folder: Path, **more: Any) -> None:
-        self.partner = Partner()
-        self.rig = ResendRig(folder, VirtualTime(), self.partner, random.Random(1), **more)
+    def __init__(self, folder: Path, **rig_options: Any) -> None:
+        self.receiver = Receiver()
+        self.rig = ResendRig(folder, VirtualTime(), self.receiver, random.Random(1), **rig_options)
         self.rig.modes = ("refuse",)
         self.rig.run(1)
 
     def submit(self, name: str, class_index: int = KEYED, key: str = "k", frontend: str = "mqtt") -> None:
-        """Submit a message, which must be accepted."""
+        """Submit a message, and fail the test if it is not accepted."""
         deadline = self.rig.time.now() + 6 * SECOND
         message = Transaction(name, class_index, 1, deadline, b"body", key=key, frontend=frontend)
         assert self.rig.dispatcher.submit(message).accepted
 
     def run(self, seconds: float) -> None:
-        """Let time pass at the dispatcher and at the receiver."""
+        """Let this much time pass at the dispatcher and the receiver."""
         for _ in range(int(seconds * 5)):
             self.rig.run(0.2)
-            self.partner.apply_due(self.rig.time.now())
+            self.receiver.apply_due(self.rig.time.now())
 
-    def fail(self, name: str, mode: str = "refuse", **more: Any) -> Record:
-        """Submit a message that ends undelivered; its record. From then on all is delivered."""
+    def fail(self, name: str, mode: str = "refuse", **message_options: Any) -> Record:
+        """Submit a message that ends undelivered, and return its record. Later calls are delivered."""
         self.rig.modes = (mode,)
-        self.submit(name, **more)
+        self.submit(name, **message_options)
         self.run(10)
         self.rig.modes = ("deliver",)
         return self.record(name)
 
     def record(self, name: str) -> Record:
-        """The record of a message."""
+        """Return the record of a message."""
         return next(record for record in stored_records(self.rig) if record.id == name)
 
     def audit(self, name: str) -> list[str]:
-        """What was done to a message's record."""
+        """Return the actions in the audit entries of a message's record, oldest first."""
         return [stored.entry.action for stored in self.rig.store.audit_page(self.record(name).sequence)]
 
     def run_until_resending(self, name: str) -> Record:
-        """Run until a resend of the message is claimed."""
+        """Run until the message's record is claimed for a resend, and return the record."""
         for _ in range(2000):
             self.run(0.2)
             if (record := self.record(name)).status is RecordStatus.RESENDING:
                 return record
-        raise AssertionError("no resend began")
+        raise AssertionError(f"no resend of {name} was claimed")
 
     def run_until_attempt(self) -> None:
-        """Run until one more attempt is in flight."""
-        sent = len(self.rig.sent)
-        while len(self.rig.sent) == sent:
+        """Run until another attempt has been sent."""
+        sent_count = len(self.rig.sent)
+        while len(self.rig.sent) == sent_count:
             self.rig.run(0.005)
 
     def answers(self) -> dict[str, Ending | None]:
-        """The ending of each message that was answered."""
+        """Return the ending of each answered message, by message id."""
         return {answer.id: answer.ending for answer in self.rig.answers}
 
 
@@ -163,8 +163,8 @@
     assert sent.id != "m"
     assert scenario.audit("m") == ["resend", "settled"]
     assert len(settled.attempts) == len(record.attempts) + 1
-    assert scenario.partner.ledger["k"]
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert scenario.receiver.ledger["k"]
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
 @pytest.mark.parametrize(
@@ -181,7 +181,7 @@
     scenario.fail("m", mode, class_index=class_index)
     scenario.run(80)
     assert (scenario.record("m").status is RecordStatus.SETTLED) == resent
-    assert len(scenario.partner.ledger.get("k", [])) <= 1 or class_index == SAFE
+    assert len(scenario.receiver.ledger.get("k", [])) <= 1 or class_index == SAFE
 
 
 def test_a_keyed_one_is_not_resent_after_its_window(tmp_path: Path) -> None:
@@ -192,7 +192,7 @@
     scenario.run(300)
     assert scenario.record("m").status is RecordStatus.PENDING
     assert scenario.record("m").resend_count == 0
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
 def test_released_with_evidence_it_goes_and_a_second_doubt_needs_new_evidence(tmp_path: Path) -> None:
@@ -240,64 +240,64 @@
 
 @pytest.mark.parametrize("class_index", [SAFE, KEYED, UNSAFE])
 @pytest.mark.parametrize("mode", ["deliver", "refuse", "late", "reset-after"])
-@pytest.mark.parametrize("front", ["resp", "mqtt", "app"])
+@pytest.mark.parametrize("frontend", ["resp", "mqtt", "app"])
 def test_a_copy_that_comes_while_the_resend_is_out_takes_its_end(
-    tmp_path: Path, class_index: int, mode: str, front: str
+    tmp_path: Path, class_index: int, mode: str, frontend: str
 ) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.rig.dispatcher.frontends["app"] = scenario.rig
     scenario.fail("m", class_index=class_index)
     scenario.rig.modes = (mode,)
-    sent = len(scenario.rig.sent)
+    sent_count = len(scenario.rig.sent)
     scenario.run_until_attempt()
-    scenario.submit("copy", class_index=class_index, frontend=front)
+    scenario.submit("copy", class_index=class_index, frontend=frontend)
     assert scenario.rig.sent[-1].frontend == "resend"
-    assert len(scenario.rig.sent) == sent + 1
+    assert len(scenario.rig.sent) == sent_count + 1
     scenario.rig.modes = ("deliver",)
-    out: list[str] = []
+    ids_in_flight: list[str] = []
     while scenario.rig.dispatcher.messages.by_id.get("copy") is not None:
-        out = [
-            name
-            for name in scenario.rig.dispatcher.calls_in_flight
-            if scenario.rig.dispatcher.calls_in_flight[name].messages[0].key == "k"
+        ids_in_flight = [
+            message_id
+            for message_id in scenario.rig.dispatcher.calls_in_flight
+            if scenario.rig.dispatcher.calls_in_flight[message_id].messages[0].key == "k"
         ]
-        assert len(out) <= 1, "the copy and the resend are out together"
+        assert len(ids_in_flight) <= 1, "the copy and the resend are out together"
         scenario.run(0.2)
     if class_index != SAFE:
-        assert len(scenario.partner.ledger.get("k", [])) <= 1
+        assert len(scenario.receiver.ledger.get("k", [])) <= 1
     if mode == "deliver":
         assert scenario.answers().get("copy", Ending.DELIVERED) is Ending.DELIVERED
         assert [message.id for message in scenario.rig.sent].count("copy") == 0
     elif mode == "refuse" or class_index != UNSAFE:
-        assert scenario.partner.ledger["k"], "the copy goes once the resend is over"
+        assert scenario.receiver.ledger["k"], "the copy goes once the resend is over"
     else:
         assert scenario.answers()["copy"] is Ending.FAILED, "nobody knows whether the resend ran"
     scenario.run(100)
-    assert len(scenario.partner.ledger.get("k", [])) <= 1 or class_index == SAFE
+    assert len(scenario.receiver.ledger.get("k", [])) <= 1 or class_index == SAFE
 
 
-@pytest.mark.parametrize("ends", ["deliver", "refuse", "late"])
-def test_no_resend_begins_while_a_copy_is_held(tmp_path: Path, ends: str) -> None:
+@pytest.mark.parametrize("duplicate_mode", ["deliver", "refuse", "late"])
+def test_no_resend_begins_while_a_copy_is_held(tmp_path: Path, duplicate_mode: str) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.run(6)
     scenario.rig.modes = ("refuse",)
     scenario.submit("copy", class_index=UNSAFE)
     scenario.run(3)
-    scenario.rig.modes = (ends,)
+    scenario.rig.modes = (duplicate_mode,)
     while scenario.rig.dispatcher.messages.by_id.get("copy") is not None:
         assert scenario.record("m").status is RecordStatus.PENDING
         scenario.run(0.2)
     scenario.rig.modes = ("deliver",)
     scenario.run(120)
-    assert len(scenario.partner.ledger.get("k", [])) == 1 or ends == "late"
-    assert len(scenario.partner.ledger.get("k", [])) <= 1
-    if ends == "deliver":
+    assert len(scenario.receiver.ledger.get("k", [])) == 1 or duplicate_mode == "late"
+    assert len(scenario.receiver.ledger.get("k", [])) <= 1
+    if duplicate_mode == "deliver":
         assert scenario.record("m").settled_by == "copy:copy"
     else:
         assert scenario.record("m").status is RecordStatus.REPLACED
         assert scenario.record("copy").status is (
-            RecordStatus.PENDING if ends == "late" else RecordStatus.SETTLED
+            RecordStatus.PENDING if duplicate_mode == "late" else RecordStatus.SETTLED
         )
 
 
@@ -309,13 +309,13 @@
     scenario.run(1)
     assert scenario.answers()["copy-1"] is Ending.DELIVERED
     scenario.rig.close_as_killed()
-    stand = ResendRig(tmp_path, scenario.rig.time, scenario.partner, random.Random(2))
-    scenario.rig = stand
+    restarted_rig = ResendRig(tmp_path, scenario.rig.time, scenario.receiver, random.Random(2))
+    scenario.rig = restarted_rig
     scenario.run(1)
     scenario.submit("copy-2", class_index=UNSAFE)
     scenario.run(1)
     assert scenario.answers()["copy-2"] is Ending.DELIVERED
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
 def test_a_keyed_message_long_after_the_resend_is_a_new_one(tmp_path: Path) -> None:
@@ -324,7 +324,7 @@
     scenario.run(200)
     scenario.submit("new")
     scenario.run(5)
-    assert len(scenario.partner.ledger["k"]) == 2
+    assert len(scenario.receiver.ledger["k"]) == 2
     assert scenario.answers()["new"] is Ending.DELIVERED
 
 
@@ -373,7 +373,7 @@
 
 
 def test_what_was_called_off_before_it_went_out_is_as_it_was(tmp_path: Path) -> None:
-    """The client brings it itself between the claim and the first byte."""
+    """The client submits a duplicate after the record is claimed and before the resend is sent."""
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     with patch.object(type(scenario.rig.dispatcher), "release", lambda *_: None):
@@ -382,7 +382,7 @@
     scenario.run(5)
     assert scenario.answers()["copy"] is Ending.DELIVERED
     assert scenario.record("m").settled_by == "copy:copy"
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
     assert scenario.rig.resend_scheduler.pacing.resends_in_flight == 0
 
 
@@ -393,7 +393,7 @@
     scenario.run_until_resending("m")
     scenario.rig.close_as_killed()
     (tmp_path / "journal").unlink()
-    scenario.rig = ResendRig(tmp_path, scenario.rig.time, scenario.partner, random.Random(2))
+    scenario.rig = ResendRig(tmp_path, scenario.rig.time, scenario.receiver, random.Random(2))
     scenario.run(100)
     assert scenario.record("m").status is RecordStatus.PENDING
     assert scenario.record("m").may_have_executed
@@ -406,14 +406,14 @@
     scenario.run_until_resending("m")
     scenario.rig.worker.failure = sqlite3.OperationalError("disk I/O error")
     scenario.run(20)
-    (held,) = scenario.rig.dispatcher.messages.by_id.values()
-    assert held.frontend == "resend"
-    assert held.ending is Ending.DELIVERED
+    (journaled,) = scenario.rig.dispatcher.messages.by_id.values()
+    assert journaled.frontend == "resend"
+    assert journaled.ending is Ending.DELIVERED
     scenario.rig.worker.failure = None
     scenario.run(70)
     assert scenario.record("m").status is RecordStatus.SETTLED
     assert not scenario.rig.dispatcher.messages.by_id
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
 def test_new_rules_hold_at_once_and_what_is_out_ends(tmp_path: Path) -> None:
@@ -431,7 +431,7 @@
     assert {scenario.record(f"m{i}").status.value for i in range(6)} <= {"settled", "discarded"}
     scenario.rig.resend_scheduler.replace_rules((RULE,))
     scenario.run(60)
-    assert all(len(times) == 1 for times in scenario.partner.ledger.values())
+    assert all(len(times) == 1 for times in scenario.receiver.ledger.values())
 
 
 def test_a_partner_that_goes_down_again_gets_no_more_than_single_tries(tmp_path: Path) -> None:
@@ -442,13 +442,15 @@
         scenario.run(0.2)
     scenario.rig.modes = ("refuse",)
     scenario.run(40)
-    before = len(scenario.rig.sent)
+    sent_before_outage = len(scenario.rig.sent)
     scenario.run(600)
-    assert len(scenario.rig.sent) - before <= 12 * 5, "a partner that is out is tried at growing gaps"
+    assert len(scenario.rig.sent) - sent_before_outage <= 12 * 5, (
+        "a partner that is out is tried at growing gaps"
+    )
     scenario.rig.modes = ("deliver",)
     scenario.run(1500)
     assert all(scenario.record(f"m{i}").status is RecordStatus.SETTLED for i in range(12))
-    assert all(len(times) == 1 for times in scenario.partner.ledger.values())
+    assert all(len(times) == 1 for times in scenario.receiver.ledger.values())
 
 
 def test_a_drained_member_gets_no_resend(tmp_path: Path) -> None:
