--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -1,4 +1,7 @@
-"""What may be resent: each class and history, both sides of each limit, against the receiver's own memory."""
+"""Tests which messages may be resent: each class and history, and both sides of each time limit.
+
+A property test checks the decision against a receiver that drops repeats only inside its window.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -1,4 +1,4 @@
-"""Rules: what they match, in which order and when; how they are read; and the pace of resends."""
+"""Tests of resend rules (matching, order and timing), of how they are read, and of the pacing of resends."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from .world import SECOND
 
 NOW = START + 100 * SECOND
-HERE = ResendSettings(client_retry_grace=10 * SECOND, duplicates_elsewhere=False)
-AWAY = dataclasses.replace(HERE, duplicates_elsewhere=True)
+DUPLICATES_HERE = ResendSettings(client_retry_grace=10 * SECOND, duplicates_elsewhere=False)
+DUPLICATES_ELSEWHERE = dataclasses.replace(DUPLICATES_HERE, duplicates_elsewhere=True)
 RESEND = Rule("r", Action.RESEND, retry_pause=10 * SECOND)
 
 
 def plan_of(
-    record: Record, *rules: Rule, resend_settings: ResendSettings = HERE, now: int = NOW
+    record: Record, *rules: Rule, resend_settings: ResendSettings = DUPLICATES_HERE, now: int = NOW
 ) -> tuple[str, str]:
-    """The step and the reason of a record's plan; a resend takes a second."""
+    """Return the step and the reason of a record's plan; a resend takes a second."""
     plan = plan_record(record, rules, resend_settings, now, SECOND)
     return plan.step.value, plan.reason
 
@@ -129,8 +129,8 @@
     ],
 )
 def test_where_copies_may_go_elsewhere(changes: dict[str, Any], expected: tuple[str, str]) -> None:
-    assert plan_of(make_record(**changes), RESEND, resend_settings=AWAY) == expected
-    if "client_retry_at" in changes:  # a copy that has no key is never seen
+    assert plan_of(make_record(**changes), RESEND, resend_settings=DUPLICATES_ELSEWHERE) == expected
+    if "client_retry_at" in changes:  # a duplicate without a key is never recognised
         assert plan_of(make_record(**changes, key=""), RESEND) == expected
 
 
@@ -138,14 +138,14 @@
     old = Rule("old", Action.DISCARD, min_age=200 * SECOND)
     assert plan_of(make_record(), old, RESEND) == ("resend", "never-ran")
     assert plan_of(make_record(), old, RESEND, now=START + 200 * SECOND) == ("discard", "discarded-by-rule")
-    held = plan_record(make_record(), (old, Rule("h", Action.HOLD)), HERE, NOW, SECOND)
-    assert held.step is Step.POSTPONE
-    assert held.retry_at == START + 200 * SECOND
+    plan_before = plan_record(make_record(), (old, Rule("h", Action.HOLD)), DUPLICATES_HERE, NOW, SECOND)
+    assert plan_before.step is Step.POSTPONE
+    assert plan_before.retry_at == START + 200 * SECOND
 
 
-# How rules are read.
+# Reading of rules from the operator's file.
 
-GOOD = """
+VALID_OPERATOR_FILE = """
 [undelivered]
 copies = "here"
 share = 0.2
@@ -166,15 +166,15 @@
 """
 
 
-def read(folder: Path, text: str, **more: Any) -> DeadLetterSettings:
-    """The settings of `[undelivered]` in an operator's file with this text."""
-    settings = config.read({}, *write(folder, 6379, 8500, [], text, **more)).operator.dead_letters
+def read_settings(folder: Path, text: str, **overrides: Any) -> DeadLetterSettings:
+    """Return the settings of `[undelivered]` in an operator's file with this text."""
+    settings = config.read({}, *write(folder, 6379, 8500, [], text, **overrides)).operator.dead_letters
     assert settings is not None
     return settings
 
 
 def test_a_good_file(tmp_path: Path) -> None:
-    settings = read(tmp_path, GOOD)
+    settings = read_settings(tmp_path, VALID_OPERATOR_FILE)
     first, second = settings.rules
     assert (first.name, first.destinations, first.classes) == ("one", frozenset({1}), frozenset({"standard"}))
     assert first.may_have_executed is False
@@ -187,7 +187,7 @@
 
 
 RULE = '[undelivered]\n[[undelivered.rule]]\naction = "resend"\n'
-MORE = '[[undelivered.rule]]\naction = "hold"\n'
+NEXT_RULE = '[[undelivered.rule]]\naction = "hold"\n'
 
 
 @pytest.mark.parametrize(
@@ -217,31 +217,31 @@
         (RULE + "pause = nan", "undelivered.rule.0.pause: expected seconds from 1 to"),
         (RULE + "colour = 'red'", "undelivered.rule.0.colour: no such key"),
         (RULE + "name = ''", "undelivered.rule.0.name: expected 1 to 64 characters"),
-        (RULE + MORE + "dest = 1", "undelivered.rule.1: never reached, undelivered.rule.0 matches"),
-        (RULE + "dest = 1\nname = 'a'\n" + MORE + "name = 'a'", "undelivered.rule.1.name: 'a' is the name"),
+        (RULE + NEXT_RULE + "dest = 1", "undelivered.rule.1: never reached, undelivered.rule.0 matches"),
+        (RULE + "dest = 1\nname = 'a'\n" + NEXT_RULE + "name = 'a'", "undelivered.rule.1.name: 'a' is the name"),
         ("[control]\npath = 'here'", "control.path: expected an absolute path, got 'here'"),
         (f"[control]\npath = '/{'x' * 120}'", "control.path: over 107 bytes: /xxx"),
     ],
 )  # fmt: skip
 def test_a_mistake_names_its_key(tmp_path: Path, text: str, error: str) -> None:
-    with pytest.raises(config.ConfigError) as refused:
-        read(tmp_path, text)
-    assert error in str(refused.value)
+    with pytest.raises(config.ConfigError) as error_info:
+        read_settings(tmp_path, text)
+    assert error in str(error_info.value)
 
 
 def test_with_several_instances_copies_go_anywhere_unless_told_otherwise(tmp_path: Path) -> None:
-    assert not read(tmp_path, "[undelivered]").resend_settings.duplicates_elsewhere
+    assert not read_settings(tmp_path, "[undelivered]").resend_settings.duplicates_elsewhere
     assert ResendSettings().duplicates_elsewhere
 
 
-# The pace of resends.
+# Pacing of resends.
 
 HEALTHY = DestinationHealth(True, False, False, 0, False, 10.0, 0, 0)
 
 
-def changed(**more: Any) -> DestinationHealth:
-    """A healthy destination with these changes."""
-    return dataclasses.replace(HEALTHY, **more)
+def health_with(**changes: Any) -> DestinationHealth:
+    """Return the health of a healthy destination with these changes."""
+    return dataclasses.replace(HEALTHY, **changes)
 
 
 def test_the_share_of_slots_and_pace() -> None:
@@ -259,7 +259,7 @@
             pacing.resend_started(1, now)
             pacing.resend_ended(1)
     assert pacing.destinations[1].tokens < 1, "no more than two that were saved up, and one a second"
-    fast = changed(quota=10_000.0)
+    fast = health_with(quota=10_000.0)
     for destination in range(2, 10):
         available = pacing.available_resends(destination, fast, NOW + 60 * SECOND)
         for _ in range(available):
@@ -270,12 +270,12 @@
 @pytest.mark.parametrize(
     "condition",
     [
-        changed(listed=False),
-        changed(in_slow_start=True),
-        changed(has_queued_messages=True),
-        changed(retry_after_until=NOW + 1),
-        changed(concurrent_calls=36),
-        changed(unhealthy=True, last_sent_at=NOW),
+        health_with(listed=False),
+        health_with(in_slow_start=True),
+        health_with(has_queued_messages=True),
+        health_with(retry_after_until=NOW + 1),
+        health_with(concurrent_calls=36),
+        health_with(unhealthy=True, last_sent_at=NOW),
     ],
     ids=[
         "the destination has no listed endpoint",
@@ -294,14 +294,14 @@
     pacing = ResendPacing(0.1, 40)
     now = NOW
     probes: list[int] = []
-    unhealthy = changed(unhealthy=True, quota=0.0, last_sent_at=NOW)
+    unhealthy = health_with(unhealthy=True, quota=0.0, last_sent_at=NOW)
     while now < NOW + 3600 * SECOND:
         if pacing.available_resends(1, unhealthy, now):
             probes.append(now)
             pacing.resend_started(1, now)
             pacing.resend_ended(1)
         now += SECOND
-    intervals = [after - before for before, after in zip([NOW, *probes], probes, strict=False)]
+    intervals = [later - earlier for earlier, later in zip([NOW, *probes], probes, strict=False)]
     assert intervals[0] == MIN_PROBE_INTERVAL
     assert intervals == sorted(intervals)
     assert intervals[-1] == MAX_PROBE_INTERVAL
