--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -218,7 +218,10 @@
         (RULE + "colour = 'red'", "undelivered.rule.0.colour: no such key"),
         (RULE + "name = ''", "undelivered.rule.0.name: expected 1 to 64 characters"),
         (RULE + NEXT_RULE + "dest = 1", "undelivered.rule.1: never reached, undelivered.rule.0 matches"),
-        (RULE + "dest = 1\nname = 'a'\n" + NEXT_RULE + "name = 'a'", "undelivered.rule.1.name: 'a' is the name"),
+        (
+            RULE + "dest = 1\nname = 'a'\n" + NEXT_RULE + "name = 'a'",
+            "undelivered.rule.1.name: 'a' is the name",
+        ),
         ("[control]\npath = 'here'", "control.path: expected an absolute path, got 'here'"),
         (f"[control]\npath = '/{'x' * 120}'", "control.path: over 107 bytes: /xxx"),
     ],
