--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -72,7 +72,7 @@
         "a released message waits for its client, too",
     ],
 )
-def test_each_case(history: ExecutionHistory, verdict: Verdict, reason: str) -> None:
+def test_resend_decision(history: ExecutionHistory, verdict: Verdict, reason: str) -> None:
     decision = decide_resend(history, NOW, GRACE, RESEND_DURATION)
     assert (decision.verdict, decision.reason) == (verdict, reason)
 
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(("resend_mode", "duplicate_after"), CASES)
-def test_killed_at_every_step(tmp_path: Path, resend_mode: str, duplicate_after: float | None) -> None:
+def test_a_kill_at_every_point(tmp_path: Path, resend_mode: str, duplicate_after: float | None) -> None:
     undisturbed = KillScenario(tmp_path / "0", [], resend_mode, duplicate_after)
     undisturbed.check()
     undisturbed.rig.close_as_killed()
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_killed_and_killed_again_while_it_comes_back(tmp_path: Path, seed: int) -> None:
+def test_repeated_kills_during_recovery(tmp_path: Path, seed: int) -> None:
     rng = random.Random(seed)
     resend_mode, duplicate_after = CASES[seed % len(CASES)].values
     kills = [rng.randrange(30, 90), *(rng.randrange(1, 40) for _ in range(4))]
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -71,7 +71,7 @@
     await poll_until(condition_holds)
 
 
-def test_a_message_that_fails_is_kept_and_shown_by_the_running_program(tmp_path: Path) -> None:
+def test_a_failed_message_is_stored_and_shown_by_the_running_program(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
         members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
@@ -151,7 +151,7 @@
     play(work())
 
 
-def test_a_store_that_cannot_be_opened_does_not_touch_live_traffic(tmp_path: Path) -> None:
+def test_a_store_that_cannot_be_opened_does_not_affect_live_traffic(tmp_path: Path) -> None:
     async def work() -> None:
         partner = await Partner(500).start()
         members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
@@ -227,7 +227,7 @@
     cli(*store_options, "list", "--since", "soon", code=2)
 
 
-def test_changes_want_names_and_a_reason(tmp_path: Path) -> None:
+def test_changes_require_a_selection_and_a_reason(tmp_path: Path) -> None:
     store_options = fill_store(tmp_path / "s", 450)
     cli(
         *store_options, "discard", "--why", "x", code=2
@@ -250,7 +250,7 @@
     assert "0 records, 0 faults" in cli(*store_options, "verify")
 
 
-def test_verify_names_what_was_altered(tmp_path: Path) -> None:
+def test_verify_reports_an_altered_record(tmp_path: Path) -> None:
     store_options = fill_store(tmp_path / "s", 3)
     store = Store(tmp_path / "s")
     store.database.execute("UPDATE detail SET body = 'other' WHERE seq = 2")
@@ -261,7 +261,7 @@
     assert "1 were deleted" in cli(*store_options, "purge", "2", "--altered", "--why", "seen")
 
 
-def test_a_store_in_use_is_told(tmp_path: Path) -> None:
+def test_a_store_in_use_is_reported(tmp_path: Path) -> None:
     store_options = fill_store(tmp_path / "s", 3)
     store = Store(tmp_path / "s")
     result = CliRunner().invoke(main, ["undelivered", *store_options, "discard", "1", "--why", "x"])
@@ -271,7 +271,7 @@
     assert len(cli(*store_options, "list").splitlines()) == 5
 
 
-def test_a_socket_that_nobody_answers_is_taken_over_and_one_that_is_answered_is_not(tmp_path: Path) -> None:
+def test_a_stale_control_socket_is_replaced_and_one_in_use_is_not(tmp_path: Path) -> None:
     async def work() -> None:
         agent = await Agent([]).start()
         operator = f'[control]\npath = "{tmp_path}/c.sock"\n'
@@ -365,7 +365,9 @@
 
 @pytest.mark.parametrize("frontend", ["resp", "mqtt"])
 @pytest.mark.parametrize("first", ["copy", "resend"])
-def test_a_copy_and_a_resend_never_go_out_together(tmp_path: Path, frontend: str, first: str) -> None:
+def test_a_duplicate_and_a_resend_are_never_in_flight_together(
+    tmp_path: Path, frontend: str, first: str
+) -> None:
     """A duplicate and a resend of one message are not in flight together, with real sockets.
 
     The test covers both frontends and both orders. The duplicate's id is `copy`.
@@ -429,7 +431,7 @@
     play(work())
 
 
-def test_it_does_not_say_that_it_serves_before_it_takes_messages(
+def test_the_program_does_not_report_ready_before_it_accepts_messages(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ready_callbacks: list[Any] = []
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_the_ledgers_catch_a_faulty_dispatcher(tmp_path: Path, name: str) -> None:
+def test_the_ledger_shows_the_error_of_a_faulty_dispatcher(tmp_path: Path, name: str) -> None:
     for seed in range(40):
         with patch.object(*MUTANTS[name][0]), patch.object(*MUTANTS[name][-1]):
             result = run_day(tmp_path / str(seed), seed, (300,))
@@ -148,7 +148,7 @@
         return {answer.id: answer.ending for answer in self.rig.answers}
 
 
-def test_a_resend_is_a_fresh_request_with_the_same_key(tmp_path: Path) -> None:
+def test_a_resend_is_a_new_message_with_the_same_key(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     record = scenario.fail("m", class_index=UNSAFE)
     assert not record.may_have_executed
@@ -176,7 +176,7 @@
         (UNSAFE, "late", False), (UNSAFE, "500-before", False), (UNSAFE, "spoilt", False),
     ],
 )  # fmt: skip
-def test_what_may_go_again_by_rule(tmp_path: Path, class_index: int, mode: str, resent: bool) -> None:
+def test_which_messages_a_rule_resends(tmp_path: Path, class_index: int, mode: str, resent: bool) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", mode, class_index=class_index)
     scenario.run(80)
@@ -184,7 +184,7 @@
     assert len(scenario.receiver.ledger.get("k", [])) <= 1 or class_index == SAFE
 
 
-def test_a_keyed_one_is_not_resent_after_its_window(tmp_path: Path) -> None:
+def test_a_keyed_message_is_not_resent_after_its_window(tmp_path: Path) -> None:
     scenario = ResendScenario(
         tmp_path, resend_settings=dataclasses.replace(RESEND_SETTINGS, client_retry_grace=100 * SECOND)
     )
@@ -195,7 +195,7 @@
     assert len(scenario.receiver.ledger["k"]) == 1
 
 
-def test_released_with_evidence_it_goes_and_a_second_doubt_needs_new_evidence(tmp_path: Path) -> None:
+def test_evidence_allows_a_resend_but_does_not_cover_the_attempts_of_that_resend(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", "reset-before", class_index=UNSAFE)
     scenario.run(60)
@@ -216,7 +216,7 @@
     assert scenario.audit("m") == ["release", "resend", "resend-ended"]
 
 
-def test_asked_for_by_a_person_it_goes_without_a_rule(tmp_path: Path) -> None:
+def test_a_resend_requested_by_an_operator_needs_no_rule(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path, rules=())
     scenario.fail("m")
     scenario.run(60)
@@ -229,7 +229,7 @@
     assert scenario.audit("m") == ["resend", "resend", "settled"]
 
 
-def test_what_a_client_was_told_to_bring_again_waits_for_it(tmp_path: Path) -> None:
+def test_a_resend_waits_for_the_duplicate_that_the_client_was_asked_for(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     record = scenario.fail("m")
     assert record.client_retry_at is not None
@@ -241,7 +241,7 @@
 @pytest.mark.parametrize("class_index", [SAFE, KEYED, UNSAFE])
 @pytest.mark.parametrize("mode", ["deliver", "refuse", "late", "reset-after"])
 @pytest.mark.parametrize("frontend", ["resp", "mqtt", "app"])
-def test_a_copy_that_comes_while_the_resend_is_out_takes_its_end(
+def test_a_duplicate_during_a_resend_waits_for_its_ending(
     tmp_path: Path, class_index: int, mode: str, frontend: str
 ) -> None:
     scenario = ResendScenario(tmp_path)
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize("duplicate_mode", ["deliver", "refuse", "late"])
-def test_no_resend_begins_while_a_copy_is_held(tmp_path: Path, duplicate_mode: str) -> None:
+def test_no_resend_starts_while_a_duplicate_is_live(tmp_path: Path, duplicate_mode: str) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.run(6)
@@ -301,7 +301,9 @@
         )
 
 
-def test_a_copy_that_comes_after_the_resend_takes_its_end_also_after_a_start(tmp_path: Path) -> None:
+def test_a_duplicate_after_a_delivered_resend_is_answered_as_delivered_even_after_a_restart(
+    tmp_path: Path,
+) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.run(100)
@@ -318,7 +320,7 @@
     assert len(scenario.receiver.ledger["k"]) == 1
 
 
-def test_a_keyed_message_long_after_the_resend_is_a_new_one(tmp_path: Path) -> None:
+def test_a_keyed_message_long_after_the_resend_is_a_new_message(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m")
     scenario.run(200)
@@ -328,7 +330,9 @@
     assert scenario.answers()["new"] is Ending.DELIVERED
 
 
-def test_a_copy_of_other_contents_settles_nothing_and_bars_an_unsafe_resend(tmp_path: Path) -> None:
+def test_a_duplicate_with_another_body_settles_no_record_and_prevents_an_unsafe_resend(
+    tmp_path: Path,
+) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     now = scenario.rig.time.now()
@@ -342,7 +346,7 @@
     assert scenario.audit("m") == ["key-used"]
 
 
-def test_a_copy_with_little_time_is_answered_before_it_is_up(tmp_path: Path) -> None:
+def test_a_waiting_duplicate_is_answered_before_its_deadline(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.rig.modes = ("late-lost",)
@@ -359,7 +363,7 @@
     assert scenario.record("m").status is RecordStatus.PENDING
 
 
-def test_a_copy_that_is_withdrawn_while_it_waits(tmp_path: Path) -> None:
+def test_a_duplicate_that_is_withdrawn_while_it_waits(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.rig.modes = ("late-lost",)
@@ -372,7 +376,7 @@
     assert not any(scenario.rig.resend_scheduler.waiting_duplicates.values())
 
 
-def test_what_was_called_off_before_it_went_out_is_as_it_was(tmp_path: Path) -> None:
+def test_a_duplicate_settles_the_record_if_the_resend_is_cancelled_before_it_is_sent(tmp_path: Path) -> None:
     """The client submits a duplicate after the record is claimed and before the resend is sent."""
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
@@ -386,7 +390,7 @@
     assert scenario.rig.resend_scheduler.pacing.resends_in_flight == 0
 
 
-def test_a_journal_that_was_lost_makes_a_resend_one_that_may_have_run(tmp_path: Path) -> None:
+def test_a_resend_may_have_been_executed_if_the_journal_was_lost(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.rig.modes = ("late-lost",)
@@ -400,7 +404,7 @@
     assert scenario.audit("m") == ["resend", "resend-lost"]
 
 
-def test_while_the_store_fails_an_end_is_kept_in_the_journal(tmp_path: Path) -> None:
+def test_the_journal_keeps_a_resends_ending_while_the_store_fails(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.run_until_resending("m")
@@ -416,7 +420,7 @@
     assert len(scenario.receiver.ledger["k"]) == 1
 
 
-def test_new_rules_hold_at_once_and_what_is_out_ends(tmp_path: Path) -> None:
+def test_new_rules_apply_at_once_and_resends_in_progress_end(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     for i in range(6):
         scenario.fail(f"m{i}", key=f"k{i}", class_index=UNSAFE)
@@ -434,7 +438,7 @@
     assert all(len(times) == 1 for times in scenario.receiver.ledger.values())
 
 
-def test_a_partner_that_goes_down_again_gets_no_more_than_single_tries(tmp_path: Path) -> None:
+def test_a_receiver_that_fails_again_is_probed_with_single_resends(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     for i in range(12):
         scenario.fail(f"m{i}", key=f"k{i}", class_index=UNSAFE)
@@ -453,7 +457,7 @@
     assert all(len(times) == 1 for times in scenario.receiver.ledger.values())
 
 
-def test_a_drained_member_gets_no_resend(tmp_path: Path) -> None:
+def test_a_draining_endpoint_gets_no_resend(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     endpoint_list = {
@@ -470,7 +474,7 @@
     ) == DestinationHealth(False, True, False, 0, False, 0, 0, 0)
 
 
-def test_the_class_of_a_record_that_is_no_more_is_held(tmp_path: Path) -> None:
+def test_a_record_whose_class_was_removed_is_held(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=SAFE)
     scenario.rig.resend_scheduler.resend_durations.pop("safe")
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -103,7 +103,7 @@
         "a person's request does not make an unsafe message safe",
     ],
 )
-def test_each_step(changes: dict[str, Any], rule: Rule, expected: tuple[str, str]) -> None:
+def test_plan_of_a_record(changes: dict[str, Any], rule: Rule, expected: tuple[str, str]) -> None:
     assert plan_of(make_record(**changes), rule) == expected
 
 
@@ -128,13 +128,15 @@
         "a keyed message inside its window",
     ],
 )
-def test_where_copies_may_go_elsewhere(changes: dict[str, Any], expected: tuple[str, str]) -> None:
+def test_plan_if_duplicates_may_go_to_another_dispatcher(
+    changes: dict[str, Any], expected: tuple[str, str]
+) -> None:
     assert plan_of(make_record(**changes), RESEND, resend_settings=DUPLICATES_ELSEWHERE) == expected
     if "client_retry_at" in changes:  # a duplicate without a key is never recognised
         assert plan_of(make_record(**changes, key=""), RESEND) == expected
 
 
-def test_the_first_rule_that_matches_counts_and_an_older_one_ripens() -> None:
+def test_the_first_matching_rule_applies_and_a_rule_for_older_records_applies_later() -> None:
     old = Rule("old", Action.DISCARD, min_age=200 * SECOND)
     assert plan_of(make_record(), old, RESEND) == ("resend", "never-ran")
     assert plan_of(make_record(), old, RESEND, now=START + 200 * SECOND) == ("discard", "discarded-by-rule")
@@ -173,7 +175,7 @@
     return settings
 
 
-def test_a_good_file(tmp_path: Path) -> None:
+def test_a_valid_operator_file(tmp_path: Path) -> None:
     settings = read_settings(tmp_path, VALID_OPERATOR_FILE)
     first, second = settings.rules
     assert (first.name, first.destinations, first.classes) == ("one", frozenset({1}), frozenset({"standard"}))
@@ -226,13 +228,13 @@
         (f"[control]\npath = '/{'x' * 120}'", "control.path: over 107 bytes: /xxx"),
     ],
 )  # fmt: skip
-def test_a_mistake_names_its_key(tmp_path: Path, text: str, error: str) -> None:
+def test_an_invalid_setting_is_reported_with_its_key(tmp_path: Path, text: str, error: str) -> None:
     with pytest.raises(config.ConfigError) as error_info:
         read_settings(tmp_path, text)
     assert error in str(error_info.value)
 
 
-def test_with_several_instances_copies_go_anywhere_unless_told_otherwise(tmp_path: Path) -> None:
+def test_duplicates_elsewhere_is_false_for_one_instance_and_true_by_default(tmp_path: Path) -> None:
     assert not read_settings(tmp_path, "[undelivered]").resend_settings.duplicates_elsewhere
     assert ResendSettings().duplicates_elsewhere
 
@@ -247,7 +249,7 @@
     return dataclasses.replace(HEALTHY, **changes)
 
 
-def test_the_share_of_slots_and_pace() -> None:
+def test_resends_use_a_fraction_of_the_slots_and_of_the_rate() -> None:
     pacing = ResendPacing(0.1, 40)
     assert pacing.max_concurrent_resends == 4
     assert pacing.available_resends(1, HEALTHY, NOW) == 1, "one at a time until one has passed"
@@ -289,11 +291,11 @@
         "the destination is unhealthy and was just called",
     ],
 )
-def test_when_none_may_start(condition: DestinationHealth) -> None:
+def test_conditions_under_which_no_resend_may_start(condition: DestinationHealth) -> None:
     assert ResendPacing(0.1, 40).available_resends(1, condition, NOW) == 0
 
 
-def test_a_sick_partner_without_traffic_is_tried_at_growing_intervals() -> None:
+def test_an_unhealthy_destination_without_traffic_is_probed_at_growing_intervals() -> None:
     pacing = ResendPacing(0.1, 40)
     now = NOW
     probes: list[int] = []
@@ -313,7 +315,7 @@
     assert pacing.healthy_duration(1, now + 5 * SECOND) == 5 * SECOND
 
 
-def test_a_rule_keeps_its_rate() -> None:
+def test_a_rule_does_not_exceed_its_rate() -> None:
     rates = RuleRates()
     acquired = sum(rates.acquire("r", 2.0, NOW + i * SECOND // 100) for i in range(1000))
     assert 19 <= acquired <= 22
