--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -56,8 +56,8 @@
 ) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     fields = f"c=standard,t=studio,d={time_left_ms},dest=1,k={key or f'key-{name}'}"
-    parts = [b"ENQUEUE", b"0" * 16, name.encode(), fields.encode(), body]
-    writer.write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts))
+    arguments = [b"ENQUEUE", b"0" * 16, name.encode(), fields.encode(), body]
+    writer.write(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments))
     assert (await reader.readline()).startswith(b"+")
     writer.close()
 
