--- a/tests/test_dead_letters.py
+++ b/tests/test_dead_letters.py
@@ -1,4 +1,7 @@
-"""What may be resent: each class and history, both sides of each limit, against the receiver's own memory."""
+"""Tests which messages may be resent: each class and history, and both sides of each time limit.
+
+A property test checks the decision against a receiver that drops repeats only inside its window.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +72,7 @@
         "a released message waits for its client, too",
     ],
 )
-def test_each_case(history: ExecutionHistory, verdict: Verdict, reason: str) -> None:
+def test_resend_decision(history: ExecutionHistory, verdict: Verdict, reason: str) -> None:
     decision = decide_resend(history, NOW, GRACE, RESEND_DURATION)
     assert (decision.verdict, decision.reason) == (verdict, reason)
 
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -1,4 +1,4 @@
-"""Resends: nothing applied twice and nothing forgotten, whatever fails and whenever the process is killed."""
+"""Resends under failures and kills: no message is applied twice, and none that may be resent is left out."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     RULE,
     SAFE,
     UNSAFE,
-    Partner,
+    Receiver,
     ResendRig,
     run_day,
     stored_records,
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_the_ledgers_catch_a_faulty_dispatcher(tmp_path: Path, name: str) -> None:
+def test_the_ledger_shows_the_error_of_a_faulty_dispatcher(tmp_path: Path, name: str) -> None:
     for seed in range(40):
         with patch.object(*MUTANTS[name][0]), patch.object(*MUTANTS[name][-1]):
             result = run_day(tmp_path / str(seed), seed, (300,))
@@ -86,69 +86,69 @@
             result.rig.close_as_killed()
         if applied_twice:
             return
-    raise AssertionError("the ledgers show nothing applied twice")
+    raise AssertionError("no run with the faulty dispatcher applied a message twice")
 
 
-# One thing at a time.
+# Single cases, without random failures.
 
 
 class ResendScenario:
-    """A dispatcher with a receiver that answers as the test says: in one of the modes of ResendRig."""
+    """A dispatcher and a receiver that answers in the response mode that the test has set."""
 
-    def __init__(self, folder: Path, **more: Any) -> None:
-        self.partner = Partner()
-        self.rig = ResendRig(folder, VirtualTime(), self.partner, random.Random(1), **more)
+    def __init__(self, folder: Path, **rig_options: Any) -> None:
+        self.receiver = Receiver()
+        self.rig = ResendRig(folder, VirtualTime(), self.receiver, random.Random(1), **rig_options)
         self.rig.modes = ("refuse",)
         self.rig.run(1)
 
     def submit(self, name: str, class_index: int = KEYED, key: str = "k", frontend: str = "mqtt") -> None:
-        """Submit a message, which must be accepted."""
+        """Submit a message, and fail the test if it is not accepted."""
         deadline = self.rig.time.now() + 6 * SECOND
         message = Transaction(name, class_index, 1, deadline, b"body", key=key, frontend=frontend)
         assert self.rig.dispatcher.submit(message).accepted
 
     def run(self, seconds: float) -> None:
-        """Let time pass at the dispatcher and at the receiver."""
+        """Let this much time pass at the dispatcher and the receiver."""
         for _ in range(int(seconds * 5)):
             self.rig.run(0.2)
-            self.partner.apply_due(self.rig.time.now())
+            self.receiver.apply_due(self.rig.time.now())
 
-    def fail(self, name: str, mode: str = "refuse", **more: Any) -> Record:
-        """Submit a message that ends undelivered; its record. From then on all is delivered."""
+    def fail(self, name: str, mode: str = "refuse", **message_options: Any) -> Record:
+        """Submit a message that ends undelivered, and return its record. Later calls are delivered."""
         self.rig.modes = (mode,)
-        self.submit(name, **more)
+        self.submit(name, **message_options)
         self.run(10)
         self.rig.modes = ("deliver",)
         return self.record(name)
 
     def record(self, name: str) -> Record:
-        """The record of a message."""
+        """Return the record of a message."""
         return next(record for record in stored_records(self.rig) if record.id == name)
 
     def audit(self, name: str) -> list[str]:
-        """What was done to a message's record."""
+        """Return the actions in the audit entries of a message's record, oldest first."""
         return [stored.entry.action for stored in self.rig.store.audit_page(self.record(name).sequence)]
 
     def run_until_resending(self, name: str) -> Record:
-        """Run until a resend of the message is claimed."""
+        """Run until the message's record is claimed for a resend, and return the record."""
         for _ in range(2000):
             self.run(0.2)
             if (record := self.record(name)).status is RecordStatus.RESENDING:
                 return record
-        raise AssertionError("no resend began")
+        raise AssertionError(f"no resend of {name} was claimed")
 
     def run_until_attempt(self) -> None:
-        """Run until one more attempt is in flight."""
-        sent = len(self.rig.sent)
-        while len(self.rig.sent) == sent:
+        """Run until another attempt has been sent."""
+        sent_count = len(self.rig.sent)
+        while len(self.rig.sent) == sent_count:
             self.rig.run(0.005)
 
     def answers(self) -> dict[str, Ending | None]:
-        """The ending of each message that was answered."""
+        """Return the ending of each answered message, by message id."""
         return {answer.id: answer.ending for answer in self.rig.answers}
 
 
-def test_a_resend_is_a_fresh_request_with_the_same_key(tmp_path: Path) -> None:
+def test_a_resend_is_a_new_message_with_the_same_key(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     record = scenario.fail("m", class_index=UNSAFE)
     assert not record.may_have_executed
@@ -163,8 +163,8 @@
     assert sent.id != "m"
     assert scenario.audit("m") == ["resend", "settled"]
     assert len(settled.attempts) == len(record.attempts) + 1
-    assert scenario.partner.ledger["k"]
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert scenario.receiver.ledger["k"]
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
 @pytest.mark.parametrize(
@@ -176,15 +176,15 @@
         (UNSAFE, "late", False), (UNSAFE, "500-before", False), (UNSAFE, "spoilt", False),
     ],
 )  # fmt: skip
-def test_what_may_go_again_by_rule(tmp_path: Path, class_index: int, mode: str, resent: bool) -> None:
+def test_which_messages_a_rule_resends(tmp_path: Path, class_index: int, mode: str, resent: bool) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", mode, class_index=class_index)
     scenario.run(80)
     assert (scenario.record("m").status is RecordStatus.SETTLED) == resent
-    assert len(scenario.partner.ledger.get("k", [])) <= 1 or class_index == SAFE
+    assert len(scenario.receiver.ledger.get("k", [])) <= 1 or class_index == SAFE
 
 
-def test_a_keyed_one_is_not_resent_after_its_window(tmp_path: Path) -> None:
+def test_a_keyed_message_is_not_resent_after_its_window(tmp_path: Path) -> None:
     scenario = ResendScenario(
         tmp_path, resend_settings=dataclasses.replace(RESEND_SETTINGS, client_retry_grace=100 * SECOND)
     )
@@ -192,10 +192,10 @@
     scenario.run(300)
     assert scenario.record("m").status is RecordStatus.PENDING
     assert scenario.record("m").resend_count == 0
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
-def test_released_with_evidence_it_goes_and_a_second_doubt_needs_new_evidence(tmp_path: Path) -> None:
+def test_evidence_allows_a_resend_but_does_not_cover_the_attempts_of_that_resend(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", "reset-before", class_index=UNSAFE)
     scenario.run(60)
@@ -216,7 +216,7 @@
     assert scenario.audit("m") == ["release", "resend", "resend-ended"]
 
 
-def test_asked_for_by_a_person_it_goes_without_a_rule(tmp_path: Path) -> None:
+def test_a_resend_requested_by_an_operator_needs_no_rule(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path, rules=())
     scenario.fail("m")
     scenario.run(60)
@@ -229,7 +229,7 @@
     assert scenario.audit("m") == ["resend", "resend", "settled"]
 
 
-def test_what_a_client_was_told_to_bring_again_waits_for_it(tmp_path: Path) -> None:
+def test_a_resend_waits_for_the_duplicate_that_the_client_was_asked_for(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     record = scenario.fail("m")
     assert record.client_retry_at is not None
@@ -240,68 +240,70 @@
 
 @pytest.mark.parametrize("class_index", [SAFE, KEYED, UNSAFE])
 @pytest.mark.parametrize("mode", ["deliver", "refuse", "late", "reset-after"])
-@pytest.mark.parametrize("front", ["resp", "mqtt", "app"])
-def test_a_copy_that_comes_while_the_resend_is_out_takes_its_end(
-    tmp_path: Path, class_index: int, mode: str, front: str
+@pytest.mark.parametrize("frontend", ["resp", "mqtt", "app"])
+def test_a_duplicate_during_a_resend_waits_for_its_ending(
+    tmp_path: Path, class_index: int, mode: str, frontend: str
 ) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.rig.dispatcher.frontends["app"] = scenario.rig
     scenario.fail("m", class_index=class_index)
     scenario.rig.modes = (mode,)
-    sent = len(scenario.rig.sent)
+    sent_count = len(scenario.rig.sent)
     scenario.run_until_attempt()
-    scenario.submit("copy", class_index=class_index, frontend=front)
+    scenario.submit("copy", class_index=class_index, frontend=frontend)
     assert scenario.rig.sent[-1].frontend == "resend"
-    assert len(scenario.rig.sent) == sent + 1
+    assert len(scenario.rig.sent) == sent_count + 1
     scenario.rig.modes = ("deliver",)
-    out: list[str] = []
+    ids_in_flight: list[str] = []
     while scenario.rig.dispatcher.messages.by_id.get("copy") is not None:
-        out = [
-            name
-            for name in scenario.rig.dispatcher.calls_in_flight
-            if scenario.rig.dispatcher.calls_in_flight[name].messages[0].key == "k"
+        ids_in_flight = [
+            message_id
+            for message_id in scenario.rig.dispatcher.calls_in_flight
+            if scenario.rig.dispatcher.calls_in_flight[message_id].messages[0].key == "k"
         ]
-        assert len(out) <= 1, "the copy and the resend are out together"
+        assert len(ids_in_flight) <= 1, "the copy and the resend are out together"
         scenario.run(0.2)
     if class_index != SAFE:
-        assert len(scenario.partner.ledger.get("k", [])) <= 1
+        assert len(scenario.receiver.ledger.get("k", [])) <= 1
     if mode == "deliver":
         assert scenario.answers().get("copy", Ending.DELIVERED) is Ending.DELIVERED
         assert [message.id for message in scenario.rig.sent].count("copy") == 0
     elif mode == "refuse" or class_index != UNSAFE:
-        assert scenario.partner.ledger["k"], "the copy goes once the resend is over"
+        assert scenario.receiver.ledger["k"], "the copy goes once the resend is over"
     else:
         assert scenario.answers()["copy"] is Ending.FAILED, "nobody knows whether the resend ran"
     scenario.run(100)
-    assert len(scenario.partner.ledger.get("k", [])) <= 1 or class_index == SAFE
+    assert len(scenario.receiver.ledger.get("k", [])) <= 1 or class_index == SAFE
 
 
-@pytest.mark.parametrize("ends", ["deliver", "refuse", "late"])
-def test_no_resend_begins_while_a_copy_is_held(tmp_path: Path, ends: str) -> None:
+@pytest.mark.parametrize("duplicate_mode", ["deliver", "refuse", "late"])
+def test_no_resend_starts_while_a_duplicate_is_live(tmp_path: Path, duplicate_mode: str) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.run(6)
     scenario.rig.modes = ("refuse",)
     scenario.submit("copy", class_index=UNSAFE)
     scenario.run(3)
-    scenario.rig.modes = (ends,)
+    scenario.rig.modes = (duplicate_mode,)
     while scenario.rig.dispatcher.messages.by_id.get("copy") is not None:
         assert scenario.record("m").status is RecordStatus.PENDING
         scenario.run(0.2)
     scenario.rig.modes = ("deliver",)
     scenario.run(120)
-    assert len(scenario.partner.ledger.get("k", [])) == 1 or ends == "late"
-    assert len(scenario.partner.ledger.get("k", [])) <= 1
-    if ends == "deliver":
+    assert len(scenario.receiver.ledger.get("k", [])) == 1 or duplicate_mode == "late"
+    assert len(scenario.receiver.ledger.get("k", [])) <= 1
+    if duplicate_mode == "deliver":
         assert scenario.record("m").settled_by == "copy:copy"
     else:
         assert scenario.record("m").status is RecordStatus.REPLACED
         assert scenario.record("copy").status is (
-            RecordStatus.PENDING if ends == "late" else RecordStatus.SETTLED
+            RecordStatus.PENDING if duplicate_mode == "late" else RecordStatus.SETTLED
         )
 
 
-def test_a_copy_that_comes_after_the_resend_takes_its_end_also_after_a_start(tmp_path: Path) -> None:
+def test_a_duplicate_after_a_delivered_resend_is_answered_as_delivered_even_after_a_restart(
+    tmp_path: Path,
+) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.run(100)
@@ -309,26 +311,28 @@
     scenario.run(1)
     assert scenario.answers()["copy-1"] is Ending.DELIVERED
     scenario.rig.close_as_killed()
-    stand = ResendRig(tmp_path, scenario.rig.time, scenario.partner, random.Random(2))
-    scenario.rig = stand
+    restarted_rig = ResendRig(tmp_path, scenario.rig.time, scenario.receiver, random.Random(2))
+    scenario.rig = restarted_rig
     scenario.run(1)
     scenario.submit("copy-2", class_index=UNSAFE)
     scenario.run(1)
     assert scenario.answers()["copy-2"] is Ending.DELIVERED
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
-def test_a_keyed_message_long_after_the_resend_is_a_new_one(tmp_path: Path) -> None:
+def test_a_keyed_message_long_after_the_resend_is_a_new_message(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m")
     scenario.run(200)
     scenario.submit("new")
     scenario.run(5)
-    assert len(scenario.partner.ledger["k"]) == 2
+    assert len(scenario.receiver.ledger["k"]) == 2
     assert scenario.answers()["new"] is Ending.DELIVERED
 
 
-def test_a_copy_of_other_contents_settles_nothing_and_bars_an_unsafe_resend(tmp_path: Path) -> None:
+def test_a_duplicate_with_another_body_settles_no_record_and_prevents_an_unsafe_resend(
+    tmp_path: Path,
+) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     now = scenario.rig.time.now()
@@ -342,7 +346,7 @@
     assert scenario.audit("m") == ["key-used"]
 
 
-def test_a_copy_with_little_time_is_answered_before_it_is_up(tmp_path: Path) -> None:
+def test_a_waiting_duplicate_is_answered_before_its_deadline(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.rig.modes = ("late-lost",)
@@ -359,7 +363,7 @@
     assert scenario.record("m").status is RecordStatus.PENDING
 
 
-def test_a_copy_that_is_withdrawn_while_it_waits(tmp_path: Path) -> None:
+def test_a_duplicate_that_is_withdrawn_while_it_waits(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.rig.modes = ("late-lost",)
@@ -372,8 +376,8 @@
     assert not any(scenario.rig.resend_scheduler.waiting_duplicates.values())
 
 
-def test_what_was_called_off_before_it_went_out_is_as_it_was(tmp_path: Path) -> None:
-    """The client brings it itself between the claim and the first byte."""
+def test_a_duplicate_settles_the_record_if_the_resend_is_cancelled_before_it_is_sent(tmp_path: Path) -> None:
+    """The client submits a duplicate after the record is claimed and before the resend is sent."""
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     with patch.object(type(scenario.rig.dispatcher), "release", lambda *_: None):
@@ -382,41 +386,41 @@
     scenario.run(5)
     assert scenario.answers()["copy"] is Ending.DELIVERED
     assert scenario.record("m").settled_by == "copy:copy"
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
     assert scenario.rig.resend_scheduler.pacing.resends_in_flight == 0
 
 
-def test_a_journal_that_was_lost_makes_a_resend_one_that_may_have_run(tmp_path: Path) -> None:
+def test_a_resend_may_have_been_executed_if_the_journal_was_lost(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.rig.modes = ("late-lost",)
     scenario.run_until_resending("m")
     scenario.rig.close_as_killed()
     (tmp_path / "journal").unlink()
-    scenario.rig = ResendRig(tmp_path, scenario.rig.time, scenario.partner, random.Random(2))
+    scenario.rig = ResendRig(tmp_path, scenario.rig.time, scenario.receiver, random.Random(2))
     scenario.run(100)
     assert scenario.record("m").status is RecordStatus.PENDING
     assert scenario.record("m").may_have_executed
     assert scenario.audit("m") == ["resend", "resend-lost"]
 
 
-def test_while_the_store_fails_an_end_is_kept_in_the_journal(tmp_path: Path) -> None:
+def test_the_journal_keeps_a_resends_ending_while_the_store_fails(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     scenario.run_until_resending("m")
     scenario.rig.worker.failure = sqlite3.OperationalError("disk I/O error")
     scenario.run(20)
-    (held,) = scenario.rig.dispatcher.messages.by_id.values()
-    assert held.frontend == "resend"
-    assert held.ending is Ending.DELIVERED
+    (journaled,) = scenario.rig.dispatcher.messages.by_id.values()
+    assert journaled.frontend == "resend"
+    assert journaled.ending is Ending.DELIVERED
     scenario.rig.worker.failure = None
     scenario.run(70)
     assert scenario.record("m").status is RecordStatus.SETTLED
     assert not scenario.rig.dispatcher.messages.by_id
-    assert len(scenario.partner.ledger["k"]) == 1
+    assert len(scenario.receiver.ledger["k"]) == 1
 
 
-def test_new_rules_hold_at_once_and_what_is_out_ends(tmp_path: Path) -> None:
+def test_new_rules_apply_at_once_and_resends_in_progress_end(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     for i in range(6):
         scenario.fail(f"m{i}", key=f"k{i}", class_index=UNSAFE)
@@ -431,10 +435,10 @@
     assert {scenario.record(f"m{i}").status.value for i in range(6)} <= {"settled", "discarded"}
     scenario.rig.resend_scheduler.replace_rules((RULE,))
     scenario.run(60)
-    assert all(len(times) == 1 for times in scenario.partner.ledger.values())
+    assert all(len(times) == 1 for times in scenario.receiver.ledger.values())
 
 
-def test_a_partner_that_goes_down_again_gets_no_more_than_single_tries(tmp_path: Path) -> None:
+def test_a_receiver_that_fails_again_is_probed_with_single_resends(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     for i in range(12):
         scenario.fail(f"m{i}", key=f"k{i}", class_index=UNSAFE)
@@ -442,16 +446,18 @@
         scenario.run(0.2)
     scenario.rig.modes = ("refuse",)
     scenario.run(40)
-    before = len(scenario.rig.sent)
+    sent_before_outage = len(scenario.rig.sent)
     scenario.run(600)
-    assert len(scenario.rig.sent) - before <= 12 * 5, "a partner that is out is tried at growing gaps"
+    assert len(scenario.rig.sent) - sent_before_outage <= 12 * 5, (
+        "a partner that is out is tried at growing gaps"
+    )
     scenario.rig.modes = ("deliver",)
     scenario.run(1500)
     assert all(scenario.record(f"m{i}").status is RecordStatus.SETTLED for i in range(12))
-    assert all(len(times) == 1 for times in scenario.partner.ledger.values())
+    assert all(len(times) == 1 for times in scenario.receiver.ledger.values())
 
 
-def test_a_drained_member_gets_no_resend(tmp_path: Path) -> None:
+def test_a_draining_endpoint_gets_no_resend(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=UNSAFE)
     endpoint_list = {
@@ -468,7 +474,7 @@
     ) == DestinationHealth(False, True, False, 0, False, 0, 0, 0)
 
 
-def test_the_class_of_a_record_that_is_no_more_is_held(tmp_path: Path) -> None:
+def test_a_record_whose_class_was_removed_is_held(tmp_path: Path) -> None:
     scenario = ResendScenario(tmp_path)
     scenario.fail("m", class_index=SAFE)
     scenario.rig.resend_scheduler.resend_durations.pop("safe")
