--- a/honeyhitch/dispatcher/admission.py
+++ b/honeyhitch/dispatcher/admission.py
@@ -42,9 +42,8 @@
             log.warning("journal.full", what="message", error=str(error))
             return self._reject(message)
         if self._repeats_delivered_key(message):
-            self.endings.conclude_as_delivered(
-                message
-            )  # its endpoint would also report a repeat as delivered
+            # The message's endpoint would also report a repeat as delivered.
+            self.endings.conclude_as_delivered(message)
         else:
             self.admit(message)
         return Admission(True)
--- a/honeyhitch/dispatcher/dispatcher.py
+++ b/honeyhitch/dispatcher/dispatcher.py
@@ -149,7 +149,7 @@
     def hand_over(self) -> None:
         """Start no further call and hand messages over to the other process.
 
-        To be called repeatedly until the process ends.
+        This method is to be called repeatedly until the process ends.
         """
         self.recovery.hand_over()
 
--- a/honeyhitch/dispatcher/recovery.py
+++ b/honeyhitch/dispatcher/recovery.py
@@ -75,7 +75,7 @@
         """Start no further call, and hand the waiting messages over to the other process.
 
         Calls in flight and notices end in this process. Idle connections are closed, because endpoints accept
-        only few connections. To be called repeatedly until the process ends.
+        only a few connections. This method is to be called repeatedly until the process ends.
         """
         context = self.context
         if context.sending:
@@ -93,9 +93,8 @@
         ]
         try:
             context.journal.hand_over(waiting, len(calls))
-        except (
-            JournalFullError
-        ) as error:  # the other process takes the messages over once this process has ended
+        except JournalFullError as error:
+            # The other process takes the messages over once this process has ended.
             log.warning("journal.full", what="passed", error=str(error))
 
     def _stop_sending(self) -> None:
--- a/honeyhitch/endpoints/pool.py
+++ b/honeyhitch/endpoints/pool.py
@@ -29,9 +29,8 @@
         self.endpoints: dict[str, PoolEndpoint] = {}
         self.pinned: dict[str, PoolEndpoint] = {}  # configured by the operator, never listed by discovery
         self.revision = 0
-        self.destinations: set[int] = (
-            set()
-        )  # all that were ever listed, including those without an endpoint now
+        # All destinations that were ever listed, including those without an endpoint now.
+        self.destinations: set[int] = set()
         self.transport_of: Callable[[PoolEndpoint], str] = lambda endpoint: endpoint.transport
         # Whether endpoints of a destination are added to the pool; None adds all.
         self.accepts_destination: Callable[[int], bool] | None = None
--- a/honeyhitch/journal/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -44,7 +44,7 @@
         return True
 
     def reserved_bytes(self) -> int:
-        """Return the bytes of disk that the writer uses, including those of a compaction if it may do one."""
+        """Return the disk space in bytes that the writer uses, with that of a compaction if it may do one."""
         if self.fd == NO_FILE:
             return 0
         if self.calls_in_flight is None:
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -41,9 +41,8 @@
 ACCEPT_FRACTION = 0.75  # of `max_bytes`; beyond this no message is accepted
 WRITE_FRACTION = 0.95  # of `max_bytes`; beyond this no record is written
 COMPACT_FRACTION = 0.3  # of `max_bytes`; a larger file may be compacted
-MIN_COMPACTION_GAIN = (
-    0.125  # of the file size; a smaller gain does not justify the milliseconds of a compaction
-)
+# Fraction of the file size; a smaller gain does not justify the milliseconds of a compaction.
+MIN_COMPACTION_GAIN = 0.125
 OWNER_ONLY = 0o600  # file mode
 
 
@@ -112,7 +111,7 @@
     # Records, each written before the action that it covers.
 
     def record_accepted(self, transaction: Transaction) -> None:
-        """Record an accepted message before its client is told.
+        """Record an accepted message before its client is told of the acceptance.
 
         Raise JournalFullError if there is no space.
         """
@@ -208,7 +207,7 @@
             self._append_if_possible(CallsInFlight(count))
 
     def reclaim(self) -> None:
-        """Own all messages again that were handed over, because the other process has ended."""
+        """Record that this process owns all handed-over messages again, as the other process has ended."""
         if self.handed_over or self.calls_in_flight is not None:
             self.handed_over = {}
             self.calls_in_flight = None
--- a/honeyhitch/policy/attempt_learning.py
+++ b/honeyhitch/policy/attempt_learning.py
@@ -20,7 +20,7 @@
 
 
 def reduce_messages_per_call(event: AttemptEnded, call: Call) -> None:
-    """Lower the messages per call after a whole call failed, as any of its messages may be the cause."""
+    """Lower the endpoint's messages per call after a whole call failed: any message may be the cause."""
     whole_call_failed = (
         not call.pending_messages and not call.any_delivered and not event.outcome.proves_not_executed
     )
--- a/honeyhitch/policy/backoff.py
+++ b/honeyhitch/policy/backoff.py
@@ -24,7 +24,7 @@
 def shortest_useful_pause(failures: int) -> int:
     """Return the pause (ns) of the preceding backoff step, 0 at the first step.
 
-    A backoff may be shortened to the time left of a message, but not below this.
+    A backoff may be shortened to the time left of a message, but not below this pause.
     """
     step = min(failures, len(BACKOFF_STEPS) - 1)
     return BACKOFF_STEPS[step - 1] if step else 0
--- a/honeyhitch/policy/circuit_breaking.py
+++ b/honeyhitch/policy/circuit_breaking.py
@@ -16,14 +16,14 @@
 EJECTION_FAILURE_FRACTION = 0.7
 EJECTION_CONSECUTIVE_FAILURES = 3
 MIN_KNOWN_SUCCESSES = 0.5  # decayed count of successes below which a single failure ejects
-REJECTING_PERIOD = 2 * SECOND  # without a success, after which a rejecting destination is unavailable
-REJECTING_CALLS = 10  # calls at the quota's rate; the period is as long as they take, if that is longer
+REJECTING_PERIOD = 2 * SECOND  # time without a success after which a rejecting destination is unavailable
+REJECTING_CALLS = 10  # the period lasts at least as long as this many calls take at the quota's rate
 UNAVAILABLE_RETRY_AFTER = 3 * SECOND  # a Retry-After this long or longer means unavailable
 MIN_PROBE_PAUSE = 200 * MILLISECOND
 MAX_PROBE_PAUSE = 16 * SECOND
 MAX_PROBE_PAUSE_PER_INSTANCE = 700 * MILLISECOND  # so that the instances together detect a recovery soon
 LARGE_FLEET_PROBE_JITTER = 0.5  # fraction; many instances detect an outage at the same time
-SMALL_FLEET_MAX_INSTANCES = 6  # so many may each keep a connection and probe with little jitter
+SMALL_FLEET_MAX_INSTANCES = 6  # up to this many may each keep a connection and probe with little jitter
 
 
 class CircuitBreaker:
--- a/honeyhitch/policy/destination.py
+++ b/honeyhitch/policy/destination.py
@@ -41,7 +41,7 @@
         self.concurrent_calls = 0
         self.max_messages_per_call = 1
         self.next_check_at = 0
-        self.reported_blocked_until = 0  # the block end for which messages were given up last
+        self.reported_blocked_until = 0  # value of `blocked_until` when messages were last given up
 
     def enqueue(self, message: PendingMessage, sequence: int) -> None:
         """Queue a message that may be sent; `sequence` orders messages with the same latency objective."""
--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -12,8 +12,8 @@
 from honeyhitch.policy.settings import Settings
 from honeyhitch.time_units import NEVER
 
-HEALTHY_SLOT_FRACTION = 0.75  # of all slots, the most that one destination uses (claim `dest_cap`)
-UNHEALTHY_SLOT_FRACTION = 0.25  # for an unhealthy one: half of what the claim `isolates` allows
+HEALTHY_SLOT_FRACTION = 0.75  # largest fraction of all slots for one destination (claim `dest_cap`)
+UNHEALTHY_SLOT_FRACTION = 0.25  # the same for an unhealthy destination; half of the claim `isolates`
 FAILURE_RANKS = 4  # steps into which failure fractions are rounded down to compare endpoints
 
 
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -154,7 +154,7 @@
             self.dispatchable[destination] = None
 
     def _on_connection_capacity(self, event: ConnectionCapacity) -> None:
-        """Update an endpoint's capacity; a failed connect counts against it, although it is no attempt."""
+        """Update an endpoint's capacity; count a failed connect as a failure, although it is no attempt."""
         destination = self.destinations.get(event.destination)
         endpoint = destination.endpoints.get(event.endpoint) if destination is not None else None
         if destination is None or endpoint is None:
@@ -175,7 +175,7 @@
         if destination is None:
             return
         endpoint = destination.endpoints.get(event.endpoint)
-        # A Retry-After from an endpoint that is gone binds all remaining endpoints.
+        # A Retry-After from an endpoint that is gone applies to all remaining endpoints of its destination.
         affected_endpoints = [endpoint] if endpoint else destination.endpoints.values()
         for affected_endpoint in affected_endpoints:
             affected_endpoint.state.honor_retry_after(event.until)
--- a/honeyhitch/policy/message_queue.py
+++ b/honeyhitch/policy/message_queue.py
@@ -17,7 +17,7 @@
 
 
 class MessageQueue(Generic[M]):
-    """Messages inside their latency objective, by its end, followed by late ones, latest deadline first.
+    """Messages inside their latency objective, earliest end first, then late ones, latest deadline first.
 
     Times are nanoseconds. Messages with equal times are ordered by their sequence number.
     """
--- a/honeyhitch/policy/rate_limiting.py
+++ b/honeyhitch/policy/rate_limiting.py
@@ -15,8 +15,9 @@
 REJECTION_FACTOR = 0.5  # applied to the send rate by each further rejection
 FIRST_REJECTION_FACTOR = 0.6  # applied to the measured rate by the first rejection
 RATE_RECOVERY_PER_SECOND = 0.15  # growth of the send rate, as a fraction
-MIN_RATE_FACTOR = 0.5  # of the quota, the lowest send rate
-UNLIMITED_FACTOR = 2.0  # of the quota, or of the rate before the reduction: above it the limit is lifted
+MIN_RATE_FACTOR = 0.5  # lowest send rate, as a fraction of the quota
+# The limit is lifted above this multiple of the quota or of the rate before the reduction, if that is higher.
+UNLIMITED_FACTOR = 2.0
 RATE_PERIOD = 2 * SECOND  # decay time over which the rate of calls is measured
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -102,7 +102,7 @@
         return peak
 
     def peak_excess(self, fleet_settings: Settings, window: int, capacity: float) -> float:
-        """Return the most calls of all instances in a window after the outage, less N + 2 x root of N + 2.
+        """Return the most calls of all instances in a window after the outage, minus N + 2 * sqrt(N) + 2.
 
         N is the number of calls that a destination in slow start sustains in that window; a result above 0
         means that the destination is overloaded.
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -20,9 +20,10 @@
 from .world import SECOND, settings
 
 START = 1_700_000_000 * SECOND
+# An endpoint drops a repeat with the same key inside the deduplication window.
 STANDARD_CLASS = dataclasses.replace(
     settings().classes[1], name="standard", deadline=20 * SECOND, deduplication_window=5 * SECOND
-)  # an endpoint drops a repeat with the same key inside the deduplication window
+)
 SETTINGS: dict[str, Any] = {
     "classes": (STANDARD_CLASS,),
     "kinds": (DestinationKind(max_messages_per_call=3, name="large"), DestinationKind(name="small")),
@@ -58,9 +59,9 @@
         """Advance the time, calling each callback when it is due."""
         end_time = self.time + int(seconds * SECOND)
         while self.heap and self.heap[0][0] <= end_time:
-            when, _, what = heapq.heappop(self.heap)
+            when, _, callback = heapq.heappop(self.heap)
             self.time = max(self.time, when)
-            what()
+            callback()
         self.time = end_time
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -93,9 +93,8 @@
     (call,) = rig.run(0.1)
     rig.run(0.2)
     assert [answer.id for answer in rig.answers] == ["short"]
-    rig.end(
-        call, Outcome.DELIVERED
-    )  # too late for one message, so it is unknown whether it counts for the other
+    # The reply is too late for one message, so it is unknown whether the reply counts for the other.
+    rig.end(call, Outcome.DELIVERED)
     assert list(rig.dispatcher.messages.by_id) == ["long"]
     assert len(rig.answers) == 1
     (repeated,) = rig.run(1)
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -49,9 +49,8 @@
     for _ in range(2):
         endpoint_pool.update(change(6, endpoint_row("c", 2)))
     assert sorted(endpoint_pool.endpoints) == ["a", "b", "c"]
-    endpoint_pool.update(
-        {"revision": 2, "complete": True, "members": [endpoint_row("a", 1)]}
-    )  # from an agent whose revisions restarted
+    # A list from an agent whose revisions restarted.
+    endpoint_pool.update({"revision": 2, "complete": True, "members": [endpoint_row("a", 1)]})
     assert sorted(endpoint_pool.endpoints) == ["a"]
     assert endpoint_pool.revision == 2
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_rejected_calls_that_count_do_not_keep_the_fleet_above_the_limit(seed: int) -> None:
-    """Bursts go to a destination that takes several messages per call; rejected calls overdraw its limit."""
+    """Bursts go to a destination that takes several messages per call; its limit counts rejected calls."""
     fleet = Fleet(
         Partner(limit=constant_limit(53.0)),
         seed,
@@ -117,7 +117,7 @@
 def test_twenty_or_thirty_instances_send_no_more_than_a_recovering_destination_sustains(
     count: int, limit: float, load: float, down_for: int, uneven: bool, seed: int
 ) -> None:
-    """Beyond the N calls that the destination sustains, 2 x root of N + 2 calls are attributed to chance.
+    """Beyond the N calls that the destination sustains, 2 * sqrt(N) + 2 calls are attributed to chance.
 
     The calls of all instances count, whether or not they detected the outage.
     """
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -216,11 +216,8 @@
     }
     removal = {"revision": 12, "complete": False, "members": [endpoint_row("s-1", 1, phase="Gone")]}
     drain = {"revision": 11, "complete": False, "members": [endpoint_row("s-1", 1, phase="Terminating")]}
-    outdated_change = {
-        "revision": 10,
-        "complete": False,
-        "members": [endpoint_row("s-1", 1)],
-    }  # outdated: the endpoint was removed since
+    # The endpoint was removed since this change.
+    outdated_change = {"revision": 10, "complete": False, "members": [endpoint_row("s-1", 1)]}
     for i in range(12):
         directory = tmp_path / str(i)
         directory.mkdir()
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -179,7 +179,7 @@
         return [EndpointListUpdate(UpdateMode.CHANGES, (stopped,))]
 
     def _complete_list(self) -> list[Event]:
-        """Return an update with the complete list without the stopped endpoints, or nothing."""
+        """Return an update with the complete list without the stopped endpoints, or no event."""
         if self.rng.random() >= 0.03:
             return []
         listed = tuple(
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -41,7 +41,7 @@
 )
 CALL_DURATION = 40 * MS  # of a call to a healthy endpoint
 MAX_DELAY = 300 * MS  # maximum time from the deadline to the ending
-MAX_START_DELAY = int(1.5 * SECOND)  # from a start to the ending, if the deadline passed before it
+MAX_START_DELAY = int(1.5 * SECOND)  # from a start to the ending, if the deadline passed before that start
 RATE = 200.0  # calls per second; enough for all messages, even during slow start
 MEMBERS: list[dict[str, Any]] = [{**row, "size": RATE} for row in ENDPOINT_LIST["members"]]
 COMPLETE_LIST = {"revision": 1, "complete": True, "members": MEMBERS}
@@ -71,7 +71,7 @@
         self.directory, self.rng, self.state, self.list_state = directory, Random(seed), state, list_state
         self.time, self.tracked = VirtualTime(), dict[str, TrackedMessage]()
         self.unhealthy_until = self.started_at = self.time.time
-        # By message id: the first start before any attempt of the message, with half of its time left.
+        # By message id: the first start of a process with no attempt of the message and half its time left.
         self.unattempted: dict[str, int] = {}
         self.node = Node(self, endpoint_list=COMPLETE_LIST)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A test driver for the policy, which checks every action against the six rules with code of its own."""
+"""A test driver for the policy; it checks every action against the six rules, independently of its code."""
 
 from __future__ import annotations
 
