--- a/honeyhitch/dispatcher/delivery.py
+++ b/honeyhitch/dispatcher/delivery.py
@@ -57,7 +57,7 @@
 class Call:
     """One call in flight: one request that uses one slot and carries one or more messages.
 
-    The messages of a call succeed or fail together.
+    A reply may report an outcome for each message; without a complete reply, all have the same outcome.
     """
 
     endpoint: PoolEndpoint
--- a/honeyhitch/dispatcher/outcomes.py
+++ b/honeyhitch/dispatcher/outcomes.py
@@ -23,9 +23,9 @@
     def call_ended(self, call: Call, result: CallResult) -> None:
         """Process the result of a call.
 
-        The messages of a call succeed or fail together. If the reply arrives after one of the messages timed
-        out, it is unknown whether the reply counts for the others (docs/fleet-questions.md): they may have
-        been executed, which is no sign of the endpoint's health.
+        If the reply arrives after one of the messages timed out, it is unknown whether the reply counts for
+        the others (docs/fleet-questions.md). A message that such a reply reports as delivered is treated as
+        one that may have been executed, and the endpoint's health is not changed by the reply.
         """
         self.retry_after_received(call.endpoint, result.retry_after)
         if call.message_expired and any(outcome is Outcome.DELIVERED for outcome, _ in result.outcomes):
--- a/honeyhitch/journal/records.py
+++ b/honeyhitch/journal/records.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class MessageRecord:
-    """A message was accepted; after compaction the record includes what later records said of the message."""
+    """A message was accepted; after compaction the record includes the changes by later records."""
 
     message: Transaction
     detailed: bool = False  # includes the time of arrival and the attempts, which dead letters need
--- a/honeyhitch/journal/transactions.py
+++ b/honeyhitch/journal/transactions.py
@@ -49,7 +49,7 @@
     number: int
     endpoint: str
     started_at: int  # Unix time
-    outcome: str = ""  # empty while the attempt is in flight, or if the process died during it
+    outcome: str = ""  # empty while the attempt is in flight, or if the process ended during it
     elapsed: int = 0
     retry_after: int = 0  # received with the outcome, 0 if none
     failure_reason: str = ""  # the name of a failure that the outcomes do not distinguish
--- a/honeyhitch/policy/attempt_learning.py
+++ b/honeyhitch/policy/attempt_learning.py
@@ -41,7 +41,7 @@
         state.rate.reduce_rate(now)
     delivered = event.outcome is Outcome.DELIVERED
     rejected = event.outcome is Outcome.REJECTED
-    # The messages of a call together count as one outcome, and as less if none of them was delivered.
+    # The messages of a call together have the weight of one outcome, or less if none of them was delivered.
     if not rejected:
         weight = 1 / (call.message_count if call.any_delivered else call.message_count**2)
         endpoint.failures_by_class[message.class_index].record(now, not delivered, weight)
--- a/honeyhitch/policy/circuit_breaking.py
+++ b/honeyhitch/policy/circuit_breaking.py
@@ -124,7 +124,7 @@
         """Return whether this failure ejects the destination or keeps it ejected."""
         failures = self.consecutive_failures
         many_failures = failures >= EJECTION_CONSECUTIVE_FAILURES
-        # A destination with a small quota gets few calls, and so is given longer until one of them succeeds.
+        # A destination with a small quota gets few calls, so it has a longer period until one must succeed.
         rejecting_period = max(REJECTING_PERIOD, REJECTING_CALLS * SECOND / self._rate.quota())
         unavailable = retry_after >= UNAVAILABLE_RETRY_AFTER or (
             many_failures and now - self._success_sent_at > rejecting_period
--- a/honeyhitch/policy/message.py
+++ b/honeyhitch/policy/message.py
@@ -85,7 +85,7 @@
         """Set the duration and the end of the latency objective.
 
         The age of a message recovered from the journal follows from its time left and shortens its objective.
-        The time left of any other message says nothing about its age, so that its objective starts now.
+        The time left of any other message does not depend on its age, so its objective starts now.
         """
         message_class = self.message_class
         work_allowance = int(message_class.objective_work_factor * event.expected_work)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -27,7 +27,7 @@
     assert not rig.answers
 
 
-def test_sends_of_one_round_share_a_call_up_to_what_the_kind_allows(tmp_path: Path) -> None:
+def test_sends_of_one_round_share_a_call_up_to_the_limit_of_the_kind(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     for name in "abcde":
         rig.submit(name, dest=2)
@@ -60,7 +60,7 @@
     assert all(call.sent_at >= received_at + 2 * SECOND for call in later_calls)
 
 
-def test_a_retry_after_with_a_delivered_batch_binds_too(tmp_path: Path) -> None:
+def test_a_retry_after_with_a_delivered_batch_applies_to_the_destination(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a", dest=2)
     (call,) = rig.run(0.1)
@@ -169,7 +169,7 @@
     assert [answer.id for answer in restarted.answers] == ["a"]
 
 
-def test_a_key_delivered_recently_bounds_a_copy_and_mqtt_hears_of_its_delivery(tmp_path: Path) -> None:
+def test_a_copy_of_a_delivered_key_keeps_the_first_window_and_is_answered_over_mqtt(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a", key="k")
     (call,) = rig.run(0.1)
@@ -216,7 +216,7 @@
     assert not rig.run(1)
 
 
-def test_what_cannot_outlive_a_restart_is_rejected_before_it(tmp_path: Path) -> None:
+def test_messages_that_cannot_outlive_a_restart_are_rejected_before_it(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("first")
     (call,) = rig.run(0.1)
@@ -281,7 +281,7 @@
 
 
 @pytest.mark.parametrize("how", ["delivered too late", "no attempts left", "withdrawn"])
-def test_a_retry_after_binds_whatever_became_of_the_call(tmp_path: Path, how: str) -> None:
+def test_a_retry_after_applies_however_its_call_ended(tmp_path: Path, how: str) -> None:
     """The Retry-After of a call counts even if no outcome of the call does.
 
     The cases are a batch delivered after one of its messages expired, a batch whose messages have no attempts
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_two_hundred_instances_do_not_overload_a_recovering_destination_and_find_it_soon(seed: int) -> None:
+def test_two_hundred_instances_detect_a_recovery_soon_and_do_not_overload_the_destination(seed: int) -> None:
     partner = Partner(limit=constant_limit(40.0), outage=(5 * SECOND, 10 * SECOND))
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
     fleet = Fleet(partner, seed, count=200, listed_rate=40.0, uneven=True, **slow_start)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -108,7 +108,7 @@
         return self.dispatcher.messages.by_id.keys() - self.journal.handed_over.keys()
 
 
-def test_the_new_process_resumes_what_the_old_one_leaves(tmp_path: Path) -> None:
+def test_the_new_process_resumes_the_messages_of_the_old_one(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -229,7 +229,7 @@
 
 
 def test_a_process_that_hands_over_leaves_its_successor_the_disk_space_it_needs(tmp_path: Path) -> None:
-    """Both processes hold the same messages for a while: half of what one alone can hold must fit in both."""
+    """Both processes hold the same messages for a while, so half of a full journal's messages fit twice."""
     time, disk, count = VirtualTime(), 200_000, 0
     old = Process(tmp_path, time, disk=disk, max_messages=1000)
     while old.submit(f"m{count}"):
@@ -264,7 +264,7 @@
     assert not restarted.held()
 
 
-def test_without_room_for_the_record_a_message_stays_where_it_is(tmp_path: Path) -> None:
+def test_a_message_is_not_handed_over_without_disk_space_for_its_record(tmp_path: Path) -> None:
     time = VirtualTime()
     old, new = Process(tmp_path, time), Process(tmp_path, time)
     old.submit("a")
@@ -297,7 +297,7 @@
     assert not (tmp_path / "journal-2").exists()
 
 
-def test_a_retry_after_received_by_one_process_binds_the_other_at_once_and_after_its_end(
+def test_a_retry_after_received_by_one_process_applies_to_the_other_even_after_its_end(
     tmp_path: Path,
 ) -> None:
     time = VirtualTime()
@@ -317,7 +317,7 @@
     assert all(call.sent_at >= received_at + 2 * S for call in calls)
 
 
-def test_a_retry_after_received_before_the_new_process_started_binds_it(tmp_path: Path) -> None:
+def test_a_retry_after_received_before_the_new_process_started_applies_to_it(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -330,7 +330,7 @@
     assert new.run(2)
 
 
-def test_a_retry_after_of_an_endpoint_that_was_removed_binds_those_that_replace_it(tmp_path: Path) -> None:
+def test_a_retry_after_of_a_removed_endpoint_applies_to_its_replacements(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
@@ -473,7 +473,7 @@
 TestTwo = Two.TestCase
 
 
-def test_a_follower_reads_what_grows_what_is_replaced_and_what_was_cut_back(tmp_path: Path) -> None:
+def test_a_follower_reads_a_file_that_grows_is_replaced_or_is_truncated(tmp_path: Path) -> None:
     journal = open_journal(tmp_path)
     follower = JournalFollower(tmp_path / "journal", 100, lambda _: RETENTION)
     for number in range(3):
--- a/tests/test_journal_stored_form.py
+++ b/tests/test_journal_stored_form.py
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize(("name", "write"), WRITERS, ids=[name for name, _ in WRITERS])
-def test_a_replay_of_a_stored_journal_gives_what_its_writer_knew(
+def test_a_replay_of_a_stored_journal_gives_the_state_of_its_writer(
     tmp_path: Path, name: str, write: Callable[[Path], Journal]
 ) -> None:
     journal = write(tmp_path)
@@ -292,14 +292,14 @@
     assert state.retry_after_until == {(3, "s-1"): 5_000}
 
 
-def test_reclaimed_messages_are_their_writers_again() -> None:
+def test_reclaimed_messages_belong_to_their_writer_again() -> None:
     state = follow_journal(FIXTURES / "reclaimed")
     assert list(state.messages.by_id) == ["a", "b", "c"]
     assert not state.handed_over
     assert state.calls_in_flight is None
 
 
-def test_a_compacted_journal_holds_what_it_held_before() -> None:
+def test_a_compacted_journal_keeps_its_state() -> None:
     state = follow_journal(FIXTURES / "compacted")
     assert list(state.messages.by_id) == ["a", "c"]
     assert list(state.messages.pending_dead_letters) == [("b", NOW)]
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -108,7 +108,7 @@
     play(work())
 
 
-def test_an_application_without_a_lifespan_is_given_one(tmp_path: Path) -> None:
+def test_the_middleware_answers_the_lifespan_of_an_application_that_has_none(tmp_path: Path) -> None:
     async def work() -> None:
         agent, endpoint = await Peer().start(), await Peer().start()
         app = DispatcherMiddleware(app_without_lifespan, make_config(tmp_path, agent, endpoint))
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -62,7 +62,7 @@
     assert len(second_pauses) > 2
 
 
-def test_fewer_attempts_where_the_settings_say_so() -> None:
+def test_the_settings_may_allow_fewer_attempts() -> None:
     world = World(settings(max_attempts=2), TWO_ENDPOINTS)
     fail_every_attempt("m", Outcome.RESET, world)
     assert len(world.messages["m"].attempts) == 2
@@ -392,7 +392,7 @@
         assert lines[0].startswith('"""')
 
 
-def test_little_time_left_is_no_age_unless_recovered_from_the_journal() -> None:
+def test_only_a_message_recovered_from_the_journal_has_an_age_by_its_time_left() -> None:
     world = World(settings(max_concurrent_calls=4, can_cancel=False), ONE_ENDPOINT)
     world.batch([world.new_message(f"out{i}") for i in range(3)])  # three quarters of the slots are in use
     world.batch(
@@ -431,8 +431,8 @@
                 world.attempt_ended(
                     pending, Outcome.DELIVERED if limit > 2 else Outcome.REJECTED, rate_limit=limit
                 )
-                for pending, known in world.messages.items()
-                if known.attempts and known.attempts[-1].outcome is None
+                for pending, message in world.messages.items()
+                if message.attempts and message.attempts[-1].outcome is None
             ]
             world.batch([*events, world.new_message(name)])
             world.run(world.now + 100 * MILLISECOND)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -43,8 +43,8 @@
 MAX_DELAY = 300 * MS  # maximum time from the deadline to the ending
 MAX_START_DELAY = int(1.5 * SECOND)  # from a start to the ending, if the deadline passed before that start
 RATE = 200.0  # calls per second; enough for all messages, even during slow start
-MEMBERS: list[dict[str, Any]] = [{**row, "size": RATE} for row in ENDPOINT_LIST["members"]]
-COMPLETE_LIST = {"revision": 1, "complete": True, "members": MEMBERS}
+ENDPOINT_ROWS: list[dict[str, Any]] = [{**row, "size": RATE} for row in ENDPOINT_LIST["members"]]
+COMPLETE_LIST = {"revision": 1, "complete": True, "members": ENDPOINT_ROWS}
 EMPTY_LIST = {"revision": 0, "complete": True, "members": []}
 STATES = ("healthy", "retry after", "unreachable", "rejecting", "slow")
 
