--- a/honeyhitch/endpoints/list_rows.py
+++ b/honeyhitch/endpoints/list_rows.py
@@ -52,7 +52,7 @@
 
 
 def row_is_known(row: Row, endpoints: dict[str, PoolEndpoint]) -> bool:
-    """Return whether a row is about one of these endpoints; raise KeyError or TypeError if it is no row."""
+    """Return whether a row is about one of `endpoints`; raise KeyError or TypeError for an invalid row."""
     return row["id"] in endpoints
 
 
--- a/honeyhitch/policy/circuit_breaking.py
+++ b/honeyhitch/policy/circuit_breaking.py
@@ -23,7 +23,7 @@
 MAX_PROBE_PAUSE = 16 * SECOND
 MAX_PROBE_PAUSE_PER_INSTANCE = 700 * MILLISECOND  # so that the instances together detect a recovery soon
 LARGE_FLEET_PROBE_JITTER = 0.5  # fraction; many instances detect an outage at the same time
-SMALL_FLEET_MAX_INSTANCES = 6  # up to this many may each keep a connection and probe with little jitter
+SMALL_FLEET_MAX_INSTANCES = 6  # up to this many instances may keep connections and probe with little jitter
 
 
 class CircuitBreaker:
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -250,7 +250,7 @@
         self.dispatchable[destination] = None
 
     def _advance_ordered(self, key: int) -> None:
-        """Queue the head of an ordering key once all before it have ended and the pause is over (rule 5)."""
+        """Queue the head of an ordering key once earlier messages ended and the pause is over (rule 5)."""
         ordered_queue = self.ordered_queues.get(key)
         if ordered_queue is None:
             return
@@ -310,8 +310,9 @@
     def _retry(self, message: PendingMessage, event: AttemptEnded, call: Call) -> None:
         """Schedule the next attempt, or give up.
 
-        The pause is the Retry-After if there is one, else a backoff, which is shortened to the time left if
-        that exceeds the preceding backoff step. An attempt that was not started is repeated without a pause.
+        The pause is the Retry-After if there is one, else a backoff. A backoff is shortened to the time left
+        if the time left exceeds the preceding backoff step. An attempt that was not started is repeated
+        without a pause.
         """
         if event.not_started:
             self._enqueue(message)
--- a/honeyhitch/policy/events.py
+++ b/honeyhitch/policy/events.py
@@ -89,7 +89,7 @@
     endpoint: str
     outcome: Outcome
     elapsed: int
-    message_concluded: bool  # by this attempt or before it
+    message_concluded: bool  # whether this attempt or an earlier event concluded the message
     retry_after: int = 0  # 0 if none was received
     limit_remaining: float = 1.0  # reported fraction of the rate limit that remains
     rate_limit: float = 0.0  # reported rate limit in calls per second, 0 if none was reported
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -65,7 +65,7 @@
     timed_out = [call for call in open_calls if call.sent_at + call.timeout <= rig.time.time]
     for call in [*timed_out, *open_calls[: len(open_calls) * 3 // 4]]:
         if any(call.pending):
-            unhealthy = call.endpoint.destination == 3  # so that messages always wait there
+            unhealthy = call.endpoint.destination == 3  # so that messages always wait for this destination
             outcome = rng.choices(OUTCOMES, UNHEALTHY_WEIGHTS if unhealthy else OUTCOME_WEIGHTS)[0]
             rig.end(call, Outcome.TIMEOUT if call in timed_out else outcome)
     return [call for call in open_calls if any(call.pending)]
