--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -154,7 +154,7 @@
             self.dispatchable[destination] = None
 
     def _on_connection_capacity(self, event: ConnectionCapacity) -> None:
-        """Update an endpoint's capacity; a failed connect counts against it, although it is no attempt."""
+        """Update an endpoint's capacity; count a failed connect as a failure, although it is no attempt."""
         destination = self.destinations.get(event.destination)
         endpoint = destination.endpoints.get(event.endpoint) if destination is not None else None
         if destination is None or endpoint is None:
@@ -175,7 +175,7 @@
         if destination is None:
             return
         endpoint = destination.endpoints.get(event.endpoint)
-        # A Retry-After from an endpoint that is gone binds all remaining endpoints.
+        # A Retry-After from an endpoint that is gone applies to all remaining endpoints of its destination.
         affected_endpoints = [endpoint] if endpoint else destination.endpoints.values()
         for affected_endpoint in affected_endpoints:
             affected_endpoint.state.honor_retry_after(event.until)
@@ -250,7 +250,7 @@
         self.dispatchable[destination] = None
 
     def _advance_ordered(self, key: int) -> None:
-        """Queue the head of an ordering key once all before it have ended and the pause is over (rule 5)."""
+        """Queue the head of an ordering key once earlier messages ended and the pause is over (rule 5)."""
         ordered_queue = self.ordered_queues.get(key)
         if ordered_queue is None:
             return
@@ -310,8 +310,9 @@
     def _retry(self, message: PendingMessage, event: AttemptEnded, call: Call) -> None:
         """Schedule the next attempt, or give up.
 
-        The pause is the Retry-After if there is one, else a backoff, which is shortened to the time left if
-        that exceeds the preceding backoff step. An attempt that was not started is repeated without a pause.
+        The pause is the Retry-After if there is one, else a backoff. A backoff is shortened to the time left
+        if the time left exceeds the preceding backoff step. An attempt that was not started is repeated
+        without a pause.
         """
         if event.not_started:
             self._enqueue(message)
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -65,7 +65,7 @@
     timed_out = [call for call in open_calls if call.sent_at + call.timeout <= rig.time.time]
     for call in [*timed_out, *open_calls[: len(open_calls) * 3 // 4]]:
         if any(call.pending):
-            unhealthy = call.endpoint.destination == 3  # so that messages always wait there
+            unhealthy = call.endpoint.destination == 3  # so that messages always wait for this destination
             outcome = rng.choices(OUTCOMES, UNHEALTHY_WEIGHTS if unhealthy else OUTCOME_WEIGHTS)[0]
             rig.end(call, Outcome.TIMEOUT if call in timed_out else outcome)
     return [call for call in open_calls if any(call.pending)]
@@ -216,11 +216,8 @@
     }
     removal = {"revision": 12, "complete": False, "members": [endpoint_row("s-1", 1, phase="Gone")]}
     drain = {"revision": 11, "complete": False, "members": [endpoint_row("s-1", 1, phase="Terminating")]}
-    outdated_change = {
-        "revision": 10,
-        "complete": False,
-        "members": [endpoint_row("s-1", 1)],
-    }  # outdated: the endpoint was removed since
+    # The endpoint was removed since this change.
+    outdated_change = {"revision": 10, "complete": False, "members": [endpoint_row("s-1", 1)]}
     for i in range(12):
         directory = tmp_path / str(i)
         directory.mkdir()
