--- a/honeyhitch/cli/management.py
+++ b/honeyhitch/cli/management.py
@@ -16,7 +16,7 @@
 from honeyhitch.protocols.management import ManagementReply
 
 REPLY_TIMEOUT_SECONDS = 3.0  # a dispatcher has to reply within 1 s
-READ_BYTES = 65536  # of one read from the socket
+READ_BYTES = 65536  # at most, in one read from the socket
 RESPONSE_COLUMNS = ("ok", "shed", "errors", "tries")
 RESPONSES = "responses"  # key of the figures per message class
 
@@ -31,9 +31,9 @@
 
 
 def _find_address(at: str | None, path: str | None) -> configuration.Address:
-    """Return the address from the option, the environment or the configuration file, in this order.
+    """Return the `management` address from the option, the environment or the file, in this order.
 
-    Raises ClickException if none of them gives one or if it is invalid.
+    Raises ClickException if none of them names an address or if the address is invalid.
     """
     try:
         text = at or os.environ.get("ROUTER_MANAGEMENT")
--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -36,7 +36,8 @@
     slow_start_duration=1,
 )
 Target = tuple[Partner, str]  # a partner, and the HOST:PORT to connect to
-Report = dict[str, Any]  # on a partner's files or on a connection to an address, as printed with --json
+# A report on a partner's files or on a connection to an address, as printed with --json.
+Report = dict[str, Any]
 
 
 @click.group()
--- a/honeyhitch/cli/undelivered/changes.py
+++ b/honeyhitch/cli/undelivered/changes.py
@@ -44,7 +44,7 @@
 
 
 def change_command(reason_option: str) -> Callable[[Command], click.Command]:
-    """Return a decorator that makes a command that changes records from a function's name and docstring."""
+    """Return a decorator that turns a function's name and docstring into a command that changes records."""
 
     def decorate(described: Command) -> click.Command:
         name = described.__name__
--- a/honeyhitch/cli/undelivered/exports.py
+++ b/honeyhitch/cli/undelivered/exports.py
@@ -18,14 +18,8 @@
 from honeyhitch.cli.undelivered.store_access import StoreAccess
 
 PAGE_SIZE = 200  # records per request
-FORMULA_STARTS = (
-    "=",
-    "+",
-    "-",
-    "@",
-    "\t",
-    "\r",
-)  # a spreadsheet evaluates a cell that starts with one of these
+# A spreadsheet evaluates a cell that starts with one of these characters.
+FORMULA_STARTS = ("=", "+", "-", "@", "\t", "\r")
 CSV_COLUMNS = (
     "seq", "id", "key", "cls", "tenant", "destination", "front", "came_at", "deadline", "ended_at", "ending",
     "reason", "come_back", "may_have_run", "first_ran", "attempts", "standing", "settled_by", "evidence",
--- a/honeyhitch/cli/undelivered/formatting.py
+++ b/honeyhitch/cli/undelivered/formatting.py
@@ -15,34 +15,29 @@
 AUDIT_COLUMNS = ("at", "who", "what", "why", "")
 TIME_FIELDS = ("came_at", "deadline", "ended_at", "first_ran", "changed_at")
 DURATION_FIELDS = ("come_back", "window")
-SEPARATE_FIELDS = (
-    "attempts",
-    "body",
-    "body_hex",
-    "intact",
-    "fault",
-)  # shown below the other fields, or not shown
+# These fields are shown above or below the other fields, or not at all.
+SEPARATE_FIELDS = ("attempts", "body", "body_hex", "intact", "fault")
 
 
 def format_time(timestamp: int | None) -> str:
-    """Format a Unix time in nanoseconds as UTC, to the second; None becomes `-`."""
+    """Return a Unix time in nanoseconds as text in UTC, to the second; None becomes `-`."""
     if timestamp is None:
         return "-"
     return datetime.datetime.fromtimestamp(timestamp / SECOND, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
 def format_day(number: int) -> str:
-    """Format a day, given as the number of days since 1 January 1970, as an ISO date."""
+    """Return the ISO date of a day, which is given as the number of days since 1 January 1970."""
     return (EPOCH + datetime.timedelta(days=number)).isoformat()
 
 
 def format_executed(may_have_executed: bool) -> str:
-    """Format whether a message or an attempt may have been executed."""
+    """Return `maybe` if a message or an attempt may have been executed, and `never` if not."""
     return "maybe" if may_have_executed else "never"
 
 
 def format_table(rows: list[tuple[Any, ...]], headers: tuple[str, ...]) -> str:
-    """Format a table as plain text."""
+    """Return a table as plain text, with a line of headers."""
     from tabulate import tabulate
 
     return tabulate(rows, headers, tablefmt="simple", disable_numparse=True)
@@ -69,7 +64,7 @@
 
 
 def format_record(record: dict[str, Any], audit: list[dict[str, Any]]) -> str:
-    """Format an exported record with its attempts, its body and its audit entries."""
+    """Return the text of an exported record with its attempts, its body and its audit entries."""
     lines = [] if record["intact"] else [f"ALTERED ON DISK: {record['fault']}"]
     for name, value in record.items():
         if name not in SEPARATE_FIELDS:
--- a/honeyhitch/cli/undelivered/options.py
+++ b/honeyhitch/cli/undelivered/options.py
@@ -14,8 +14,8 @@
 from honeyhitch.time_units import MILLISECOND, SECOND
 
 SECONDS_PER_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86400}
-MAX_SEQUENCE_DIGITS = 18  # of a record's number
-MAX_NAMED_RECORDS = 1000  # records with one message id
+MAX_SEQUENCE_DIGITS = 18  # digits of a record's number
+MAX_NAMED_RECORDS = 1000  # records with the same message id
 Command = Callable[..., Any]
 
 
@@ -25,7 +25,7 @@
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Return the Unix time in nanoseconds. Fails with a usage error for an invalid time."""
+        """Return the Unix time in nanoseconds. Raises BadParameter for an invalid time."""
         if isinstance(value, int):
             return value
         if match := re.fullmatch(r"(\d{1,6})([smhd])", value):
@@ -91,7 +91,7 @@
 
 
 def store_access(command: Command) -> Command:
-    """Pass the store to a command as its first argument."""
+    """Return a command that is called with the store as its first argument."""
 
     @click.pass_context
     def with_store(context: click.Context, /, **options: Any) -> Any:
--- a/honeyhitch/cli/undelivered/store_access.py
+++ b/honeyhitch/cli/undelivered/store_access.py
@@ -37,7 +37,9 @@
         except configuration.ConfigError as error:
             raise click.ClickException(f"configuration: {error}; or name the folder with --store") from error
         if config.operator.dead_letters is None:
-            raise click.ClickException("undelivered: the operator's file has no such table, or is not named")
+            raise click.ClickException(
+                "undelivered: the operator's file has no table [undelivered], or no such file was named"
+            )
         self.settings = config.operator.dead_letters
         self.directory = self.settings.directory_in(config.state)
         if config.operator.control is not None:
@@ -58,7 +60,7 @@
         return self._execute_directly(operation, arguments)
 
     def dispatcher_state(self) -> dict[str, Any]:
-        """Return the state of the running dispatcher. Raises ClickException if none answers."""
+        """Return the state of the running dispatcher. Raises ClickException if no dispatcher answers."""
         if self.client is None:
             raise click.ClickException("state: name the configuration of a running dispatcher")
         try:
@@ -97,7 +99,7 @@
             raise click.ClickException(str(error)) from error
 
     def pages(self, operation: str, arguments: dict[str, Any]) -> Iterator[dict[str, Any]]:
-        """Yield each page of the answer to an operation that is answered in pages."""
+        """Execute an operation whose answer comes in pages, and yield each page."""
         while True:
             page = self.execute(operation, arguments)
             yield page
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -14,13 +14,8 @@
 from honeyhitch.config.operator import read as read_operator
 from honeyhitch.policy.settings import Settings
 
-INSTANCE_KEYS = (
-    "name",
-    "listen",
-    "discovery",
-    "management",
-    "state",
-)  # each key also has an environment variable
+# Each key also has an environment variable.
+INSTANCE_KEYS = ("name", "listen", "discovery", "management", "state")
 ADDRESS_KEYS = ("listen", "discovery", "management")
 OPTIONAL_KEYS = ("management",)
 # For standard streams, event loop, journal, listeners, discovery, broker and a connection just accepted.
@@ -104,7 +99,7 @@
     except ValueError as error:
         raise ConfigError(f"ROUTER_CONFIG: {path} is not JSON: {error}") from error
     if not isinstance(value, dict):
-        raise ConfigError(f"ROUTER_CONFIG: expected a JSON object in {path}")
+        raise ConfigError(f"ROUTER_CONFIG: expected a JSON object in {path}, got {type(value).__name__}")
     return value
 
 
@@ -164,7 +159,9 @@
 def _read_known(document: dict[str, Any]) -> dict[str, Any]:
     known = document.get("known") or {"revision": 0, "complete": True, "members": []}
     if not isinstance(known, dict):
-        raise ConfigError("known: expected an object that lists endpoints in discovery's form")
+        raise ConfigError(
+            f"known: expected an object that lists endpoints in discovery's form, got {type(known).__name__}"
+        )
     return known
 
 
--- a/honeyhitch/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -66,5 +66,5 @@
 
 def _topic_name(text: str, name: str) -> str:
     if not text or "\0" in text or "+" in text or "#" in text:
-        raise ConfigError(f"{name}: expected one topic name, got {text!r}")
+        raise ConfigError(f"{name}: expected a topic name without wildcards, got {text!r}")
     return text
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -35,9 +35,8 @@
     rows = table.get("partner", list, [])
     defaults = {key: table.unread.pop(key) for key in TERM_KEYS if key in table.unread}
     table.reject_unknown_keys()
-    _parse_terms(
-        ConfigTable(dict(defaults), "tls")
-    )  # reports an error in the defaults under `[tls]`, not under a partner
+    # Checked here, so that an error in the defaults is reported under `[tls]` and not under a partner.
+    _parse_terms(ConfigTable(dict(defaults), "tls"))
     partners = list[Partner]()
     for index, row in enumerate(rows):
         partner_table = ConfigTable(row, f"tls.partner.{index}")
@@ -81,7 +80,9 @@
     """Return the scope of a partner's table and the value that it matches in that scope."""
     scopes = [scope for scope in PARTNER_SCOPES if scope.value in table.unread]
     if len(scopes) != 1:
-        raise ConfigError(f"{table.path}: expected exactly one of member, dest and kind")
+        raise ConfigError(
+            f"{table.path}: expected exactly one of member, dest and kind, got {len(scopes)} of them"
+        )
     scope = scopes[0]
     if scope is Scope.DEST:
         return scope, str(table.get("dest", int))
@@ -168,5 +169,7 @@
     except (ValueError, binascii.Error):
         pin = b""
     if len(pin) != PIN_BYTES:
-        raise ConfigError(f"{path}: expected the SHA-256 of a public key in base64 or hexadecimal digits")
+        raise ConfigError(
+            f"{path}: expected the SHA-256 of a public key in base64 or hexadecimal digits, got {value!r}"
+        )
     return pin
--- a/honeyhitch/config/values.py
+++ b/honeyhitch/config/values.py
@@ -44,7 +44,7 @@
     def __init__(self, value: object, path: str) -> None:
         """Wrap a table; `path` names it in errors. Raises ConfigError if the value is not a table."""
         if not isinstance(value, dict):
-            raise ConfigError(f"{path}: expected a table")
+            raise ConfigError(f"{path}: expected a table, got {type(value).__name__}")
         self.unread = dict(value)
         self.path = path
 
@@ -60,19 +60,25 @@
         is_unwanted_bool = isinstance(value, bool) and value_type is not bool
         if isinstance(value, value_type) and not is_unwanted_bool:
             return value
-        raise self.invalid(name, "missing" if value is None else f"expected {value_type.__name__}")
+        raise self.invalid(
+            name,
+            "missing" if value is None else f"expected {value_type.__name__}, got {type(value).__name__}",
+        )
 
     def optional(self, name: str, value_type: type[T]) -> T | None:
-        """Return a value of this type, or None if the key is missing. Raises ConfigError."""
+        """Return a value of this type, or None if the key is missing. Raises ConfigError for another type."""
         return self.get(name, value_type) if name in self.unread else None
 
     def choice(self, name: str, choices: Iterable[str], default: str) -> str:
-        """Return a text that is one of the choices. Raises ConfigError."""
+        """Return a text that is one of the choices. Raises ConfigError for any other value."""
         text = self.get(name, str, default)
         return parse_choice({choice: choice for choice in choices}, text, f"{self.path}.{name}")
 
     def seconds(self, name: str, default: int) -> float:
-        """Return a duration in seconds; the default is in nanoseconds. Raises ConfigError."""
+        """Return a duration in seconds; the default is in nanoseconds.
+
+        Raises ConfigError if the value is not a number.
+        """
         return self.get(name, float, default / SECOND)
 
     def reject_unknown_keys(self) -> None:
--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -1,4 +1,4 @@
-"""One instance's state of the fleet: the view in force, the last heartbeat, and ownership and quotas.
+"""One instance's state of the fleet: the current view, the last heartbeat, and ownership and quotas.
 
 The time is passed in with each call, as a Unix time in nanoseconds that never decreases.
 """
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewStatus:
-    """The view in force, as it is reported to operators."""
+    """The current view, as it is reported to operators."""
 
     revision: int
     instance_count: int
@@ -189,7 +189,7 @@
         return holders + waiting
 
     def status(self, now: int) -> ViewStatus:
-        """Return the view in force, as it is reported to operators."""
+        """Return the current view, as it is reported to operators."""
         instances = self.view.instances.values()
         partitions = self.candidate_partitions
         return ViewStatus(
--- a/honeyhitch/partitioning/quotas.py
+++ b/honeyhitch/partitioning/quotas.py
@@ -8,9 +8,9 @@
 - the leased part belongs to the owner: the first candidate that is ready, once the leases of all possible
   earlier owners have certainly expired.
 
-Each part is held only as long as a heartbeat of the control machines is recent enough. The
-result does not depend on earlier views or actions of an instance, so that a missed revision cannot raise the
-sum of all quotas above the limit (DESIGN, partitioning).
+Each part is held only as long as a heartbeat of the control machines is recent enough. The result does not
+depend on earlier views or actions of an instance, so that a missed revision cannot raise the sum of all
+quotas above the limit (DESIGN, partitioning).
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
 
 
 def _lease_starts_at(settings: FleetSettings, candidates: Sequence[Instance], owner: Instance) -> int:
-    """Return when the leases of all possible earlier owners have certainly expired; 0 for long ago."""
+    """Return when the leases of all possible earlier owners have certainly expired; 0 means long ago."""
     last_change = 0
     for candidate in candidates:
         last_change = max(last_change, candidate.phase_since, candidate.joined_at)
@@ -91,7 +91,7 @@
 
 
 def first_ready(candidates: Sequence[Instance]) -> Instance | None:
-    """Return the owner of a partition's leased part by the view in force, or None if none is ready."""
+    """Return the owner of a partition's leased part by the current view, or None if none is ready."""
     return next((candidate for candidate in candidates if candidate.ready), None)
 
 
@@ -100,7 +100,7 @@
 ) -> ExpectedHolder:
     """Return the instance that accepts messages for a partition in the zone of these candidates.
 
-    The owner by the view in force accepts them. It holds no quota while it waits for the lease of another
+    The owner by the current view accepts them. It holds no quota while it waits for the lease of another
     instance to expire. While leases are not valid here, an owner that is not the home instance counts as
     holding none either: control is silent here and may be silent there, too.
     """
--- a/honeyhitch/partitioning/settings.py
+++ b/honeyhitch/partitioning/settings.py
@@ -37,7 +37,7 @@
     peer_connections: int = 96  # maximum number open to other instances at once
 
     def __post_init__(self) -> None:
-        """Raise ValueError naming the setting at fault."""
+        """Raise ValueError if a setting is invalid; the message names the setting at fault."""
         zones = [zone for region in self.regions for zone in region.zones]
         for condition, problem in (
             (bool(zones), "regions: at least one zone is needed"),
--- a/honeyhitch/partitioning/view.py
+++ b/honeyhitch/partitioning/view.py
@@ -1,9 +1,9 @@
 """The view of the fleet: a typed, immutable value read from a list or a change in discovery's form.
 
 An entry's `up_since_ms` is when its phase was published, and its optional `joined_ms` when its name was
-first listed; both are Unix times of the control machines' clock, and 0 means long ago. The phase
-`Gone` is given only to an instance whose process is known to have ended. If its name is listed again, that is
-an instance that joins.
+first listed; both are Unix times of the control machines' clock, and 0 means long ago. The phase `Gone` is
+given only to an instance whose process is known to have ended. If its name is listed again, the entry is an
+instance that joins.
 """
 
 from __future__ import annotations
@@ -142,9 +142,8 @@
         raise FleetViewError(f"{name}: locality: unknown zone {zone!r}")
     if region != settings.region_of(str(zone)):
         raise FleetViewError(f"{name}: flavor: {region!r} is not the region of zone {zone!r}")
-    if (
-        previous is not None and previous.zone != zone
-    ):  # otherwise its leases in the other zone would have no holder
+    # An instance that changed its zone would leave its leases in the previous zone without a holder.
+    if previous is not None and previous.zone != zone:
         raise FleetViewError(f"{name}: locality: {zone!r}, but it was in {previous.zone!r}; list it anew")
     return Instance(
         name=name,
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -100,7 +100,8 @@
     def has_destination(self, destination: int) -> bool:
         """Return whether a destination exists.
 
-        The result is True for a destination that this instance is no candidate for: its owners check it.
+        The result is True for a destination that this instance is not a candidate for: the owners of that
+        destination check it.
         """
         return not self.fleet.is_candidate(destination) or self.dispatcher.pool.has_destination(destination)
 
@@ -118,7 +119,7 @@
         return Route.FORWARD  # if there is no owner to ask, the forwarder rejects the message too
 
     def describe(self) -> dict[str, Any]:
-        """Return the view in force, as the management call `fleet` reports it."""
+        """Return the current view, as the management call `fleet` reports it."""
         status = self.fleet.status(self.scheduler.now())
         age = status.heartbeat_age
         return {
@@ -169,7 +170,7 @@
             log.warning("fleet.saved-view-rejected", error=str(error))
 
     async def watch(self) -> None:
-        """Watch the view until cancelled. The view in force stays valid while its agent is silent."""
+        """Watch the view until cancelled. The current view stays valid while the view's agent is silent."""
         instance_count = max(1, len(self.fleet.view.instances))
         backoff = WatchBackoff(
             self.rng,
--- a/honeyhitch/service/reload.py
+++ b/honeyhitch/service/reload.py
@@ -22,14 +22,14 @@
     "operator",
 )
 
-ConfigReader = Callable[[Config], Config]  # reads the configuration again; called with the one in force
+ConfigReader = Callable[[Config], Config]  # reads the configuration again, given the current one
 
 
 def reload(service: Service, read_config: ConfigReader) -> None:
     """Apply a new configuration without losing a message. A faulty configuration changes nothing.
 
-    The files of TLS partners are read again in any case; if a file cannot be used, the one read before stays
-    in force.
+    The files of TLS partners are read again in any case. If a file cannot be used, the contents that were
+    read before stay in use.
     """
     if service.reload_certificates is not None:
         service.tasks.start(service.reload_certificates(True))
--- a/honeyhitch/service/start.py
+++ b/honeyhitch/service/start.py
@@ -14,7 +14,8 @@
 def start(service: Service, listen: bool = True) -> None:
     """Recover the journal, then serve. Without `listen` only callers in this process submit messages.
 
-    Raises ConfigError if an address cannot be bound, or if no second process may run beside the peer.
+    Raises ConfigError if an address cannot be bound, or if another process uses the state directory and this
+    process may not run beside it.
     """
     if service.fleet is not None:
         service.fleet.restore()
@@ -47,16 +48,18 @@
 
 
 def _check_peer(service: Service) -> None:
-    """Raise ConfigError if no second process may run beside the peer.
+    """Raise ConfigError if this process may not run beside the peer.
 
-    The peer may belong to another dispatcher, or a feature that two processes cannot share is configured: the
-    store of dead letters, the control socket, the session at the MQTT broker, or the quota of a fleet, which
-    each process would use in full.
+    This is so if the peer belongs to another dispatcher, or if a feature that two processes cannot share is
+    configured: the store of dead letters, the control socket, the session at the MQTT broker, or the quota of
+    a fleet, which each process would use in full.
     """
     config = service.config
     peer_name = service.handover.follower.name
     if peer_name != config.name:
-        raise ConfigError(f"name: the state folder is held by {peer_name!r}, which runs")
+        raise ConfigError(
+            f"name: expected {peer_name!r}, which runs on the same state directory, got {config.name!r}"
+        )
     unshareable = {
         "undelivered": config.operator.dead_letters,
         "control": config.operator.control,
@@ -65,11 +68,16 @@
     }
     for key, settings in unshareable.items():
         if settings is not None:
-            raise ConfigError(f"{key}: cannot be had beside a running process; stop that one first")
+            raise ConfigError(
+                f"{key}: cannot be used while another process of this dispatcher runs; stop that one first"
+            )
 
 
 def _recover_messages(service: Service) -> None:
-    """Resume the journal's messages once the dead letters are known: a client may send one of these again."""
+    """Resume the journal's messages once the dead letters are loaded or loading takes too long.
+
+    Until then no message is accepted: a client may submit the message of a dead letter again.
+    """
     if service.dead_letters is None:
         _resume(service)
         return
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -550,9 +550,17 @@
 @pytest.mark.parametrize(
     ("changed_settings", "operator", "error_text"),
     [
-        ({"name": "n1"}, None, "name: the state folder is held by 'n0', which runs"),
-        ({}, "[control]", "control: cannot be had beside a running process; stop that one first"),
-        ({}, FLEET, "fleet: cannot be had beside a running process; stop that one first"),
+        ({"name": "n1"}, None, "name: expected 'n0', which runs on the same state directory, got 'n1'"),
+        (
+            {},
+            "[control]",
+            "control: cannot be used while another process of this dispatcher runs; stop that one first",
+        ),
+        (
+            {},
+            FLEET,
+            "fleet: cannot be used while another process of this dispatcher runs; stop that one first",
+        ),
         ({}, None, ""),
     ],
 )
