--- a/tests/agent.py
+++ b/tests/agent.py
@@ -10,7 +10,7 @@
 
 
 class Agent:
-    """An agent that answers at once. `notices` holds notices by message id; each must come once."""
+    """An agent that answers at once. `notices` holds notices by message id; each must arrive only once."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.members = members
@@ -71,11 +71,8 @@
                 else:
                     listed = self.complete_list()
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(listed), listed))
-        except (
-            OSError,
-            asyncio.IncompleteReadError,
-            asyncio.CancelledError,
-        ):  # CancelledError: the event loop ends
+        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            # CancelledError is raised when the event loop ends.
             writer.close()
         finally:
             self.connections.discard(writer)
--- a/tests/fleet_control.py
+++ b/tests/fleet_control.py
@@ -1,4 +1,4 @@
-"""A test double of the control machines, and instances that receive updates late and by other clocks.
+"""A test double of the control machines, and instances with late updates and clocks that differ.
 
 It runs in virtual time. The control machines publish each phase with its time, and stamp each heartbeat with
 the time at which it was issued. Each instance reads an ordered stream from them, which may be delayed, cut or
@@ -55,7 +55,7 @@
     clock_offset: int  # ns, from the control machines' clock
     stream: list[dict[str, Any]] = field(default_factory=list)
     disconnected: bool = False
-    watching: bool = False  # it has an open watch, on which nothing was lost
+    watching: bool = False  # whether it has an open watch on which no update was lost
 
 
 class ControlPlane:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -113,7 +113,7 @@
     assert settings.report_fields == ("x0", "x1")
 
 
-def test_variables_win_over_the_file_and_the_shipped_files_are_sound() -> None:
+def test_variables_take_precedence_over_the_file_and_the_shipped_files_are_valid() -> None:
     example = str(ROOT / "example" / "config.json")
     loaded = config.read({"ROUTER_LISTEN": "127.0.0.2:7", "ROUTER_STATE": "elsewhere"}, example)
     assert (str(loaded.listen), str(loaded.state)) == ("127.0.0.2:7", "elsewhere")
@@ -128,14 +128,14 @@
     assert operator_settings.mqtt.endpoints[0].destination == 7
 
 
-def test_the_shipped_tls_file_is_sound() -> None:
+def test_the_shipped_tls_file_is_valid() -> None:
     loaded = config.read({}, str(ROOT / "example" / "config.json"))
     tls = config.read_operator(str(ROOT / "deploy" / "tls.toml"), "n", _with_kind(loaded, "partner"), {}).tls
     assert tls is not None
     assert tls.partners[0].terms.handshakes == 6
 
 
-def test_a_file_read_again_wins_over_a_variable_from_the_start_where_it_changed(tmp_path: Path) -> None:
+def test_on_a_reload_a_value_changed_in_the_file_takes_precedence_over_a_variable(tmp_path: Path) -> None:
     environ = {"ROUTER_DISCOVERY": "127.0.0.1:1"}
     path = write(tmp_path, 6379, 8500, [])
     first = config.read(environ, *path)
@@ -153,7 +153,7 @@
     return dataclasses.replace(loaded.settings, kinds=kinds)
 
 
-def test_the_command_line() -> None:
+def test_the_commands_version_check_and_send() -> None:
     runner = CliRunner()
     assert runner.invoke(main, ["version"]).output.strip().count(".") == 2
     checked = runner.invoke(main, ["check", "--config", str(ROOT / "example" / "config.json")])
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -30,7 +30,7 @@
 SOCKETS = 72  # descriptors of the process, as configured
 CLIENTS = 300  # clients that connect and send nothing
 RESTARTED = 10  # processes killed at once
-MESSAGES_EACH = 30  # held by each of them
+MESSAGES_EACH = 30  # held by each restarted process
 READY_WITHIN = 10.0  # seconds, for nine in ten of the restarted processes
 
 
@@ -63,13 +63,13 @@
             idle_clients = [asyncio.ensure_future(stay_idle(port)) for _ in range(CLIENTS)]
             assert await request_line(port, PING) == PONG, "a client that sends something has its place"
             await agent.start()
-            await events.wait_until(lambda: len(agent.watches) > watches)  # discovery
+            await events.wait_until(lambda: len(agent.watches) > watches)  # discovery has a descriptor
             assert await request_line(port, enqueue("one")) == b"+OK\r\n"
-            await events.wait_until(lambda: partner.calls.total() == 1)  # an endpoint
+            await events.wait_until(lambda: partner.calls.total() == 1)  # a call has a descriptor
             # Nothing listens at the endpoint of destination 2.
             undeliverable = enqueue("two", left=300).replace(b"dest=1", b"dest=2")
             assert await request_line(port, undeliverable) == b"+OK\r\n"
-            await events.wait_until(lambda: "two" in agent.notices)  # and a notice
+            await events.wait_until(lambda: "two" in agent.notices)  # a notice has a descriptor
             agent.change({**endpoint_row("s-3", 3), "host_port": f"127.0.0.1:{partner.port}"})
             other = enqueue("three").replace(b"dest=1", b"dest=3")
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -76,7 +76,7 @@
     )
 
 
-def test_a_process_counts_from_nothing_and_what_it_took_up_is_active(tmp_path: Path) -> None:
+def test_counts_start_at_zero_and_messages_recovered_from_the_journal_are_active(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     for name in "abc":
         rig.submit(name)
@@ -150,7 +150,7 @@
     play(work())
 
 
-def test_the_two_commands(tmp_path: Path) -> None:
+def test_status_and_stats_report_on_a_running_dispatcher(tmp_path: Path) -> None:
     async def work() -> None:
         port, agent = free_port(), await Peer().start()
         address_option = ["--at", f"127.0.0.1:{port}"]
@@ -186,14 +186,16 @@
         ("127.0.0.1:6379", "management: 127.0.0.1:6379 is the address of listen already"),
     ],
 )
-def test_an_address_that_cannot_be_is_named(tmp_path: Path, address: str, expected: str) -> None:
+def test_an_invalid_management_address_is_reported_with_its_key(
+    tmp_path: Path, address: str, expected: str
+) -> None:
     path, _ = write(tmp_path, 6379, 8500, [], management=address)
     with pytest.raises(config.ConfigError) as error:
         config.read({}, path)
     assert str(error.value) == expected
 
 
-def test_the_variable_wins_and_descriptors_are_set_aside(tmp_path: Path) -> None:
+def test_the_variable_takes_precedence_and_descriptors_are_reserved(tmp_path: Path) -> None:
     path, _ = write(tmp_path, 6379, 8500, [])
     without_management = config.read({}, path)
     with_management = config.read({"ROUTER_MANAGEMENT": "127.0.0.1:9"}, path)
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -31,14 +31,14 @@
 from .rig import endpoint_row
 
 REGIONS = (Region("east", ("a1",)), Region("west", ("b1",)))
-INSTANCES = {"x": "a1", "y": "a1", "z": "b1"}  # two of one zone, one of another
+INSTANCES = {"x": "a1", "y": "a1", "z": "b1"}  # two instances in one zone, one in another
 LEASE_MS = 1500
 PARTITIONS = 64
 DESTINATIONS = range(1, 41)
 
 
 class FleetRig:
-    """Discovery's agent, the view's agent, an endpoint, and the processes."""
+    """The agent of discovery, the agent of the view, an endpoint, and the processes of the fleet."""
 
     def __init__(self, folder: Path) -> None:
         self.directory = folder
@@ -93,7 +93,7 @@
             await self.spawn(name)
         for name in INSTANCES:
             await self.wait_until_ready(name)
-        for name in INSTANCES:  # the messages of this wait are counted before a test reads a counter
+        for name in INSTANCES:  # the messages submitted above are counted before a test reads a counter
             await self.wait_until_idle(name)
 
     async def spawn(self, name: str) -> None:
@@ -101,7 +101,7 @@
         self.processes[name] = await spawn(path, operator=operator)
 
     async def wait_until_ready(self, name: str) -> None:
-        """Wait until the instance answers and has the complete list, requested again after the view."""
+        """Wait until the instance answers and has the complete list, requested again after its first view."""
         await wait_until_serving(self.processes[name], self.ports[name])
         destination = self.destination_owned_by(name)
 
@@ -245,7 +245,7 @@
 def test_a_request_written_to_an_owner_that_does_not_reply_is_accepted_nowhere_else(
     tmp_path: Path, ended: str
 ) -> None:
-    """The connection of the client is closed, as by a dispatcher that does not answer."""
+    """The client's connection is closed without a reply, as by any dispatcher that does not answer."""
 
     async def work() -> None:
         async with running_fleet(tmp_path) as rig:
--- a/tests/test_partitioning_quotas.py
+++ b/tests/test_partitioning_quotas.py
@@ -133,10 +133,8 @@
     stateful_step_count=60,
     deadline=None,
     derandomize=True,
-    phases=(
-        Phase.explicit,
-        Phase.generate,
-    ),  # no shrinking, which takes minutes: a failing run is printed as it is
+    # Without shrinking, which takes minutes, a failing run is printed as it was found.
+    phases=(Phase.explicit, Phase.generate),
     suppress_health_check=list(HealthCheck),
 )
 
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -25,6 +25,7 @@
 
 ROWS = [entry(f"{zone}-{number}", zone) for zone in ("a1", "a2", "b1", "b2") for number in range(3)]
 NAME = "a1-0"
+# A view saved by the program at commit a5e6918, which later versions must be able to read.
 SAVED_BY_A5E6918 = Path(__file__).parent / "fixtures" / "fleet-view-1" / VIEW_FILE_NAME
 
 
@@ -86,7 +87,7 @@
             ]
             if names[0] == NAME if home is None else names == [home, NAME]:
                 return number
-        raise AssertionError("none")
+        raise AssertionError(f"no listed destination has {home or NAME} as its home")
 
     def route(self, number: int, forwarded: bool = False) -> Route:
         return self.fleet.route(Transaction("probe", 0, number, self.now + SECOND, b""), forwarded)
@@ -264,9 +265,7 @@
     assert (tmp_path / "first" / VIEW_FILE_NAME).read_bytes() == SAVED_BY_A5E6918.read_bytes()
 
 
-def test_a_view_too_large_to_save_is_used_all_the_same(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_view_too_large_to_save_is_still_used(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_module, "MAX_SAVED_VIEW_BYTES", 100)
     rig = FleetServiceRig(tmp_path / "first")
     rig.receive_update()
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -1,4 +1,8 @@
-"""Views and ownership: faulty input raises one error and changes nothing; balance and moves are exact."""
+"""Views and ownership of partitions.
+
+A faulty view raises one error and changes nothing. Partitions are spread evenly, and only the partitions of
+an instance that joins or leaves move.
+"""
 
 from __future__ import annotations
 
@@ -78,7 +82,7 @@
         fleet.apply_update(view_update(), START)
 
 
-def test_a_heartbeat_from_a_clock_too_far_ahead_renews_nothing_and_its_view_counts() -> None:
+def test_a_heartbeat_from_a_clock_too_far_ahead_renews_nothing_but_its_view_is_applied() -> None:
     fleet, ahead = fleet_of(), START + SECOND
     with pytest.raises(ClockError, match="later than this machine's clock"):
         fleet.apply_update(view_update(revision=6, issued_ms=ahead // MS), START)
@@ -158,7 +162,7 @@
         FleetSettings(**{**valid_settings, **changes})
 
 
-NAMES = [f"d{number}" for number in range(77)]  # one of the ten zones of 770 dispatchers
+NAMES = [f"d{number}" for number in range(77)]  # the dispatchers of one zone, if 770 run in ten zones
 PARTITIONS = 4096
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -72,7 +72,7 @@
         agent = self.peers["agent"]
         stopped = "stop" in lines
         async with started(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
-            # The first connection to the agent is the watch; notices come on another one.
+            # The first connection to the agent is the watch; notices come on another connection.
             self.peers["watch"].connection = await agent.connections.get()
             await watched(self.peers["watch"], agent.port)
             agent.connection = None
@@ -431,7 +431,7 @@
     play(work())
 
 
-def test_a_retry_after_acknowledged_after_its_call_was_cancelled_is_heeded(tmp_path: Path) -> None:
+def test_a_retry_after_received_after_its_call_was_cancelled_is_applied(tmp_path: Path) -> None:
     """A publish cannot be revoked, and its acknowledgement may arrive after its message expired."""
 
     async def work() -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A `serve` without features imports no module that it does not use: hundreds may start at once."""
+"""A `serve` without features imports no module that it does not use, since hundreds may start at once."""
 
 from __future__ import annotations
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -196,8 +196,8 @@
             assert await rig.stop(process, signal.SIGTERM) == 0
         assert not rig.ledger.concurrent_attempts, "two attempts of one message out at once"
         assert killed or not rig.agent.duplicate_notices, "two notices for one message"
-        both = rig.ledger.delivered.keys() & rig.agent.notices.keys()
-        assert killed or not both, "delivered, and ended otherwise"
+        ended_twice = rig.ledger.delivered.keys() & rig.agent.notices.keys()
+        assert killed or not ended_twice, "delivered, and ended otherwise"
     finally:
         for task in tasks:
             task.cancel()
@@ -224,7 +224,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_kill_of_either_at_any_moment_loses_nothing(tmp_path: Path, seed: int) -> None:
+def test_a_kill_of_the_old_or_the_new_process_at_any_moment_loses_no_message(
+    tmp_path: Path, seed: int
+) -> None:
     """The old process, the new one or both are killed, with or without a SIGTERM, with calls in flight."""
 
     async def work() -> None:
