--- a/honeyhitch/service/reload.py
+++ b/honeyhitch/service/reload.py
@@ -22,7 +22,7 @@
     "operator",
 )
 
-ConfigReader = Callable[[Config], Config]  # reads the configuration again, given the current one
+ConfigReader = Callable[[Config], Config]  # reads the configuration again, given the current configuration
 
 
 def reload(service: Service, read_config: ConfigReader) -> None:
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -241,9 +241,9 @@
     play(work())
 
 
-@pytest.mark.parametrize("ended", ["hangs", "killed"])
+@pytest.mark.parametrize("failure", ["hangs", "killed"])
 def test_a_request_written_to_an_owner_that_does_not_reply_is_accepted_nowhere_else(
-    tmp_path: Path, ended: str
+    tmp_path: Path, failure: str
 ) -> None:
     """The client's connection is closed without a reply, as by any dispatcher that does not answer."""
 
@@ -252,7 +252,7 @@
             destination = rig.destination_owned_by("y")
             rig.processes["y"].send_signal(signal.SIGSTOP)
             submission = asyncio.ensure_future(rig.submit("x", "doubtful", destination))
-            if ended == "killed":
+            if failure == "killed":
 
                 async def request_arrived() -> bool:
                     return submission.done() or has_unread_bytes(rig.ports["y"])
@@ -261,7 +261,7 @@
                 rig.processes["y"].kill()
             assert await submission == b""
             assert not rig.endpoint.calls["doubtful"], "neither x nor z took it on"
-            if ended == "hangs":
+            if failure == "hangs":
                 rig.processes["y"].send_signal(signal.SIGCONT)
                 assert await rig.submit("x", "after", destination) == b"+OK\r\n"
                 await rig.wait_until_delivered("after")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -51,9 +51,11 @@
     play(work())
 
 
-@pytest.mark.parametrize("how", ["kill", "shutdown"])
+@pytest.mark.parametrize("process_end", ["kill", "shutdown"])
 @pytest.mark.parametrize("seed", range(4))
-def test_a_start_attempts_messages_that_were_not_attempted(tmp_path: Path, how: str, seed: int) -> None:
+def test_a_start_attempts_messages_that_were_not_attempted(
+    tmp_path: Path, process_end: str, seed: int
+) -> None:
     """No call is made before the process ends. After the restart every message gets its call in time."""
     rng = Random(seed)
     limits: dict[str, Any] = {"max_messages": 400, "max_concurrent_calls": 12}
@@ -65,7 +67,7 @@
         dest = rng.choice((1, 2))
         assert rig.submit(name, dest=dest, left=int(rng.uniform(8, 20) * SECOND), key=f"k-{name}")
         assert not rig.run(0.001)
-    if how == "shutdown":
+    if process_end == "shutdown":
         rig.dispatcher.stop_deciding(int(1.5 * SECOND))
     assert not rig.answers, "none is rejected early"
     rig.time.time += int(rng.uniform(0.6, 2.0) * SECOND)
