--- a/honeyhitch/tls/certificates.py
+++ b/honeyhitch/tls/certificates.py
@@ -1,4 +1,4 @@
-"""What a certificate says, parsed with `cryptography`: names, validity, and the digest of its key."""
+"""Fields of X.509 certificates, parsed with `cryptography`: names, validity and the digest of the key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CertificateInfo:
-    """One certificate. Times are Unix times in nanoseconds."""
+    """The fields of one certificate that are used here. Times are Unix times in nanoseconds."""
 
     subject: str
     issuer: str
@@ -26,17 +26,17 @@
     pin: bytes  # SHA-256 of the SubjectPublicKeyInfo, as in RFC 7469, 2.4
 
     def days_left(self, now: int) -> float:
-        """Days until it expires; negative once it has."""
+        """Return the days until the certificate expires; negative after its expiry."""
         return (self.not_after - now) / DAY
 
 
 def unix_nanoseconds(when: datetime) -> int:
-    """A time as a Unix time in nanoseconds."""
+    """Return a time as a Unix time in nanoseconds, cut to whole seconds."""
     return int(when.timestamp()) * SECOND
 
 
 def describe(certificate: x509.Certificate) -> CertificateInfo:
-    """What a certificate says. Raises ValueError if its key cannot be read."""
+    """Return the fields of a certificate. Raises ValueError if its key cannot be read."""
     public_key = certificate.public_key()
     key_info = public_key.public_bytes(Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
     return CertificateInfo(
@@ -52,7 +52,7 @@
 
 
 def _alternative_names(certificate: x509.Certificate) -> tuple[str, ...]:
-    """DNS names and IP addresses; a certificate without any is rejected by the verification."""
+    """Return the DNS names and IP addresses of the SAN; OpenSSL rejects a certificate without any."""
     names: list[str] = []
     try:
         san = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
@@ -64,5 +64,5 @@
 
 
 def describe_der(der: bytes) -> CertificateInfo:
-    """What a certificate in DER says. Raises ValueError if it cannot be parsed."""
+    """Return the fields of a certificate in DER. Raises ValueError if it cannot be parsed."""
     return describe(x509.load_der_x509_certificate(der))
--- a/honeyhitch/tls/connection_gate.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -1,7 +1,7 @@
 """Counts one endpoint's TLS connections, and decides when another handshake may start. No I/O.
 
-The transport asks before each handshake and reports each result; the returned capacity is for the policy.
-Times are Unix times in nanoseconds, and the clock is an argument.
+The transport calls `start` before each handshake and reports each result; the policy gets the returned
+capacity. Times are Unix times in nanoseconds, and the clock is an argument.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 class EndpointConnections:
     """The connections to one endpoint, within its partner's handshake budget.
 
-    `block_duration` gives the nanoseconds to block the endpoint for after so many lasting failures in a row.
+    After a lasting failure `block_duration` returns the nanoseconds for which to block the endpoint; its
+    argument is the number of lasting failures in a row before this one.
     """
 
     def __init__(
@@ -34,8 +35,8 @@
         self.idle = 0  # connections without a call
         self.busy = 0  # connections with a call
         self.opening = 0  # connections in a handshake
-        self.failures = 0  # lasting ones in a row
-        self.blocked_until = 0  # after a lasting failure
+        self.failures = 0  # lasting failures in a row
+        self.blocked_until = 0  # ns; set by a lasting failure
 
     @property
     def open(self) -> int:
@@ -43,18 +44,18 @@
         return self.idle + self.busy
 
     def start_blocked_until(self, now: int) -> int:
-        """The earliest start of a handshake, as far as can be told; at most `now` if at once."""
+        """Return the estimated earliest start of the next handshake; at most `now` if it may start now."""
         return max(self.blocked_until, self.budget.ready_at(now))
 
     def start(self, now: int) -> HandshakeStart | None:
-        """Permission for one handshake, which is counted from now on; None if it must wait."""
+        """Count one handshake as started and return it; return None if it must wait."""
         if self.start_blocked_until(now) > now:
             return None
         self.opening += 1
         return self.budget.start(now)
 
     def opened(self, start: HandshakeStart, now: int, resumed: bool) -> ConnectionCapacity:
-        """The handshake succeeded, and its connection is idle."""
+        """Record that the handshake succeeded and left an idle connection; return the new capacity."""
         self.opening -= 1
         self.idle += 1
         self.unblock()
@@ -62,7 +63,10 @@
         return self.capacity(now)
 
     def failed(self, start: HandshakeStart, now: int, error: TlsError) -> ConnectionCapacity:
-        """The handshake failed. A lasting failure blocks the endpoint; any other counts as an outage."""
+        """Record that the handshake failed, and return the new capacity with the reason.
+
+        A lasting failure blocks the endpoint; any other failure counts as an outage.
+        """
         self.opening -= 1
         lasting = error.failure.lasting
         self.budget.failed(start, outage=not lasting)
@@ -74,22 +78,22 @@
         return replace(self.capacity(now), connect_failed=True, elapsed=elapsed, failure_reason=reason)
 
     def abandoned(self, start: HandshakeStart) -> None:
-        """We stopped the handshake, which says nothing of the partner."""
+        """Record that this side cancelled the handshake, which says nothing about the partner."""
         self.opening -= 1
         self.budget.failed(start, outage=False)
 
     def block(self, now: int) -> None:
-        """After a lasting failure: start no handshake for a growing time."""
+        """Start no handshake after a lasting failure, for a time that grows with each one in a row."""
         self.blocked_until = now + self.block_duration(self.failures)
         self.failures += 1
 
     def unblock(self) -> None:
-        """Allow handshakes at once, as one succeeded or the partner's terms have changed."""
+        """Allow handshakes at once, after one succeeded or the partner's terms changed."""
         self.failures = 0
         self.blocked_until = 0
 
     def capacity(self, now: int) -> ConnectionCapacity:
-        """The capacity as the policy needs to know it."""
+        """Return the endpoint's capacity as an event for the policy."""
         blocked_for = max(0, self.start_blocked_until(now) - now)
         return ConnectionCapacity(
             self.endpoint_id, self.destination, self.open, connect_blocked_for=blocked_for
--- a/honeyhitch/tls/failures.py
+++ b/honeyhitch/tls/failures.py
@@ -1,7 +1,7 @@
-"""The failures of TLS connections, each with its own name, and what each means for a call.
+"""The failures of TLS connections, whether each is lasting, and how OpenSSL's errors map to them.
 
-The names stand in the log and in outcomes; operators rely on them. Alerts are those of RFC 8446, section 6;
-verification codes are those of OpenSSL's x509_vfy.h.
+The names of the failures appear in the log and in outcomes, and operators rely on them. Alerts are those of
+RFC 8446, section 6; verification codes are those of OpenSSL's x509_vfy.h.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 import ssl
 from enum import Enum
 
-TLS_1_3 = "TLSv1.3"  # as OpenSSL names it
+TLS_1_3 = "TLSv1.3"  # OpenSSL's name of the version
 
 
 class Failure(Enum):
-    """A name in the log, and whether the failure is lasting: only a change of configuration can help."""
+    """A failure's name in the log, and whether it is lasting: only a change of configuration can help."""
 
     UNTRUSTED = ("untrusted", True)  # no chain to a trusted root
     WRONG_NAME = ("wrong-name", True)
     EXPIRED = ("expired", True)
     NOT_YET_VALID = ("not-yet-valid", True)
     REVOKED = ("revoked", True)
-    CRL_UNUSABLE = ("crl-unusable", True)  # none for this issuer, out of date, or not signed by it
-    WRONG_USE = ("wrong-use", True)  # key usage, or not a server's certificate
+    CRL_UNUSABLE = ("crl-unusable", True)  # no CRL of this issuer, out of date, or not signed by the issuer
+    WRONG_USE = ("wrong-use", True)  # the key usage forbids it, or it is not a server certificate
     WEAK = ("weak", True)  # a key or signature below the security level
-    UNVERIFIED = ("unverified", True)  # any other reason of the verifier
+    UNVERIFIED = ("unverified", True)  # any other error of the verification
     PIN_MISMATCH = ("pin-mismatch", True)
     NO_COMMON_VERSION = ("no-common-version", True)
     NO_COMMON_CIPHER = ("no-common-cipher", True)
@@ -31,27 +31,27 @@
     OUR_CERTIFICATE_REJECTED = ("our-certificate-refused", True)
     NAME_UNKNOWN_TO_SERVER = ("name-unknown-there", True)
     HANDSHAKE_REJECTED = ("handshake-refused", True)  # any other fatal alert during the handshake
-    STALLED = ("stalled", False)  # the handshake took too long
+    STALLED = ("stalled", False)  # the handshake timed out
     UNREACHABLE = ("unreachable", False)  # no TCP connection
     HANDSHAKE_CUT = ("handshake-cut", False)  # the connection ended during the handshake
     OVERLOADED = ("overloaded", False)  # internal_error during the handshake
-    TRUNCATED = ("truncated", False)  # an end without close_notify, which anyone on the way can cause
+    TRUNCATED = ("truncated", False)  # ended without close_notify, which anyone on the path can cause
     ALERT = ("alert", False)  # a fatal alert on an open connection
-    MALFORMED_RECORD = ("spoilt", False)  # cannot be decrypted, or is not allowed here
+    MALFORMED_RECORD = ("spoilt", False)  # a record that cannot be decrypted, or is not allowed now
 
     @property
     def label(self) -> str:
-        """The name in the log."""
+        """The failure's name in the log and in outcomes."""
         return self.value[0]
 
     @property
     def lasting(self) -> bool:
-        """Not an outage: probing again soon would show nothing new."""
+        """Whether the failure is lasting and no outage: an early retry would fail in the same way."""
         return self.value[1]
 
 
 class TlsError(ConnectionError):
-    """A TLS connection that could not be opened or that broke; `reason` is OpenSSL's own text."""
+    """A TLS connection that could not be opened or that broke; `reason` is mostly OpenSSL's own text."""
 
     def __init__(self, failure: Failure, reason: str = "") -> None:
         super().__init__(f"tls: {failure.label}" + (f" ({reason})" if reason else ""))
@@ -59,7 +59,7 @@
         self.reason = reason
 
 
-# OpenSSL's X509_V_ERR_* codes.
+# The failure of a verification by OpenSSL's X509_V_ERR_* code.
 FAILURE_BY_VERIFY_CODE = {
     9: Failure.NOT_YET_VALID,
     10: Failure.EXPIRED,
@@ -106,7 +106,7 @@
 WEAK_REASONS = ("DH_KEY_TOO_SMALL", "EE_KEY_TOO_SMALL", "CA_MD_TOO_WEAK", "BAD_ECPOINT")
 UNKNOWN_NAME_REASONS = ("UNRECOGNIZED_NAME",)
 OVERLOAD_REASONS = ("ALERT_INTERNAL_ERROR", "ALERT_USER_CANCELLED")
-# The failure of a handshake by the end of OpenSSL's reason; the first match counts.
+# The failure of a handshake by the suffix of OpenSSL's reason; the first match counts.
 FAILURE_BY_REASON = (
     (CERTIFICATE_ALERTS, Failure.OUR_CERTIFICATE_REJECTED),
     (NOT_TLS_REASONS, Failure.NOT_TLS),
@@ -119,7 +119,7 @@
 
 
 def classify_handshake_error(error: ssl.SSLError) -> TlsError:
-    """What an error of OpenSSL means during the handshake."""
+    """Return the failure that an OpenSSL error during the handshake means."""
     if isinstance(error, ssl.SSLCertVerificationError):
         failure = FAILURE_BY_VERIFY_CODE.get(int(error.verify_code), Failure.UNVERIFIED)
         return TlsError(failure, str(error.verify_message))
@@ -131,20 +131,21 @@
 
 
 def _is_alert(reason: str) -> bool:
-    """Whether it names a received alert; OpenSSL calls most of them so, and the rest by the version."""
+    """Return whether the reason is a received alert: most contain ALERT, the others begin with a version."""
     return "ALERT" in reason or reason.startswith(("TLSV1_", "TLSV13_"))
 
 
 def classify_connection_error(
     error: ssl.SSLError, answered: bool, version: str, own_certificate: bool
 ) -> TlsError:
-    """What an error of OpenSSL means after our side of the handshake was complete.
-
-    In TLS 1.3 the client is done before the server has checked its certificate (RFC 8446, 4.4.4 and appendix
-    E.1.2), so a rejection comes after the first request was written. The server sends such an alert before
-    it reads a byte of that request, so it proves that the request was not executed, if it is one of the
-    certificate alerts, if nothing was received on this connection before (`answered`), and if we sent a
-    certificate (`own_certificate`) or the alert says that one is missing. Any other alert proves nothing.
+    """Return the failure that an OpenSSL error means after our side of the handshake was complete.
+
+    In TLS 1.3 the client completes the handshake before the server has checked the client's certificate
+    (RFC 8446, 4.4.4 and appendix E.1.2), so a rejection arrives after the first request was written. The
+    server sends such an alert before it reads a byte of that request. The alert therefore proves that the
+    request was not executed if three conditions hold: it is one of the certificate alerts, no plaintext was
+    received on this connection before (`answered`), and we sent a certificate (`own_certificate`) or the
+    alert says that a certificate is required. Any other alert proves nothing about the request.
     """
     reason = str(error.reason or error)
     about_certificate = own_certificate or reason.endswith(CERTIFICATE_REQUIRED)
--- a/honeyhitch/tls/handshake_budget.py
+++ b/honeyhitch/tls/handshake_budget.py
@@ -1,17 +1,17 @@
-"""How many handshakes a partner gets from this dispatcher, concurrently and per second.
+"""Limits this dispatcher's handshakes with a partner: how many run concurrently, and how many a second.
 
 No I/O; times are Unix times in nanoseconds, and the clock is an argument.
 
-A partner's limits (`handshakes`, `handshake-rate`) are for all dispatchers together. Nothing coordinates
-them, so each takes an equal share. The rate limits full handshakes. A resumed one costs a partner a fraction
-of that and is charged `RESUMED_WEIGHT` once it is known to be one; until then it is charged in full, as the
-server may not accept the session. The rate window slides, and is longer by `WINDOW_MARGIN`, as the network
-delivers handshakes in bursts.
+A partner's limits (`handshakes`, `handshake-rate`) are for all dispatchers together. The dispatchers do not
+coordinate, so each takes an equal share. The rate limits full handshakes. A resumed handshake costs a partner
+a fraction of a full one and is charged `RESUMED_WEIGHT` once it is known to be resumed; until then it is
+charged in full, as the server may not accept the session. The rate window slides, and is longer by the factor
+`WINDOW_MARGIN`, as the network delivers handshakes in bursts.
 
 After an outage the partner is in slow start, with the same ramp as destinations have: from
-`slow_start_fraction` to the whole in `slow_start_duration`. An outage is a handshake that failed for a reason
-that is not lasting, or the loss of more than half of the open connections within `RATE_WINDOW`, as by a
-restart.
+`slow_start_fraction` of the limits to the full limits in `slow_start_duration`. An outage is a handshake that
+failed for a reason that is not lasting, or the loss of more than half of the open connections within
+`RATE_WINDOW`, as a restart of the partner causes.
 """
 
 from __future__ import annotations
@@ -22,25 +22,26 @@
 from honeyhitch.time_units import MILLISECOND, NEVER, SECOND
 
 RATE_WINDOW = SECOND  # ns
-WINDOW_MARGIN = 1.25  # times the rate window
+WINDOW_MARGIN = 1.25  # factor that lengthens the rate window
 RESUMED_WEIGHT = 0.25  # of a full handshake's cost: the partner checks a ticket and does one key exchange
-MIN_LOST_FOR_RESTART = 2  # connections lost within the window
+MIN_LOST_FOR_RESTART = 2  # connections lost within RATE_WINDOW
 RETRY_DELAY = 100 * MILLISECOND  # ns after which to ask again while too many handshakes are running
 
 
 @dataclass(slots=True, eq=False)
 class HandshakeStart:
-    """One handshake that was allowed; `at` is a time in nanoseconds."""
+    """One handshake that was allowed to start; `at` is a Unix time in nanoseconds."""
 
     at: int
     weight: float = 1.0  # of a full handshake
 
 
 class HandshakeBudget:
-    """The share that one of `instance_count` dispatchers has of a partner's handshakes.
+    """The share that one of `instance_count` dispatchers has in a partner's handshake limits.
 
-    With fewer concurrent handshakes than dispatchers each still has one; with a rate below one a second for
-    each, they are spaced further apart and the total holds on average only. `warnings` reports both.
+    If `handshakes` is below the number of dispatchers, each dispatcher may still run one handshake. If each
+    dispatcher's share of the rate is below one a second, handshakes are spaced further apart and the total
+    rate holds on average only. `warnings` reports both cases.
     """
 
     def __init__(
@@ -57,13 +58,13 @@
         self.slow_start_duration = slow_start_duration
         self.running: set[HandshakeStart] = set()
         self.recent: deque[HandshakeStart] = deque()  # oldest first
-        self.recovered_at = -NEVER  # the end of the last outage
+        self.recovered_at = -NEVER  # ns; the end of the last outage
         self.unavailable = False
-        self.lost_at: deque[int] = deque()  # when open connections were lost, oldest first
+        self.lost_at: deque[int] = deque()  # ns; times at which open connections were lost, oldest first
 
     @staticmethod
     def warnings(handshakes: int, rate: float, instance_count: int) -> list[str]:
-        """Limits that cannot be kept exactly with so many dispatchers."""
+        """Return a text for each limit that cannot be kept exactly with so many dispatchers."""
         found = []
         if handshakes < instance_count:
             found.append(f"handshakes: {handshakes} at once cannot be shared by {instance_count} dispatchers")
@@ -74,17 +75,17 @@
         return found
 
     def slow_start_share(self, now: int) -> float:
-        """The fraction of the limits that slow start allows; 0 in an outage, when one handshake may run."""
+        """Return the fraction of the limits that slow start allows; 0 in an outage: one handshake may run."""
         if self.unavailable:
             return 0.0
         progress = min(1.0, (now - self.recovered_at) / self.slow_start_duration)
         return self.slow_start_fraction + (1 - self.slow_start_fraction) * progress
 
     def ready_at(self, now: int) -> int:
-        """The earliest start of the next handshake, as far as can be told; at most `now` if at once."""
+        """Return the estimated earliest start of the next handshake; at most `now` if it may start now."""
         share = self.slow_start_share(now)
         if len(self.running) >= max(1, int(self.max_concurrent * share)):
-            return now + RETRY_DELAY  # the end of a handshake comes sooner, and is reported
+            return now + RETRY_DELAY  # a running handshake ends sooner, and its end is reported
         rate = self.rate * max(share, self.slow_start_fraction)
         window = _window(rate)
         self._forget_before(now - max(window, self._longest_window()))
@@ -106,14 +107,14 @@
             self.recent.popleft()
 
     def start(self, now: int) -> HandshakeStart:
-        """A handshake starts; `ready_at` has allowed it."""
+        """Record and return the start of a handshake, which `ready_at` has allowed."""
         start = HandshakeStart(now)
         self.running.add(start)
         self.recent.append(start)
         return start
 
     def succeeded(self, start: HandshakeStart, now: int, resumed: bool) -> None:
-        """The handshake succeeded, which ends an outage."""
+        """Record that the handshake succeeded, which ends an outage."""
         self.running.discard(start)
         if resumed:
             start.weight = RESUMED_WEIGHT
@@ -122,12 +123,15 @@
             self.recovered_at = now
 
     def failed(self, start: HandshakeStart, outage: bool) -> None:
-        """The handshake failed; `outage` if the partner is down rather than one side misconfigured."""
+        """Record a failed handshake; `outage` if the partner is down rather than one side misconfigured."""
         self.running.discard(start)
         self.unavailable = self.unavailable or outage
 
     def connection_lost(self, now: int, remaining: int) -> None:
-        """An open connection was lost and `remaining` are left: losing most at once means a restart."""
+        """Record that an open connection was lost and `remaining` are left.
+
+        The loss of more than half of the connections within `RATE_WINDOW` counts as the partner's restart.
+        """
         self.lost_at.append(now)
         while self.lost_at[0] <= now - RATE_WINDOW:
             self.lost_at.popleft()
@@ -137,5 +141,5 @@
 
 
 def _window(rate: float) -> int:
-    """The sliding window in nanoseconds; longer than the standard one if the rate is below one a second."""
+    """Return the sliding window in nanoseconds, which is longer if the rate is below one a second."""
     return int(max(RATE_WINDOW, SECOND / rate) * WINDOW_MARGIN)
--- a/honeyhitch/tls/machine.py
+++ b/honeyhitch/tls/machine.py
@@ -1,7 +1,7 @@
-"""The client's side of one TLS connection without I/O: received bytes in, bytes to send out.
+"""The client side of one TLS connection without I/O: takes received bytes and produces bytes to send.
 
-It uses OpenSSL through `ssl.MemoryBIO` and `ssl.SSLObject`. Whatever the peer sends is a result and never an
-exception: plaintext, a clean end, or a `failure`. Plaintext that came before a failure is given first, so
+It uses OpenSSL through `ssl.MemoryBIO` and `ssl.SSLObject`. No bytes from the peer raise an exception: the
+result is plaintext, a clean end, or a `failure`. Plaintext received before a failure can still be taken, so
 that the result does not depend on how the bytes are split.
 
 There is no early data (it could be replayed, RFC 8446, 8), no renegotiation and no post-handshake
@@ -18,8 +18,8 @@
 from honeyhitch.tls import failures
 from honeyhitch.tls.failures import TLS_1_3, Failure, TlsError
 
-MAX_CHUNK_BYTES = 1 << 16  # received bytes given to OpenSSL, or plaintext taken from it, at once
-MAX_UNSENT_BYTES = 1 << 16  # that a peer makes us send (KeyUpdate) and does not read
+MAX_CHUNK_BYTES = 1 << 16  # of received bytes given to OpenSSL, or plaintext taken from it, at once
+MAX_UNSENT_BYTES = 1 << 16  # of output that a peer causes (KeyUpdate) but does not read
 RECORD_HEADER_BYTES = 5  # type, version and length (RFC 8446, 5.1)
 
 
@@ -33,18 +33,18 @@
 
 
 class RecordTracker:
-    """Follows the framing of records, to tell whether the received bytes end between two of them."""
+    """Tracks the framing of TLS records, to tell whether the received bytes end at a record boundary."""
 
     def __init__(self) -> None:
         self.partial_header = b""
-        self.remaining = 0  # bytes of the current record
+        self.remaining = 0  # bytes of the current record that have not been received
 
     def feed(self, data: bytes) -> None:
-        """Count received bytes."""
+        """Process received bytes, of which only the record headers are parsed."""
         position = 0
         end = len(data)
         if self.at_boundary and _is_one_record(data):
-            return  # the most frequent case
+            return  # one whole record: the most frequent case
         while position < end:
             if self.remaining:
                 step = min(self.remaining, end - position)
@@ -59,7 +59,7 @@
 
     @property
     def at_boundary(self) -> bool:
-        """No record is incomplete."""
+        """Whether no record is incomplete."""
         return not self.remaining and not self.partial_header
 
 
@@ -69,9 +69,9 @@
 
 
 class TlsMachine:
-    """One connection. `session` is one that an earlier connection of the same context has left.
+    """The TLS state of one connection. `session` is from an earlier connection with the same context.
 
-    After `feed`, look at `plaintext`, `phase` and `failure`, and send `take_output()`.
+    After `feed`, check `plaintext`, `phase` and `failure`, and send `take_output()`.
     """
 
     def __init__(
@@ -93,8 +93,8 @@
         self.record_tracker = RecordTracker()
         self.version = ""  # such as TLSv1.3; empty until the handshake is complete
         self.cipher = ""  # the name of the suite; empty until the handshake is complete
-        self.has_received = False  # plaintext has come
-        self.may_have_ticket = True  # one may have come since this was last set to False
+        self.has_received = False  # whether any plaintext was received
+        self.may_have_ticket = True  # a ticket may have been received since this was last set to False
         self._continue_handshake()
 
     def feed(self, data: bytes) -> None:
@@ -107,7 +107,7 @@
 
     def _feed_chunk(self, chunk: bytes) -> None:
         if self.phase is Phase.ENDED or self.phase is Phase.FAILED:
-            return  # nothing counts after the end (RFC 8446, 6.1)
+            return  # bytes after the end are ignored (RFC 8446, 6.1)
         self.record_tracker.feed(chunk)
         self.incoming.write(chunk)
         if self.phase is Phase.HANDSHAKE:
@@ -118,7 +118,7 @@
             self.may_have_ticket = self.may_have_ticket or len(self.plaintext) == length_before
 
     def connection_closed(self) -> None:
-        """The peer closed the TCP connection."""
+        """Record that the peer closed the TCP connection."""
         if self.phase is Phase.HANDSHAKE:
             self._fail(TlsError(Failure.HANDSHAKE_CUT))
         elif self.phase is Phase.OPEN:
@@ -134,24 +134,27 @@
             raise self._fail_with(error) from error
 
     def close(self) -> None:
-        """Produce a close_notify, so that the peer can tell our end from a truncation."""
+        """Produce a close_notify, so that the peer can tell this end from a truncation."""
         if self.phase in (Phase.OPEN, Phase.ENDED):
-            with contextlib.suppress(ssl.SSLError):  # the peer's own close_notify is not waited for
+            with contextlib.suppress(ssl.SSLError):  # raised, as the peer's close_notify is not awaited
                 self.tls.unwrap()
 
     def take_output(self) -> bytes:
-        """The bytes to send to the peer now."""
+        """Remove and return the bytes to send to the peer."""
         return self.outgoing.read()
 
     def take_plaintext(self) -> bytes:
-        """The decrypted bytes so far."""
+        """Remove and return the decrypted bytes."""
         data = bytes(self.plaintext)
         self.plaintext.clear()
         return data
 
     @property
     def quiescent(self) -> bool:
-        """Open, with nothing received or incomplete: the next plaintext would answer the next request."""
+        """Whether the connection is open, with no plaintext or partial record left and little unsent output.
+
+        Any plaintext received after that belongs to the response to the next request.
+        """
         output_is_small = self.outgoing.pending <= MAX_UNSENT_BYTES
         has_input = bool(self.plaintext) or not self.record_tracker.at_boundary
         return self.phase is Phase.OPEN and not has_input and output_is_small
@@ -165,18 +168,21 @@
 
     @property
     def peer_certificate(self) -> bytes:
-        """The partner's certificate in DER; that of the first handshake if the session was resumed."""
+        """The partner's certificate in DER; from the full handshake if the session was resumed."""
         return self.tls.getpeercert(binary_form=True) or b""
 
     def chain(self) -> list[bytes]:
-        """The verified chain in DER, the partner's own certificate first; only that where Python lacks it."""
-        ssl_object = getattr(self.tls, "_sslobj", None)  # has no public counterpart before Python 3.13
+        """Return the verified chain in DER, the partner's own certificate first.
+
+        Where Python does not provide the chain, only the partner's own certificate is returned.
+        """
+        ssl_object = getattr(self.tls, "_sslobj", None)  # no public API before Python 3.13
         verified_chain = getattr(ssl_object, "get_verified_chain", lambda: None)() or []
         chain = [ssl.PEM_cert_to_DER_cert(certificate.public_bytes()) for certificate in verified_chain]
         return chain or [self.peer_certificate]
 
     def session(self) -> ssl.SSLSession | None:
-        """A session to resume later, if there is one by now: in TLS 1.3 it comes with a ticket."""
+        """Return a session to resume later, or None if there is none yet: TLS 1.3 sends it in a ticket."""
         session = self.tls.session
         if session is None or self.phase not in (Phase.OPEN, Phase.ENDED):
             return None
@@ -194,7 +200,8 @@
             self._fail(TlsError(Failure.WRONG_NAME, str(error)))
         else:
             self.phase = Phase.OPEN
-            cipher = self.tls.cipher()  # kept, as OpenSSL forgets both after a failure
+            # Cipher and version are saved, as OpenSSL no longer has them after a failure.
+            cipher = self.tls.cipher()
             self.version = self.tls.version() or ""
             self.cipher = cipher[0] if cipher else ""
 
@@ -204,7 +211,7 @@
                 self.plaintext += data
                 self.has_received = True
                 if not self.incoming.pending and not self.tls.pending():
-                    return  # almost always: another read would only raise SSLWantReadError
+                    return  # the usual case: another read would only raise SSLWantReadError
             self.phase = Phase.ENDED
         except ssl.SSLWantReadError:
             return
--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -1,9 +1,9 @@
-"""Trust, revocation lists, and our own certificate and key, read from files and checked completely.
+"""Loads trust roots, revocation lists, and our own certificate and key from files, and checks them all.
 
-This is the one module that builds an `ssl.SSLContext`. A mistake is a MaterialError that names the setting
-and the file. Files may be replaced while the process runs: they are read once into memory, checked against
-each other, and loaded into OpenSSL. If they change meanwhile that is a mistake too, and what was loaded
-before stays in use.
+This is the only module that builds an `ssl.SSLContext`. A file that cannot be used raises a MaterialError
+that names the setting and the file. Files may be replaced while the process runs: they are read once into
+memory, checked against each other, and loaded into OpenSSL. A file that changes while it is read raises a
+MaterialError, too, and the material that was loaded before stays in use.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 TLS_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 CRL_BEGIN = b"-----BEGIN X509 CRL"
 GROUP_AND_OTHERS = 0o077  # permission bits
-RevokedCertificates = frozenset[tuple[bytes, int]]  # issuers in DER with serial numbers
+RevokedCertificates = frozenset[tuple[bytes, int]]  # pairs of an issuer in DER and a serial number
 
 
 class MaterialError(Exception):
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Material:
-    """What connections to a partner are made with. `digest` changes with the content of any file."""
+    """The TLS context and checks for connections to a partner; `digest` changes with any file's content."""
 
     context: ssl.SSLContext
     digest: str
@@ -56,7 +56,10 @@
     pins: tuple[bytes, ...]
 
     def find_objection(self, certificate: CertificateInfo, now: int) -> TlsError | None:
-        """Why a partner's certificate is rejected, beyond what OpenSSL verifies in a full handshake."""
+        """Return the error for which a partner's certificate is rejected, or None.
+
+        OpenSSL does not check pins, and checks revocation and validity in full handshakes only.
+        """
         if self.pins and certificate.pin not in self.pins:
             return TlsError(Failure.PIN_MISMATCH, f"its key has the pin {certificate.pin.hex()}")
         if (certificate.issuer_der, certificate.serial) in self.revoked:
@@ -66,13 +69,13 @@
         return None
 
     def valid_until(self, certificate: CertificateInfo) -> int:
-        """When the verification of a partner's certificate ends, as a Unix time in nanoseconds."""
+        """Return the Unix time in nanoseconds until which the verification of a certificate is valid."""
         return min(certificate.not_after, self.crl_until)
 
 
 @dataclass(frozen=True, slots=True)
 class _File:
-    """One file that the terms name, with its setting and its content."""
+    """A file that the terms name, with its setting and its content."""
 
     key: str
     path: Path
@@ -89,7 +92,7 @@
 
 
 def _list_files(key: str, path: Path) -> list[Path]:
-    """The file itself, or the visible files of a directory."""
+    """Return the file itself, or the files of a directory except hidden ones."""
     try:
         if not path.is_dir():
             return [path]
@@ -104,7 +107,7 @@
 
 
 def named_files(terms: Terms) -> list[tuple[str, Path]]:
-    """Every file that the terms name, with its setting; directories are listed anew each time.
+    """Return every file that the terms name, with its setting; directories are listed at each call.
 
     Raises MaterialError.
     """
@@ -113,7 +116,7 @@
 
 
 def file_stamps(terms: Terms) -> tuple[object, ...]:
-    """A value that changes when a file is written or replaced; cheap enough to poll."""
+    """Return a value that changes when a file is written or replaced; cheap enough to poll."""
     stamps: list[object] = []
     try:
         for key, path in named_files(terms):
@@ -135,7 +138,7 @@
     own = None
     if terms.certificate is not None:
         own = _load_own_certificate(context, terms, files, environ, now)
-    for file in files:  # OpenSSL has read some of them by name
+    for file in files:  # OpenSSL has read some of the files again, by path
         if _read(file.key, file.path) != file.content:
             raise MaterialError(file.key, f"{file.path} changed while it was read")
     return Material(context, _digest(files), own, revoked, crl_until, terms.pins)
@@ -170,7 +173,7 @@
 
 
 def _load_revocations(context: ssl.SSLContext, files: list[_File]) -> tuple[RevokedCertificates, int]:
-    """The revoked certificates, and the earliest next update of a list."""
+    """Return the revoked certificates, and the earliest next update of a list; NEVER without one."""
     revoked: set[tuple[bytes, int]] = set()
     until = NEVER
     for file in files:
@@ -197,7 +200,7 @@
 ) -> CertificateInfo:
     certificate_path = terms.certificate
     key_path = terms.key
-    assert certificate_path is not None  # checked with the settings
+    assert certificate_path is not None  # checked when the settings were read
     assert key_path is not None
     contents = {file.path: file.content for file in files}
     _check_key_permissions(key_path)
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -1,7 +1,8 @@
 """The state of each partner in the running process: files as last read, sessions, budget and warnings.
 
-`material` reads the files; this module keeps the result and notifies those concerned. Each change of what a
-partner's connections are made with begins a new generation. Unusable files leave the previous one in force.
+`material` reads the files; this module stores the result and calls the functions in `on_change`. Each change
+of a partner's material begins a new generation. If files are unusable, the previous generation stays in
+force.
 """
 
 from __future__ import annotations
@@ -28,33 +29,34 @@
 MAX_BLOCK = 60 * SECOND  # ns
 MAX_BLOCK_DOUBLINGS = 10
 BLOCK_JITTER = 0.2  # fraction of the block
-MAX_CACHED_CERTIFICATES = 1024  # whose contents are kept, to spare parsing them at each handshake
+# Bounds the cache that saves parsing a certificate at each handshake, and the times of expiry warnings.
+MAX_CACHED_CERTIFICATES = 1024
 
 FileStamps = tuple[object, ...]
 
 
 @dataclass(slots=True, eq=False)
 class PartnerState:
-    """One partner, and what its connections are made with now."""
+    """One partner, and the material and the budget that its connections use now."""
 
     partner: Partner
     material: Material
     budget: HandshakeBudget
     generation: int = 0
     stamps: FileStamps = ()
-    last_rejection: str = ""  # why the files were unusable when they were last read
+    last_rejection: str = ""  # why the files were unusable when last read; empty if usable
     expiry_warned_at: dict[bytes, int] = field(default_factory=dict)  # ns, by the certificate's pin
 
     @property
     def name(self) -> str:
-        """The name in the log."""
+        """The partner's name in the log."""
         return self.partner.name
 
 
 class Partners:
-    """All partners. `now` gives the Unix time in nanoseconds.
+    """The state of all partners. `now` returns the Unix time in nanoseconds.
 
-    The functions in `on_change` are called with a partner at each new generation.
+    The functions in `on_change` are called with a partner's state at each new generation.
     """
 
     def __init__(
@@ -94,20 +96,20 @@
         return PartnerState(partner, loaded, budget, stamps=stamps)
 
     def find(self, endpoint_id: str, destination: int, kind: str) -> PartnerState | None:
-        """The partner whose terms apply to an endpoint; None for an endpoint without TLS."""
+        """Return the state of an endpoint's partner; None for an endpoint without TLS."""
         partner = self.tls_settings.find_partner(endpoint_id, destination, kind)
         return self.states[partner] if partner is not None else None
 
     # Handshakes.
 
     def session_key(self, state: PartnerState, address: str) -> SessionKey:
-        """The key of the session of a connection to HOST:PORT."""
+        """Return the session cache's key for connections to `address`, a HOST:PORT."""
         host, _, _ = address.rpartition(":")
         server_name = state.partner.terms.server_name or host
         return SessionKey(state.name, server_name, address, state.generation)
 
     def create_machine(self, state: PartnerState, key: SessionKey) -> TlsMachine:
-        """The machine of a new connection, with a session to resume if there is one."""
+        """Return the machine of a new connection, with a session to resume if one is cached."""
         session = self.sessions.get(key, self.now()) if state.partner.terms.resume else None
         context = state.material.context
         own_certificate = state.material.own is not None
@@ -118,9 +120,9 @@
             return TlsMachine(context, key.server_name, None, own_certificate)
 
     def verify(self, state: PartnerState, machine: TlsMachine) -> CertificateInfo:
-        """Check what OpenSSL does not: pins, and validity and revocation after a resumption.
+        """Check what OpenSSL does not check: pins, and validity and revocation after a resumption.
 
-        Returns the partner's certificate. Raises TlsError.
+        Returns the partner's certificate. Raises TlsError if it is rejected.
         """
         certificate = self._describe(machine.peer_certificate)
         objection = state.material.find_objection(certificate, self.now())
@@ -145,7 +147,7 @@
     def keep_session(
         self, state: PartnerState, key: SessionKey, machine: TlsMachine, certificate: CertificateInfo
     ) -> None:
-        """Keep the connection's session for the next one, if it has one and its terms are still in force."""
+        """Cache the connection's session for the next connection, if its terms are still in force."""
         if not machine.may_have_ticket or not machine.quiescent:
             return
         machine.may_have_ticket = False
@@ -157,29 +159,32 @@
             self.sessions.put(key, session, self.now(), state.material.valid_until(certificate))
 
     def block_duration(self, failures: int) -> int:
-        """Nanoseconds without handshakes after so many lasting failures in a row, with jitter."""
+        """Return the nanoseconds without handshakes after a lasting failure, with jitter.
+
+        `failures` is the number of lasting failures in a row before this one.
+        """
         block = min(MAX_BLOCK, INITIAL_BLOCK << min(failures, MAX_BLOCK_DOUBLINGS))
         return int(block * self.rng.uniform(1 - BLOCK_JITTER, 1 + BLOCK_JITTER))
 
-    # Files that change.
+    # Changes of files.
 
     def changed_files(self, everything: bool = False) -> list[tuple[PartnerState, FileStamps]]:
-        """Partners whose files have changed since they were last read, with the new stamps.
+        """Return the partners whose files have changed since they were last read, with the new stamps.
 
-        With `everything`, all partners. Reads the file system, so call it in a thread.
+        With `everything`, return all partners. Reads the file system, so call it in a thread.
         """
         current = [(state, material.file_stamps(state.partner.terms)) for state in self.states.values()]
         return [(state, stamps) for state, stamps in current if everything or stamps != state.stamps]
 
     def read_files(self, state: PartnerState) -> Material | MaterialError:
-        """Read a partner's files again; may run in a thread."""
+        """Read a partner's files again; return the material or the error. May run in a thread."""
         try:
             return material.load(state.partner.terms, self.environ, self.now())
         except MaterialError as error:
             return error
 
     def apply_files(self, state: PartnerState, stamps: FileStamps, loaded: Material | MaterialError) -> bool:
-        """Use what was read from now on; false if it is unusable or unchanged."""
+        """Put files that were read into force; return False if they are unusable or unchanged."""
         state.stamps = stamps
         if isinstance(loaded, MaterialError):
             if state.last_rejection != str(loaded):
@@ -201,13 +206,13 @@
             callback(state)
 
     def warn_of_expiry(self) -> None:
-        """Report our own certificates that expire soon."""
+        """Log a warning for each of our own certificates that expires soon."""
         for state in self.states.values():
             if state.material.own is not None:
                 self._warn_if_expiring(state, state.material.own, "own")
 
     def _warn_if_expiring(self, state: PartnerState, certificate: CertificateInfo, whose: str) -> None:
-        """Report a certificate that expires soon, at most once a day."""
+        """Log a warning for a certificate that expires soon, at most once a day."""
         now = self.now()
         days_left = certificate.days_left(now)
         if days_left >= state.partner.terms.warn_days:
--- a/honeyhitch/tls/retirement.py
+++ b/honeyhitch/tls/retirement.py
@@ -1,4 +1,4 @@
-"""When outdated connections are closed: spread over a time, never all at once.
+"""Schedules the closing of outdated connections, spread over a period and never all at once.
 
 No I/O; the clock and the random generator are arguments.
 """
@@ -7,12 +7,12 @@
 
 from random import Random
 
-# Of the time allowed: the rest is for a call in flight and for a replacement's handshake.
+# Fraction of the allowed time; the rest is for a call in flight and for the handshake of a replacement.
 REPLACEMENT_FRACTION = 0.8
 
 
 def plan_retirement(count: int, now: int, duration: int, rng: Random) -> list[int]:
-    """Unix times at which `count` connections are to be closed, each at random within its own slice.
+    """Return the Unix times at which to close `count` connections, each at random in its own equal slice.
 
     All times are in nanoseconds.
     """
--- a/honeyhitch/tls/sessions.py
+++ b/honeyhitch/tls/sessions.py
@@ -1,9 +1,9 @@
 """A bounded cache of TLS sessions to resume; each is kept only as long as its verification is valid.
 
 OpenSSL verifies neither chain nor name nor validity again when a session is resumed (RFC 8446, 4.6.1 leaves
-that to the client), so the cache has to: the key contains everything that was verified against, and a
-session ends with the ticket, the partner certificate's notAfter or the revocation list's next update,
-whichever is first. Times are Unix times in nanoseconds, and the clock is an argument.
+these checks to the client), so the cache makes up for them: its key contains everything that the session was
+verified against, and a session expires with its ticket, the partner certificate's notAfter or the revocation
+list's next update, whichever is first. Times are Unix times in nanoseconds, and the clock is an argument.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionKey:
-    """The peer of a session, and the generation of trust, own certificate and pins it was made under."""
+    """The peer of a session, and the generation of trust, own certificate and pins that it was made under."""
 
     partner: str
     server_name: str
@@ -33,11 +33,11 @@
     session: ssl.SSLSession
     created_at: int
     valid_until: int
-    use_count: int = 0  # how often it was offered
+    use_count: int = 0  # how often the session was offered to the server
 
     @property
     def half_life(self) -> int:
-        """When half of its life is over."""
+        """The Unix time in nanoseconds at which half of the session's lifetime is over."""
         return (self.created_at + self.valid_until) // 2
 
 
@@ -47,14 +47,14 @@
     def __init__(self, max_sessions: int = DEFAULT_MAX_SESSIONS) -> None:
         self.max_sessions = max_sessions
         self.sessions: OrderedDict[SessionKey, _CachedSession] = OrderedDict()
-        self.single_use: OrderedDict[SessionKey, None] = OrderedDict()  # servers that accept a ticket once
+        self.single_use: OrderedDict[SessionKey, None] = OrderedDict()  # servers that accept each ticket once
 
     def __len__(self) -> int:
-        """The number of sessions."""
+        """Return the number of sessions."""
         return len(self.sessions)
 
     def put(self, key: SessionKey, session: ssl.SSLSession, now: int, valid_until: int) -> None:
-        """Keep a session, at most until `valid_until`."""
+        """Cache a session at most until `valid_until`, its ticket's expiry and MAX_LIFETIME from now."""
         hint = session.ticket_lifetime_hint if session.has_ticket else session.timeout
         lifetime = (hint or session.timeout) * SECOND
         valid_until = min(valid_until, now + MAX_LIFETIME, now + lifetime)
@@ -65,10 +65,10 @@
             self.sessions.popitem(last=False)
 
     def needs_newer(self, key: SessionKey, now: int) -> bool:
-        """Whether a new session is worth copying from a connection.
+        """Return whether a new session is worth copying from a connection.
 
-        The copy costs OpenSSL a third of a handshake. It is worth it if there is no session, if half of its
-        life is over, or if it was used and the server accepts each ticket once.
+        The copy costs OpenSSL a third of a handshake. It is worth this cost if no session is cached, if half
+        of the cached one's lifetime is over, or if that one was used and the server accepts each ticket once.
         """
         cached = self.sessions.get(key)
         if cached is None or now >= cached.half_life:
@@ -76,7 +76,7 @@
         return cached.use_count > 0 and key in self.single_use
 
     def get(self, key: SessionKey, now: int) -> ssl.SSLSession | None:
-        """The session to resume, if there is a valid one."""
+        """Return the session to resume, or None if there is no valid one."""
         cached = self.sessions.get(key)
         if cached is None:
             return None
@@ -88,15 +88,16 @@
         return cached.session
 
     def forget(self, key: SessionKey) -> None:
-        """The server did not resume the session, or it is no longer needed."""
+        """Remove a session that the server did not resume or that is no longer needed."""
         cached = self.sessions.pop(key, None)
-        if cached is not None and cached.use_count > 1:  # accepted before: the server may accept it only once
+        # A session that was offered more than once was accepted before: the server may accept it only once.
+        if cached is not None and cached.use_count > 1:
             self.single_use[key] = None
             if len(self.single_use) > self.max_sessions:
                 self.single_use.popitem(last=False)
 
     def drop_before(self, partner: str, generation: int) -> None:
-        """Drop what was verified under an earlier generation of the partner's terms."""
+        """Drop the sessions that were verified under an earlier generation of the partner's terms."""
         outdated = [key for key in self.sessions if key.partner == partner and key.generation < generation]
         for key in outdated:
             del self.sessions[key]
--- a/honeyhitch/tls/settings.py
+++ b/honeyhitch/tls/settings.py
@@ -10,19 +10,19 @@
 
 
 class Scope(Enum):
-    """What a partner's table is matched by; a narrower scope has precedence."""
+    """What a partner's table is matched with; a narrower scope has precedence."""
 
     MEMBER = "member"
     DEST = "dest"
     KIND = "kind"
-    BROKER = "broker"  # the MQTT broker, which no endpoint is matched with
+    BROKER = "broker"  # the MQTT broker; matches no endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """How connections to one partner are made. Times are in nanoseconds."""
+    """The settings for connections to one partner. Times are in nanoseconds."""
 
-    server_name: str = ""  # that its certificate must bear; the host of the endpoint's address if empty
+    server_name: str = ""  # name that its certificate must contain; the endpoint address's host if empty
     ca: Path | None = None  # a file, or a directory of files; the system's roots if None
     crl: Path | None = None
     certificate: Path | None = None  # our own, with its chain
@@ -31,11 +31,11 @@
     least_version: str = "1.2"
     pins: tuple[bytes, ...] = ()  # SHA-256 of the partner's SubjectPublicKeyInfo; one of them must match
     resume: bool = True
-    handshakes: int = 4  # concurrent ones, over all dispatchers
+    handshakes: int = 4  # concurrent handshakes, over all dispatchers
     handshake_rate: float = 8.0  # full handshakes a second, over all dispatchers
     handshake_timeout: int = 3 * SECOND
-    retire_within: int = 30 * SECOND  # for connections made under terms that have changed
-    warn_days: int = 14  # a certificate that expires sooner is reported
+    retire_within: int = 30 * SECOND  # time to close connections whose terms have changed
+    warn_days: int = 14  # a certificate that expires sooner is logged
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 
     @property
     def name(self) -> str:
-        """The name in the log."""
+        """The partner's name in the log."""
         return f"{self.scope.value}:{self.value}"
 
 
@@ -59,7 +59,7 @@
     partners: tuple[Partner, ...]
 
     def find_partner(self, endpoint_id: str, destination: int, kind: str) -> Partner | None:
-        """The partner with the narrowest scope that matches; None for an endpoint without TLS."""
+        """Return the partner with the narrowest scope that matches; None for an endpoint without TLS."""
         by_precedence = ((Scope.MEMBER, endpoint_id), (Scope.DEST, str(destination)), (Scope.KIND, kind))
         for scope, value in by_precedence:
             for partner in self.partners:
