--- a/honeyhitch/tls/connection_gate.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -74,7 +74,7 @@
         if lasting:
             self.block(now)
             return replace(self.capacity(now), failure_reason=reason)
-        elapsed = now - start.at
+        elapsed = now - start.started_at
         return replace(self.capacity(now), connect_failed=True, elapsed=elapsed, failure_reason=reason)
 
     def abandoned(self, start: HandshakeStart) -> None:
--- a/honeyhitch/tls/failures.py
+++ b/honeyhitch/tls/failures.py
@@ -124,8 +124,8 @@
         failure = FAILURE_BY_VERIFY_CODE.get(int(error.verify_code), Failure.UNVERIFIED)
         return TlsError(failure, str(error.verify_message))
     reason = str(error.reason or error)
-    for endings, failure in FAILURE_BY_REASON:
-        if reason.endswith(endings):
+    for suffixes, failure in FAILURE_BY_REASON:
+        if reason.endswith(suffixes):
             return TlsError(failure, reason)
     return TlsError(Failure.HANDSHAKE_REJECTED if _is_alert(reason) else Failure.MALFORMED_RECORD, reason)
 
--- a/honeyhitch/tls/handshake_budget.py
+++ b/honeyhitch/tls/handshake_budget.py
@@ -30,9 +30,9 @@
 
 @dataclass(slots=True, eq=False)
 class HandshakeStart:
-    """One handshake that was allowed to start; `at` is a Unix time in nanoseconds."""
+    """One handshake that was allowed to start; `started_at` is a Unix time in nanoseconds."""
 
-    at: int
+    started_at: int
     weight: float = 1.0  # of a full handshake
 
 
@@ -65,14 +65,16 @@
     @staticmethod
     def warnings(handshakes: int, rate: float, instance_count: int) -> list[str]:
         """Return a text for each limit that cannot be kept exactly with so many dispatchers."""
-        found = []
+        warnings = []
         if handshakes < instance_count:
-            found.append(f"handshakes: {handshakes} at once cannot be shared by {instance_count} dispatchers")
+            warnings.append(
+                f"handshakes: {handshakes} at once cannot be shared by {instance_count} dispatchers"
+            )
         if rate < instance_count:
-            found.append(
+            warnings.append(
                 f"handshake-rate: {rate:g} a second for {instance_count} dispatchers holds on average only"
             )
-        return found
+        return warnings
 
     def slow_start_share(self, now: int) -> float:
         """Return the fraction of the limits that slow start allows; 0 in an outage: one handshake may run."""
@@ -88,22 +90,22 @@
             return now + RETRY_DELAY  # a running handshake ends sooner, and its end is reported
         rate = self.rate * max(share, self.slow_start_fraction)
         window = _window(rate)
-        self._forget_before(now - max(window, self._longest_window()))
+        self._drop_starts_until(now - max(window, self._longest_window()))
         available = max(1.0, rate)
         for start in reversed(self.recent):
-            if start.at <= now - window:
+            if start.started_at <= now - window:
                 break
             available -= start.weight
             if available < 1.0:
-                return start.at + window
+                return start.started_at + window
         return now
 
     def _longest_window(self) -> int:
         lowest_rate = min(1.0, self.rate * self.slow_start_fraction)
         return int(SECOND / lowest_rate * WINDOW_MARGIN)
 
-    def _forget_before(self, oldest: int) -> None:
-        while self.recent and self.recent[0].at <= oldest:
+    def _drop_starts_until(self, cutoff: int) -> None:
+        while self.recent and self.recent[0].started_at <= cutoff:
             self.recent.popleft()
 
     def start(self, now: int) -> HandshakeStart:
--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -96,14 +96,14 @@
     try:
         if not path.is_dir():
             return [path]
-        found = sorted(
+        files = sorted(
             entry for entry in path.iterdir() if entry.is_file() and not entry.name.startswith(".")
         )
     except OSError as error:
         raise MaterialError(key, f"cannot read {path}: {error.strerror}") from error
-    if not found:
+    if not files:
         raise MaterialError(key, f"no file in the folder {path}")
-    return found
+    return files
 
 
 def named_files(terms: Terms) -> list[tuple[str, Path]]:
@@ -175,24 +175,24 @@
 def _load_revocations(context: ssl.SSLContext, files: list[_File]) -> tuple[RevokedCertificates, int]:
     """Return the revoked certificates, and the earliest next update of a list; NEVER without one."""
     revoked: set[tuple[bytes, int]] = set()
-    until = NEVER
+    next_update = NEVER
     for file in files:
-        lists = [CRL_BEGIN + text for text in file.content.split(CRL_BEGIN)[1:]]
-        if not lists:
+        pem_blocks = [CRL_BEGIN + block for block in file.content.split(CRL_BEGIN)[1:]]
+        if not pem_blocks:
             raise MaterialError("crl", f"no list of revocations in PEM in {file.path}")
         try:
-            for text in lists:
-                crl = x509.load_pem_x509_crl(text)
+            for block in pem_blocks:
+                crl = x509.load_pem_x509_crl(block)
                 issuer = crl.issuer.public_bytes()
                 revoked.update((issuer, entry.serial_number) for entry in crl)
                 if crl.next_update_utc is not None:
-                    until = min(until, certificates.unix_nanoseconds(crl.next_update_utc))
+                    next_update = min(next_update, certificates.unix_nanoseconds(crl.next_update_utc))
             context.load_verify_locations(cafile=str(file.path))
         except (ValueError, OSError) as error:  # ssl.SSLError is an OSError
             raise MaterialError("crl", f"cannot be used: {file.path}: {error}") from error
     if files:
         context.verify_flags |= ssl.VERIFY_CRL_CHECK_LEAF
-    return frozenset(revoked), until
+    return frozenset(revoked), next_update
 
 
 def _load_own_certificate(
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -88,9 +88,9 @@
             settings.slow_start_fraction,
             settings.slow_start_duration,
         )
-        limits = HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, settings.instance_count)
-        for limit in limits:
-            log.warning("tls.budget-limited", partner=partner.name, what=limit, key=partner.name)
+        warnings = HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, settings.instance_count)
+        for warning in warnings:
+            log.warning("tls.budget-limited", partner=partner.name, what=warning, key=partner.name)
         stamps = material.file_stamps(terms)
         loaded = material.load(terms, self.environ, self.now())
         return PartnerState(partner, loaded, budget, stamps=stamps)
@@ -168,13 +168,13 @@
 
     # Changes of files.
 
-    def changed_files(self, everything: bool = False) -> list[tuple[PartnerState, FileStamps]]:
+    def changed_files(self, include_unchanged: bool = False) -> list[tuple[PartnerState, FileStamps]]:
         """Return the partners whose files have changed since they were last read, with the new stamps.
 
-        With `everything`, return all partners. Reads the file system, so call it in a thread.
+        With `include_unchanged`, return all partners. Reads the file system, so call it in a thread.
         """
         current = [(state, material.file_stamps(state.partner.terms)) for state in self.states.values()]
-        return [(state, stamps) for state, stamps in current if everything or stamps != state.stamps]
+        return [(state, stamps) for state, stamps in current if include_unchanged or stamps != state.stamps]
 
     def read_files(self, state: PartnerState) -> Material | MaterialError:
         """Read a partner's files again; return the material or the error. May run in a thread."""
@@ -211,7 +211,7 @@
             if state.material.own is not None:
                 self._warn_if_expiring(state, state.material.own, "own")
 
-    def _warn_if_expiring(self, state: PartnerState, certificate: CertificateInfo, whose: str) -> None:
+    def _warn_if_expiring(self, state: PartnerState, certificate: CertificateInfo, owner: str) -> None:
         """Log a warning for a certificate that expires soon, at most once a day."""
         now = self.now()
         days_left = certificate.days_left(now)
@@ -225,8 +225,8 @@
         log.warning(
             "tls.certificate-expiring",
             partner=state.name,
-            whose=whose,
+            whose=owner,
             subject=certificate.subject,
             days_left=round(days_left, 1),
-            key=f"{state.name} {whose} {certificate.pin.hex()}",
+            key=f"{state.name} {owner} {certificate.pin.hex()}",
         )
--- a/honeyhitch/tls/sessions.py
+++ b/honeyhitch/tls/sessions.py
@@ -36,7 +36,7 @@
     use_count: int = 0  # how often the session was offered to the server
 
     @property
-    def half_life(self) -> int:
+    def midpoint(self) -> int:
         """The Unix time in nanoseconds at which half of the session's lifetime is over."""
         return (self.created_at + self.valid_until) // 2
 
@@ -71,7 +71,7 @@
         of the cached one's lifetime is over, or if that one was used and the server accepts each ticket once.
         """
         cached = self.sessions.get(key)
-        if cached is None or now >= cached.half_life:
+        if cached is None or now >= cached.midpoint:
             return True
         return cached.use_count > 0 and key in self.single_use
 
