--- a/tests/authority.py
+++ b/tests/authority.py
@@ -1,6 +1,4 @@
-"""Certificates made while a test runs: authorities, servers' and clients' certificates, lists of
-revocations.
-"""
+"""Creates certificates while a test runs: authorities, server and client certificates, and CRLs."""
 
 from __future__ import annotations
 
@@ -37,7 +35,7 @@
 
 @dataclass
 class Issued:
-    """A certificate with its key, in files."""
+    """A certificate and its key, and the files that hold them."""
 
     certificate: x509.Certificate
     key: Any
@@ -46,7 +44,7 @@
 
 
 class Authority:
-    """Issues certificates and lists of revocations, written below a folder."""
+    """A certificate authority that writes what it issues, certificates and CRLs, to files in a folder."""
 
     def __init__(self, folder: Path, common: str = "Test CA") -> None:
         self.folder, self.common, self.count = folder, common, 0
@@ -80,7 +78,7 @@
         password: bytes | None = None,
         file: str = "",
     ) -> Issued:
-        """Valid from `start` to `end`, in days from now."""
+        """Issue a certificate that is valid from `start` to `end`, in days from now."""
         self.count += 1
         key = key or new_key(kind)
         now = datetime.datetime.now(datetime.UTC)
@@ -115,7 +113,7 @@
         return issued
 
     def crl(self, *revoked: Issued, end: float = 7, file: str = "crl.pem") -> Path:
-        """A list of revocations that holds for `end` days."""
+        """Write a CRL whose next update is in `end` days, and return its path."""
         now = datetime.datetime.now(datetime.UTC)
         builder = (
             x509.CertificateRevocationListBuilder()
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -1,4 +1,4 @@
-"""`honeyhitch tls check`: what it says of files and of partners, and its exit code."""
+"""`honeyhitch tls check`: its output for files and for partners, and its exit code."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def loop() -> Iterator[asyncio.AbstractEventLoop]:
-    """A loop of its own for partners: the command blocks."""
+    """Run an event loop for partners in a thread, as the command blocks."""
     made = asyncio.new_event_loop()
     thread = threading.Thread(target=made.run_forever, daemon=True)
     thread.start()
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -1,4 +1,4 @@
-"""What the operator's file and the files it names may get wrong, and the cache of sessions."""
+"""Mistakes in the operator's file and in the files that it names, reloads of files, and the session cache."""
 
 from __future__ import annotations
 
@@ -171,7 +171,7 @@
         return [told.apply_files(one, stamps, told.read_files(one)) for one, stamps in told.changed_files()]
 
     whole = second.cert_file.read_bytes()
-    for half in (b"", whole[: len(whole) // 2], whole):  # half written, and then without its key
+    for half in (b"", whole[: len(whole) // 2], whole):  # half written, then complete but without its key
         cert.write_bytes(half)
         assert look() == [False]
         assert known.generation == 0
@@ -181,7 +181,7 @@
     assert look() == [True]
     assert taken == [1]
     assert not known.last_rejection
-    cert.write_bytes(whole)  # the same once more
+    cert.write_bytes(whole)  # the same content again
     assert look() == [False]
     assert known.generation == 1
     key.unlink()
@@ -216,7 +216,7 @@
 
     cache, key = SessionCache(max_sessions=3), SessionKey("dest:1", "localhost", "127.0.0.1:1", 0)
     now = 100 * SECOND
-    cache.put(key, session(300), now, now + 50 * SECOND)  # the certificate ends before the ticket
+    cache.put(key, session(300), now, now + 50 * SECOND)  # the certificate expires before the ticket
     assert cache.get(key, now + 49 * SECOND) is not None
     assert cache.get(key, now + 50 * SECOND) is None
     assert len(cache) == 0
@@ -245,7 +245,7 @@
     cache.put(key, session, now, 1 << 62)
     assert not cache.needs_newer(key, now)
     assert cache.needs_newer(key, now + 50 * SECOND)
-    for _ in range(2):  # a server that takes a ticket once refuses the second use
+    for _ in range(2):  # a server that accepts each ticket once rejects its second use
         cache.get(key, now)
     cache.forget(key)
     cache.put(key, session, now, 1 << 62)
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -1,4 +1,7 @@
-"""The budget of handshakes, a member's door, and what the module does with both: all in virtual time."""
+"""The handshake budget, an endpoint's connection gate, and the dispatcher with connections opened ahead.
+
+All tests run in virtual time.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +29,14 @@
 
 
 def most_within(starts: list[tuple[int, float]], window: int) -> float:
-    """The greatest weight that began within any such window."""
+    """Return the greatest total weight that began within any `window` nanoseconds."""
     return max(
         (sum(w for at, w in starts if begin <= at < begin + window) for begin, _ in starts), default=0.0
     )
 
 
 class Shared:
-    """Several dispatchers that all want very many connections to one partner."""
+    """Several dispatchers that start as many handshakes with one partner as their budgets allow."""
 
     def __init__(self, seed: int, instances: int, handshakes: int, rate: float, resumes: float) -> None:
         self.rng, self.resumes, self.handshakes, self.rate = Random(seed), resumes, handshakes, rate
@@ -44,7 +47,7 @@
         self.starts: list[tuple[int, float]] = []
 
     def run(self, begin: int, seconds: float, up: bool = True) -> int:
-        """Everyone asks whenever it may; how many handshakes came up."""
+        """Start handshakes whenever a budget allows it, and return the number that succeeded."""
         end, seq, done = begin + int(seconds * SECOND), 0, 0
         heap: list[tuple[int, int, int, tuple[HandshakeStart, int] | None]] = []
         for i in range(len(self.budgets)):
@@ -181,7 +184,7 @@
 
 
 class Gated(DispatcherRig):
-    """A dispatcher whose destination 1 is reached over connections opened ahead of calls."""
+    """A dispatcher whose destination 1 is reached over connections that are opened before calls."""
 
     def __init__(self, folder: Path, time: VirtualTime | None = None, **more: object) -> None:
         self.asked: list[int] = []
@@ -203,7 +206,7 @@
 @pytest.fixture
 def gated(tmp_path: Path) -> Gated:
     stand = Gated(tmp_path)
-    # The list of the start was read before the partner's table was known: list it anew.
+    # The initial list was applied before `transport_of` was replaced, so the endpoints are listed again.
     stand.dispatcher.apply_list_update(
         stand.dispatcher.pool.update({"revision": 3, "complete": True, "members": [endpoint_row("s-2", 2)]})
     )
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -1,4 +1,4 @@
-"""The TLS machine against OpenSSL's server side, both in memory: outcomes, names of failures, any split."""
+"""The TLS machine against OpenSSL's server side, both in memory: outcomes, failures, and split input."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Server:
-    """The other side, without a socket. What it says is kept as a tape, too."""
+    """The server side of a connection, without a socket."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
         self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
@@ -38,7 +38,7 @@
         self.up, self.got, self.error = False, b"", ""
 
     def take(self, data: bytes) -> bytes:
-        """Feed it; what it says."""
+        """Process received bytes and return the bytes to send."""
         if data:
             self.incoming.write(data)
         try:
@@ -55,7 +55,7 @@
 
 
 def connect(machine: TlsMachine, server: Server, split: Callable[[bytes], list[bytes]] | None = None) -> None:
-    """Carry bytes between them till neither has more to say."""
+    """Exchange bytes between both sides until neither has any to send."""
     while True:
         sent = machine.take_output()
         said = server.take(sent)
@@ -182,7 +182,7 @@
     machine.feed(garbage)
     assert machine.failure is not None
     assert machine.failure.failure is failure, machine.failure
-    machine.feed(garbage)  # nothing counts behind an end
+    machine.feed(garbage)  # bytes after the failure are ignored
     assert not machine.plaintext
 
 
@@ -265,7 +265,8 @@
     assert second.resumed
     assert second.peer_certificate == first.peer_certificate
     third = TlsMachine(material.context, "localhost", session)
-    connect(third, Server(server_context(server_cert, version, version)))  # as after a restart
+    # The new context has other ticket keys, as after a restart.
+    connect(third, Server(server_context(server_cert, version, version)))
     assert third.phase is Phase.OPEN
     assert not third.resumed
 
@@ -279,7 +280,8 @@
     server = Server(server_context(server_cert, "1.3", "1.3"))
     machine = TlsMachine(material.context, "localhost")
     connect(machine, server)
-    with pytest.raises(ssl.SSLError, match="EXTENSION_NOT_RECEIVED"):  # it was never offered
+    # The client did not offer post-handshake authentication.
+    with pytest.raises(ssl.SSLError, match="EXTENSION_NOT_RECEIVED"):
         server.tls.verify_client_post_handshake()
 
 
@@ -407,7 +409,7 @@
 
 
 def test_key_updates_and_tickets_on_an_idle_connection_leave_it_at_rest(pki: Authority) -> None:
-    """The other side is tlslite-ng, which can ask for a new key when OpenSSL under Python cannot."""
+    """The server is tlslite-ng, as OpenSSL through Python's ssl module cannot request a KeyUpdate."""
     from tlslite.api import HandshakeSettings, TLSConnection, X509CertChain, parsePEMKey
     from tlslite.constants import KeyUpdateMessageType
 
@@ -435,7 +437,7 @@
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
     ours.settimeout(10)
-    shaken, answered = False, 0  # bytes that the peer's updates made us send
+    shaken, answered = False, 0  # bytes sent in reply to the peer's KeyUpdate requests
     while machine.phase is Phase.HANDSHAKE or machine.session() is None or not answered:
         out = machine.take_output()
         answered += len(out) if machine.phase is Phase.OPEN and shaken else 0
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -1,4 +1,4 @@
-"""The whole program against stand-in partners that speak TLS on loopback, and whatever can go wrong there."""
+"""The whole program against test partners that speak TLS on loopback, with faults and rotations."""
 
 from __future__ import annotations
 
@@ -30,7 +30,8 @@
 
 CLIENT = ExtendedKeyUsageOID.CLIENT_AUTH
 
-LISTED = {**SETTINGS, "weights": "rough"}  # the figure beside a member means calls a second
+# With `rough`, the listed `size` of an endpoint is a rough rate in calls a second.
+LISTED = {**SETTINGS, "weights": "rough"}
 PARTNER = '[[tls.partner]]\ndest = 1\nca = "{ca}"\nserver-name = "localhost"\n'
 
 
@@ -41,7 +42,7 @@
 
 
 class Log:
-    """The events of the running program."""
+    """Collects the log events of the running program."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -73,7 +74,7 @@
 async def running(
     folder: Path, partners: list[TlsPartner], operator: str, port: int = 0, **told: Any
 ) -> AsyncIterator[tuple[int, Peer]]:
-    """The program with each partner as a member of destination 1, and a client of it."""
+    """Run the program with each partner as an endpoint of destination 1, and connect a client."""
     client = Peer()
     agent = await Agent(members_of(partners)).start()
     told = {"settings": LISTED, **told}
@@ -98,7 +99,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for a condition of this process, within the limit of the whole test."""
+    """Wait until a condition of this process holds, within the time limit of the whole test."""
     await poll_condition(condition, interval=0.005)
 
 
@@ -212,14 +213,14 @@
         records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
         tried = [fields for fields in records if fields["t"] == "attempt"]
         never = [fields for fields in records if fields["t"] == "never"]
-        # One that ended before its first byte has no record of its own: that it never ran says it all.
+        # An attempt that ended before its first byte has no `attempt` record, only a `never` record.
         assert [fields["n"] for fields in never] == list(range(tried[-1]["n"])), "all but the last never ran"
 
     play(work())
 
 
 def install(issued: Issued, certificate: Path, key: Path) -> None:
-    """Replace our own certificate and key, each at one stroke but not both."""
+    """Replace our own certificate and key, each file atomically but not both together."""
     for source, target in ((issued.cert_file, certificate), (issued.key_file, key)):
         fresh = target.with_suffix(".new")
         fresh.touch(0o600)
@@ -266,9 +267,9 @@
                 await hand_in(client, f"m{i}")
                 if i == 15:
                     partner.context = server_context((authority if case == "same-ca" else other).issue())
-                    for session in list(partner.sessions)[::2]:  # some connections end with it
+                    for session in list(partner.sessions)[::2]:  # some connections end at the rotation
                         partner.end(session)
-            if case == "new-ca":  # without an overlap nobody can trust it till its root is known
+            if case == "new-ca":  # without an overlap the certificate is rejected until its root is loaded
                 for session in list(partner.sessions):
                     partner.end(session)
                 await hand_in(client, "late")
@@ -305,7 +306,8 @@
         async with running(tmp_path, [partner], operator + "retire-within = 0.5\n") as (_, client):
             await hand_in(client, "before")
             await until(lambda: len(seen) == 1)
-            ours[0].write_bytes(second.cert_file.read_bytes())  # the key still is the old one's
+            # The key file still belongs to the old certificate.
+            ours[0].write_bytes(second.cert_file.read_bytes())
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: log.events("tls.files-rejected"))
             await hand_in(client, "between")
@@ -427,7 +429,8 @@
             await receive(client, b"+PONG\r\n")
             await until(lambda: any(one.sessions for one in partners))
             open_now = sum(len(one.sessions) for one in partners)
-            # 60 less what is always open, calls and clients: 2 idle or in a handshake for each carrier.
+            # Of 60 descriptors, those that are always open, calls and clients leave each transport
+            # 2 connections that are idle or in a handshake.
             assert 1 <= open_now <= 3, open_now
 
     play(work())
@@ -439,14 +442,14 @@
     async def work() -> None:
         partner = TlsPartner(server_context(authority.issue()))
         replies = [
-            b"HTTP/1.1 500 No\r\nConnection: close\r\n\r\nhalf of a bo",  # framed by the end
-            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",  # whole by its length
+            b"HTTP/1.1 500 No\r\nConnection: close\r\n\r\nhalf of a bo",  # ended by the connection's end
+            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",  # complete, by its length
         ]
 
         async def answer(session: Session, _request: bytes) -> bytes | None:
             session.tls.write(replies.pop(0))
             await partner.flush(session)
-            return None  # the connection is closed without a word
+            return None  # the connection is closed without close_notify
 
         partner.answer = answer
         await partner.start()
@@ -515,7 +518,7 @@
 
 
 def test_sigkill_to_the_process_in_the_middle_of_handshakes(tmp_path: Path, authority: Authority) -> None:
-    """A process of its own, killed while some messages have run, some wait, and handshakes are half done."""
+    """Kill the program's process after one message ran, while others wait and handshakes are incomplete."""
 
     async def work() -> None:
         partner = await TlsPartner(server_context(authority.issue())).start()
@@ -527,7 +530,7 @@
         command += ["--operator", str(operator)]
 
         async def start() -> tuple[subprocess.Popen[bytes], Peer]:
-            program, client = subprocess.Popen(command), Peer()  # noqa: ASYNC220  # it returns at once
+            program, client = subprocess.Popen(command), Peer()  # noqa: ASYNC220  # Popen returns at once
             while True:
                 with contextlib.suppress(OSError):
                     await client.dial(port)
--- a/tests/tls_partner.py
+++ b/tests/tls_partner.py
@@ -1,7 +1,8 @@
-"""A stand-in partner that speaks TLS on loopback, with faults to order, and counts what it saw.
+"""A test partner that speaks TLS on loopback, with configurable faults and counters.
 
-Its TLS is OpenSSL behind memory, so that it can stall, cut and split at any step. It answers each request
-with 200 unless `answer` says otherwise, and remembers which keys it applied.
+It uses OpenSSL through memory BIOs, so that it can stall, cut and split its output at any step. It answers
+each request with 200 unless `answer` returns another response, and counts the requests applied for each
+idempotency key.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from .authority import Issued
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-RESUMED = 0.25  # of a full handshake's cost, as the dispatcher's budget has it
+RESUMED = 0.25  # of a full handshake's cost, as in the dispatcher's handshake budget
 
 
 def server_context(issued: Issued, least: str = "1.2", most: str = "1.3") -> ssl.SSLContext:
@@ -29,7 +30,7 @@
 
 
 def asking(context: ssl.SSLContext, ca: object) -> ssl.SSLContext:
-    """The same, but it asks for a client's certificate."""
+    """Make a server context require a client certificate that `ca` issued, and return the context."""
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_verify_locations(str(ca))
     return context
@@ -46,25 +47,25 @@
     outgoing: ssl.MemoryBIO
     resumed: bool = False
     requests: int = 0
-    over: bool = False  # by us: what still comes on it is not even read
+    over: bool = False  # ended by the partner, which handles no further request on it
     plain: bytearray = field(default_factory=bytearray)
 
 
 class TlsPartner:
-    """Listens from `start` on; `context` may be replaced at any time, as by a rotation."""
+    """A TLS server that listens from `start` on; `context` may be replaced at any time, as in a rotation."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
         self.context = context
-        self.stall: str = ""  # "accept", "hello" or "flight": stop there and say nothing more
-        self.split = 0  # bytes a write at most, 0 for all at once
-        self.before = b""  # sent in plain before anything else
+        self.stall: str = ""  # "accept", "hello" or "flight": the handshake step at which it stops sending
+        self.split = 0  # maximum bytes in a write; 0 writes all at once
+        self.before = b""  # bytes sent unencrypted before the handshake
         self.answer: Callable[[Session, bytes], Awaitable[bytes | None]] | None = None
-        self.delay = 0.0  # seconds that a handshake takes it
+        self.delay = 0.0  # seconds to wait before each received part of a handshake is processed
         self.sessions: set[Session] = set()
-        self.applied: Counter[str] = Counter()  # by key
+        self.applied: Counter[str] = Counter()  # requests by idempotency key
         self.begun = self.full = self.resumed = self.failed = 0
-        self.now = self.most = 0  # handshakes at once
-        self.starts: list[list[float]] = []  # when each began, and its weight
+        self.now = self.most = 0  # handshakes that run at once, and the most that did
+        self.starts: list[list[float]] = []  # start time in seconds and weight of each handshake
         self.server: asyncio.Server | None = None
         self.port = 0
 
@@ -74,7 +75,7 @@
         return self
 
     async def stop(self) -> None:
-        """As a killed process: nothing is said to anyone."""
+        """Abort all connections without close_notify, as a killed process does."""
         assert self.server is not None
         self.server.close()
         for session in list(self.sessions):
@@ -82,12 +83,12 @@
         self.sessions.clear()
 
     def end(self, session: Session) -> None:
-        """Close a connection without a word once what was answered is out."""
+        """Close a connection without close_notify once its responses are sent."""
         session.over = True
         session.writer.close()
 
     def most_in(self, window: float) -> float:
-        """The greatest weight of handshakes that began within any such window (seconds)."""
+        """Return the greatest total weight of the handshakes that began within any `window` seconds."""
         most = 0.0
         for at, _ in self.starts:
             most = max(most, sum(weight for began, weight in self.starts if at <= began < at + window))
@@ -136,7 +137,7 @@
         return True
 
     async def _continue_handshake(self, session: Session) -> bool:
-        """True once the handshake is complete."""
+        """Continue the handshake; return whether it is complete."""
         try:
             session.tls.do_handshake()
         except ssl.SSLWantReadError:
@@ -148,7 +149,7 @@
         return True
 
     async def _receive_handshake(self, session: Session) -> bool:
-        """Read once; false at the end of the connection."""
+        """Read handshake bytes once; return False at the end of the connection."""
         data = await session.reader.read(65536)
         if not data:
             return False
