--- a/tests/authority.py
+++ b/tests/authority.py
@@ -16,8 +16,8 @@
 DAY = datetime.timedelta(days=1)
 
 
-def name(common: str) -> x509.Name:
-    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common)])
+def distinguished_name(common_name: str) -> x509.Name:
+    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common_name)])
 
 
 def new_key(kind: str = "ecdsa") -> Any:
@@ -29,8 +29,8 @@
 
 
 def key_pem(key: Any, password: bytes | None = None) -> bytes:
-    form = serialization.BestAvailableEncryption(password) if password else serialization.NoEncryption()
-    return bytes(key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, form))
+    encryption = serialization.BestAvailableEncryption(password) if password else serialization.NoEncryption()
+    return bytes(key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, encryption))
 
 
 @dataclass
@@ -46,25 +46,25 @@
 class Authority:
     """A certificate authority that writes what it issues, certificates and CRLs, to files in a folder."""
 
-    def __init__(self, folder: Path, common: str = "Test CA") -> None:
-        self.folder, self.common, self.count = folder, common, 0
+    def __init__(self, folder: Path, common_name: str = "Test CA") -> None:
+        self.folder, self.common_name, self.issued_count = folder, common_name, 0
         self.key = new_key()
         now = datetime.datetime.now(datetime.UTC)
-        public = self.key.public_key()
+        public_key = self.key.public_key()
         self.certificate = (
             x509.CertificateBuilder()
-            .subject_name(name(common))
-            .issuer_name(name(common))
-            .public_key(public)
+            .subject_name(distinguished_name(common_name))
+            .issuer_name(distinguished_name(common_name))
+            .public_key(public_key)
             .serial_number(x509.random_serial_number())
             .not_valid_before(now - 400 * DAY)
             .not_valid_after(now + 400 * DAY)
             .add_extension(x509.BasicConstraints(True, None), True)
-            .add_extension(x509.SubjectKeyIdentifier.from_public_key(public), False)
+            .add_extension(x509.SubjectKeyIdentifier.from_public_key(public_key), False)
             .add_extension(_usage(sign_certificates=True), True)
             .sign(self.key, hashes.SHA256())
         )
-        self.file = folder / f"{common.replace(' ', '-')}.pem"
+        self.file = folder / f"{common_name.replace(' ', '-')}.pem"
         self.file.write_bytes(pem(self.certificate))
 
     def issue(
@@ -79,19 +79,19 @@
         file: str = "",
     ) -> Issued:
         """Issue a certificate that is valid from `start` to `end`, in days from now."""
-        self.count += 1
+        self.issued_count += 1
         key = key or new_key(kind)
         now = datetime.datetime.now(datetime.UTC)
-        general: list[x509.GeneralName] = []
-        for one in names:
+        general_names: list[x509.GeneralName] = []
+        for host in names:
             try:
-                general.append(x509.IPAddress(ipaddress.ip_address(one)))
+                general_names.append(x509.IPAddress(ipaddress.ip_address(host)))
             except ValueError:
-                general.append(x509.DNSName(one))
+                general_names.append(x509.DNSName(host))
         builder = (
             x509.CertificateBuilder()
-            .subject_name(name(names[0] if names else "nobody"))
-            .issuer_name(name(self.common))
+            .subject_name(distinguished_name(names[0] if names else "nobody"))
+            .issuer_name(distinguished_name(self.common_name))
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
             .not_valid_before(now + start * DAY)
@@ -101,10 +101,10 @@
             .add_extension(x509.ExtendedKeyUsage([use]), False)
             .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(self.key.public_key()), False)
         )
-        if general:
-            builder = builder.add_extension(x509.SubjectAlternativeName(general), False)
+        if general_names:
+            builder = builder.add_extension(x509.SubjectAlternativeName(general_names), False)
         certificate = builder.sign(self.key, hashes.SHA256())
-        file = file or f"{self.common.replace(' ', '-')}-{self.count}"
+        file = file or f"{self.common_name.replace(' ', '-')}-{self.issued_count}"
         issued = Issued(certificate, key, self.folder / f"{file}.crt", self.folder / f"{file}.key")
         issued.cert_file.write_bytes(pem(certificate))
         issued.key_file.touch(0o600)
@@ -117,17 +117,19 @@
         now = datetime.datetime.now(datetime.UTC)
         builder = (
             x509.CertificateRevocationListBuilder()
-            .issuer_name(name(self.common))
+            .issuer_name(distinguished_name(self.common_name))
             .last_update(now - 2 * DAY)
             .next_update(now + end * DAY)
         )
-        for one in revoked:
-            entry = x509.RevokedCertificateBuilder().serial_number(one.certificate.serial_number)
+        for issued in revoked:
+            entry = x509.RevokedCertificateBuilder().serial_number(issued.certificate.serial_number)
             builder = builder.add_revoked_certificate(entry.revocation_date(now - DAY).build())
         path = self.folder / file
-        fresh = path.with_suffix(".new")
-        fresh.write_bytes(builder.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
-        fresh.replace(path)
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_bytes(
+            builder.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+        )
+        temporary_path.replace(path)
         return path
 
 
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -28,73 +28,85 @@
     return Authority(tmp_path_factory.mktemp("pki"))
 
 
-ONE = "[[tls.partner]]\ndest = 1\n"
+PARTNER = "[[tls.partner]]\ndest = 1\n"
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected_error"),
     [
         ("[tls]", "tls.partner: at least one is needed"),
         ("[[tls.partner]]", "tls.partner.0: expected exactly one of member, dest and kind"),
-        (ONE + 'kind = "small"', "tls.partner.0: expected exactly one of member, dest and kind"),
-        (ONE + ONE, "tls.partner.1.dest: 1 is matched by tls.partner.0, too"),
+        (PARTNER + 'kind = "small"', "tls.partner.0: expected exactly one of member, dest and kind"),
+        (PARTNER + PARTNER, "tls.partner.1.dest: 1 is matched by tls.partner.0, too"),
         ('[[tls.partner]]\nkind = "tiny"', "tls.partner.0.kind: not a kind in the settings"),
         ('[[tls.partner]]\ndest = "1"', "tls.partner.0.dest: expected int"),
         ('[[tls.partner]]\nmember = ""', "tls.partner.0.member: must not be empty"),
-        (ONE + 'least-version = "1.1"', "tls.partner.0.least-version: expected one of 1.2, 1.3"),
-        (ONE + 'pins = ["abc"]', "tls.partner.0.pins.0: expected the SHA-256"),
-        (ONE + "pins = [3]", "tls.partner.0.pins.0: expected the SHA-256"),
-        (ONE + "handshakes = 0", "tls.partner.0.handshakes: expected at least 1"),
-        (ONE + "handshake-rate = 0", "tls.partner.0.handshake-rate: expected more than 0"),
-        (ONE + "handshake-rate = inf", "tls.partner.0.handshake-rate: expected more than 0"),
-        (ONE + "handshake-timeout = 0", "tls.partner.0.handshake-timeout: expected seconds above 0"),
-        (ONE + "retire-within = -1", "tls.partner.0.retire-within: expected seconds above 0"),
-        (ONE + "warn-days = -1", "tls.partner.0.warn-days: must not be negative"),
-        (ONE + 'server-name = "a b"', "tls.partner.0.server-name: expected a host name"),
-        (ONE + "verify = false", "tls.partner.0.verify: no such key"),
-        ("[tls]\nearly-data = true\n" + ONE, "tls.early-data: no such key"),
-        ("[tls]\nhandshakes = 0\n" + ONE, "tls.handshakes: expected at least 1"),
-        (ONE + 'certificate = "x"', "tls.partner.0.key: missing; certificate and key go together"),
-        (ONE + 'key = "x"', "tls.partner.0.certificate: missing"),
-        (ONE + 'ca = "/nowhere/ca.pem"', "tls.partner.0.ca: cannot read /nowhere/ca.pem"),
-        (ONE + 'ca = ""', "tls.partner.0.ca: must not be empty"),
+        (PARTNER + 'least-version = "1.1"', "tls.partner.0.least-version: expected one of 1.2, 1.3"),
+        (PARTNER + 'pins = ["abc"]', "tls.partner.0.pins.0: expected the SHA-256"),
+        (PARTNER + "pins = [3]", "tls.partner.0.pins.0: expected the SHA-256"),
+        (PARTNER + "handshakes = 0", "tls.partner.0.handshakes: expected at least 1"),
+        (PARTNER + "handshake-rate = 0", "tls.partner.0.handshake-rate: expected more than 0"),
+        (PARTNER + "handshake-rate = inf", "tls.partner.0.handshake-rate: expected more than 0"),
+        (PARTNER + "handshake-timeout = 0", "tls.partner.0.handshake-timeout: expected seconds above 0"),
+        (PARTNER + "retire-within = -1", "tls.partner.0.retire-within: expected seconds above 0"),
+        (PARTNER + "warn-days = -1", "tls.partner.0.warn-days: must not be negative"),
+        (PARTNER + 'server-name = "a b"', "tls.partner.0.server-name: expected a host name"),
+        (PARTNER + "verify = false", "tls.partner.0.verify: no such key"),
+        ("[tls]\nearly-data = true\n" + PARTNER, "tls.early-data: no such key"),
+        ("[tls]\nhandshakes = 0\n" + PARTNER, "tls.handshakes: expected at least 1"),
+        (PARTNER + 'certificate = "x"', "tls.partner.0.key: missing; certificate and key go together"),
+        (PARTNER + 'key = "x"', "tls.partner.0.certificate: missing"),
+        (PARTNER + 'ca = "/nowhere/ca.pem"', "tls.partner.0.ca: cannot read /nowhere/ca.pem"),
+        (PARTNER + 'ca = ""', "tls.partner.0.ca: must not be empty"),
         ('[mqtt]\nbroker = "b:1"\n[mqtt.tls]\nca = "/nowhere"', "mqtt.tls.ca: cannot read /nowhere"),
         ('[mqtt]\nbroker = "b:1"\n[mqtt.tls]\ndest = 1', "mqtt.tls.dest: no such key"),
     ],
 )
-def test_each_mistake_in_the_operators_file_names_its_key(tmp_path: Path, text: str, says: str) -> None:
+def test_each_mistake_in_the_operators_file_names_its_key(
+    tmp_path: Path, text: str, expected_error: str
+) -> None:
     with pytest.raises(config.ConfigError) as error:
         config.read({}, *write(tmp_path, 6379, 8500, [], text))
-    assert str(error.value).startswith(says), error.value
+    assert str(error.value).startswith(expected_error), error.value
 
 
 def test_each_file_that_cannot_be_used_is_refused_with_key_and_file_named(
     pki: Authority, tmp_path: Path
 ) -> None:
     good, other = pki.issue(), pki.issue()
-    late = pki.issue(start=-9, end=-1)
+    expired = pki.issue(start=-9, end=-1)
     early = pki.issue(start=2)
-    locked = pki.issue(password=b"secret")
-    open_key = pki.issue()
-    open_key.key_file.chmod(0o640)
-    junk, empty = tmp_path / "junk.pem", tmp_path / "empty"
-    junk.write_bytes(b"-----BEGIN CERTIFICATE-----\nnot\n-----END CERTIFICATE-----\n")
+    encrypted = pki.issue(password=b"secret")
+    readable_key = pki.issue()
+    readable_key.key_file.chmod(0o640)
+    malformed, empty = tmp_path / "junk.pem", tmp_path / "empty"
+    malformed.write_bytes(b"-----BEGIN CERTIFICATE-----\nnot\n-----END CERTIFICATE-----\n")
     empty.mkdir()
 
-    def own(cert: Any, key: Any, **more: Any) -> Terms:
-        return Terms(ca=pki.file, certificate=cert, key=key, **more)
+    def own(certificate: Any, key: Any, **options: Any) -> Terms:
+        return Terms(ca=pki.file, certificate=certificate, key=key, **options)
 
-    for terms, key, file, says in (
+    for terms, key, file, expected_error in (
         (own(good.cert_file, other.key_file), "key", other.key_file, "does not belong"),
-        (own(good.cert_file, open_key.key_file), "key", open_key.key_file, "others can read"),
-        (own(late.cert_file, late.key_file), "certificate", late.cert_file, "has expired"),
+        (own(good.cert_file, readable_key.key_file), "key", readable_key.key_file, "others can read"),
+        (own(expired.cert_file, expired.key_file), "certificate", expired.cert_file, "has expired"),
         (own(early.cert_file, early.key_file), "certificate", early.cert_file, "is not valid before"),
-        (own(junk, good.key_file), "certificate", junk, "no certificate in PEM"),
+        (own(malformed, good.key_file), "certificate", malformed, "no certificate in PEM"),
         (own(good.cert_file, tmp_path / "none"), "key", tmp_path / "none", "cannot read"),
-        (own(locked.cert_file, locked.key_file), "key", locked.key_file, "cannot be read"),
-        (own(locked.cert_file, locked.key_file, key_password_env="NONE"), "key-password-env", "NONE", "no"),
-        (own(locked.cert_file, locked.key_file, key_password_env="WRONG"), "key", locked.key_file, "cannot"),
-        (Terms(ca=junk), "ca", junk, "no certificates in PEM"),
+        (own(encrypted.cert_file, encrypted.key_file), "key", encrypted.key_file, "cannot be read"),
+        (
+            own(encrypted.cert_file, encrypted.key_file, key_password_env="NONE"),
+            "key-password-env",
+            "NONE",
+            "no",
+        ),
+        (
+            own(encrypted.cert_file, encrypted.key_file, key_password_env="WRONG"),
+            "key",
+            encrypted.key_file,
+            "cannot",
+        ),
+        (Terms(ca=malformed), "ca", malformed, "no certificates in PEM"),
         (Terms(ca=empty), "ca", empty, "no file in the folder"),
         (Terms(ca=good.key_file), "ca", good.key_file, "no certificates in PEM"),
         (Terms(ca=pki.file, crl=pki.file), "crl", pki.file, "no list of revocations"),
@@ -103,45 +115,47 @@
             load(terms, {"WRONG": "guess"}, time.time_ns())
         assert str(error.value).startswith(f"{key}: "), error.value
         assert str(file) in str(error.value), error.value
-        assert says in str(error.value)
-    told = load(
-        own(locked.cert_file, locked.key_file, key_password_env="RIGHT"), {"RIGHT": "secret"}, time.time_ns()
+        assert expected_error in str(error.value)
+    material = load(
+        own(encrypted.cert_file, encrypted.key_file, key_password_env="RIGHT"),
+        {"RIGHT": "secret"},
+        time.time_ns(),
     )
-    assert told.own is not None
-    assert told.own.names == ("localhost", "127.0.0.1")
+    assert material.own is not None
+    assert material.own.names == ("localhost", "127.0.0.1")
 
 
-def test_a_folder_of_roots_is_read_whole(pki: Authority, tmp_path: Path) -> None:
+def test_all_files_of_a_directory_of_roots_are_read(pki: Authority, tmp_path: Path) -> None:
     other = Authority(tmp_path, "Other CA")
     folder = tmp_path / "roots"
     folder.mkdir()
     for i, file in enumerate((pki.file, other.file)):
         (folder / f"{i}.pem").write_bytes(file.read_bytes())
-    told = load(Terms(ca=folder), {}, time.time_ns())
-    assert told.context.cert_store_stats()["x509_ca"] == 2
-    assert told.context.verify_mode is ssl.CERT_REQUIRED
-    assert told.context.check_hostname
+    material = load(Terms(ca=folder), {}, time.time_ns())
+    assert material.context.cert_store_stats()["x509_ca"] == 2
+    assert material.context.verify_mode is ssl.CERT_REQUIRED
+    assert material.context.check_hostname
     assert load(Terms(), {}, time.time_ns()).context.verify_mode is ssl.CERT_REQUIRED
 
 
-def test_the_narrowest_partner_wins() -> None:
+def test_the_partner_with_the_narrowest_scope_applies() -> None:
     wide, middle, narrow = (
         Partner(scope, value, Terms(handshakes=i))
         for i, (scope, value) in enumerate(((Scope.KIND, "k"), (Scope.DEST, "7"), (Scope.MEMBER, "m")), 1)
     )
-    setup = TlsSettings((wide, middle, narrow))
-    assert setup.find_partner("m", 7, "k") is narrow
-    assert setup.find_partner("n", 7, "k") is middle
-    assert setup.find_partner("n", 8, "k") is wide
-    assert setup.find_partner("n", 8, "j") is None
+    tls_settings = TlsSettings((wide, middle, narrow))
+    assert tls_settings.find_partner("m", 7, "k") is narrow
+    assert tls_settings.find_partner("n", 7, "k") is middle
+    assert tls_settings.find_partner("n", 8, "k") is wide
+    assert tls_settings.find_partner("n", 8, "j") is None
 
 
-def test_defaults_hold_for_each_partner_that_does_not_say_otherwise(pki: Authority, tmp_path: Path) -> None:
-    text = f'[tls]\nca = "{pki.file}"\nhandshakes = 7\n{ONE}[[tls.partner]]\ndest = 2\nhandshakes = 9\n'
-    told = config.read({}, *write(tmp_path, 6379, 8500, [], text)).operator.tls
-    assert told is not None
-    assert [one.terms.handshakes for one in told.partners] == [7, 9]
-    assert {one.terms.ca for one in told.partners} == {pki.file}
+def test_defaults_apply_to_each_partner_without_its_own_value(pki: Authority, tmp_path: Path) -> None:
+    text = f'[tls]\nca = "{pki.file}"\nhandshakes = 7\n{PARTNER}[[tls.partner]]\ndest = 2\nhandshakes = 9\n'
+    tls_settings = config.read({}, *write(tmp_path, 6379, 8500, [], text)).operator.tls
+    assert tls_settings is not None
+    assert [partner.terms.handshakes for partner in tls_settings.partners] == [7, 9]
+    assert {partner.terms.ca for partner in tls_settings.partners} == {pki.file}
 
 
 class Clock:
@@ -149,66 +163,72 @@
         self.now = time.time_ns()
 
 
-def known_partners(terms: Terms, clock: Clock) -> Partners:
-    setup = TlsSettings((Partner(Scope.DEST, "1", terms),))
-    return Partners(setup, settings(), {}, lambda: clock.now, Random(1))
+def create_partners(terms: Terms, clock: Clock) -> Partners:
+    tls_settings = TlsSettings((Partner(Scope.DEST, "1", terms),))
+    return Partners(tls_settings, settings(), {}, lambda: clock.now, Random(1))
 
 
-def test_files_that_change_are_taken_whole_or_not_at_all(pki: Authority, tmp_path: Path) -> None:
+def test_changed_files_are_applied_completely_or_not_at_all(pki: Authority, tmp_path: Path) -> None:
     first, second = pki.issue(), pki.issue()
     cert, key = tmp_path / "own.crt", tmp_path / "own.key"
     cert.write_bytes(first.cert_file.read_bytes())
     key.touch(0o600)
     key.write_bytes(first.key_file.read_bytes())
-    told = known_partners(Terms(ca=pki.file, certificate=cert, key=key), Clock())
-    known = told.find("m", 1, "")
-    assert known is not None
-    assert told.changed_files() == []
-    taken: list[int] = []
-    told.on_change.append(lambda one: taken.append(one.generation))
-
-    def look() -> list[bool]:
-        return [told.apply_files(one, stamps, told.read_files(one)) for one, stamps in told.changed_files()]
-
-    whole = second.cert_file.read_bytes()
-    for half in (b"", whole[: len(whole) // 2], whole):  # half written, then complete but without its key
-        cert.write_bytes(half)
-        assert look() == [False]
-        assert known.generation == 0
-        assert known.last_rejection
-        assert look() == [], "what has not changed is not read again"
+    partners = create_partners(Terms(ca=pki.file, certificate=cert, key=key), Clock())
+    state = partners.find("m", 1, "")
+    assert state is not None
+    assert partners.changed_files() == []
+    generations: list[int] = []
+    partners.on_change.append(lambda changed: generations.append(changed.generation))
+
+    def reload_changed_files() -> list[bool]:
+        return [
+            partners.apply_files(changed, stamps, partners.read_files(changed))
+            for changed, stamps in partners.changed_files()
+        ]
+
+    new_certificate = second.cert_file.read_bytes()
+    # Half written, then complete but without its key.
+    for content in (b"", new_certificate[: len(new_certificate) // 2], new_certificate):
+        cert.write_bytes(content)
+        assert reload_changed_files() == [False]
+        assert state.generation == 0
+        assert state.last_rejection
+        assert reload_changed_files() == [], "what has not changed is not read again"
     key.write_bytes(second.key_file.read_bytes())
-    assert look() == [True]
-    assert taken == [1]
-    assert not known.last_rejection
-    cert.write_bytes(whole)  # the same content again
-    assert look() == [False]
-    assert known.generation == 1
+    assert reload_changed_files() == [True]
+    assert generations == [1]
+    assert not state.last_rejection
+    cert.write_bytes(new_certificate)  # the same content again
+    assert reload_changed_files() == [False]
+    assert state.generation == 1
     key.unlink()
-    assert look() == [False]
-    assert known.generation == 1
-    assert "cannot read" in known.last_rejection
+    assert reload_changed_files() == [False]
+    assert state.generation == 1
+    assert "cannot read" in state.last_rejection
 
 
-def test_the_end_of_a_certificate_is_told_once_a_day(pki: Authority, monkeypatch: pytest.MonkeyPatch) -> None:
-    soon = pki.issue(end=5)
-    clock, told = Clock(), list[dict[str, Any]]()
-    partners = known_partners(
-        Terms(ca=pki.file, certificate=soon.cert_file, key=soon.key_file, warn_days=14), clock
+def test_an_expiring_certificate_is_logged_once_a_day(
+    pki: Authority, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    expiring = pki.issue(end=5)
+    clock, warnings = Clock(), list[dict[str, Any]]()
+    partners = create_partners(
+        Terms(ca=pki.file, certificate=expiring.cert_file, key=expiring.key_file, warn_days=14), clock
     )
     from honeyhitch.tls import partners as module
 
-    fake = SimpleNamespace(warning=lambda event, **fields: told.append({"event": event, **fields}))
+    fake = SimpleNamespace(warning=lambda event, **fields: warnings.append({"event": event, **fields}))
     monkeypatch.setattr(module, "log", fake)
     for hours in (0, 1, 2, 25):
         clock.now += hours * 3600 * SECOND
         partners.warn_of_expiry()
-    assert len(told) == 2
-    assert told[0]["whose"] == "own"
-    assert 4 < told[0]["days_left"] <= 5
+    assert len(warnings) == 2
+    assert warnings[0]["whose"] == "own"
+    assert 4 < warnings[0]["days_left"] <= 5
 
 
-def test_a_session_is_kept_no_longer_than_what_was_verified_with_it() -> None:
+def test_a_session_expires_with_its_verification() -> None:
     def session(hint: int, ticket: bool = True) -> ssl.SSLSession:
         return cast(
             ssl.SSLSession, SimpleNamespace(has_ticket=ticket, ticket_lifetime_hint=hint, timeout=7200)
@@ -230,15 +250,19 @@
     for i in range(9):
         cache.put(dataclasses.replace(key, address=str(i)), session(300), now, 1 << 62)
     assert len(cache) == 3
-    changes: tuple[dict[str, Any], ...] = ({"server_name": "other"}, {"generation": 1}, {"partner": "dest:2"})
-    for change in changes:
-        other = dataclasses.replace(key, address="8", **change)
-        assert cache.get(other, now) is None
+    key_changes: tuple[dict[str, Any], ...] = (
+        {"server_name": "other"},
+        {"generation": 1},
+        {"partner": "dest:2"},
+    )
+    for key_change in key_changes:
+        other_key = dataclasses.replace(key, address="8", **key_change)
+        assert cache.get(other_key, now) is None
     cache.drop_before("dest:1", 1)
     assert len(cache) == 0
 
 
-def test_a_session_is_copied_anew_only_when_it_is_worth_it() -> None:
+def test_a_newer_session_is_copied_only_when_it_is_worth_the_cost() -> None:
     session = cast(ssl.SSLSession, SimpleNamespace(has_ticket=True, ticket_lifetime_hint=100, timeout=7200))
     cache, key, now = SessionCache(), SessionKey("dest:1", "localhost", "127.0.0.1:1", 0), 100 * SECOND
     assert cache.needs_newer(key, now)
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -35,18 +35,18 @@
     def __init__(self, context: ssl.SSLContext) -> None:
         self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.tls = context.wrap_bio(self.incoming, self.outgoing, server_side=True)
-        self.up, self.got, self.error = False, b"", ""
+        self.handshake_complete, self.got, self.error = False, b"", ""
 
     def take(self, data: bytes) -> bytes:
         """Process received bytes and return the bytes to send."""
         if data:
             self.incoming.write(data)
         try:
-            if not self.up:
+            if not self.handshake_complete:
                 self.tls.do_handshake()
-                self.up = True
-            while more := self.tls.read(65536):
-                self.got += more
+                self.handshake_complete = True
+            while plaintext := self.tls.read(65536):
+                self.got += plaintext
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLError as error:
@@ -57,11 +57,11 @@
 def connect(machine: TlsMachine, server: Server, split: Callable[[bytes], list[bytes]] | None = None) -> None:
     """Exchange bytes between both sides until neither has any to send."""
     while True:
-        sent = machine.take_output()
-        said = server.take(sent)
-        for piece in split(said) if split is not None else [said] if said else []:
-            machine.feed(piece)
-        if not sent and not said:
+        client_output = machine.take_output()
+        server_output = server.take(client_output)
+        for chunk in split(server_output) if split is not None else [server_output] if server_output else []:
+            machine.feed(chunk)
+        if not client_output and not server_output:
             return
 
 
@@ -75,9 +75,9 @@
     return pki.issue()
 
 
-def client(terms: Terms, name: str = "localhost", session: ssl.SSLSession | None = None) -> TlsMachine:
+def client(terms: Terms, server_name: str = "localhost", session: ssl.SSLSession | None = None) -> TlsMachine:
     material = load(terms, {}, time.time_ns())
-    return TlsMachine(material.context, name, session, material.own is not None)
+    return TlsMachine(material.context, server_name, session, material.own is not None)
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
@@ -108,7 +108,7 @@
 
 
 def test_names_are_matched_by_the_san_alone_dns_and_ip(pki: Authority) -> None:
-    for names, wanted, good in (
+    for names, server_name, matches in (
         (("partner.example",), "partner.example", True),
         (("*.partner.example",), "a.partner.example", True),
         (("*.partner.example",), "a.b.partner.example", False),
@@ -117,40 +117,40 @@
         (("partner.example",), "127.0.0.1", False),
         ((), "nobody", False),
     ):
-        machine = client(Terms(ca=pki.file), wanted)
+        machine = client(Terms(ca=pki.file), server_name)
         connect(machine, Server(server_context(pki.issue(names))))
-        if good:
-            assert machine.phase is Phase.OPEN, (names, wanted)
+        if matches:
+            assert machine.phase is Phase.OPEN, (names, server_name)
         else:
-            assert machine.failure is not None, wanted
-            assert machine.failure.failure is Failure.WRONG_NAME, wanted
+            assert machine.failure is not None, server_name
+            assert machine.failure.failure is Failure.WRONG_NAME, server_name
 
 
 def cases(pki: Authority, folder: Path) -> Iterator[tuple[Failure, Terms, ssl.SSLContext]]:
     terms = Terms(ca=pki.file)
-    other = Authority(folder, "Other CA")
-    yield Failure.UNTRUSTED, Terms(ca=other.file), server_context(pki.issue())
+    other_authority = Authority(folder, "Other CA")
+    yield Failure.UNTRUSTED, Terms(ca=other_authority.file), server_context(pki.issue())
     yield Failure.EXPIRED, terms, server_context(pki.issue(start=-9, end=-1))
     yield Failure.NOT_YET_VALID, terms, server_context(pki.issue(start=1))
-    wrong = pki.issue(use=ExtendedKeyUsageOID.CLIENT_AUTH)
-    yield Failure.WRONG_USE, terms, server_context(wrong)
+    client_certificate = pki.issue(use=ExtendedKeyUsageOID.CLIENT_AUTH)
+    yield Failure.WRONG_USE, terms, server_context(client_certificate)
     revoked = pki.issue()
     crl = pki.crl(revoked, file="revoked.pem")
     yield Failure.REVOKED, Terms(ca=pki.file, crl=crl), server_context(revoked)
-    stale = pki.crl(end=-1, file="stale.pem")
-    yield Failure.CRL_UNUSABLE, Terms(ca=pki.file, crl=stale), server_context(pki.issue())
-    foreign = other.crl(file="foreign.pem")
-    yield Failure.CRL_UNUSABLE, Terms(ca=pki.file, crl=foreign), server_context(pki.issue())
-    old = Terms(ca=pki.file, least_version="1.3")
-    yield Failure.NO_COMMON_VERSION, old, server_context(pki.issue(), "1.2", "1.2")
-    picky = server_context(pki.issue(), "1.2", "1.2")
-    picky.set_ciphers("AES128-SHA")
-    yield Failure.HANDSHAKE_REJECTED, terms, picky
-    strict = asking(server_context(pki.issue(), "1.2", "1.2"), pki.file)
-    yield Failure.HANDSHAKE_REJECTED, terms, strict
-    ours = other.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
-    with_ours = Terms(ca=pki.file, certificate=ours.cert_file, key=ours.key_file)
-    yield Failure.OUR_CERTIFICATE_REJECTED, with_ours, strict
+    expired_crl = pki.crl(end=-1, file="stale.pem")
+    yield Failure.CRL_UNUSABLE, Terms(ca=pki.file, crl=expired_crl), server_context(pki.issue())
+    other_crl = other_authority.crl(file="foreign.pem")
+    yield Failure.CRL_UNUSABLE, Terms(ca=pki.file, crl=other_crl), server_context(pki.issue())
+    only_tls_1_3 = Terms(ca=pki.file, least_version="1.3")
+    yield Failure.NO_COMMON_VERSION, only_tls_1_3, server_context(pki.issue(), "1.2", "1.2")
+    without_common_cipher = server_context(pki.issue(), "1.2", "1.2")
+    without_common_cipher.set_ciphers("AES128-SHA")
+    yield Failure.HANDSHAKE_REJECTED, terms, without_common_cipher
+    requires_certificate = asking(server_context(pki.issue(), "1.2", "1.2"), pki.file)
+    yield Failure.HANDSHAKE_REJECTED, terms, requires_certificate
+    own = other_authority.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
+    terms_with_own = Terms(ca=pki.file, certificate=own.cert_file, key=own.key_file)
+    yield Failure.OUR_CERTIFICATE_REJECTED, terms_with_own, requires_certificate
 
 
 def test_each_failure_has_its_name_and_nothing_falls_back(pki: Authority, tmp_path: Path) -> None:
@@ -188,22 +188,22 @@
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
 def test_ends_and_garbage_on_an_open_connection(pki: Authority, server_cert: Issued, version: str) -> None:
-    def opened() -> tuple[TlsMachine, Server]:
+    def open_connection() -> tuple[TlsMachine, Server]:
         machine, server = client(Terms(ca=pki.file)), Server(server_context(server_cert, version, version))
         connect(machine, server)
         return machine, server
 
-    machine, server = opened()
+    machine, server = open_connection()
     machine.connection_closed()
     assert machine.failure is not None
     assert machine.failure.failure is Failure.TRUNCATED
-    machine, server = opened()
+    machine, server = open_connection()
     server.tls.write(b"part of an answer")
     machine.feed(server.outgoing.read() + b"\x17\x03\x03\x00\x10" + bytes(16))
     assert machine.take_plaintext() == b"part of an answer", "what came before the spoilt record is given"
     assert machine.failure is not None
     assert machine.failure.failure is Failure.MALFORMED_RECORD
-    machine, server = opened()
+    machine, server = open_connection()
     server.tls.write(b"x" * 20000)
     data = server.outgoing.read()
     machine.feed(data[:-1])
@@ -216,16 +216,16 @@
 
 
 @pytest.mark.parametrize("own", [True, False])
-def test_a_late_refusal_of_our_certificate_proves_that_nothing_ran(
+def test_a_late_rejection_of_our_certificate_proves_that_no_request_was_executed(
     pki: Authority, tmp_path: Path, own: bool
 ) -> None:
-    other = Authority(tmp_path, "Other CA")
-    ours = other.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
+    other_authority = Authority(tmp_path, "Other CA")
+    ours = other_authority.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
     terms = Terms(ca=pki.file, certificate=ours.cert_file, key=ours.key_file) if own else Terms(ca=pki.file)
     server = Server(asking(server_context(pki.issue(), "1.3", "1.3"), pki.file))
     machine = client(terms)
-    server_said = server.take(machine.take_output())
-    machine.feed(server_said)
+    server_output = server.take(machine.take_output())
+    machine.feed(server_output)
     assert machine.phase is Phase.OPEN, "our handshake is over before the server has looked"
     machine.send(HELLO)
     machine.feed(server.take(machine.take_output()))
@@ -249,7 +249,7 @@
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
-def test_sessions_are_resumed_and_a_refusal_is_a_full_handshake(
+def test_sessions_are_resumed_and_a_rejected_one_leads_to_a_full_handshake(
     pki: Authority, server_cert: Issued, version: str
 ) -> None:
     context = server_context(server_cert, version, version)
@@ -359,56 +359,59 @@
     assert records.at_boundary == (len(data) in ends)
 
 
-def test_pins_and_revocations_are_looked_at_in_resumed_sessions_too(pki: Authority) -> None:
+def test_pins_and_revocations_are_checked_in_resumed_sessions_too(pki: Authority) -> None:
     now = [time.time_ns()]
     first, backup, stale = pki.issue(), pki.issue(), pki.issue()
-    pins = [load(Terms(certificate=i.cert_file, key=i.key_file), {}, now[0]) for i in (stale, backup, first)]
-    digests = [one.own.pin for one in pins if one.own is not None]
+    materials = [
+        load(Terms(certificate=issued.cert_file, key=issued.key_file), {}, now[0])
+        for issued in (stale, backup, first)
+    ]
+    pins = [material.own.pin for material in materials if material.own is not None]
     crl = pki.crl(file="in-service.pem")
 
-    def partners(*wanted: bytes) -> Partners:
-        terms = Terms(ca=pki.file, crl=crl, pins=wanted, server_name="localhost")
-        setup = TlsSettings((Partner(Scope.DEST, "1", terms),))
-        return Partners(setup, settings(), {}, lambda: now[0], Random(1))
+    def create_partners(*accepted_pins: bytes) -> Partners:
+        terms = Terms(ca=pki.file, crl=crl, pins=accepted_pins, server_name="localhost")
+        tls_settings = TlsSettings((Partner(Scope.DEST, "1", terms),))
+        return Partners(tls_settings, settings(), {}, lambda: now[0], Random(1))
 
-    def attempt(told: Partners, context: ssl.SSLContext) -> TlsMachine:
-        known = told.find("m", 1, "")
-        assert known is not None
-        key = told.session_key(known, "127.0.0.1:1")
-        machine = told.create_machine(known, key)
+    def open_connection(partners: Partners, context: ssl.SSLContext) -> TlsMachine:
+        state = partners.find("m", 1, "")
+        assert state is not None
+        key = partners.session_key(state, "127.0.0.1:1")
+        machine = partners.create_machine(state, key)
         connect(machine, Server(context))
         assert machine.failure is None, machine.failure
-        peer = told.verify(known, machine)
-        told.keep_session(known, key, machine, peer)
+        certificate = partners.verify(state, machine)
+        partners.keep_session(state, key, machine, certificate)
         return machine
 
     context = server_context(first)
     with pytest.raises(TlsError) as error:
-        attempt(partners(digests[0], digests[1]), context)
+        open_connection(create_partners(pins[0], pins[1]), context)
     assert error.value.failure is Failure.PIN_MISMATCH
-    told = partners(digests[0], digests[2])  # the first pin is stale, its backup is good
-    assert not attempt(told, context).resumed
-    assert attempt(told, context).resumed
-    known = told.find("m", 1, "")
-    assert known is not None
-    assert told.find("m", 2, "") is None
+    partners = create_partners(pins[0], pins[2])  # the first pin is stale, its backup is good
+    assert not open_connection(partners, context).resumed
+    assert open_connection(partners, context).resumed
+    state = partners.find("m", 1, "")
+    assert state is not None
+    assert partners.find("m", 2, "") is None
     pki.crl(first, file="in-service.pem")
-    ((changed, stamps),) = told.changed_files()
-    assert told.apply_files(changed, stamps, told.read_files(changed))
-    assert known.generation == 1
-    assert len(told.sessions) == 0, "what was verified under the old list is not resumed"
-    key = told.session_key(known, "127.0.0.1:1")
-    machine = told.create_machine(known, key)
+    ((changed, stamps),) = partners.changed_files()
+    assert partners.apply_files(changed, stamps, partners.read_files(changed))
+    assert state.generation == 1
+    assert len(partners.sessions) == 0, "what was verified under the old list is not resumed"
+    key = partners.session_key(state, "127.0.0.1:1")
+    machine = partners.create_machine(state, key)
     connect(machine, Server(context))
     assert machine.failure is not None
     assert machine.failure.failure is Failure.REVOKED
 
 
-def test_the_settings_of_the_module_are_untouched() -> None:
+def test_an_endpoint_requires_no_open_connection_by_default() -> None:
     assert EndpointListing("e", 1).requires_open_connection is False
 
 
-def test_key_updates_and_tickets_on_an_idle_connection_leave_it_at_rest(pki: Authority) -> None:
+def test_key_updates_and_tickets_leave_an_idle_connection_quiescent(pki: Authority) -> None:
     """The server is tlslite-ng, as OpenSSL through Python's ssl module cannot request a KeyUpdate."""
     from tlslite.api import HandshakeSettings, TLSConnection, X509CertChain, parsePEMKey
     from tlslite.constants import KeyUpdateMessageType
@@ -417,47 +420,47 @@
     chain = X509CertChain()
     chain.parsePemList(issued.cert_file.read_text())
     key = parsePEMKey(issued.key_file.read_text(), private=True)
-    ours, theirs = socket.socketpair()
-    got: list[bytes] = []
+    client_socket, server_socket = socket.socketpair()
+    received: list[bytes] = []
 
     def serve() -> None:
-        wanted = HandshakeSettings()
-        wanted.minVersion = wanted.maxVersion = (3, 4)
-        wanted.ticketKeys, wanted.ticket_count = [bytes(32)], 2
-        server = TLSConnection(theirs)
-        server.handshakeServer(certChain=chain, privateKey=key, settings=wanted)
+        handshake_settings = HandshakeSettings()
+        handshake_settings.minVersion = handshake_settings.maxVersion = (3, 4)
+        handshake_settings.ticketKeys, handshake_settings.ticket_count = [bytes(32)], 2
+        server = TLSConnection(server_socket)
+        server.handshakeServer(certChain=chain, privateKey=key, settings=handshake_settings)
         for _ in range(2):
             for _ in server.send_keyupdate_request(KeyUpdateMessageType.update_requested):
                 pass
-        got.append(bytes(server.read(max=len(HELLO), min=len(HELLO))))
+        received.append(bytes(server.read(max=len(HELLO), min=len(HELLO))))
         server.write(ANSWER)
         server.close()
 
     machine = client(Terms(ca=pki.file))
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
-    ours.settimeout(10)
-    shaken, answered = False, 0  # bytes sent in reply to the peer's KeyUpdate requests
-    while machine.phase is Phase.HANDSHAKE or machine.session() is None or not answered:
-        out = machine.take_output()
-        answered += len(out) if machine.phase is Phase.OPEN and shaken else 0
-        shaken = machine.phase is Phase.OPEN
-        ours.sendall(out)
-        if not answered:
-            machine.feed(ours.recv(1))
+    client_socket.settimeout(10)
+    was_open, reply_bytes = False, 0  # bytes sent in reply to the peer's KeyUpdate requests
+    while machine.phase is Phase.HANDSHAKE or machine.session() is None or not reply_bytes:
+        output = machine.take_output()
+        reply_bytes += len(output) if machine.phase is Phase.OPEN and was_open else 0
+        was_open = machine.phase is Phase.OPEN
+        client_socket.sendall(output)
+        if not reply_bytes:
+            machine.feed(client_socket.recv(1))
         assert machine.phase in (Phase.HANDSHAKE, Phase.OPEN)
         assert not machine.plaintext
     while not machine.record_tracker.at_boundary:
-        machine.feed(ours.recv(1))
+        machine.feed(client_socket.recv(1))
     assert machine.quiescent
     assert machine.session() is not None
     machine.send(HELLO)
-    ours.sendall(machine.take_output())
+    client_socket.sendall(machine.take_output())
     while machine.phase is Phase.OPEN:
-        machine.feed(ours.recv(4096))
+        machine.feed(client_socket.recv(4096))
     thread.join(30)
-    assert got == [HELLO]
+    assert received == [HELLO]
     assert machine.take_plaintext() == ANSWER
     assert machine.phase is Phase.ENDED
-    ours.close()
-    theirs.close()
+    client_socket.close()
+    server_socket.close()
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -28,10 +28,10 @@
 from .test_program import OPERATOR, Client, receive, set_reasons
 from .tls_partner import OK, Session, TlsPartner, asking, server_context
 
-CLIENT = ExtendedKeyUsageOID.CLIENT_AUTH
+CLIENT_AUTH = ExtendedKeyUsageOID.CLIENT_AUTH
 
 # With `rough`, the listed `size` of an endpoint is a rough rate in calls a second.
-LISTED = {**SETTINGS, "weights": "rough"}
+ROUGH_RATES = {**SETTINGS, "weights": "rough"}
 PARTNER = '[[tls.partner]]\ndest = 1\nca = "{ca}"\nserver-name = "localhost"\n'
 
 
@@ -58,39 +58,39 @@
         return False
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        told = [json.loads(line) for line in self.lines if line.startswith("{")]
-        return [one for one in told if one["event"] == name]
+        events = [json.loads(line) for line in self.lines if line.startswith("{")]
+        return [event for event in events if event["event"] == name]
 
 
 @pytest.fixture
 def log() -> Any:
-    told = Log()
-    logs.setup("json", "info", told)  # type: ignore[arg-type]
-    yield told
+    collector = Log()
+    logs.setup("json", "info", collector)  # type: ignore[arg-type]
+    yield collector
     logs.setup()
 
 
 @contextlib.asynccontextmanager
 async def running(
-    folder: Path, partners: list[TlsPartner], operator: str, port: int = 0, **told: Any
+    folder: Path, partners: list[TlsPartner], operator: str, port: int = 0, **options: Any
 ) -> AsyncIterator[tuple[int, Peer]]:
     """Run the program with each partner as an endpoint of destination 1, and connect a client."""
     client = Peer()
-    agent = await Agent(members_of(partners)).start()
-    told = {"settings": LISTED, **told}
-    async with started(folder, agent.port, agent.members, operator, port, **told) as port:
+    agent = await Agent(endpoint_rows(partners)).start()
+    options = {"settings": ROUGH_RATES, **options}
+    async with started(folder, agent.port, agent.members, operator, port, **options) as port:
         await client.dial(port)
         yield port, client
 
 
-def members_of(partners: list[TlsPartner]) -> list[dict[str, Any]]:
+def endpoint_rows(partners: list[TlsPartner]) -> list[dict[str, Any]]:
     return [
         {**endpoint_row(f"p{i}", 1), "host_port": f"127.0.0.1:{partner.port}"}
         for i, partner in enumerate(partners)
     ]
 
 
-async def hand_in(client: Peer, name: str, left: int = 15000) -> None:
+async def submit(client: Peer, name: str, left: int = 15000) -> None:
     assert client.connection is not None
     fields = f"c=standard,t=studio,d={left},k=k-{name},dest=1"
     parts = [b"ENQUEUE", b"0", name.encode(), fields.encode(), b"body"]
@@ -98,31 +98,31 @@
     await receive(client, b"+OK\r\n")
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Wait until a condition of this process holds, within the time limit of the whole test."""
     await poll_condition(condition, interval=0.005)
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
-def test_messages_are_delivered_on_kept_and_resumed_connections(
+def test_messages_are_delivered_on_reused_and_resumed_connections(
     tmp_path: Path, authority: Authority, version: str
 ) -> None:
     async def work() -> None:
         partner = await TlsPartner(server_context(authority.issue(), version, version)).start()
         async with running(tmp_path, [partner], PARTNER.format(ca=authority.file)) as (_, client):
-            await hand_in(client, "one")
-            await until(lambda: partner.applied["k-one"])
-            await hand_in(client, "two")
-            await until(lambda: partner.applied["k-two"])
+            await submit(client, "one")
+            await wait_until(lambda: partner.applied["k-one"])
+            await submit(client, "two")
+            await wait_until(lambda: partner.applied["k-two"])
             assert (partner.full, partner.resumed) == (1, 0), "the second went on the first's connection"
             for session in list(partner.sessions):
                 with contextlib.suppress(Exception):
                     session.tls.unwrap()
                 await partner.flush(session)
                 session.writer.close()
-            await until(lambda: not partner.sessions)
-            await hand_in(client, "three")
-            await until(lambda: partner.applied["k-three"])
+            await wait_until(lambda: not partner.sessions)
+            await submit(client, "three")
+            await wait_until(lambda: partner.applied["k-three"])
         assert (partner.full, partner.resumed) == (1, 1)
         assert set(partner.applied.values()) == {1}
 
@@ -130,23 +130,25 @@
 
 
 @pytest.mark.parametrize("fault", ["split", "no-resumption", "restart"])
-def test_what_a_partner_may_do_costs_no_message(tmp_path: Path, authority: Authority, fault: str) -> None:
+def test_no_message_is_lost_to_split_writes_missing_tickets_or_restarts(
+    tmp_path: Path, authority: Authority, fault: str
+) -> None:
     async def work() -> None:
         issued = authority.issue()
         partner = await TlsPartner(server_context(issued)).start()
         if fault == "split":
-            partner.split = 1
+            partner.max_write_bytes = 1
         if fault == "no-resumption":
             partner.context.num_tickets = 0
         async with running(tmp_path, [partner], PARTNER.format(ca=authority.file)) as (_, client):
             for i in range(6):
-                await hand_in(client, f"m{i}")
+                await submit(client, f"m{i}")
                 if fault == "restart" and i in (2, 4):
-                    await until(lambda i=i: partner.applied[f"k-m{i}"])  # type: ignore[misc]
+                    await wait_until(lambda i=i: partner.applied[f"k-m{i}"])  # type: ignore[misc]
                     await partner.stop()
                     partner.context = server_context(issued)  # new ticket keys: all sessions are lost
                     await partner.start()
-            await until(lambda: len(partner.applied) == 6)
+            await wait_until(lambda: len(partner.applied) == 6)
         assert set(partner.applied.values()) == {1}
         assert not partner.resumed or fault != "no-resumption"
 
@@ -161,71 +163,73 @@
 
 
 @pytest.mark.parametrize("fault", [*FAULTS, "untrusted", "not-tls"])
-def test_a_lasting_failure_is_named_answered_at_once_and_not_probed_in_a_storm(
+def test_a_lasting_failure_is_logged_and_answered_at_once_with_few_handshakes(
     tmp_path: Path, authority: Authority, log: Log, fault: str
 ) -> None:
     async def work() -> None:
         (tmp_path / "other").mkdir()
         issuer = Authority(tmp_path / "other", "Other CA") if fault == "untrusted" else authority
         partner = TlsPartner(server_context(issuer.issue(**FAULTS.get(fault, {}))))  # type: ignore[arg-type]
-        partner.before = b"220 hello\r\n" if fault == "not-tls" else b""
+        partner.plaintext_prefix = b"220 hello\r\n" if fault == "not-tls" else b""
         await partner.start()
-        agent, client = await Agent(members_of([partner])).start(), Peer()
+        agent, client = await Agent(endpoint_rows([partner])).start(), Peer()
         operator = PARTNER.format(ca=authority.file)
-        async with started(tmp_path, agent.port, agent.members, operator, settings=LISTED) as port:
+        async with started(tmp_path, agent.port, agent.members, operator, settings=ROUGH_RATES) as port:
             await client.dial(port)
             for i in range(20):
-                await hand_in(client, f"m{i}", left=900)
-            await until(lambda: len(agent.notices) == 20)
-            told = list(agent.notices.values())
-            assert all(one["status"] == "deferred" and one["again_ms"] > 0 for one in told)
+                await submit(client, f"m{i}", left=900)
+            await wait_until(lambda: len(agent.notices) == 20)
+            notices = list(agent.notices.values())
+            assert all(notice["status"] == "deferred" and notice["again_ms"] > 0 for notice in notices)
             assert 1 <= partner.begun <= 4
             assert not partner.applied
-        named = log.events("tls.handshake-failed")
-        assert named
-        assert {one["failure"] for one in named} == {fault}
-        assert named[0]["member"] == "p0"
-        assert named[0]["partner"] == "dest:1"
+        failed_handshakes = log.events("tls.handshake-failed")
+        assert failed_handshakes
+        assert {event["failure"] for event in failed_handshakes} == {fault}
+        assert failed_handshakes[0]["member"] == "p0"
+        assert failed_handshakes[0]["partner"] == "dest:1"
 
     play(work())
 
 
-def test_a_late_refusal_of_our_certificate_is_no_attempt_that_may_have_run(
+def test_a_late_rejection_of_our_certificate_is_recorded_as_not_executed(
     tmp_path: Path, authority: Authority, log: Log
 ) -> None:
     async def work() -> None:
         (tmp_path / "other").mkdir()
-        stranger = Authority(tmp_path / "other", "Other CA").issue(("us",), use=CLIENT)
-        ours = tmp_path / "ours.crt", tmp_path / "ours.key"
-        install(stranger, *ours)
+        untrusted = Authority(tmp_path / "other", "Other CA").issue(("us",), use=CLIENT_AUTH)
+        own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
+        install_own_files(untrusted, *own_files)
         issued = authority.issue()
         partner = await TlsPartner(asking(server_context(issued, "1.3", "1.3"), authority.file)).start()
-        operator = PARTNER.format(ca=authority.file) + 'certificate = "{}"\nkey = "{}"\n'.format(*ours)
+        operator = PARTNER.format(ca=authority.file) + 'certificate = "{}"\nkey = "{}"\n'.format(*own_files)
         async with running(tmp_path, [partner], operator) as (_, client):
-            await hand_in(client, "m")
-            await until(lambda: log.events("tls.call-broken") or log.events("tls.connection-rejected"))
-            install(authority.issue(("us",), use=CLIENT), *ours)
+            await submit(client, "m")
+            await wait_until(lambda: log.events("tls.call-broken") or log.events("tls.connection-rejected"))
+            install_own_files(authority.issue(("us",), use=CLIENT_AUTH), *own_files)
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: partner.applied["k-m"])
+            await wait_until(lambda: partner.applied["k-m"])
         assert partner.applied == {"k-m": 1}
-        told = log.events("tls.call-broken") + log.events("tls.connection-rejected")
-        assert {one["failure"] for one in told} == {"our-certificate-refused"}
+        failures = log.events("tls.call-broken") + log.events("tls.connection-rejected")
+        assert {event["failure"] for event in failures} == {"our-certificate-refused"}
         records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
-        tried = [fields for fields in records if fields["t"] == "attempt"]
-        never = [fields for fields in records if fields["t"] == "never"]
+        attempts = [fields for fields in records if fields["t"] == "attempt"]
+        not_executed = [fields for fields in records if fields["t"] == "never"]
         # An attempt that ended before its first byte has no `attempt` record, only a `never` record.
-        assert [fields["n"] for fields in never] == list(range(tried[-1]["n"])), "all but the last never ran"
+        assert [fields["n"] for fields in not_executed] == list(range(attempts[-1]["n"])), (
+            "all but the last never ran"
+        )
 
     play(work())
 
 
-def install(issued: Issued, certificate: Path, key: Path) -> None:
+def install_own_files(issued: Issued, certificate: Path, key: Path) -> None:
     """Replace our own certificate and key, each file atomically but not both together."""
     for source, target in ((issued.cert_file, certificate), (issued.key_file, key)):
-        fresh = target.with_suffix(".new")
-        fresh.touch(0o600)
-        fresh.write_bytes(source.read_bytes())
-        fresh.replace(target)
+        temporary_path = target.with_suffix(".new")
+        temporary_path.touch(0o600)
+        temporary_path.write_bytes(source.read_bytes())
+        temporary_path.replace(target)
 
 
 @pytest.mark.parametrize("step", ["accept", "hello", "flight"])
@@ -233,18 +237,18 @@
     tmp_path: Path, authority: Authority, log: Log, step: str
 ) -> None:
     async def work() -> None:
-        mute = TlsPartner(server_context(authority.issue()))
-        mute.stall = step
-        await mute.start()
+        stalling = TlsPartner(server_context(authority.issue()))
+        stalling.stall = step
+        await stalling.start()
         good = await TlsPartner(server_context(authority.issue())).start()
         operator = PARTNER.format(ca=authority.file) + "handshake-timeout = 0.2\n"
-        async with running(tmp_path, [mute, good], operator) as (_, client):
+        async with running(tmp_path, [stalling, good], operator) as (_, client):
             for i in range(8):
-                await hand_in(client, f"m{i}")
-            await until(lambda: len(good.applied) == 8)
+                await submit(client, f"m{i}")
+            await wait_until(lambda: len(good.applied) == 8)
         assert set(good.applied.values()) == {1}
-        stalled = {one["failure"] for one in log.events("tls.handshake-failed")}
-        assert stalled <= {"stalled"}
+        failures = {event["failure"] for event in log.events("tls.handshake-failed")}
+        assert failures <= {"stalled"}
         records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
         assert len([fields for fields in records if fields["t"] == "attempt"]) == 8, "no attempt was used up"
 
@@ -252,34 +256,34 @@
 
 
 @pytest.mark.parametrize("case", ["same-ca", "overlap", "new-ca"])
-def test_a_partners_certificate_rotates_in_the_middle_of_a_clump(
+def test_a_partners_certificate_rotates_during_a_burst(
     tmp_path: Path, authority: Authority, log: Log, case: str
 ) -> None:
     async def work() -> None:
         (tmp_path / "other").mkdir()
         other = Authority(tmp_path / "other", "Other CA")
         trust = tmp_path / "trust.pem"
-        both = authority.file.read_bytes() + other.file.read_bytes()
-        trust.write_bytes(both if case == "overlap" else authority.file.read_bytes())
+        both_roots = authority.file.read_bytes() + other.file.read_bytes()
+        trust.write_bytes(both_roots if case == "overlap" else authority.file.read_bytes())
         partner = await TlsPartner(server_context(authority.issue())).start()
         async with running(tmp_path, [partner], PARTNER.format(ca=trust)) as (_, client):
             for i in range(30):
-                await hand_in(client, f"m{i}")
+                await submit(client, f"m{i}")
                 if i == 15:
                     partner.context = server_context((authority if case == "same-ca" else other).issue())
                     for session in list(partner.sessions)[::2]:  # some connections end at the rotation
-                        partner.end(session)
+                        partner.close_session(session)
             if case == "new-ca":  # without an overlap the certificate is rejected until its root is loaded
                 for session in list(partner.sessions):
-                    partner.end(session)
-                await hand_in(client, "late")
-                await until(lambda: log.events("tls.handshake-failed") or partner.applied["k-late"])
-                fresh = tmp_path / "trust.new"
-                fresh.write_bytes(both)
-                fresh.replace(trust)
+                    partner.close_session(session)
+                await submit(client, "late")
+                await wait_until(lambda: log.events("tls.handshake-failed") or partner.applied["k-late"])
+                new_file = tmp_path / "trust.new"
+                new_file.write_bytes(both_roots)
+                new_file.replace(trust)
                 os.kill(os.getpid(), signal.SIGHUP)
-                await until(lambda: partner.applied["k-late"])
-            await until(lambda: all(partner.applied[f"k-m{i}"] for i in range(30)))
+                await wait_until(lambda: partner.applied["k-late"])
+            await wait_until(lambda: all(partner.applied[f"k-m{i}"] for i in range(30)))
         assert set(partner.applied.values()) == {1}
 
     play(work())
@@ -289,91 +293,93 @@
     tmp_path: Path, authority: Authority, log: Log
 ) -> None:
     async def work() -> None:
-        ours = tmp_path / "ours.crt", tmp_path / "ours.key"
-        first, second = (authority.issue(("us",), use=CLIENT) for _ in range(2))
-        install(first, *ours)
+        own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
+        first, second = (authority.issue(("us",), use=CLIENT_AUTH) for _ in range(2))
+        install_own_files(first, *own_files)
         partner = await TlsPartner(asking(server_context(authority.issue()), authority.file)).start()
-        seen: list[int] = []
+        serials: list[int] = []
 
         async def answer(session: Session, _request: bytes) -> bytes:
             certificate = session.tls.getpeercert()
             assert certificate is not None
-            seen.append(int(str(certificate["serialNumber"]), 16))
+            serials.append(int(str(certificate["serialNumber"]), 16))
             return OK
 
         partner.answer = answer
-        operator = PARTNER.format(ca=authority.file) + 'certificate = "{}"\nkey = "{}"\n'.format(*ours)
+        operator = PARTNER.format(ca=authority.file) + 'certificate = "{}"\nkey = "{}"\n'.format(*own_files)
         async with running(tmp_path, [partner], operator + "retire-within = 0.5\n") as (_, client):
-            await hand_in(client, "before")
-            await until(lambda: len(seen) == 1)
+            await submit(client, "before")
+            await wait_until(lambda: len(serials) == 1)
             # The key file still belongs to the old certificate.
-            ours[0].write_bytes(second.cert_file.read_bytes())
+            own_files[0].write_bytes(second.cert_file.read_bytes())
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: log.events("tls.files-rejected"))
-            await hand_in(client, "between")
-            await until(lambda: len(seen) == 2)
-            assert set(seen) == {first.certificate.serial_number}
-            install(second, *ours)
+            await wait_until(lambda: log.events("tls.files-rejected"))
+            await submit(client, "between")
+            await wait_until(lambda: len(serials) == 2)
+            assert set(serials) == {first.certificate.serial_number}
+            install_own_files(second, *own_files)
             os.kill(os.getpid(), signal.SIGHUP)
             i = 0
-            while seen[-1] != second.certificate.serial_number:
-                await hand_in(client, f"m{i}")
-                await until(lambda: partner.applied[f"k-m{i}"])  # noqa: B023
+            while serials[-1] != second.certificate.serial_number:
+                await submit(client, f"m{i}")
+                await wait_until(lambda: partner.applied[f"k-m{i}"])  # noqa: B023
                 i += 1
-            await hand_in(client, "after")
-            await until(lambda: partner.applied["k-after"])
+            await submit(client, "after")
+            await wait_until(lambda: partner.applied["k-after"])
         assert set(partner.applied.values()) == {1}
         assert not log.events("tls.handshake-failed")
-        refused = log.events("tls.files-rejected")[0]
-        assert "does not belong to the certificate" in refused["error"]
-        assert refused["partner"] == "dest:1"
+        rejection = log.events("tls.files-rejected")[0]
+        assert "does not belong to the certificate" in rejection["error"]
+        assert rejection["partner"] == "dest:1"
 
     play(work())
 
 
-def test_a_certificate_revoked_in_service_gets_no_further_call(
+def test_a_partner_with_a_revoked_certificate_gets_no_further_call(
     tmp_path: Path, authority: Authority, log: Log
 ) -> None:
     async def work() -> None:
-        issued, fresh = authority.issue(), authority.issue()
+        issued, replacement = authority.issue(), authority.issue()
         crl = authority.crl()
         partner = await TlsPartner(server_context(issued)).start()
         operator = PARTNER.format(ca=authority.file) + f'crl = "{crl}"\n'
         async with running(tmp_path, [partner], operator) as (_, client):
-            await hand_in(client, "before")
-            await until(lambda: partner.applied["k-before"])
+            await submit(client, "before")
+            await wait_until(lambda: partner.applied["k-before"])
             authority.crl(issued)
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: log.events("tls.files-reloaded"))
-            await hand_in(client, "after")
-            await until(lambda: log.events("tls.handshake-failed"))
+            await wait_until(lambda: log.events("tls.files-reloaded"))
+            await submit(client, "after")
+            await wait_until(lambda: log.events("tls.handshake-failed"))
             assert not partner.applied["k-after"]
-            partner.context = server_context(fresh)
-            await until(lambda: partner.applied["k-after"])
-        assert {one["failure"] for one in log.events("tls.handshake-failed")} == {"revoked"}
+            partner.context = server_context(replacement)
+            await wait_until(lambda: partner.applied["k-after"])
+        assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"revoked"}
         assert set(partner.applied.values()) == {1}
 
     play(work())
 
 
-def test_a_partner_back_cold_gets_a_clump_within_its_budget(tmp_path: Path, authority: Authority) -> None:
+def test_a_restarted_partner_gets_a_burst_within_its_handshake_budget(
+    tmp_path: Path, authority: Authority
+) -> None:
     async def work() -> None:
-        many = {**LISTED, "caps": {**SETTINGS["caps"], "max-open": 300}}
+        settings_with_300_open = {**ROUGH_RATES, "caps": {**SETTINGS["caps"], "max-open": 300}}
         issued = authority.issue()
         partner = await TlsPartner(server_context(issued)).start()
         partner.delay = 0.01
         operator = PARTNER.format(ca=authority.file) + "handshakes = 3\nhandshake-rate = 20\n"
-        async with running(tmp_path, [partner], operator, settings=many) as (_, client):
-            await hand_in(client, "warm")
-            await until(lambda: partner.applied["k-warm"])
+        async with running(tmp_path, [partner], operator, settings=settings_with_300_open) as (_, client):
+            await submit(client, "warm")
+            await wait_until(lambda: partner.applied["k-warm"])
             await partner.stop()
             for i in range(200):
-                await hand_in(client, f"m{i}")
+                await submit(client, f"m{i}")
             partner.context = server_context(issued)
             partner.most = 0
             partner.starts.clear()
             await partner.start()
-            await until(lambda: len(partner.applied) >= 40)
+            await wait_until(lambda: len(partner.applied) >= 40)
             assert partner.most <= 3
             assert partner.most_in(1.0) <= 20
         assert set(partner.applied.values()) == {1}
@@ -381,7 +387,7 @@
     play(work())
 
 
-def test_a_kill_in_the_middle_of_handshakes_loses_and_doubles_nothing(
+def test_a_kill_during_handshakes_neither_loses_nor_repeats_messages(
     tmp_path: Path, authority: Authority
 ) -> None:
     async def work() -> None:
@@ -391,17 +397,17 @@
         operator, port = PARTNER.format(ca=authority.file), free_port()
         async with running(tmp_path, [partner], operator, port) as (_, client):
             for i in range(5):
-                await hand_in(client, f"m{i}")
-            await until(lambda: partner.begun)
+                await submit(client, f"m{i}")
+            await wait_until(lambda: partner.begun)
         partner.stall = ""
         async with running(tmp_path, [partner], operator, port):
-            await until(lambda: len(partner.applied) == 5)
+            await wait_until(lambda: len(partner.applied) == 5)
         assert set(partner.applied.values()) == {1}
 
     play(work())
 
 
-def test_handshakes_stay_within_the_descriptors(tmp_path: Path, authority: Authority) -> None:
+def test_handshakes_stay_within_the_descriptor_limit(tmp_path: Path, authority: Authority) -> None:
     async def work() -> None:
         partners = []
         for _ in range(12):
@@ -409,13 +415,13 @@
             partner.stall = "accept"
             partners.append(await partner.start())
         operator = PARTNER.format(ca=authority.file).replace("dest = 1", 'kind = "small"')
-        few = {"sockets": 60, "disk_mb": 3}
+        limits = {"sockets": 60, "disk_mb": 3}
         agent, client = await Peer().start(), Peer()
-        members = [
-            {**endpoint_row(f"p{i}", i), "host_port": f"127.0.0.1:{one.port}"}
-            for i, one in enumerate(partners)
+        endpoints = [
+            {**endpoint_row(f"p{i}", i), "host_port": f"127.0.0.1:{partner.port}"}
+            for i, partner in enumerate(partners)
         ]
-        async with started(tmp_path, agent.port, members, operator, limits=few) as port:
+        async with started(tmp_path, agent.port, endpoints, operator, limits=limits) as port:
             await client.dial(port)
             assert client.connection is not None
             for i in range(40):
@@ -427,8 +433,8 @@
                 await receive(client, b"+OK\r\n")
             client.connection[1].write(b"PING\r\n")
             await receive(client, b"+PONG\r\n")
-            await until(lambda: any(one.sessions for one in partners))
-            open_now = sum(len(one.sessions) for one in partners)
+            await wait_until(lambda: any(partner.sessions for partner in partners))
+            open_now = sum(len(partner.sessions) for partner in partners)
             # Of 60 descriptors, those that are always open, calls and clients leave each transport
             # 2 connections that are idle or in a handshake.
             assert 1 <= open_now <= 3, open_now
@@ -436,7 +442,7 @@
     play(work())
 
 
-def test_an_end_without_close_notify_spoils_only_what_is_framed_by_the_end(
+def test_an_end_without_close_notify_breaks_only_a_response_that_the_end_delimits(
     tmp_path: Path, authority: Authority, log: Log
 ) -> None:
     async def work() -> None:
@@ -454,8 +460,8 @@
         partner.answer = answer
         await partner.start()
         async with running(tmp_path, [partner], PARTNER.format(ca=authority.file)) as (_, client):
-            await hand_in(client, "m")
-            await until(lambda: not replies)
+            await submit(client, "m")
+            await wait_until(lambda: not replies)
             journal = tmp_path / "state" / "journal"
             await poll_condition(lambda: b'"end"' in journal.read_bytes(), interval=0.01)
         (broken,) = log.events("tls.call-broken")
@@ -464,7 +470,7 @@
     play(work())
 
 
-def test_the_broker_is_spoken_to_over_tls_and_its_link_is_made_anew(
+def test_the_broker_is_reached_over_tls_and_reconnected_after_a_reload(
     tmp_path: Path, authority: Authority, log: Log
 ) -> None:
     async def work() -> None:
@@ -480,21 +486,23 @@
         client.paho.tls_set(str(authority.file))
         async with started(tmp_path, agent.port, [], operator):
             await asyncio.to_thread(client.connect, broker.port)
-            await until(lambda: broker.subscribed("n0-intake", "client"))
+            await wait_until(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("one", 1)
             await client.wait_for_answers(1)
-            before = broker.kept["n0-calls"].writer
+            writer_before = broker.kept["n0-calls"].writer
             (tmp_path / "other").mkdir()
             other = Authority(tmp_path / "other", "Other CA")
             trust.write_bytes(trust.read_bytes() + other.file.read_bytes())
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: log.events("tls.files-reloaded"))
-            await until(lambda: broker.kept["n0-calls"].writer not in (before, None))
+            await wait_until(lambda: log.events("tls.files-reloaded"))
+            await wait_until(lambda: broker.kept["n0-calls"].writer not in (writer_before, None))
             client.submit("two", 1)
             await client.wait_for_answers(2)
         client.paho.disconnect()
         client.paho.loop_stop()
-        assert {name: [one["status"] for one in told] for name, told in client.answers.items()} == {
+        assert {
+            name: [notice["status"] for notice in notices] for name, notices in client.answers.items()
+        } == {
             "one": ["delivered"],
             "two": ["delivered"],
         }
@@ -502,7 +510,9 @@
     play(work())
 
 
-def test_a_broker_of_the_wrong_name_gets_nothing(tmp_path: Path, authority: Authority, log: Log) -> None:
+def test_a_broker_with_the_wrong_name_receives_nothing(
+    tmp_path: Path, authority: Authority, log: Log
+) -> None:
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
         broker.secure = server_context(authority.issue(("other.example",)))
@@ -510,8 +520,8 @@
         operator = OPERATOR.format(port=broker.port, dest=1)
         operator += f'[mqtt.tls]\nca = "{authority.file}"\nserver-name = "localhost"\n'
         async with started(tmp_path, agent.port, [], operator):
-            await until(lambda: len(log.events("tls.handshake-failed")) >= 3)
-        assert {one["failure"] for one in log.events("tls.handshake-failed")} == {"wrong-name"}
+            await wait_until(lambda: len(log.events("tls.handshake-failed")) >= 3)
+        assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"wrong-name"}
         assert not broker.kept
 
     play(work())
@@ -522,9 +532,9 @@
 
     async def work() -> None:
         partner = await TlsPartner(server_context(authority.issue())).start()
-        agent, port = await Agent(members_of([partner])).start(), free_port()
+        agent, port = await Agent(endpoint_rows([partner])).start(), free_port()
         config, operator = write(
-            tmp_path, port, agent.port, agent.members, PARTNER.format(ca=authority.file), settings=LISTED
+            tmp_path, port, agent.port, agent.members, PARTNER.format(ca=authority.file), settings=ROUGH_RATES
         )
         command = [sys.executable, "-m", "honeyhitch", "serve", "--config", config]
         command += ["--operator", str(operator)]
@@ -539,20 +549,20 @@
 
         program, client = await start()
         try:
-            await hand_in(client, "ran")
-            await until(lambda: partner.applied["k-ran"])
+            await submit(client, "ran")
+            await wait_until(lambda: partner.applied["k-ran"])
             partner.stall = "flight"
             for session in list(partner.sessions):
                 session.writer.transport.abort()
             begun = partner.begun
             for i in range(6):
-                await hand_in(client, f"m{i}")
-            await until(lambda: partner.begun > begun)
+                await submit(client, f"m{i}")
+            await wait_until(lambda: partner.begun > begun)
             program.send_signal(signal.SIGKILL)
             program.wait()
             partner.stall = ""
             program, _ = await start()
-            await until(lambda: len(partner.applied) == 7)
+            await wait_until(lambda: len(partner.applied) == 7)
         finally:
             program.kill()
             program.wait()
@@ -562,16 +572,16 @@
     play(work())
 
 
-def test_a_partners_certificate_that_nears_its_end_is_told(
+def test_a_partners_certificate_that_expires_soon_is_logged(
     tmp_path: Path, authority: Authority, log: Log
 ) -> None:
     async def work() -> None:
         partner = await TlsPartner(server_context(authority.issue(end=3))).start()
         async with running(tmp_path, [partner], PARTNER.format(ca=authority.file)) as (_, client):
-            await hand_in(client, "m")
-            await until(lambda: partner.applied["k-m"])
-        (told,) = log.events("tls.certificate-expiring")
-        assert (told["whose"], told["partner"]) == ("partner", "dest:1")
-        assert 2 < told["days_left"] <= 3
+            await submit(client, "m")
+            await wait_until(lambda: partner.applied["k-m"])
+        (warning,) = log.events("tls.certificate-expiring")
+        assert (warning["whose"], warning["partner"]) == ("partner", "dest:1")
+        assert 2 < warning["days_left"] <= 3
 
     play(work())
--- a/tests/tls_partner.py
+++ b/tests/tls_partner.py
@@ -18,13 +18,13 @@
 from .authority import Issued
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-RESUMED = 0.25  # of a full handshake's cost, as in the dispatcher's handshake budget
+RESUMED_WEIGHT = 0.25  # of a full handshake's cost, as in the dispatcher's handshake budget
 
 
-def server_context(issued: Issued, least: str = "1.2", most: str = "1.3") -> ssl.SSLContext:
+def server_context(issued: Issued, min_version: str = "1.2", max_version: str = "1.3") -> ssl.SSLContext:
     versions = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.minimum_version, context.maximum_version = versions[least], versions[most]
+    context.minimum_version, context.maximum_version = versions[min_version], versions[max_version]
     context.load_cert_chain(issued.cert_file, issued.key_file)
     return context
 
@@ -47,8 +47,8 @@
     outgoing: ssl.MemoryBIO
     resumed: bool = False
     requests: int = 0
-    over: bool = False  # ended by the partner, which handles no further request on it
-    plain: bytearray = field(default_factory=bytearray)
+    ended_by_partner: bool = False  # ended by the partner, which handles no further request on it
+    plaintext: bytearray = field(default_factory=bytearray)
 
 
 class TlsPartner:
@@ -57,20 +57,20 @@
     def __init__(self, context: ssl.SSLContext) -> None:
         self.context = context
         self.stall: str = ""  # "accept", "hello" or "flight": the handshake step at which it stops sending
-        self.split = 0  # maximum bytes in a write; 0 writes all at once
-        self.before = b""  # bytes sent unencrypted before the handshake
+        self.max_write_bytes = 0  # maximum bytes in a write; 0 writes all at once
+        self.plaintext_prefix = b""  # bytes sent unencrypted before the handshake
         self.answer: Callable[[Session, bytes], Awaitable[bytes | None]] | None = None
         self.delay = 0.0  # seconds to wait before each received part of a handshake is processed
         self.sessions: set[Session] = set()
         self.applied: Counter[str] = Counter()  # requests by idempotency key
-        self.begun = self.full = self.resumed = self.failed = 0
-        self.now = self.most = 0  # handshakes that run at once, and the most that did
+        self.begun = self.full = self.resumed = self.failed = 0  # counts of handshakes
+        self.running = self.most = 0  # handshakes that run at once, and the most that did
         self.starts: list[list[float]] = []  # start time in seconds and weight of each handshake
         self.server: asyncio.Server | None = None
         self.port = 0
 
     async def start(self) -> TlsPartner:
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", self.port, backlog=512)
+        self.server = await asyncio.start_server(self._handle_connection, "127.0.0.1", self.port, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -82,19 +82,22 @@
             session.writer.transport.abort()
         self.sessions.clear()
 
-    def end(self, session: Session) -> None:
+    def close_session(self, session: Session) -> None:
         """Close a connection without close_notify once its responses are sent."""
-        session.over = True
+        session.ended_by_partner = True
         session.writer.close()
 
     def most_in(self, window: float) -> float:
         """Return the greatest total weight of the handshakes that began within any `window` seconds."""
-        most = 0.0
-        for at, _ in self.starts:
-            most = max(most, sum(weight for began, weight in self.starts if at <= began < at + window))
-        return most
-
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        greatest = 0.0
+        for window_start, _ in self.starts:
+            greatest = max(
+                greatest,
+                sum(weight for began, weight in self.starts if window_start <= began < window_start + window),
+            )
+        return greatest
+
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         tls = self.context.wrap_bio(incoming, outgoing, server_side=True)
         session = Session(reader, writer, tls, incoming, outgoing)
@@ -111,13 +114,13 @@
                 writer.close()
 
     async def _handshake(self, session: Session) -> bool:
-        if self.before:
-            session.writer.write(self.before)
+        if self.plaintext_prefix:
+            session.writer.write(self.plaintext_prefix)
         if self.stall == "accept":
             await asyncio.Event().wait()
         start = [asyncio.get_running_loop().time(), 1.0]
-        self.begun, self.now = self.begun + 1, self.now + 1
-        self.most = max(self.most, self.now)
+        self.begun, self.running = self.begun + 1, self.running + 1
+        self.most = max(self.most, self.running)
         self.starts.append(start)
         try:
             while not await self._continue_handshake(session):
@@ -127,10 +130,10 @@
             self.failed += 1
             raise
         finally:
-            self.now -= 1
+            self.running -= 1
         session.resumed = bool(session.tls.session_reused)
         if session.resumed:
-            self.resumed, start[1] = self.resumed + 1, RESUMED
+            self.resumed, start[1] = self.resumed + 1, RESUMED_WEIGHT
         else:
             self.full += 1
         await self.flush(session)
@@ -162,50 +165,50 @@
 
     async def flush(self, session: Session) -> None:
         data = session.outgoing.read()
-        step = self.split or len(data)
-        for at in range(0, len(data), max(1, step)):
-            session.writer.write(data[at : at + step])
+        chunk_size = self.max_write_bytes or len(data)
+        for offset in range(0, len(data), max(1, chunk_size)):
+            session.writer.write(data[offset : offset + chunk_size])
             await session.writer.drain()
-            if self.split:
+            if self.max_write_bytes:
                 await asyncio.sleep(0)
 
     async def _serve(self, session: Session) -> None:
         while True:
-            request = await self._request(session)
-            if request is None or session.over:
+            request = await self._read_request(session)
+            if request is None or session.ended_by_partner:
                 return
             session.requests += 1
             key = re.search(rb"Idempotency-Key: (\S+)", request)
-            reply: bytes | None = OK
+            response: bytes | None = OK
             if self.answer is not None:
-                reply = await self.answer(session, request)
-            if reply is None:
+                response = await self.answer(session, request)
+            if response is None:
                 return
-            if key is not None and reply.startswith(b"HTTP/1.1 200"):
+            if key is not None and response.startswith(b"HTTP/1.1 200"):
                 self.applied[key[1].decode()] += 1
-            session.tls.write(reply)
+            session.tls.write(response)
             await self.flush(session)
 
-    async def _request(self, session: Session) -> bytes | None:
+    async def _read_request(self, session: Session) -> bytes | None:
         while True:
-            head, found, rest = bytes(session.plain).partition(b"\r\n\r\n")
-            if found:
+            head, separator, rest = bytes(session.plaintext).partition(b"\r\n\r\n")
+            if separator:
                 length = re.search(rb"Content-Length: (\d+)", head)
-                want = int(length[1]) if length else 0
-                if len(rest) >= want:
-                    session.plain[:] = rest[want:]
-                    return head + found + rest[:want]
+                body_length = int(length[1]) if length else 0
+                if len(rest) >= body_length:
+                    session.plaintext[:] = rest[body_length:]
+                    return head + separator + rest[:body_length]
             try:
                 data = session.tls.read(65536)
                 if not data:
                     return None
-                session.plain += data
+                session.plaintext += data
                 continue
             except ssl.SSLWantReadError:
                 pass
             except ssl.SSLZeroReturnError:
                 return None
-            came = await session.reader.read(65536)
-            if not came:
+            received = await session.reader.read(65536)
+            if not received:
                 return None
-            session.incoming.write(came)
+            session.incoming.write(received)
