--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -101,7 +101,7 @@
         server.tls.unwrap()
     machine.feed(server.outgoing.read())
     assert machine.take_plaintext() == b"x"
-    assert machine.phase is Phase.ENDED  # type: ignore[comparison-overlap]  # it changes as bytes are fed
+    assert machine.phase is Phase.ENDED  # type: ignore[comparison-overlap]  # the phase changes as bytes are fed
     assert machine.failure is None
     with pytest.raises(TlsError):
         machine.send(HELLO)
@@ -389,7 +389,7 @@
     with pytest.raises(TlsError) as error:
         open_connection(create_partners(pins[0], pins[1]), context)
     assert error.value.failure is Failure.PIN_MISMATCH
-    partners = create_partners(pins[0], pins[2])  # the first pin is stale, its backup is good
+    partners = create_partners(pins[0], pins[2])  # the first pin is stale, the second one matches
     assert not open_connection(partners, context).resumed
     assert open_connection(partners, context).resumed
     state = partners.find("m", 1, "")
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -448,8 +448,10 @@
     async def work() -> None:
         partner = TlsPartner(server_context(authority.issue()))
         replies = [
-            b"HTTP/1.1 500 No\r\nConnection: close\r\n\r\nhalf of a bo",  # ended by the connection's end
-            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",  # complete, by its length
+            # The end of the connection delimits this body.
+            b"HTTP/1.1 500 No\r\nConnection: close\r\n\r\nhalf of a bo",
+            # This body is complete by its Content-Length.
+            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
         ]
 
         async def answer(session: Session, _request: bytes) -> bytes | None:
