--- a/honeyhitch/dead_letters/retention.py
+++ b/honeyhitch/dead_letters/retention.py
@@ -5,11 +5,8 @@
 from honeyhitch.dead_letters.connection import StoreConnection
 from honeyhitch.dead_letters.records import DroppedRecords, RecordStatus
 
-TABLES = (
-    "plan",
-    "detail",
-    "record",
-)  # that hold rows of a record; the table that the others reference is last
+# The tables that hold rows of a record. The table that the others reference is last.
+TABLES = ("plan", "detail", "record")
 MAX_NAMED_IDS = 5  # number of ids of dropped records that are reported
 NO_LIMIT = -1
 
--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -34,12 +34,10 @@
 }
 UNKNOWN_BATCH_RESULT = (Outcome.ERROR, False)
 # The number of decimals is not limited: the text of a float may have 17 of them, and more.
-LOAD_FIGURE = re.compile(
-    r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII
-)  # a number of more than 12 digits is not a load figure
-RETRY_AFTER_SECONDS = re.compile(
-    r"\d+(\.\d*)?|\.\d+", re.ASCII
-)  # any length: a very long pause is valid, too
+# A number of more than 12 digits is not a load figure.
+LOAD_FIGURE = re.compile(r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII)
+# The number of digits is not limited, because a very long pause is valid.
+RETRY_AFTER_SECONDS = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)
 
 
 def encode_call(messages: list[Transaction], timeout: int, host: str) -> bytes:
--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -16,9 +16,8 @@
 
 MAX_LIST_BYTES = 4 << 20  # bytes of one list
 MAX_QUOTED_LENGTH = 80  # bytes of malformed input that are quoted in an error
-JSON_TOKEN = re.compile(
-    rb'"(?:[^"\\]|\\.)*"|[{}\[\]]'
-)  # only strings and brackets are needed to find the end of an object
+# Only strings and brackets are needed to find the end of an object.
+JSON_TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')
 OPENING_BRACKETS = b"{["
 CLOSING_BRACKETS = b"}]"
 ACCEPT_JSON = {"Accept": "application/json"}
--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -141,9 +141,8 @@
         headers = self.response.headers
         self.has_body_framing = "content-length" in headers or "transfer-encoding" in headers
         if self.on_body_chunk is None and int(headers.get("content-length", "0")) > self.max_bytes:
-            raise HttpError(
-                f"response: Content-Length is over {self.max_bytes} bytes"
-            )  # raised without waiting for the body
+            # The error is raised without waiting for the body.
+            raise HttpError(f"response: Content-Length is over {self.max_bytes} bytes")
 
     def on_body(self, body: bytes) -> None:
         """Collect a part of the body or pass it to `on_body_chunk`."""
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -61,11 +61,8 @@
     AUTH = 15
 
 
-REQUIRED_FLAGS = {
-    Kind.PUBREL: 2,
-    Kind.SUBSCRIBE: 2,
-    Kind.UNSUBSCRIBE: 2,
-}  # [MQTT-2.1.3-1]; all other types require 0
+# All other packet types require the flags 0 [MQTT-2.1.3-1].
+REQUIRED_FLAGS = {Kind.PUBREL: 2, Kind.SUBSCRIBE: 2, Kind.UNSUBSCRIBE: 2}
 ACKNOWLEDGEMENTS = (Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP)
 
 # Encodings of properties (2.2.2.2).
@@ -137,9 +134,8 @@
     keep_alive: int = 0  # CONNECT, in seconds
     username: str | None = None  # CONNECT
     password: bytes | None = None  # CONNECT
-    filters: list[tuple[str, int]] = field(
-        default_factory=list
-    )  # SUBSCRIBE: with options; UNSUBSCRIBE: with 0
+    # Topic filters: in SUBSCRIBE with their options, in UNSUBSCRIBE with 0.
+    filters: list[tuple[str, int]] = field(default_factory=list)
     reasons: list[int] = field(default_factory=list)  # SUBACK, UNSUBACK
 
 
--- a/tests/broker.py
+++ b/tests/broker.py
@@ -21,12 +21,10 @@
     """The session of one client."""
 
     filters: dict[str, int] = field(default_factory=dict)
-    unacknowledged: dict[int, Packet] = field(
-        default_factory=dict
-    )  # PUBLISH and PUBREL packets that were sent and not acknowledged
-    unreleased: set[int] = field(
-        default_factory=set
-    )  # QoS 2: identifiers of accepted publishes whose PUBREL is missing
+    # PUBLISH and PUBREL packets that were sent and not acknowledged, by packet identifier.
+    unacknowledged: dict[int, Packet] = field(default_factory=dict)
+    # QoS 2: identifiers of accepted PUBLISH packets whose PUBREL has not arrived.
+    unreleased: set[int] = field(default_factory=set)
     writer: asyncio.StreamWriter | None = None
     last_packet_id: int = 0
 
@@ -36,9 +34,8 @@
 
     def __init__(self) -> None:
         self.kept: dict[str, ClientSession] = {}
-        self.partner: Callable[[Packet], Packet | None] | None = (
-            None  # without a callback publishes to partner/... are routed as usual
-        )
+        # Without this callback, PUBLISH packets to partner/... are routed as usual.
+        self.partner: Callable[[Packet], Packet | None] | None = None
         self.published: list[Packet] = []
         self.answers_held = False
         self.secure: ssl.SSLContext | None = None  # None for TCP without TLS
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -59,12 +59,8 @@
     "deliver", "refuse", "reset-before", "reset-after", "late", "late-lost", "500-after", "500-before",
     "spoilt", "part",
 )  # fmt: skip
-APPLYING_MODES = (
-    "deliver",
-    "reset-after",
-    "500-after",
-    "spoilt",
-)  # modes in which the receiver applies all messages
+# The modes in which the receiver applies all messages.
+APPLYING_MODES = ("deliver", "reset-after", "500-after", "spoilt")
 OUTCOME_OF_MODE = {
     "deliver": Outcome.DELIVERED,
     "refuse": Outcome.REJECTED,
@@ -86,9 +82,8 @@
     """
 
     ledger: dict[str, list[int]] = field(default_factory=dict)
-    due: list[tuple[int, int, str, int]] = field(
-        default_factory=list
-    )  # time, order, key and deduplication window
+    # Each item is a time, an order number, a key and a deduplication window.
+    due: list[tuple[int, int, str, int]] = field(default_factory=list)
     sequence: int = 0
 
     def schedule_apply(self, apply_at: int, message: Transaction) -> None:
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -229,9 +229,8 @@
 
 def test_changes_require_a_selection_and_a_reason(tmp_path: Path) -> None:
     store_options = fill_store(tmp_path / "s", 450)
-    cli(
-        *store_options, "discard", "--why", "x", code=2
-    )  # a change without a selection must not apply to all records
+    # A change without a selection must not apply to all records.
+    cli(*store_options, "discard", "--why", "x", code=2)
     cli(*store_options, "discard", "3", "--tenant", "t1", "--why", "x", code=2)
     cli(*store_options, "discard", "3", code=2)
     cli(*store_options, "show", "nobody", code=1)
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -189,9 +189,8 @@
     backoff.watch_opened()
     backoff.data_received()
     backoff.timed_out()
-    elapsed = HEARTBEAT_TIMEOUT_SECONDS + backoff.next_pause(
-        HEARTBEAT_TIMEOUT_SECONDS, False
-    )  # the first watch had received data just before it fell silent
+    # The first watch received data just before the agent fell silent.
+    elapsed = HEARTBEAT_TIMEOUT_SECONDS + backoff.next_pause(HEARTBEAT_TIMEOUT_SECONDS, False)
     backoff.watch_opened()
     elapsed += backoff.read_timeout
     backoff.timed_out()
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -309,14 +309,8 @@
     "control": Control,
     "management": Management,
 }
-STREAMS = (
-    "resp",
-    "call",
-    "watch",
-    "health",
-    "control",
-    "management",
-)  # byte streams, whose input may be split at any position
+# Byte streams, whose input may be split at any position.
+STREAMS = ("resp", "call", "watch", "health", "control", "management")
 FAULTS = (http1.HttpError, discovery.WatchError, MqttError, PoolError, FieldError)
 
 
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -40,9 +40,8 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(enqueue("id", left=500))
             assert await reader.readline() == b"+OK\r\n"
-            silent = [
-                await agent.connections.get() for _ in range(dead)
-            ]  # kept open, because a closed connection would be detected immediately
+            # The connections stay open, because a closed connection would be detected immediately.
+            silent = [await agent.connections.get() for _ in range(dead)]
             for connection in silent:
                 assert await read_notice_id(connection) == "id"
             responding = await agent.connections.get()
