--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True)
 class DuplicateCase:
-    """The latest dead letter with a key, as its duplicates need it. Times are Unix times in nanoseconds."""
+    """What is known of the latest dead letter with a key, to decide what happens to its duplicates.
+
+    Times are Unix times in nanoseconds.
+    """
 
     state: DuplicateState
     ended_at: int  # duplicates are recognised for the index's `retention` after this time
@@ -126,13 +129,13 @@
             return ArrivalDecision.DELIVER
         if case.resend_attempted and case.first_execution is not None:
             transaction.earlier_execution = case.first_execution
-        if transaction.attempt_count:  # in flight before a restart; no resend has started since
+        if transaction.attempt_count:  # attempted before a restart; no resend has started since then
             return ArrivalDecision.DELIVER
         if case.state is DuplicateState.RESENDING:
             return ArrivalDecision.WAIT
         if case.state is not DuplicateState.RESENT:
             return ArrivalDecision.DELIVER
-        if _deduplication_window_is_over(case, now):  # the receiver takes the key for that of a new message
+        if _deduplication_window_is_over(case, now):  # the receiver treats the key as that of a new message
             transaction.earlier_execution = None
             return ArrivalDecision.DELIVER
         return ArrivalDecision.ALREADY_DELIVERED
--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -53,8 +53,8 @@
     """Return whether the message may be resent at `now` (Unix time in nanoseconds).
 
     `grace` is how long after the client's retry time a duplicate from the client is still expected.
-    `resend_duration` is the longest time that a resend may take: a resend that could run past the
-    deduplication window of a keyed message must not begin. Both are in nanoseconds.
+    `resend_duration` is the time that a resend is expected to take: the resend of a keyed message may begin
+    only if at least this much of the deduplication window is left. Both are in nanoseconds.
     """
     if history.client_retry_at is not None:
         expected_until = history.client_retry_at + grace
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -2,7 +2,8 @@
 
 A message stays in the journal until the store's transaction has been committed. If the process is killed in
 between, the transfer is repeated, finds the record already in the store, and changes nothing. While the store
-fails, messages wait in the journal, in a fraction of it that leaves room for live traffic.
+fails, messages wait in the journal. They may take only a fraction of its space, so that room is left for live
+traffic.
 """
 
 from __future__ import annotations
@@ -24,7 +25,8 @@
 BATCH_SIZE = 64  # messages per transaction of the store
 MIN_RETRY_PAUSE = SECOND  # between attempts while the store fails
 MAX_RETRY_PAUSE = 60 * SECOND
-MAX_JOURNAL_FRACTION = 0.25  # of the journal's disk space, at most for messages that only wait for the store
+# Largest part of the journal's disk space that messages which only wait for the store may take.
+MAX_JOURNAL_FRACTION = 0.25
 
 
 @dataclass(slots=True)
--- a/honeyhitch/dead_letters/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -1,7 +1,8 @@
 """The operations on a store that operators request, through a running dispatcher or from the command line.
 
-Each operation takes and returns values that can be written as JSON, and works on one page of records at most:
-a long task is split into many short transactions, and each answer says after which record to continue.
+Each operation takes and returns values that can be written as JSON, and works on at most one page of records.
+A long task is therefore split into many short transactions, and each answer contains the number of the record
+after which to continue.
 """
 
 from __future__ import annotations
@@ -293,7 +294,7 @@
 def execute(store: Store, name: str, arguments: Arguments, actor: str) -> Answer:
     """Run the operation with this name and return its answer.
 
-    Raises OperationError if the request is invalid or the store is damaged, and sqlite3.Error if the
+    Raise OperationError if the request is invalid or the store is damaged, and sqlite3.Error if the
     database cannot be read or written.
     """
     try:
--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -55,7 +55,7 @@
     body: bytes
     sequence: int = 0  # number of the record in the store, 0 before it is stored
     status: RecordStatus = RecordStatus.PENDING
-    settled_by: str = ""
+    settled_by: str = ""  # what resolved the record: resend:ID, copy:ID, record:NUMBER or person:NAME
     evidence: str = ""  # receiver's statement that the message was not applied, cited for its release
     resend_count: int = 0
     resend_id: str = ""  # id of the latest resend
--- a/honeyhitch/dead_letters/report.py
+++ b/honeyhitch/dead_letters/report.py
@@ -1,6 +1,7 @@
 """The report for accountants: dispositions of undelivered messages by destination, tenant, reason and day.
 
-The report counts records as they are read from the store, and keeps only the sums. Jinja2 renders it.
+The report counts records as they are read from the store, and keeps only the sums. Jinja2 renders it as an
+HTML page.
 """
 
 from __future__ import annotations
--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -71,6 +71,7 @@
         self.rules = settings.rules
         self.max_records = settings.limits.max_records
         policy_settings = dispatcher.settings
+        # By class name: the time in nanoseconds that a resend is expected to take.
         self.resend_durations = {
             name: message_class.latency_objective
             for name, message_class in zip(policy_settings.class_names, policy_settings.classes, strict=True)
@@ -94,7 +95,7 @@
     # Start and change of rules.
 
     def load(self, on_ready: Callable[[], None]) -> None:
-        """Load the state of the store. `on_ready` is called when that has succeeded or failed."""
+        """Load the state of the store. `on_ready` is called when loading has succeeded or failed."""
         messages = self.dispatcher.messages
         for transaction in (*messages.by_id.values(), *messages.pending_dead_letters.values()):
             is_live = transaction.ending is None or _awaits_store(transaction)
@@ -254,7 +255,7 @@
     # Methods of a frontend: the ending of a resend.
 
     def answer(self, transaction: Transaction) -> None:
-        """Write a resend's ending into its record, and remove the resend from the journal after that."""
+        """Write a resend's ending into its record, and then remove the resend from the journal."""
         if transaction.id not in self.resends_in_progress:  # recovered from the journal at a start
             self._track(transaction, self.scheduler.now())
 
@@ -378,7 +379,7 @@
             self._stop_waiting(transaction, key)
 
     def dead_letter_stored(self, transaction: Transaction) -> None:
-        """Handle that the dead-letter store has stored or discarded a dead letter."""
+        """Stop counting a dead letter as live after it was stored or discarded, and query the store soon."""
         self.duplicates.remove_live(transaction)
         self.refresh_soon()
 
--- a/honeyhitch/dead_letters/resend_store.py
+++ b/honeyhitch/dead_letters/resend_store.py
@@ -1,8 +1,8 @@
 """The steps of a resend in the store. Each is one transaction, and may be repeated after a kill.
 
 A record is claimed for a resend whose id is derived from the record, so that a repeated claim names the same
-resend. The record has the status RESENDING until the resend's ending is written into it. Then it is settled,
-or pending again with the resend's attempts added to its history.
+resend. The record has the status RESENDING until the resend's ending is written into it. Then the record is
+settled, or it is pending again with the resend's attempts added to its history.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResendRules:
-    """The operator's rules and, for each message class by name, the time a resend needs, in nanoseconds."""
+    """The operator's rules, and the time in nanoseconds that a resend is expected to take, by class name."""
 
     rules: tuple[Rule, ...]
     durations: Mapping[str, int]
@@ -124,9 +124,10 @@
 def due_candidates(
     store: Store, demand: Mapping[int, DestinationDemand], rules: ResendRules, now: int
 ) -> list[ResendCandidate]:
-    """Return the records that may be resent now, at most as many for each destination as are demanded.
+    """Return the records that may be resent now, at most `max_resends` for each destination in `demand`.
 
-    Other due records are scheduled for later, removed from the schedule, or discarded if a rule says so.
+    Due records that may not be resent now are scheduled for later, removed from the schedule, or discarded if
+    a rule requires that.
     """
     candidates = list[ResendCandidate]()
     with store.transaction():
@@ -221,7 +222,7 @@
 def finish(store: Store, resend: Transaction) -> Record | None:
     """Write a resend's ending into the record that was claimed for the resend.
 
-    Returns the record in its new state, or None if the store has no intact record for the resend.
+    Return the record in its new state, or None if the store has no intact record for the resend.
     """
     with store.transaction():
         record = _intact(store, int(resend.reply_context))
@@ -256,9 +257,10 @@
 
 
 def release_lost_resends(store: Store, journaled_ids: frozenset[str]) -> int:
-    """Make records pending again whose resend is missing from the journal, and return how many there were.
+    """Make records pending again whose resend is missing from the journal, and return their number.
 
-    A resend is missing if the journal's directory was lost, for example. It may have been executed.
+    A resend is missing if the journal's directory was lost, for example. A missing resend may have been
+    executed.
     """
     count = 0
     with store.transaction():
--- a/honeyhitch/dead_letters/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -84,7 +84,8 @@
 ) -> ResendDecision:
     """Return whether the record may be resent at `now`, by a rule or at an operator's request.
 
-    `now` is a Unix time and `resend_duration` the time that the resend takes, both in nanoseconds.
+    `now` is a Unix time, and `resend_duration` is the time that a resend is expected to take, both in
+    nanoseconds.
     """
     history = execution_history(record, resend_settings)
     return decide_resend(history, now, resend_settings.client_retry_grace, resend_duration)
@@ -95,7 +96,7 @@
 ) -> Plan:
     """Return the action to take on a record at `now` (Unix time in nanoseconds).
 
-    `resend_duration` is the time in nanoseconds that a resend needs.
+    `resend_duration` is the time in nanoseconds that a resend is expected to take.
     """
     if record.status is not RecordStatus.PENDING:
         return Plan(Step.NONE, record.status.value)
--- a/honeyhitch/dead_letters/seal.py
+++ b/honeyhitch/dead_letters/seal.py
@@ -1,7 +1,7 @@
 """Seals: a keyed BLAKE3 hash of each record, so that a record altered on disk is detected and never resent.
 
-The keys are in a separate file (mode 0600). The newest key makes seals; older keys verify theirs until they
-are deleted.
+The keys are in a separate file (mode 0600). The newest key makes seals; an older key verifies the seals that
+it made, until the key is deleted.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
             raise SealError(f"{path}: cannot be written: {error.strerror}") from error
 
     def add(self) -> None:
-        """Add a new key, which makes all seals from now on; the older keys still verify theirs."""
+        """Add a new key, which makes all seals from now on; older keys still verify the seals they made."""
         self.current += 1
         self.keys[self.current] = secrets.token_bytes(KEY_BYTES)
 
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -100,7 +100,7 @@
     async def execute(self, operation: str, arguments: dict[str, Any], actor: str) -> dict[str, Any]:
         """Run an operation on the store (operations.py) and return its answer.
 
-        Raises StoreBusyError if the queue to the store is full, OperationError if the request is invalid or
+        Raise StoreBusyError if the queue to the store is full, OperationError if the request is invalid or
         the store is damaged, and StoreError or sqlite3.Error if the store cannot be opened, read or written.
         """
         worker = self._reader if operation in operations.READS else self._writer
@@ -109,7 +109,7 @@
         )
 
     async def _run(self, worker: StoreWorker, job: Job) -> Any:
-        """Return the job's result. Raises StoreBusyError if the queue is full, and any error of the job."""
+        """Return the job's result. Raise StoreBusyError if the queue is full, and any error of the job."""
         future: asyncio.Future[Any] = self._loop.create_future()
 
         def on_done(result: Any) -> None:
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -24,7 +24,7 @@
     """A store with its write operations, which are for the one process that holds the lock."""
 
     def add(self, records: Iterable[Record]) -> list[DroppedRecords]:
-        """Store these records, and return the records that the store's limits required to drop.
+        """Store these records, and return the records that were dropped because of the store's limits.
 
         A record that is already stored is not changed. A delivered duplicate is not stored, but settles the
         records with its key; an undelivered duplicate replaces them.
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -39,7 +39,8 @@
     def submit(self, job: Job, on_done: JobCallback) -> bool:
         """Queue a job and return True, or return False if the queue is full.
 
-        `on_done` is called on the event loop with the result of each queued job, also if the job failed.
+        `on_done` is called on the event loop with the result of the queued job, or with the exception that
+        the job raised.
         """
         try:
             self._jobs.put_nowait((job, on_done))
@@ -79,7 +80,7 @@
         try:
             results = self._run_in_transaction([job for job, _ in batch])
         except Exception as error:  # noqa: BLE001  # the error must reach the callback and not end the thread
-            if len(batch) > 1:  # one job may have failed: run each job in a separate transaction
+            if len(batch) > 1:  # a single job may be the cause: run each job in a separate transaction
                 for queued in batch:
                     self._run_batch([queued])
                 return
--- a/honeyhitch/protocols/agent_check.py
+++ b/honeyhitch/protocols/agent_check.py
@@ -16,7 +16,7 @@
 
 
 def weight_percent(state: DispatcherState) -> int:
-    """Return the unused percentage of the message limit, at least 1 because HAProxy takes 0 for a drain."""
+    """Return the unused percentage of the message limit, at least 1 because HAProxy treats 0 as a drain."""
     used = PERCENT * state.message_count // max(1, state.max_messages)
     return max(1, PERCENT - used)
 
--- a/honeyhitch/protocols/calls.py
+++ b/honeyhitch/protocols/calls.py
@@ -33,8 +33,8 @@
     "no_more": (Outcome.NOT_SENT, False),
 }
 UNKNOWN_BATCH_RESULT = (Outcome.ERROR, False)
-# The number of decimals is not limited: the text of a float may have 17 of them, and more.
-# A number of more than 12 digits is not a load figure.
+# A number with more than 12 digits before the point is not a load figure. The number of decimals is not
+# limited, because the text of a float may have 17 or more of them.
 LOAD_FIGURE = re.compile(r"\d{1,12}(\.\d*)?|\.\d+", re.ASCII)
 # The number of digits is not limited, because a very long pause is valid.
 RETRY_AFTER_SECONDS = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)
--- a/honeyhitch/protocols/control.py
+++ b/honeyhitch/protocols/control.py
@@ -99,7 +99,7 @@
     def feed(self, data: bytes) -> None:
         """Parse received bytes and append the complete requests to `requests`.
 
-        Raise ControlError for an invalid request; the caller sends it as the response, and closes the
+        Raise ControlError for an invalid request; the caller sends the error as the response, and closes the
         connection.
         """
         self.bytes_received += len(data)
@@ -136,7 +136,7 @@
             raise self._close_with(HTTPStatus.REQUEST_URI_TOO_LONG, "request: its path is too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Raise ControlError if Content-Length is too long, without waiting for the body."""
+        """Raise ControlError if Content-Length exceeds MAX_BODY_BYTES, without waiting for the body."""
         if name.lower() == b"content-length" and value.isdigit():
             self._check_body_size(int(value[:MAX_LENGTH_DIGITS]))
 
--- a/honeyhitch/protocols/discovery_backoff.py
+++ b/honeyhitch/protocols/discovery_backoff.py
@@ -48,7 +48,7 @@
 
     @property
     def retry_pause(self) -> float:
-        """The pause before the next request: none after one or two failures, then doubled by each."""
+        """The pause before the next request: 0 after one or two failures, then doubled by each failure."""
         if self.failures <= IMMEDIATE_RETRIES:
             return 0.0
         return min(self.maximum, self.initial * 2.0 ** (self.failures - IMMEDIATE_RETRIES - 1))
--- a/honeyhitch/protocols/http1.py
+++ b/honeyhitch/protocols/http1.py
@@ -133,7 +133,7 @@
             self.response.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Store status and body framing after the headers. Raise HttpError if Content-Length is too long."""
+        """Store status and body framing after the headers. Raise HttpError if Content-Length is too large."""
         if self.complete:
             return
         self.response.status = self.parser.get_status_code()
--- a/honeyhitch/protocols/mqtt.py
+++ b/honeyhitch/protocols/mqtt.py
@@ -145,8 +145,8 @@
     ) -> OutgoingPublish:
         """Send a PUBLISH with QoS 1 or 2 as soon as the server's receive maximum allows, and return it.
 
-        `packet_factory` is called just before that and returns the packet to send instead. If it returns
-        None, nothing is sent and `on_done` is not called.
+        `packet_factory` is called just before the PUBLISH is sent, and returns the packet to send instead. If
+        it returns None, nothing is sent and `on_done` is not called.
         """
         packet.dup = False  # a packet that was sent before and rejected may be published again
         publish = OutgoingPublish(packet, on_done, packet_factory)
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -81,7 +81,10 @@
         self.listener.listen(MAX_CONNECTIONS)
 
     def _remove_stale_socket(self) -> None:
-        """Remove the socket of a process that has ended. Raise ControlSocketError if one listens on it."""
+        """Remove the socket of a process that has ended.
+
+        Raise ControlSocketError if another process listens on the socket.
+        """
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe, contextlib.suppress(OSError):
             probe.connect(str(self.path))
             raise ControlSocketError(f"{self.path}: another process listens on this socket")
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -279,9 +279,9 @@
         result = calls.interpret_failure(parser.status, call.messages, outcome)
         # A Retry-After that was received counts even if the rest of the response is missing or malformed.
         result.retry_after = calls.parse_retry_after(parser.response.headers)
-    # Endpoints close pooled connections, some without notice. This does not show that an endpoint is
-    # unhealthy; the next connection will, because an endpoint that is down refuses it. A rejected certificate
-    # and the lack of an open connection do not show it either.
+    # Endpoints close pooled connections, some without notice. A closed pooled connection does not show that
+    # its endpoint is unhealthy. A failure to open the next connection does, because an endpoint that is down
+    # refuses connections. A rejected certificate and the lack of an open connection are no evidence either.
     broken = outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
     closed_while_idle = broken and connection is not None and connection.reused_without_response
     result.connection_stale = closed_while_idle or rejected or isinstance(error, NoConnectionError)
--- a/honeyhitch/transports/mqtt_link.py
+++ b/honeyhitch/transports/mqtt_link.py
@@ -62,7 +62,7 @@
         self.output_ready = asyncio.Event()
 
     async def run(self) -> None:
-        """Open one connection and serve it until it ends. Raise OSError, TimeoutError or MqttError then."""
+        """Open one connection and serve it until it ends; then raise OSError, TimeoutError or MqttError."""
         channel = await self.connector.connect(self.address)
         self.session.open()
         jobs = (
@@ -94,7 +94,7 @@
                 break
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         raise ConnectionAbortedError(
-            f"{self.address}: reconnecting, the connection's verification is outdated"
+            f"{self.address}: reconnecting, because the verification of the connection is outdated"
         )
 
     async def _read(self, channel: Channel) -> None:
--- a/honeyhitch/transports/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -52,9 +52,9 @@
         return self.in_use + sum(map(len, self.idle.values()))
 
     async def acquire(self, address: str, deadline: float, fresh: bool = False) -> PeerConnection | None:
-        """Return a connection to HOST:PORT without a pending reply; with `fresh`, a new one in any case.
+        """Return a connection to HOST:PORT without a pending reply; with `fresh`, always a new connection.
 
-        Return None if the limit is reached, or if no connection can be opened until `deadline` on the loop's
+        Return None if the limit is reached, or if no connection can be opened by `deadline` on the loop's
         clock.
         """
         if not fresh and (connection := self._take_idle(address)) is not None:
@@ -91,7 +91,7 @@
             connection.sock.close()
 
     def _close_idle(self) -> bool:
-        """Close the longest idle connection to the address with the most idle ones.
+        """Close the longest idle connection to the address with the most idle connections.
 
         Return false if no connection is idle.
         """
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -71,7 +71,7 @@
     # is outdated.
     retire_at: int = field(kw_only=True)
     watched: bool = False  # the event loop reports when the socket becomes readable
-    # From this time on the connection is closed as soon as a replacement is open. 0 if it is not outdated.
+    # From this time on the connection is closed as soon as a replacement is open; 0 if it is not outdated.
     replace_at: int = 0
 
 
