--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -58,7 +58,7 @@
     try:
         value = json.loads(text)
     except ValueError as error:
-        raise WatchError(f"{name}: not JSON: {text[:MAX_QUOTED_LENGTH]!r}") from error
+        raise WatchError(f"{name}: expected JSON, got {text[:MAX_QUOTED_LENGTH]!r}") from error
     if not isinstance(value, dict):
         raise WatchError(f"{name}: expected an object, got {text[:MAX_QUOTED_LENGTH]!r}")
     return value
@@ -95,10 +95,10 @@
             raise (cause if isinstance(cause, WatchError) else WatchError(str(error))) from error
         status = self.response_parser.response.status
         if self.response_parser.headers_complete and status != http1.OK:
-            raise WatchError(f"watch: answered {status}", status)
+            raise WatchError(f"watch: expected HTTP status {http1.OK}, got {status}", status)
         self.complete = response is not None
         if self.complete and not self.updates:
-            raise WatchError("watch: ended", status)
+            raise WatchError("watch: the response ended without another list or change", status)
         return self.updates
 
     def _on_body_chunk(self, data: bytes) -> None:
@@ -121,7 +121,7 @@
                 self._add_line(line)
             elif self.partial_object:
                 excerpt = bytes(self.partial_object[:MAX_QUOTED_LENGTH])
-                raise WatchError(f"watch: an object that does not end: {excerpt!r}")
+                raise WatchError(f"watch: expected the rest of an object, got an empty line: {excerpt!r}")
 
     def _add_line(self, line: bytes) -> None:
         for token in JSON_TOKEN.findall(line):
--- a/honeyhitch/protocols/mqtt.py
+++ b/honeyhitch/protocols/mqtt.py
@@ -117,7 +117,7 @@
         """Process the complete packets in the buffer. Raise MqttError if the connection has to be closed."""
         while (packet := decode(buffer)) is not None:
             if not self.connected and packet.kind is not Kind.CONNACK:
-                raise MqttError(f"{packet.kind.name}: before CONNACK")
+                raise MqttError(f"{packet.kind.name}: received before CONNACK")
             self._handle_packet(packet)
 
     def connection_lost(self) -> None:
@@ -225,7 +225,7 @@
             case Kind.SUBACK:
                 self._handle_suback(packet)
             case Kind.DISCONNECT:
-                raise MqttError(f"DISCONNECT: the server left, reason {packet.reason:#x}")
+                raise MqttError(f"DISCONNECT: the server ended the connection, reason {packet.reason:#x}")
             case Kind.PINGRESP | Kind.UNSUBACK:
                 pass
             case _:
@@ -233,9 +233,9 @@
 
     def _handle_publish(self, packet: Packet) -> None:
         if packet.qos > SUBSCRIPTION_QOS:
-            raise MqttError(f"PUBLISH: QoS {packet.qos}, at most {SUBSCRIPTION_QOS} was requested")
+            raise MqttError(f"PUBLISH: expected a QoS of at most {SUBSCRIPTION_QOS}, got {packet.qos}")
         if packet.properties.get("topic_alias"):
-            raise MqttError("PUBLISH: topic alias, although the topic alias maximum is 0")
+            raise MqttError("PUBLISH: contains a topic alias, although the topic alias maximum is 0")
         self.on_publish(packet)
 
     def _handle_suback(self, packet: Packet) -> None:
@@ -247,7 +247,7 @@
         if self.connected:
             raise MqttError("CONNACK: received twice on one connection")
         if packet.reason:
-            raise MqttError(f"CONNACK: the server refused, reason {packet.reason:#x}")
+            raise MqttError(f"CONNACK: the server refused the connection, reason {packet.reason:#x}")
         self.connected = True
         self.subscribed = not self.subscriptions
         self.clean_start = False
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -266,7 +266,7 @@
 
     def read(self, count: int) -> bytes:
         if self.position + count > len(self.data):
-            raise MqttError("packet: ends inside a value")
+            raise MqttError(f"packet: expected {count} more bytes, got {len(self.data) - self.position}")
         self.position += count
         return self.data[self.position - count : self.position]
 
@@ -352,7 +352,7 @@
     packet.topic = reader.read_text()
     packet.id = reader.read_integer(2) if packet.qos else 0
     if packet.qos and not packet.id:
-        raise MqttError("PUBLISH: packet identifier 0")
+        raise MqttError(f"PUBLISH: expected a packet identifier from 1 to {MAX_TWO_BYTE_INTEGER}, got 0")
     reader.read_properties(packet)
     packet.payload = reader.read_remaining()
 
