--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -117,7 +117,7 @@
     play(work())
 
 
-def test_a_flood_on_one_connection_leaves_turns_to_the_others() -> None:
+def test_other_connections_are_served_during_a_flood_on_one() -> None:
     session = create_session()
     buffer = Buffer()
     buffer.feed(PING * 1000)
@@ -154,7 +154,7 @@
         ) == (1, 1)
 
 
-def test_with_fewer_slots_the_unused_ones_are_freed_at_once() -> None:
+def test_unused_connections_are_closed_at_once_if_the_number_of_slots_is_reduced() -> None:
     async def work() -> None:
         async with running_server(4) as server:
             streams = [await connect(server) for _ in range(4)]
@@ -209,7 +209,7 @@
     return sock
 
 
-def test_a_request_that_is_read_as_its_server_drains_has_its_reply() -> None:
+def test_a_request_that_is_read_while_the_server_drains_is_answered() -> None:
     """The loop reads in one iteration and the task resumes in the next; SIGTERM is handled in between."""
 
     async def work() -> None:
@@ -223,7 +223,7 @@
     play(work())
 
 
-def test_a_connection_accepted_in_this_turn_keeps_the_server_from_being_quiescent() -> None:
+def test_a_server_is_not_quiescent_while_it_accepts_a_connection() -> None:
     async def work() -> None:
         async with running_server(10) as server:
             (await connect_answered_socket(server)).close()
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -141,7 +141,7 @@
     assert [stored.record.status.value for stored in store.page(RecordFilter())] == ["sending", "kept"]
 
 
-def test_the_file_size_is_limited_too(tmp_path: Path) -> None:
+def test_an_add_to_a_full_file_fails_without_effect(tmp_path: Path) -> None:
     """A page limit simulates a full disk: an add fails without effect, and succeeds once there is room."""
     store = open_store(tmp_path)
     (page_count,) = store.database.execute("PRAGMA page_count").fetchone()
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -74,7 +74,7 @@
     assert rejected <= 150
 
 
-def test_starts_are_spread_where_there_is_a_list() -> None:
+def test_first_requests_of_a_fleet_that_has_a_list_are_spread() -> None:
     first_pauses = [create_backoff(Random(i), 40).first_pause() for i in range(40)]
     assert max(first_pauses) > 0.8
     assert len({round(pause, 1) for pause in first_pauses}) > 5
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("instances", [*range(1, 50), 100, 196, 500, 1000])
-def test_no_drain_is_missed_by_a_pause_whatever_the_size_of_the_fleet(instances: int) -> None:
+def test_pauses_take_only_a_fraction_of_the_drain_grace_in_a_fleet_of_any_size(instances: int) -> None:
     """A change that the agent holds counts as known, so a pause may take only a fraction of the drain grace.
 
     Only an agent that rejected a request holds no change for this instance.
@@ -121,7 +121,7 @@
         assert backoff.next_pause(0.1, False) <= DRAIN_GRACE_FRACTION * DRAIN_GRACE
 
 
-def test_an_unusable_list_is_not_requested_in_a_flood() -> None:
+def test_a_fleet_pauses_between_requests_for_an_unusable_list() -> None:
     fleet = [create_backoff(Random(i), 200) for i in range(200)]
     last_pauses = [[backoff.next_pause(0.05, True) for _ in range(12)][-1] for backoff in fleet]
     assert sum(last_pauses) / len(last_pauses) >= MAX_BACKOFF_SECONDS / 3
@@ -132,7 +132,7 @@
     assert sum(backoff.next_pause(0.0, False) for _ in range(100)) >= 100 * INITIAL_BACKOFF_SECONDS / 4
 
 
-def test_an_error_carries_the_status() -> None:
+def test_a_watch_error_contains_the_http_status() -> None:
     """The status decides whether the complete list is requested next.
 
     The revision remains usable only after a busy agent and after the end of a successful watch.
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -203,7 +203,7 @@
     play(work())
 
 
-def test_a_message_that_ends_while_a_connection_opens_leaves_its_call(
+def test_a_message_that_ends_while_a_connection_opens_is_removed_from_its_call(
     tmp_path: Path, held_connections: HeldConnections
 ) -> None:
     async def work() -> None:
@@ -319,7 +319,7 @@
 
 @pytest.mark.parametrize("end", ["timeout", "cancelled"])
 @pytest.mark.parametrize("reply", ["in the socket", "just read"])
-def test_a_retry_after_that_arrives_as_its_call_ends_is_heeded(
+def test_a_retry_after_that_arrives_as_its_call_ends_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str, reply: str
 ) -> None:
     """The Retry-After of a response counts even if its call times out or is cancelled at the same moment.
@@ -365,7 +365,7 @@
 
 @pytest.mark.parametrize("remainder", [b"abc", b"garbage without end" * 9000], ids=["short", "long"])
 @pytest.mark.parametrize("status", [b"429 Later", b"500 Oops"])
-def test_a_retry_after_in_a_reply_malformed_after_it_is_heeded(
+def test_a_retry_after_in_a_reply_with_a_malformed_body_is_applied(
     tmp_path: Path, remainder: bytes, status: bytes
 ) -> None:
     """The call may have been executed, because its response is incomplete; the Retry-After in it counts."""
@@ -412,7 +412,7 @@
         return [packet for packet in packets if packet.kind is Kind.PUBLISH]
 
 
-def test_a_publish_that_waits_for_the_receive_maximum_heeds_a_retry_after(tmp_path: Path) -> None:
+def test_a_retry_after_delays_a_publish_that_waits_for_the_receive_maximum(tmp_path: Path) -> None:
     """With a receive maximum of 1, the second publish may be sent once the first one is acknowledged."""
 
     async def work() -> None:
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -80,7 +80,7 @@
     run_test(work)
 
 
-def test_it_is_not_sent_to_another_owner_if_the_first_has_gone_by_then() -> None:
+def test_a_request_that_one_owner_may_have_accepted_is_not_sent_to_another_owner() -> None:
     async def work() -> None:
         async def close_owner(number: int, writer: asyncio.StreamWriter) -> None:
             if number == 2:
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -53,7 +53,7 @@
     play(scenario())
 
 
-def test_a_watch_without_a_response_is_abandoned_before_a_silent_one_would_be(
+def test_a_watch_without_a_response_ends_before_the_heartbeat_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery_backoff, "HEARTBEAT_TIMEOUT_SECONDS", UNREACHED_TIMEOUT_SECONDS)
