--- a/honeyhitch/dead_letters/eligibility.py
+++ b/honeyhitch/dead_letters/eligibility.py
@@ -45,7 +45,8 @@
 
     verdict: Verdict
     reason: str
-    # Unix time in nanoseconds. RESEND: when the resend must have ended. WAIT: when the wait ends.
+    # Unix time in nanoseconds. RESEND: when the resend must have ended, or None if there is no limit.
+    # WAIT: when the wait ends. HOLD: None.
     until: int | None = None
 
 
--- a/honeyhitch/dead_letters/resend_store.py
+++ b/honeyhitch/dead_letters/resend_store.py
@@ -104,9 +104,9 @@
 
 def keyed_records(store: Store, now: int) -> list[KeyedRecord]:
     """Return all records with a key whose duplicates may still arrive at `now` (Unix time in nanoseconds)."""
-    text = f"{SELECT_KEYED} WHERE key <> '' AND ended_at > ? AND standing <> 'replaced'"
+    statement = f"{SELECT_KEYED} WHERE key <> '' AND ended_at > ? AND standing <> 'replaced'"
     earliest_end = now - store.resend_settings.duplicate_retention
-    return [KeyedRecord(*row) for row in store.database.execute(text, (earliest_end,))]
+    return [KeyedRecord(*row) for row in store.database.execute(statement, (earliest_end,))]
 
 
 def schedule_all(store: Store) -> None:
@@ -139,8 +139,8 @@
 def _destination_candidates(
     store: Store, destination: int, demand: DestinationDemand, rules: ResendRules, now: int
 ) -> list[ResendCandidate]:
-    text = "SELECT seq FROM plan WHERE destination = ? AND next_at <= ? ORDER BY next_at, seq LIMIT ?"
-    rows = store.database.execute(text, (destination, now, MAX_PLANNED_RECORDS)).fetchall()
+    statement = "SELECT seq FROM plan WHERE destination = ? AND next_at <= ? ORDER BY next_at, seq LIMIT ?"
+    rows = store.database.execute(statement, (destination, now, MAX_PLANNED_RECORDS)).fetchall()
     candidates = list[ResendCandidate]()
     for (sequence,) in rows:
         if len(candidates) == demand.max_resends:
--- a/honeyhitch/dead_letters/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -138,6 +138,7 @@
 
 
 def _wait_for_rule(reason: str, rule: Rule | None, next_rule_at: int) -> Plan:
+    """Return the plan to postpone the record to `next_rule_at`, or to take no action if that time is 0."""
     step = Step.POSTPONE if next_rule_at else Step.NONE
     return Plan(step, reason, rule, retry_at=next_rule_at)
 
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -96,7 +96,7 @@
         self._enforce_idle_limit()
 
     async def sweep(self) -> None:
-        """Close idle connections that are too old, dead, or whose endpoint is not listed. Never returns."""
+        """Close connections that are idle too long, dead, or of an unlisted endpoint. Never returns."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             for endpoint_id in list(self.idle):
@@ -116,8 +116,8 @@
         After too long an idle time the peer may close the connection at any moment.
         """
         idle_time = self.scheduler.now() - connection.idle_since
-        too_old = self.max_idle_time and idle_time > self.max_idle_time
-        return endpoint is not None and connection.address == endpoint.address and not too_old
+        idle_too_long = self.max_idle_time and idle_time > self.max_idle_time
+        return endpoint is not None and connection.address == endpoint.address and not idle_too_long
 
     def _close_unless_usable(self, connection: Connection, endpoint: PoolEndpoint | None) -> bool:
         """Return whether an idle connection may carry another call; close it if not."""
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -403,7 +403,7 @@
                 connection.retire_at = min(connection.retire_at, now + duration)
 
     async def sweep(self) -> None:
-        """Close idle connections that are too old, outdated or of an unlisted endpoint. Never returns."""
+        """Close connections that are idle too long, outdated, or of an unlisted endpoint. Never returns."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self.scheduler.now()
--- a/tests/dead_letters_rig.py
+++ b/tests/dead_letters_rig.py
@@ -24,7 +24,7 @@
 
 
 class Killed(BaseException):
-    """Stands for the kill of the process: raised at a kill point and not handled by the code under test."""
+    """Simulates the kill of the process: raised at a kill point and not handled by the code under test."""
 
 
 class KillPoints:
@@ -40,7 +40,7 @@
         return self.count == self.kill_at
 
     def pass_point(self) -> None:
-        """Count one more point. Raises Killed if the process is killed there."""
+        """Count one more point. Raise Killed if the process is killed there."""
         if self.reaches_kill():
             raise Killed
 
--- a/tests/partner.py
+++ b/tests/partner.py
@@ -1,4 +1,4 @@
-"""A test endpoint over unencrypted HTTP, which reads complete requests and answers each with a set status."""
+"""A test endpoint over unencrypted HTTP, which reads complete requests and answers each as configured."""
 
 from __future__ import annotations
 
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -26,7 +26,7 @@
 
 from .polling import poll_condition
 from .program import play, write
-from .test_exchanges import SET, START, raw
+from .test_exchanges import EXCHANGE_SETTINGS, START, raw
 from .test_program import ENQUEUE
 
 PING, PONG = b"PING\r\n", b"+PONG\r\n"
@@ -34,8 +34,8 @@
 
 
 def create_session() -> resp.Session:
-    fields = TransactionParser(SET, lambda _: True)
-    return resp.Session(fields, lambda _: Admission(True), lambda: True, lambda: START)
+    parser = TransactionParser(EXCHANGE_SETTINGS, lambda _: True)
+    return resp.Session(parser, lambda _: Admission(True), lambda: True, lambda: START)
 
 
 @asynccontextmanager
@@ -79,7 +79,7 @@
 
 
 def test_a_server_is_not_quiescent_while_connections_wait_for_a_slot() -> None:
-    """A listener that is closed then, as the old process does at the end of an upgrade, resets them."""
+    """The old process of an upgrade must not close its listener then: the connections would be reset."""
 
     async def work() -> None:
         async with running_server(1) as server:
@@ -126,10 +126,10 @@
 
     async def work() -> None:
         async with running_server(10) as server:
-            flood, usual = await connect(server), await connect(server)
+            flood, other = await connect(server), await connect(server)
             flood[1].write(PING * 100_000)
             await flood[0].readline()
-            await ping(usual)
+            await ping(other)
             assert len(await flood[0].read(1 << 20)) < 100_000 * len(PONG)
             flood[1].close()
 
@@ -210,7 +210,7 @@
 
 
 def test_a_request_that_is_read_while_the_server_drains_is_answered() -> None:
-    """The loop reads in one iteration and the task resumes in the next; SIGTERM is handled in between."""
+    """The event loop reads in one iteration, and the task resumes in the next; SIGTERM comes in between."""
 
     async def work() -> None:
         async with running_server(10) as server:
@@ -243,7 +243,10 @@
 def test_a_request_that_crosses_the_close_of_its_connection_is_not_read(
     monkeypatch: pytest.MonkeyPatch, moment: str
 ) -> None:
-    """The client submits the request again elsewhere; if accepted here, too, nobody would get the answer."""
+    """The client submits the request again on a new connection.
+
+    If the server also accepted it on the closed connection, no client would receive the answer.
+    """
     accepted: list[object] = []
 
     def create_recording_session() -> resp.Session:
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -397,7 +397,7 @@
     assert [bool(stored.fault) for stored in store.page(RecordFilter())] == [True, False]
 
 
-# Operations that people request.
+# Operations that operators request.
 
 
 def test_filters_pages_and_counts(tmp_path: Path) -> None:
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -113,7 +113,7 @@
 
 
 def test_live_traffic_keeps_its_journal_space_while_the_store_fails(tmp_path: Path) -> None:
-    """Messages that only wait for the store have a limited fraction of the journal.
+    """Messages that only wait for the store may take only a fraction of the journal's space.
 
     Messages that were certainly not executed are discarded first.
     """
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff of a fleet that loses all its watches at once, while discovery sends a limited rate of lines."""
+"""Backoff of a fleet that loses all its watches at once, while discovery sends few lines per second."""
 
 from __future__ import annotations
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -41,7 +41,7 @@
 from .world import settings
 
 EXCHANGES_DIRECTORY = Path(__file__).parent / "exchanges"
-SET = settings(**SETTINGS)
+EXCHANGE_SETTINGS = settings(**SETTINGS)
 Output = Iterator[bytes]
 
 
@@ -59,7 +59,7 @@
 
         self.submitted: list[Transaction] = []
         self.buffer = Buffer()
-        parser = TransactionParser(SET, lambda destination: destination != 404)
+        parser = TransactionParser(EXCHANGE_SETTINGS, lambda destination: destination != 404)
         self.session = resp.Session(parser, submit, lambda: True, lambda: START)
 
     def feed(self, data: bytes) -> Output:
@@ -143,7 +143,7 @@
     """A watch of discovery and the endpoint pool that it updates."""
 
     def __init__(self, _: str) -> None:
-        self.watch, self.pool = discovery.WatchParser(), EndpointPool(SET)
+        self.watch, self.pool = discovery.WatchParser(), EndpointPool(EXCHANGE_SETTINGS)
 
     def feed(self, data: bytes) -> Output:
         for update in self.watch.feed(data):
@@ -286,7 +286,9 @@
         assert packet is not None
         packet.payload = b"body"
         packet.user = [(name, value) for name, value in packet.user]
-        message = mqtt_messages.parse_transaction(TransactionParser(SET, lambda _: True), packet, START)
+        message = mqtt_messages.parse_transaction(
+            TransactionParser(EXCHANGE_SETTINGS, lambda _: True), packet, START
+        )
         message.ending, message.retry_after = Ending.REJECTED, 250_000_000
         answer = mqtt_messages.encode_final_answer(message)
         time_left = (message.deadline - START) // 10**6
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -339,7 +339,7 @@
             if end == "cancelled":
                 rig.transport.cancel(call)
             while rig.dispatcher.scheduler.now() < call.sent_at + call.timeout:
-                pass  # block the loop until the timeout is due, so that its next iteration finds both
+                pass  # block the loop, so that its next iteration finds both the response and the timeout
 
         rig.loop.add_reader(receiver, end_call)
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -17,7 +17,7 @@
     async def run_failing_group() -> None:
         nonlocal start_count
         start_count += 1
-        # After an unexpected restart, wait: this can be cancelled, so the test fails instead of hanging.
+        # After an unexpected restart, wait. The wait can be cancelled, so the test fails instead of hanging.
         if start_count > 1:
             await asyncio.Event().wait()
 
