--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -45,7 +45,7 @@
     tenant: str
     key: str
     frontend: str
-    recovered_from_journal: bool  # the dispatcher was restarted while it held the message
+    recovered_from_journal: bool  # recovered after a restart, or submitted with the field `r` or `again`
     ending: str
     reason: str  # outcome of the last attempt, NOT_ATTEMPTED or OUTCOME_UNKNOWN
     retry_after: int  # Retry-After that was sent to the client, 0 if none was
--- a/honeyhitch/protocols/transaction_parser.py
+++ b/honeyhitch/protocols/transaction_parser.py
@@ -47,8 +47,9 @@
     def parse(self, message_id: bytes, fields: dict[str, str], body: bytes, now: int) -> Transaction:
         """Return the transaction of one message; unknown fields are ignored.
 
-        `now` is a Unix time in nanoseconds; the time limit of the message starts at `now`. Raise FieldError
-        for a missing or invalid field.
+        `now` is a Unix time in nanoseconds; the time limit of the message starts at `now`. With the field `r`
+        or `again` set to 1, the message is treated like one that was recovered from the journal. Raise
+        FieldError for a missing or invalid field.
         """
         try:
             return self._build(message_id, fields, body, now)
