--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -51,7 +51,7 @@
         """
 
     def receive(self, buffer: Buffer) -> bytes:
-        """Return the replies to complete requests in the buffer, not to all of them if `has_more_requests`."""
+        """Return the replies to complete requests in the buffer; some remain if `has_more_requests`."""
 
 
 @dataclass(slots=True, eq=False)
