--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -45,7 +45,7 @@
     tenant: str
     key: str
     frontend: str
-    recovered_from_journal: bool  # the dispatcher was restarted while it held the message
+    recovered_from_journal: bool  # recovered after a restart, or submitted with the field `r` or `again`
     ending: str
     reason: str  # outcome of the last attempt, NOT_ATTEMPTED or OUTCOME_UNKNOWN
     retry_after: int  # Retry-After that was sent to the client, 0 if none was
@@ -55,7 +55,7 @@
     body: bytes
     sequence: int = 0  # number of the record in the store, 0 before it is stored
     status: RecordStatus = RecordStatus.PENDING
-    settled_by: str = ""
+    settled_by: str = ""  # what resolved the record: resend:ID, copy:ID, record:NUMBER or person:NAME
     evidence: str = ""  # receiver's statement that the message was not applied, cited for its release
     resend_count: int = 0
     resend_id: str = ""  # id of the latest resend
--- a/honeyhitch/dead_letters/rules.py
+++ b/honeyhitch/dead_letters/rules.py
@@ -84,7 +84,8 @@
 ) -> ResendDecision:
     """Return whether the record may be resent at `now`, by a rule or at an operator's request.
 
-    `now` is a Unix time and `resend_duration` the time that the resend takes, both in nanoseconds.
+    `now` is a Unix time, and `resend_duration` is the time that a resend is expected to take, both in
+    nanoseconds.
     """
     history = execution_history(record, resend_settings)
     return decide_resend(history, now, resend_settings.client_retry_grace, resend_duration)
@@ -95,7 +96,7 @@
 ) -> Plan:
     """Return the action to take on a record at `now` (Unix time in nanoseconds).
 
-    `resend_duration` is the time in nanoseconds that a resend needs.
+    `resend_duration` is the time in nanoseconds that a resend is expected to take.
     """
     if record.status is not RecordStatus.PENDING:
         return Plan(Step.NONE, record.status.value)
@@ -137,6 +138,7 @@
 
 
 def _wait_for_rule(reason: str, rule: Rule | None, next_rule_at: int) -> Plan:
+    """Return the plan to postpone the record to `next_rule_at`, or to take no action if that time is 0."""
     step = Step.POSTPONE if next_rule_at else Step.NONE
     return Plan(step, reason, rule, retry_at=next_rule_at)
 
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -61,11 +61,8 @@
     AUTH = 15
 
 
-REQUIRED_FLAGS = {
-    Kind.PUBREL: 2,
-    Kind.SUBSCRIBE: 2,
-    Kind.UNSUBSCRIBE: 2,
-}  # [MQTT-2.1.3-1]; all other types require 0
+# All other packet types require the flags 0 [MQTT-2.1.3-1].
+REQUIRED_FLAGS = {Kind.PUBREL: 2, Kind.SUBSCRIBE: 2, Kind.UNSUBSCRIBE: 2}
 ACKNOWLEDGEMENTS = (Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP)
 
 # Encodings of properties (2.2.2.2).
@@ -137,9 +134,8 @@
     keep_alive: int = 0  # CONNECT, in seconds
     username: str | None = None  # CONNECT
     password: bytes | None = None  # CONNECT
-    filters: list[tuple[str, int]] = field(
-        default_factory=list
-    )  # SUBSCRIBE: with options; UNSUBSCRIBE: with 0
+    # Topic filters: in SUBSCRIBE with their options, in UNSUBSCRIBE with 0.
+    filters: list[tuple[str, int]] = field(default_factory=list)
     reasons: list[int] = field(default_factory=list)  # SUBACK, UNSUBACK
 
 
@@ -270,7 +266,7 @@
 
     def read(self, count: int) -> bytes:
         if self.position + count > len(self.data):
-            raise MqttError("packet: ends inside a value")
+            raise MqttError(f"packet: expected {count} more bytes, got {len(self.data) - self.position}")
         self.position += count
         return self.data[self.position - count : self.position]
 
@@ -356,7 +352,7 @@
     packet.topic = reader.read_text()
     packet.id = reader.read_integer(2) if packet.qos else 0
     if packet.qos and not packet.id:
-        raise MqttError("PUBLISH: packet identifier 0")
+        raise MqttError(f"PUBLISH: expected a packet identifier from 1 to {MAX_TWO_BYTE_INTEGER}, got 0")
     reader.read_properties(packet)
     packet.payload = reader.read_remaining()
 
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -96,7 +96,7 @@
         self._enforce_idle_limit()
 
     async def sweep(self) -> None:
-        """Close idle connections that are too old, dead, or whose endpoint is not listed. Never returns."""
+        """Close connections that are idle too long, dead, or of an unlisted endpoint. Never returns."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             for endpoint_id in list(self.idle):
@@ -116,8 +116,8 @@
         After too long an idle time the peer may close the connection at any moment.
         """
         idle_time = self.scheduler.now() - connection.idle_since
-        too_old = self.max_idle_time and idle_time > self.max_idle_time
-        return endpoint is not None and connection.address == endpoint.address and not too_old
+        idle_too_long = self.max_idle_time and idle_time > self.max_idle_time
+        return endpoint is not None and connection.address == endpoint.address and not idle_too_long
 
     def _close_unless_usable(self, connection: Connection, endpoint: PoolEndpoint | None) -> bool:
         """Return whether an idle connection may carry another call; close it if not."""
@@ -279,9 +279,9 @@
         result = calls.interpret_failure(parser.status, call.messages, outcome)
         # A Retry-After that was received counts even if the rest of the response is missing or malformed.
         result.retry_after = calls.parse_retry_after(parser.response.headers)
-    # Endpoints close pooled connections, some without notice. This does not show that an endpoint is
-    # unhealthy; the next connection will, because an endpoint that is down refuses it. A rejected certificate
-    # and the lack of an open connection do not show it either.
+    # Endpoints close pooled connections, some without notice. A closed pooled connection does not show that
+    # its endpoint is unhealthy. A failure to open the next connection does, because an endpoint that is down
+    # refuses connections. A rejected certificate and the lack of an open connection are no evidence either.
     broken = outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
     closed_while_idle = broken and connection is not None and connection.reused_without_response
     result.connection_stale = closed_while_idle or rejected or isinstance(error, NoConnectionError)
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -71,7 +71,7 @@
     # is outdated.
     retire_at: int = field(kw_only=True)
     watched: bool = False  # the event loop reports when the socket becomes readable
-    # From this time on the connection is closed as soon as a replacement is open. 0 if it is not outdated.
+    # From this time on the connection is closed as soon as a replacement is open; 0 if it is not outdated.
     replace_at: int = 0
 
 
@@ -403,7 +403,7 @@
                 connection.retire_at = min(connection.retire_at, now + duration)
 
     async def sweep(self) -> None:
-        """Close idle connections that are too old, outdated or of an unlisted endpoint. Never returns."""
+        """Close connections that are idle too long, outdated, or of an unlisted endpoint. Never returns."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self.scheduler.now()
