--- a/example/parts.py
+++ b/example/parts.py
@@ -1,4 +1,4 @@
-"""Shared by the examples: free ports, waiting for a dispatcher, and showing what the toy prints."""
+"""Helpers of the examples: choose free ports, wait for a dispatcher, and print the output of the toy."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports on which nothing listens at this moment."""
+    """Return `count` loopback ports on which no process listens; another process may take one later."""
     socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in socks]
     for sock in socks:
@@ -21,7 +21,10 @@
 
 
 def wait_until_serving(port: int, program: subprocess.Popen[str]) -> bool:
-    """Wait until the dispatcher replies to PING with +PONG; from then on it accepts messages."""
+    """Wait until the dispatcher replies to PING with +PONG, which means that it accepts messages.
+
+    Return False if the program ends or `STEP_TIMEOUT_SECONDS` pass before the reply.
+    """
     deadline = time.monotonic() + STEP_TIMEOUT_SECONDS
     while time.monotonic() < deadline and program.poll() is None:
         try:
@@ -36,7 +39,7 @@
 
 
 def print_until(lines: IO[str], pattern: str) -> bool:
-    """Print the lines of the toy until one matches the pattern; whether one did."""
+    """Print the lines of the toy until a line matches the pattern. Return whether a line matched."""
     for line in lines:
         print(f"toy         {line}", end="", flush=True)
         if re.search(pattern, line):
--- a/example/try.py
+++ b/example/try.py
@@ -1,9 +1,12 @@
-"""Starts the toy and a dispatcher on free ports, submits one message, and shows that the toy received it.
+"""Start the toy and a dispatcher on free ports, submit one message, and show that the toy received it.
 
-It needs the environment only; `make try` makes that first. Exit code 0 once the message was delivered. With
-`--tls` the toy speaks TLS with a certificate made for this run, which the dispatcher verifies; `make
-try-tls` installs what that needs. With `--undelivered` the toy rejects the message until it ends undelivered:
-it is stored, listed, and resent by a rule once the toy has been repaired; `make try-undelivered` does that.
+    python example/try.py [--tls | --undelivered]
+
+The exit code is 0 if the message was delivered. `make try` creates the Python environment and runs this
+script. With `--tls` the toy uses TLS with a certificate made for this run, and the dispatcher verifies that
+certificate; `make try-tls` also installs the packages that this needs. With `--undelivered` the toy rejects
+the message until the message ends undelivered; the dispatcher stores the message, lists it, and resends it by
+a rule after the toy has been told to accept calls; `make try-undelivered` runs this case.
 """
 
 from __future__ import annotations
@@ -20,11 +23,14 @@
 sys.path.insert(0, str(HERE.parent))
 from example.parts import STEP_TIMEOUT_SECONDS, free_ports, print_until, wait_until_serving  # noqa: E402
 
-HELLO = "hello from make try"
+BODY = "hello from make try"
+
 
+def write_certificate(folder: str) -> tuple[list[str], list[str]]:
+    """Write a self-signed certificate and key for the toy, and an operator's file that trusts it.
 
-def certificate(folder: str) -> tuple[list[str], list[str]]:
-    """A self-signed certificate and key for the toy, and the dispatcher's options for them."""
+    Return the arguments of the toy and the options of the dispatcher that name these files.
+    """
     import datetime
     import ipaddress
 
@@ -34,15 +40,15 @@
 
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "toy partner")])
-    names = x509.SubjectAlternativeName([x509.IPAddress(ipaddress.ip_address("127.0.0.1"))])
+    alternative_names = x509.SubjectAlternativeName([x509.IPAddress(ipaddress.ip_address("127.0.0.1"))])
     builder = x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
-    builder = builder.serial_number(x509.random_serial_number()).add_extension(names, False)
+    builder = builder.serial_number(x509.random_serial_number()).add_extension(alternative_names, False)
     builder = builder.not_valid_before(now).not_valid_after(now + datetime.timedelta(days=1))
     certificate_pem = builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
-    form = serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    key_format = serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     files = [f"{folder}/toy.crt", f"{folder}/toy.key"]
     Path(files[0]).write_bytes(certificate_pem)
-    Path(files[1]).write_bytes(key.private_bytes(serialization.Encoding.PEM, *form))
+    Path(files[1]).write_bytes(key.private_bytes(serialization.Encoding.PEM, *key_format))
     operator = Path(folder, "operator.toml")
     operator.write_text(f'[[tls.partner]]\nkind = "partner"\nca = "{files[0]}"\nwarn-days = 0\n')
     return files, ["--operator", str(operator)]
@@ -59,15 +65,18 @@
 """
 
 
-def rules(folder: str) -> list[str]:
-    """An operator's file with a store and a resend rule; the dispatcher's options for it."""
+def write_rules(folder: str) -> list[str]:
+    """Write an operator's file with a store and a resend rule. Return the options that name the file."""
     operator = Path(folder, "operator.toml")
     operator.write_text(RULES)
     return ["--operator", str(operator)]
 
 
 def wait_until_listed(command: list[str], status: str) -> bool:
-    """Wait until the store lists a message with this status, and print it."""
+    """Wait until the store lists a message with this status, and print the listing.
+
+    Return False if there is none within `STEP_TIMEOUT_SECONDS`.
+    """
     deadline = time.monotonic() + STEP_TIMEOUT_SECONDS
     while time.monotonic() < deadline:
         list_command = [*command, "list", "--standing", status]
@@ -83,7 +92,7 @@
 
 
 def main() -> int:
-    """Run the example; returns the exit code."""
+    """Run the example. Return the exit code."""
     listen, discovery, endpoint, management = free_ports(4)
     config = json.loads((HERE / "config.json").read_text())
     with tempfile.TemporaryDirectory() as folder:
@@ -95,12 +104,12 @@
         }
         path = Path(folder, "config.json")
         path.write_text(json.dumps(config))
-        files, options = certificate(folder) if "--tls" in sys.argv[1:] else ([], [])
-        fails = "--undelivered" in sys.argv[1:]
-        if fails:
-            files, options = ["--fails"], rules(folder)
+        toy_arguments, options = write_certificate(folder) if "--tls" in sys.argv[1:] else ([], [])
+        endpoint_fails = "--undelivered" in sys.argv[1:]
+        if endpoint_fails:
+            toy_arguments, options = ["--fails"], write_rules(folder)
         toy = subprocess.Popen(
-            [sys.executable, str(HERE / "toy.py"), str(discovery), str(endpoint), *files],
+            [sys.executable, str(HERE / "toy.py"), str(discovery), str(endpoint), *toy_arguments],
             stdout=subprocess.PIPE,
             text=True,
         )
@@ -114,31 +123,43 @@
                 print("the dispatcher does not answer")
                 return 1
             print(f"dispatcher  serves clients on 127.0.0.1:{listen}", flush=True)
-            left = ["--left", "700"] if fails else []
-            sent = subprocess.run(
-                [*command, "send", f"127.0.0.1:{listen}", HELLO, "--dest", "1", "--tenant", "studio", *left],
+            lifetime = ["--left", "700"] if endpoint_fails else []
+            send_result = subprocess.run(
+                [
+                    *command,
+                    "send",
+                    f"127.0.0.1:{listen}",
+                    BODY,
+                    "--dest",
+                    "1",
+                    "--tenant",
+                    "studio",
+                    *lifetime,
+                ],
                 cwd=HERE.parent,
                 capture_output=True,
                 text=True,
                 timeout=STEP_TIMEOUT_SECONDS,
             )
-            print(f"hand-in     {sent.stdout.strip() or sent.stderr.strip()}", flush=True)
-            if sent.returncode:
+            print(f"hand-in     {send_result.stdout.strip() or send_result.stderr.strip()}", flush=True)
+            if send_result.returncode:
                 return 1
-            store = [*command, "undelivered", "--config", str(path), *options]
-            if fails:
-                if not print_until(toy.stdout, "notice") or not wait_until_listed(store, "kept"):
+            store_command = [*command, "undelivered", "--config", str(path), *options]
+            if endpoint_fails:
+                if not print_until(toy.stdout, "notice") or not wait_until_listed(store_command, "kept"):
                     return 1
                 toy.send_signal(signal.SIGUSR1)
                 print("toy         is mended; the rule resends what is safe", flush=True)
-            if not print_until(toy.stdout, HELLO) or (fails and not wait_until_listed(store, "settled")):
+            if not print_until(toy.stdout, BODY) or (
+                endpoint_fails and not wait_until_listed(store_command, "settled")
+            ):
                 return 1
-            stats = [*command, "stats", "--config", str(path)]
-            figures = subprocess.run(
-                stats, cwd=HERE.parent, capture_output=True, text=True, timeout=STEP_TIMEOUT_SECONDS
+            stats_command = [*command, "stats", "--config", str(path)]
+            stats_result = subprocess.run(
+                stats_command, cwd=HERE.parent, capture_output=True, text=True, timeout=STEP_TIMEOUT_SECONDS
             )
-            print(figures.stdout.strip() or figures.stderr.strip(), flush=True)
-            if figures.returncode:
+            print(stats_result.stdout.strip() or stats_result.stderr.strip(), flush=True)
+            if stats_result.returncode:
                 return 1
             print("delivered")
             return 0
