--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# The two commands of the README for newcomers, and what they stand on. VENV may name another environment.
+# The README's commands for a first trial, the tests and the benchmarks, and the environments that they need.
+# VENV names the directory of the Python environment.
 VENV ?= .venv
 PYTHON ?= python3
 
@@ -15,32 +16,37 @@
 	$(VENV)/bin/pip -q install --disable-pip-version-check -r requirements-dev.txt
 	touch $@
 
-# Makes the environment, starts the toy and a dispatcher on free ports, hands a message in and shows its end.
+# Creates the environment, starts the toy and a dispatcher on free ports, submits a message and shows that it is
+# delivered.
 try: $(VENV)/.run
 	$(VENV)/bin/python example/try.py
 
-# The same over verified TLS; the tests' environment has what it needs.
+# Runs the `try` example over verified TLS, which needs packages of the test environment.
 try-tls: $(VENV)/.test
 	$(VENV)/bin/python example/try.py --tls
 
-# Two dispatchers that share the destinations: a message handed in at either reaches its owner.
+# Starts two dispatchers that share the destinations and submits a message to each of them; the owner of the
+# destination delivers the message.
 try-fleet: $(VENV)/.run
 	$(VENV)/bin/python example/try_fleet.py
 
-# A message that ends undelivered: it is kept, listed, and resent by a rule once the toy is mended.
+# Submits a message that ends undelivered; the dispatcher stores it, lists it, and resends it by a rule after the
+# toy has been told to accept calls.
 try-undelivered: $(VENV)/.test
 	$(VENV)/bin/python example/try.py --undelivered
 
-# What grows with the size of the deployment, and how fast; some minutes, on a machine left alone.
+# Measures how resource use grows with the size of the deployment. It takes some minutes and needs an otherwise
+# idle machine.
 capacity: $(VENV)/.test
 	$(VENV)/bin/python benchmarks/capacity.py --json benchmarks/results/capacity.json
 
-# A fleet of hundreds of dispatchers on this machine, before and after partitioned destinations; some minutes.
+# Runs a fleet of hundreds of dispatchers on this machine, without and with partitioned destinations. It takes
+# some minutes.
 scale: $(VENV)/.test
 	$(VENV)/bin/python benchmarks/scale.py --json benchmarks/results/scale.json
 
-# Installs what the tests need and runs them, their files in memory where there is such a place: on some machines
-# each file that is written anew waits for the disk.
+# Installs the packages that the tests need and runs the tests. Their files are written to /dev/shm (memory) if it
+# exists, because on some machines each newly written file waits for the disk.
 MEMORY := $(wildcard /dev/shm)
 
 test: $(VENV)/.test
