--- a/benchmarks/dead_letters.py
+++ b/benchmarks/dead_letters.py
@@ -198,7 +198,7 @@
         super().__init__(status)
         self.received_at: dict[bytes, float] = {}
 
-    def took(self, body: bytes) -> None:
+    def on_call(self, body: bytes) -> None:
         """Note the time of a body by its first bytes."""
         self.received_at[body_key(body)] = time.perf_counter()
 
