--- a/benchmarks/service_process.py
+++ b/benchmarks/service_process.py
@@ -1,6 +1,6 @@
-"""A real `serve` process on loopback for measurements: its configuration, its start, and what it uses.
+"""A real `serve` process on loopback for benchmarks: its configuration, start and resource use.
 
-The stand-ins listen on loopback addresses alone; each process is ended by its id.
+All stand-ins listen on loopback addresses only. Each process is killed by its ID.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from benchmarks.start import cpu_seconds  # noqa: E402
 from tests.program import free_port, write  # noqa: E402
 
-START_TIMEOUT_SECONDS = 120.0  # seconds
+START_TIMEOUT_SECONDS = 120.0
 READ_SIZE = 1 << 16
 
 
 def endpoint_rows(count: int, port: int = 9, first: int = 1) -> list[dict[str, Any]]:
-    """So many destinations with one endpoint each, in discovery's form."""
+    """Return `count` destinations with one endpoint each, from number `first`, as discovery lists them."""
     return [
         {
             "id": f"s-{number:08x}",
@@ -53,30 +53,30 @@
     seconds_to_ready: float
 
     def cpu_seconds(self) -> float:
-        """CPU seconds used so far."""
+        """Return the CPU seconds used so far."""
         return cpu_seconds(self.process.pid)
 
     def resident(self) -> int:
-        """Resident memory in bytes."""
+        """Return the resident memory in bytes. Raise RuntimeError if the process has ended."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) * 1024
-        raise RuntimeError("the process has gone")
+        raise RuntimeError(f"process {self.process.pid} has ended: its status has no VmRSS")
 
     def journal_bytes(self) -> int:
-        """Size of the files in the state directory."""
+        """Return the size in bytes of all files in the state directory."""
         state = Path(json.loads(self.config.read_text())["state"])
         return sum(file.stat().st_size for file in state.iterdir() if file.is_file())
 
     def request_line(self, request: bytes) -> bytes:
-        """The first line of the reply to a request, on a new connection."""
+        """Send a request on a new connection and return the first line of the reply."""
         with socket.create_connection(("127.0.0.1", self.port), timeout=START_TIMEOUT_SECONDS) as sock:
             sock.sendall(request)
             return sock.makefile("rb").readline()
 
 
 def enqueue(message_id: str, destination: int, time_left_ms: int = 20_000, body: bytes = b"x" * 200) -> bytes:
-    """A message as a client submits it."""
+    """Return the command with which a client submits a message."""
     fields = f"c=standard,t=studio,d={time_left_ms},k={message_id},dest={destination}".encode()
     arguments = [b"ENQUEUE", b"0" * 16, message_id.encode(), fields, body]
     return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments)
@@ -91,7 +91,10 @@
     port: int = 0,
     **config: Any,
 ) -> Iterator[ServiceProcess]:
-    """A real process, from exec to `+PONG`, at this port or a free one; it is killed at the end."""
+    """Start a real process and yield it after its first `+PONG`; kill it at the end.
+
+    `port` 0 selects a free port, and `config` overrides fields of the configuration file.
+    """
     port = port or free_port()
     path, operator_path = write(folder, port, discovery, known, operator, **config)
     program = [sys.executable, "-m", "honeyhitch", "serve", "--config", path]
@@ -114,4 +117,4 @@
             if service.request_line(b"PING\r\n") == b"+PONG\r\n":
                 return
         time.sleep(0.01)
-    raise RuntimeError("the process did not become ready")
+    raise RuntimeError(f"the process at port {service.port} did not reply to PING with +PONG")
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Linear fits through measured points, with their spread, for the capacity measurements."""
+"""Linear fits through measured values, with their spread, for the capacity benchmark."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MIN_SIZES = 4  # fewer show no line
+MIN_SIZES = 4  # a fit through fewer sizes does not show whether the values lie on a line
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Least squares through all plays: `value = fixed + each * size`.
+    """A least-squares line through the values of all plays: `value = fixed + each * size`.
 
-    `spread` is the largest distance of a play from the line, as a fraction of the largest value measured.
+    A play is one run of the measurement at one size. `spread` is the largest distance of a value from the
+    line, as a fraction of the largest absolute value measured.
     """
 
     name: str
     unit: str
     per: str
-    points: tuple[tuple[float, tuple[float, ...]], ...]  # a size, and the value of each play
+    points: tuple[tuple[float, tuple[float, ...]], ...]  # size, and the value of each play at that size
     fixed: float
     each: float
     spread: float
 
-    def at(self, size: float) -> float:
-        """The value on the line."""
+    def value_at(self, size: float) -> float:
+        """Return the value of the line at this size."""
         return self.fixed + self.each * size
 
 
 def fit(name: str, unit: str, per: str, points: Sequence[tuple[float, Sequence[float]]]) -> Slope:
-    """Fit a line. Raises ValueError with fewer than four sizes: those show no line."""
+    """Fit a line. Raise ValueError for fewer than `MIN_SIZES` sizes."""
     if len({size for size, _ in points}) < MIN_SIZES:
         raise ValueError(f"{name}: a slope needs four sizes or more, got {len(points)}")
     pairs = [(size, value) for size, plays in points for value in plays]
@@ -44,7 +45,7 @@
 
 
 def table(slopes: Sequence[Slope]) -> str:
-    """One line for each slope, and below it the median and range at each size."""
+    """Return a line for each slope, each followed by the median and range at each size."""
     lines = [f"{'what':44} {'fixed':>12} {'each':>12} {'spread':>7}  unit, per"]
     for slope in slopes:
         fit_cells = f"{slope.fixed:12.4g} {slope.each:12.4g} {slope.spread:7.1%}"
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for measurements, each in its own thread: an agent of discovery, and an endpoint."""
+"""Stand-ins for discovery's agent and for an endpoint, which run in the thread that they are given."""
 
 from __future__ import annotations
 
@@ -16,32 +16,35 @@
 
 
 def content_length(head: bytes) -> int:
-    """The Content-Length of a request."""
+    """Return the Content-Length of a request head."""
     return int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
 
 
 class LoopThread:
-    """An event loop in a daemon thread."""
+    """An event loop that runs in a daemon thread."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
         threading.Thread(target=self.loop.run_forever, daemon=True).start()
 
     def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine in the thread, and wait for its result. Raises TimeoutError."""
+        """Run a coroutine in the thread and return its result.
+
+        Raise TimeoutError if it takes over `RESULT_TIMEOUT_SECONDS`.
+        """
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(RESULT_TIMEOUT_SECONDS)
 
 
 class Agent:
-    """Discovery's agent: a list, watches that stay open, and notices that are confirmed."""
+    """Discovery's agent: it sends the list, keeps watches open, and confirms notices."""
 
-    def __init__(self, thread: LoopThread, members: list[dict[str, Any]], revision: int = 1) -> None:
+    def __init__(self, thread: LoopThread, endpoints: list[dict[str, Any]], revision: int = 1) -> None:
         self.thread = thread
-        self.members = members
+        self.endpoints = endpoints
         self.revision = revision
         self.watches: list[asyncio.StreamWriter] = []
         self.notices = 0
-        self.watched = threading.Event()
+        self.watch_opened = threading.Event()
         self.port: int = thread.run(self._start())
 
     async def _start(self) -> int:
@@ -49,17 +52,17 @@
         return int(server.sockets[0].getsockname()[1])
 
     def complete_list(self) -> bytes:
-        """The complete list as it is sent."""
-        content = {"revision": self.revision, "complete": True, "members": self.members}
+        """Return the body of the complete list."""
+        content = {"revision": self.revision, "complete": True, "members": self.endpoints}
         return json.dumps(content, separators=(",", ":")).encode()
 
-    def change(self, *members: dict[str, Any]) -> int:
-        """Send a change on every watch; returns the number of bytes that each was sent."""
-        return int(self.thread.run(self._change(members)))
+    def change(self, *endpoints: dict[str, Any]) -> int:
+        """Send a change on every watch. Return the number of bytes sent on each watch."""
+        return int(self.thread.run(self._change(endpoints)))
 
-    async def _change(self, members: tuple[dict[str, Any], ...]) -> int:
+    async def _change(self, endpoints: tuple[dict[str, Any], ...]) -> int:
         self.revision += 1
-        content = {"revision": self.revision, "complete": False, "members": members}
+        content = {"revision": self.revision, "complete": False, "members": endpoints}
         line = json.dumps(content, separators=(",", ":")).encode() + b"\n"
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
         for writer in self.watches:
@@ -69,11 +72,11 @@
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                await self._answer(await reader.readuntil(HEAD_END), reader, writer)
+                await self._reply(await reader.readuntil(HEAD_END), reader, writer)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
 
-    async def _answer(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _reply(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if head.startswith(b"POST"):
             length = content_length(head)
             self.notices += (await reader.readexactly(length)).count(b"\n")
@@ -81,7 +84,7 @@
         elif b"stream=1" in head:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.watches.append(writer)
-            self.watched.set()
+            self.watch_opened.set()
             while True:
                 writer.write(HEARTBEAT)
                 await writer.drain()
@@ -92,14 +95,14 @@
 
 
 class Endpoint:
-    """Sends `answer` to every call, calls `called` for each, and counts them in `messages`."""
+    """An endpoint that sends `response` to every call, runs `on_call`, and counts the calls in `messages`."""
 
     def __init__(
-        self, thread: LoopThread, answer: bytes = OK, called: Callable[[], None] = lambda: None
+        self, thread: LoopThread, response: bytes = OK, on_call: Callable[[], None] = lambda: None
     ) -> None:
         self.thread = thread
-        self.answer = answer
-        self.called = called
+        self.response = response
+        self.on_call = on_call
         self.messages = 0
         self.port: int = thread.run(self._start())
 
@@ -113,7 +116,7 @@
                 head = await reader.readuntil(HEAD_END)
                 await reader.readexactly(content_length(head))
                 self.messages += 1
-                self.called()
-                writer.write(self.answer)
+                self.on_call()
+                writer.write(self.response)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,10 +1,10 @@
-"""What a start costs: CPU time from exec to the first +PONG, one by one and many at once.
+"""Measure the cost of a start: CPU time from exec to the first +PONG, for single and concurrent starts.
 
     python benchmarks/start.py [--rounds 20] [--together 32] [--uncompiled]
 
-`--uncompiled` starts from a copy of the sources without compiled files, which may not be written either, as
-where the directory is read-only and `build` left none. Everything stays on loopback; each process is
-killed by its id.
+`--uncompiled` starts from a copy of the sources without compiled files, and does not write any, as in a
+read-only directory for which `build` was not run. All connections use loopback; each process is killed by
+its ID.
 """
 
 from __future__ import annotations
@@ -27,19 +27,22 @@
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 START_TIMEOUT_SECONDS = 60.0
-PORT = 7379  # at an address of its own for each, below the range of ports that connections take
+PORT = 7379  # each process has its own address; the port is below the range of ephemeral ports
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU seconds of a process so far, user and system."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
+    """Return the user and system CPU seconds that a process has used."""
+    stat_fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(stat_fields[11]) + int(stat_fields[12])) / TICKS_PER_SECOND
 
 
 def start(
     root: Path, folder: Path, number: int, discovery: int, compiled: bool
 ) -> tuple[subprocess.Popen[bytes], str]:
-    """Start one process, at a loopback address of its own: a port of a common one may be taken meanwhile."""
+    """Start one process at a separate loopback address. Return the process and its address.
+
+    At a shared address another process could take a free port before the dispatcher listens on it.
+    """
     folder.mkdir()
     host = f"127.0.1.{number + 1}"
     path, _ = write(folder, PORT, discovery, [], listen=f"{host}:{PORT}")
@@ -49,7 +52,10 @@
 
 
 def wait_until_ready(program: subprocess.Popen[bytes], host: str) -> float:
-    """Wait for +PONG; the CPU seconds used until then."""
+    """Wait for +PONG. Return the CPU seconds that the process used until then.
+
+    Raise SystemExit if the process ends or `START_TIMEOUT_SECONDS` pass.
+    """
     deadline = time.monotonic() + START_TIMEOUT_SECONDS
     while time.monotonic() < deadline and program.poll() is None:
         try:
@@ -59,17 +65,17 @@
                     return cpu_seconds(program.pid)
         except OSError:
             time.sleep(0.005)
-    raise SystemExit("a process did not start")
+    raise SystemExit(f"the process at {host}:{PORT} did not reply to PING with +PONG")
 
 
 def measure(root: Path, count: int, compiled: bool) -> tuple[list[float], float]:
-    """So many at once: CPU seconds of each, and the time until the last was ready."""
+    """Start `count` processes at once. Return the CPU seconds of each and the seconds until all are ready."""
     with tempfile.TemporaryDirectory() as folder, socket.create_server(("127.0.0.1", 0)) as discovery:
         began, port = time.monotonic(), discovery.getsockname()[1]
         started = [start(root, Path(folder, f"n{i}"), i, port, compiled) for i in range(count)]
         try:
-            used = [wait_until_ready(*process) for process in started]
-            return used, time.monotonic() - began
+            cpu = [wait_until_ready(*process) for process in started]
+            return cpu, time.monotonic() - began
         finally:
             for program, _ in started:
                 program.kill()
@@ -77,7 +83,7 @@
 
 
 def main() -> None:
-    """Print one line for each case, as JSON."""
+    """Measure single and concurrent starts, and print the results as one line of JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--rounds", type=int, default=20)
     parser.add_argument("--together", type=int, default=32)
@@ -90,7 +96,7 @@
             ignored = shutil.ignore_patterns("__pycache__")
             shutil.copytree(ROOT / "honeyhitch", root / "honeyhitch", ignore=ignored)
         else:
-            measure(root, 1, True)  # compiles what is not compiled yet
+            measure(root, 1, True)  # writes the compiled files that do not exist yet
         single = [
             seconds for _ in range(options.rounds) for seconds in measure(root, 1, not options.uncompiled)[0]
         ]
