--- a/benchmarks/fleet_watchers.py
+++ b/benchmarks/fleet_watchers.py
@@ -1,7 +1,8 @@
-"""Hollow dispatchers in one process: the real watch, view and ownership code over loopback.
+"""Hollow dispatchers in one process: only the real watch, view and ownership code, over loopback.
 
-Those of one zone rank its instances alike. The first of each makes its ranks for itself, which is measured,
-and the others share them, as the start of hundreds in few processes would take minutes otherwise.
+All dispatchers of a zone compute the same candidates for each partition. The first dispatcher of each zone
+computes them, which is measured, and the others share the result; otherwise the start of hundreds of
+dispatchers in few processes would take minutes.
 """
 
 from __future__ import annotations
@@ -28,58 +29,59 @@
 
 
 class Watcher:
-    """One hollow dispatcher, which notes how late each change of a phase comes."""
+    """A hollow dispatcher that records the delay of each phase change in seconds."""
 
-    shared: ClassVar[dict[str, ZoneCandidates]] = {}  # the ranks of each zone
-    first_views: ClassVar[list[float]] = []  # CPU seconds of those that made them
+    shared_candidates: ClassVar[dict[str, ZoneCandidates]] = {}  # by zone
+    # CPU seconds of the first view of each dispatcher that computed the candidates of its zone.
+    first_view_cpu: ClassVar[list[float]] = []
 
     def __init__(self, name: str, zone: str, port: int) -> None:
         settings = FleetSettings(name, zone, f"127.0.0.1:{port}", fleet_regions())
-        self.fleet, self.in_force, self.has_view = Fleet(settings), list[float](), False
-        self.makes_ranks = zone not in self.shared
-        # Dispatchers of one process share the ranks of their zone, which are the same for all of them.
-        ranks = self.fleet._zone_candidates  # noqa: SLF001
-        ranks[zone] = self.shared.setdefault(zone, ranks[zone])
+        self.fleet, self.change_delays, self.has_view = Fleet(settings), list[float](), False
+        self.computes_candidates = zone not in self.shared_candidates
+        # The candidates of a zone are the same for all of its dispatchers.
+        candidates = self.fleet._zone_candidates  # noqa: SLF001
+        candidates[zone] = self.shared_candidates.setdefault(zone, candidates[zone])
 
-    def take(self, told: dict[str, Any]) -> None:
-        """As a dispatcher's service does."""
-        began = time.process_time()
-        self.fleet.apply_update(told, time.time_ns())
-        if self.makes_ranks and not self.has_view:
-            self.first_views.append(time.process_time() - began)
+    def apply_update(self, update: dict[str, Any]) -> None:
+        """Apply an update of the view as the dispatcher's service does, and record its delays."""
+        cpu_before = time.process_time()
+        self.fleet.apply_update(update, time.time_ns())
+        if self.computes_candidates and not self.has_view:
+            self.first_view_cpu.append(time.process_time() - cpu_before)
         self.has_view = True
-        if not told.get("complete"):
-            for row in told["members"]:
-                self.in_force.append(time.time() - row["up_since_ms"] / 1000)
+        if not update.get("complete"):
+            for entry in update["members"]:
+                self.change_delays.append(time.time() - entry["up_since_ms"] / 1000)
 
     async def run(self) -> None:
-        """Watch for ever."""
-        asking = WatchBackoff(Random(self.fleet.settings.name), 1, False, False, 3.0)
+        """Watch the fleet's view until cancelled."""
+        backoff = WatchBackoff(Random(self.fleet.settings.name), 1, False, False, 3.0)
         loop, address = asyncio.get_running_loop(), self.fleet.settings.view
-        await ListWatch(address, loop, asking, lambda: self.fleet.view.revision, self.take).run()
+        await ListWatch(address, loop, backoff, lambda: self.fleet.view.revision, self.apply_update).run()
 
 
-def watch_in_process(port: int, members: list[dict[str, Any]], names: list[str], link: Connection) -> None:
-    """Run these hollow dispatchers until told to stop, and report."""
-    asyncio.run(_watch(port, {one["id"]: one["locality"] for one in members}, names, link))
+def watch_in_process(port: int, entries: list[dict[str, Any]], names: list[str], link: Connection) -> None:
+    """Run the hollow dispatchers `names` until a message arrives on `link`, then send the results on it."""
+    asyncio.run(_watch(port, {entry["id"]: entry["locality"] for entry in entries}, names, link))
 
 
 async def _watch(port: int, zones: dict[str, str], names: list[str], link: Connection) -> None:
-    before_memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    memory_before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     watchers = [Watcher(name, zones[name], port) for name in names]
-    tasks = [asyncio.ensure_future(one.run()) for one in watchers]
-    while not all(watcher.has_view for watcher in watchers):  # noqa: ASYNC110  # each sets its own
+    tasks = [asyncio.ensure_future(watcher.run()) for watcher in watchers]
+    while not all(watcher.has_view for watcher in watchers):  # noqa: ASYNC110  # each watcher sets its own flag
         await asyncio.sleep(POLL_SECONDS)
-    memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before_memory
+    memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - memory_before
     link.send("watching")
-    began, since = time.process_time(), time.monotonic()
-    while not link.poll():  # noqa: ASYNC110  # a pipe of another process
+    cpu_before, started_at = time.process_time(), time.monotonic()
+    while not link.poll():  # noqa: ASYNC110  # the pipe of another process
         await asyncio.sleep(POLL_SECONDS)
     report = {
-        "in_force": [wait for one in watchers for wait in one.in_force],
-        "cpu": time.process_time() - began,
-        "seconds": time.monotonic() - since,
-        "first_view_cpu": max(Watcher.first_views),
+        "in_force": [delay for watcher in watchers for delay in watcher.change_delays],
+        "cpu": time.process_time() - cpu_before,
+        "seconds": time.monotonic() - started_at,
+        "first_view_cpu": max(Watcher.first_view_cpu),
         "bytes_each": memory * 1024 / len(names),
     }
     for task in tasks:
--- a/benchmarks/hollow_model.py
+++ b/benchmarks/hollow_model.py
@@ -1,4 +1,7 @@
-"""What a play of hollow dispatchers is made of: faults, messages, totals and the dispatchers themselves."""
+"""The faults, messages, totals and hollow dispatchers of a play.
+
+A play is one simulation run in virtual time. A hollow dispatcher makes the real decisions without sockets.
+"""
 
 from __future__ import annotations
 
@@ -11,29 +14,32 @@
 
 
 class FaultKind(Enum):
-    """What fails in a play."""
+    """The kind of failure in a play."""
 
-    MACHINES = "machines"  # for good, with what they held
-    RESTARTS = "restarts"  # planned, one after the other, the state directory kept
-    RACK = "rack"  # some of one zone, which return with their state directories
+    MACHINES = "machines"  # permanently, with the messages that they held
+    RESTARTS = "restarts"  # planned, one after the other; state directories survive
+    RACK = "rack"  # some dispatchers of one zone, which return with their state directories
     ZONE = "zone"
-    REGIONS_APART = "regions apart"  # control is in the first region
-    CONTROL = "control"  # all control machines are gone
+    REGIONS_APART = "regions apart"  # the link between the regions fails; control is in the first region
+    CONTROL = "control"  # all control machines fail
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A failure, in seconds from the start of the play; of `count` dispatchers where that matters."""
+    """A failure from `start` to `end`, in seconds from the start of the play.
+
+    `count` is the number of dispatchers that fail, for the kinds `MACHINES`, `RESTARTS` and `RACK`.
+    """
 
     kind: FaultKind
-    at: float
-    until: float = 0.0
+    start: float
+    end: float = 0.0
     count: int = 0
 
 
 @dataclass(slots=True)
-class PlayedMessage:
-    """What the play knows of a message."""
+class SimulatedMessage:
+    """The state of a message in a play. Times are nanoseconds."""
 
     destination: int
     submitted_at: int
@@ -45,46 +51,51 @@
 
 @dataclass(slots=True)
 class Totals:
-    """What became of all events."""
+    """Counts over a whole play."""
 
     handed_in: int = 0
     delivered: int = 0
-    turned_away: int = 0  # not accepted: harmless to submit a second time
-    returned: int = 0  # accepted, and rejected or failed later
+    turned_away: int = 0  # not accepted; a client may safely submit the message again
+    returned: int = 0  # accepted, and later rejected, failed or withdrawn
     lost_with_machine: int = 0
     forwarded: int = 0
     calls: int = 0
     refused_calls: int = 0
     handshakes: int = 0
-    two_out: int = 0  # messages that had two attempts in flight
-    most_share: float = 0.0  # of any zone's share of any destination, held at one instant
-    most_pushed: float = 0.0  # calls at a returning destination, as a share of what it bears
-    over_budget: int = 0  # returning destinations that were sent more than N in some window
-    fallen: int = 0  # and more than N + 2 x root of N + 2, by which they fall (standing test)
-    returning: int = 0
-    in_force: list[float] = field(default_factory=list)  # seconds until a change is known, each instance
+    two_out: int = 0  # attempts that began while another attempt of the message was in flight
+    most_share: float = 0.0  # largest sum of the quota fractions that a zone held for a destination at once
+    most_pushed: float = 0.0  # peak calls at a recovering destination, as a fraction of the calls it sustains
+    # N is the number of calls that a recovering destination sustains in a window.
+    over_budget: int = 0  # recovering destinations that received more than N calls in some window
+    # Recovering destinations that received more than N + 2 x root of N + 2 calls in some window, which
+    # overloads them (standing test).
+    fallen: int = 0
+    returning: int = 0  # destinations that recovered from an outage
+    in_force: list[float] = field(
+        default_factory=list
+    )  # seconds until an instance applied a change, for each instance and change
 
 
 class HollowDispatcher:
-    """One dispatcher without sockets."""
+    """The state of one dispatcher in a play."""
 
-    def __init__(self, name: str, zone: str, number: int) -> None:
+    def __init__(self, name: str, zone: str, index: int) -> None:
         self.name = name
         self.zone = zone
-        self.index = number
+        self.index = index
         self.alive = True
         self.incarnation = 0
         self.clock_skew = 0
-        self.watch_read_until = 0  # lines of its watch arrive in their order
+        self.watch_read_until = 0  # time of the last scheduled read; the lines of the watch are read in order
         self.fleet: Fleet | None = None
         self.policy: DeliveryPolicy
         self.held_messages: set[str] = set()
         self.idle_connections: Counter[int] = Counter()
         self.quota_fractions: dict[int, float] = {}
-        self.next_quota_check_at: int | None = 0  # as the service has it: when a quota_fraction may change
+        self.next_quota_check_at: int | None = 0  # when a quota fraction may change, as in the service
         self.lease_was_valid = False
 
     @property
     def ready(self) -> bool:
-        """Whether it answers, and in a partitioned fleet has a view."""
+        """Whether the dispatcher is alive and, in a partitioned fleet, has a view."""
         return self.alive and (self.fleet is None or bool(self.fleet.view.instances))
