--- a/benchmarks/dead_letters.py
+++ b/benchmarks/dead_letters.py
@@ -1,9 +1,9 @@
-"""Measures dead letters on loopback and prints tables; `--write` puts them into docs/undelivered-measured.md.
+"""Measure dead letters on loopback and print tables; `--write` writes them to docs/undelivered-measured.md.
 
     python benchmarks/dead_letters.py [--quick] [--write]
 
-Needs requirements-dev.txt. Receivers and clients are the tests' stand-ins. It takes some five minutes on 8
-cores.
+The benchmark needs the packages of requirements-dev.txt. The endpoints and clients are the stand-ins of the
+tests. A full run takes about five minutes on 8 cores.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 from tests.rig import endpoint_row
 
 ROOT = Path(__file__).parent.parent
-SHARED_MEMORY = Path("/dev/shm")  # virtual days need no disk
+SHARED_MEMORY = Path("/dev/shm")  # the days in virtual time need no disk
 FIRST_DAY_SEED = 100_000
 FAILING_RATE = 50  # messages a second
 MILLISECONDS = 1e3  # in a second
@@ -96,17 +96,17 @@
 
 @dataclass(frozen=True, slots=True)
 class KillCounts:
-    """What a run with kills showed."""
+    """The counts of a run in which the program is killed."""
 
     messages: int
     kills: int
     resends: int
     applied_twice: int
-    unsettled: int  # records that the rules would still have resent
+    unsettled: int  # records that the rules may still resend
 
 
 def kill_table(results: Iterable[KillCounts], kills_label: str) -> list[str]:
-    """The rows with the sums over all runs."""
+    """Return the table rows with the sums over all runs."""
     labels = ("messages", kills_label, "resends", "applied twice", "resendable and not settled")
     runs = list(results)
     return [
@@ -119,26 +119,26 @@
 
 
 def measure_day(seed: int) -> KillCounts:
-    """One day, killed at some points that the seed draws."""
+    """Simulate a day in which the program is killed up to four times, at points that the seed draws."""
     logs.setup("json", "error")
     rng = random.Random(seed * 7919)
     with tempfile.TemporaryDirectory(dir=SHARED_MEMORY if SHARED_MEMORY.is_dir() else None) as folder:
         kills = tuple(rng.randrange(1, 800) for _ in range(rng.randrange(5)))
-        result = run_day(Path(folder) / "day", seed, kills)
-        stored = result.rig.store.page(RecordFilter(), limit=1000)
+        day = run_day(Path(folder) / "day", seed, kills)
+        stored_records = day.rig.store.page(RecordFilter(), limit=1000)
         counts = KillCounts(
-            messages=len(result.clients),
-            kills=result.kills,
-            resends=sum(found.record.resend_count for found in stored),
-            applied_twice=len(result.applied_twice()),
-            unsettled=len(result.unresolved()),
+            messages=len(day.clients),
+            kills=day.kills,
+            resends=sum(stored.record.resend_count for stored in stored_records),
+            applied_twice=len(day.applied_twice()),
+            unsettled=len(day.unresolved()),
         )
-        result.rig.close_as_killed()
+        day.rig.close_as_killed()
         return counts
 
 
 async def report_days(_folder: Path, quick: bool) -> list[str]:
-    """Days of mixed failures, by the seed."""
+    """Report simulated days of mixed failures, one for each seed."""
     count = 200 if quick else 2000
     seeds = range(FIRST_DAY_SEED, FIRST_DAY_SEED + count)
     with ProcessPoolExecutor() as workers:
@@ -147,22 +147,22 @@
     return [*head, *kill_table(results, "kills")]
 
 
-# The program as a process of its own, with a probe of its loop.
+# The program in a separate process, with a probe of its event loop.
 
 
 async def probe_loop(delays: list[float]) -> None:
-    """Note how late the loop comes to a timer of 1 ms, in seconds."""
+    """Record how late the event loop runs a timer of 1 ms, in seconds."""
     while True:
-        due = time.perf_counter() + PROBE_INTERVAL_SECONDS
+        due_at = time.perf_counter() + PROBE_INTERVAL_SECONDS
         await asyncio.sleep(PROBE_INTERVAL_SECONDS)
-        delays.append(time.perf_counter() - due)
+        delays.append(time.perf_counter() - due_at)
 
 
 def serve(path: str, operator: str | None) -> None:
     """Run the program until SIGTERM.
 
-    SIGUSR1 begins a measurement; SIGUSR2 prints the CPU seconds, the longest delays of the loop and the
-    number of probes since then.
+    SIGUSR1 begins a measurement. SIGUSR2 prints the CPU seconds, the longest delays of the event loop and the
+    number of probes since the last SIGUSR1.
     """
     logs.setup("json", "error")
     delays: list[float] = []
@@ -192,40 +192,40 @@
 
 
 class ClockedPartner(Partner):
-    """A receiver that notes when each body came."""
+    """An endpoint that records the time at which it received each body."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
         self.received_at: dict[bytes, float] = {}
 
     def on_call(self, body: bytes) -> None:
-        """Note the time of a body by its first bytes."""
+        """Record the time at which a body was received, by its key."""
         self.received_at[body_key(body)] = time.perf_counter()
 
 
 def body_key(body: bytes) -> bytes:
-    """By what a body is recognised."""
+    """Return the name at the start of a body, which identifies the message."""
     return body[:16].strip()
 
 
 def encode_command(arguments: list[bytes]) -> bytes:
-    """A command of the RESP2 protocol."""
+    """Return a command of the RESP2 protocol."""
     head = b"*%d\r\n" % len(arguments)
     return head + b"".join(b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments)
 
 
 def encode_enqueue(name: str, fields_text: str, body: bytes) -> bytes:
-    """The command that submits a message."""
+    """Return the command that submits a message."""
     return encode_command([b"ENQUEUE", b"0" * 16, name.encode(), fields_text.encode(), body])
 
 
 def serve_command(path: str, operator: str | None) -> list[str]:
-    """The command line of the program as a process of its own."""
+    """Return the command line that runs the program in a separate process."""
     return [sys.executable, __file__, "--serve", path, *([operator] if operator else [])]
 
 
 async def wait_until_ready(process: asyncio.subprocess.Process, port: int) -> None:
-    """Return once the program answers a PING."""
+    """Wait until the program replies to a PING. Raise RuntimeError if it exits before."""
     while process.returncode is None:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -234,14 +234,16 @@
                 writer.close()
                 return
         await asyncio.sleep(0.05)
-    raise RuntimeError("the program did not start")
+    raise RuntimeError(
+        f"the program exited with {process.returncode} before it replied to PING at port {port}"
+    )
 
 
 @contextlib.asynccontextmanager
-async def program(
+async def running_program(
     folder: Path, operator: str | None, partner: Partner
 ) -> AsyncIterator[tuple[int, asyncio.subprocess.Process]]:
-    """Run the program with one endpoint; its port, and the process."""
+    """Run the program with one endpoint. Yield its port and its process."""
     endpoint = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
     agent = await Agent([endpoint]).start()
     port = free_port()
@@ -259,7 +261,7 @@
 async def send_live(
     port: int, class_name: str, rate: float, seconds: float, prefix: str
 ) -> dict[bytes, float]:
-    """Submit messages at this rate a second; when each was submitted."""
+    """Submit messages at `rate` a second. Return the time at which each was submitted, by its body key."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     sent_at: dict[bytes, float] = {}
     loop = asyncio.get_running_loop()
@@ -280,18 +282,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FailingRun:
-    """The live path while messages fail."""
+    """The cost and delays of live traffic while messages fail."""
 
-    cpu_microseconds: float  # a message
+    cpu_microseconds: float  # per message
     delay_p999_ms: float
     delay_max_ms: float
     stored_records: int
 
 
 async def measure_failing(folder: Path, operator: str | None, seconds: float) -> FailingRun:
-    """Let messages fail for so long, with or without a store."""
+    """Measure failing messages for `seconds`, with a store if `operator` is given."""
     partner = await Partner(500).start()
-    async with program(folder, operator, partner) as (port, process):
+    async with running_program(folder, operator, partner) as (port, process):
         await send_live(port, "order", FAILING_RATE, 2, "warm")
         process.send_signal(signal.SIGUSR1)
         await send_live(port, "order", FAILING_RATE, seconds, "m")
@@ -314,7 +316,7 @@
 
 
 async def report_failing(folder: Path, quick: bool) -> list[str]:
-    """What the store costs the live path, in runs without and with it in turn."""
+    """Report the cost of the store for live traffic, in alternating runs without and with the store."""
     seconds, pairs = (5, 2) if quick else (10, 4)
     runs: dict[str, list[FailingRun]] = {"off": [], "on": []}
     for number in range(pairs):
@@ -338,8 +340,8 @@
     return [*lines, "", "CPU is of all the process's threads. The aim for the longest stall is 5 ms."]
 
 
-def resendable_record(number: int, size: int = 200, **more: Any) -> Record:
-    """The record of a message that was never executed and may be resent at once."""
+def resendable_record(number: int, size: int = 200, **overrides: Any) -> Record:
+    """Return the record of a message that was never executed and may be resent at once."""
     now = time.time_ns()
     values: dict[str, Any] = {
         "id": f"old-{number}",
@@ -354,11 +356,11 @@
         ),
         "body": f"old-{number}".encode().ljust(size),
     }
-    return make_record(**{**values, **more})
+    return make_record(**{**values, **overrides})
 
 
-def filled_store(folder: Path, count: int, spread: bool = False) -> Store:
-    """A store with so many records, of one destination or, spread, of fifty."""
+def create_filled_store(folder: Path, count: int, spread: bool = False) -> Store:
+    """Return a store with `count` records of one destination or, if `spread`, of fifty."""
     store = Store(folder)
     for first in range(0, count, 1000):
         numbers = range(first, min(count, first + 1000))
@@ -376,7 +378,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveRun:
-    """Live traffic while records are resent."""
+    """The latencies of live traffic while records are resent."""
 
     latencies_ms: list[float]
     resends: int
@@ -384,20 +386,20 @@
 
 
 async def measure_live(folder: Path, record_count: int, seconds: float) -> LiveRun:
-    """Send live traffic for so long while so many records are resent."""
+    """Send live traffic for `seconds` while `record_count` records are resent."""
     if record_count:
-        filled_store(folder / "state" / "undelivered", record_count).close()
+        create_filled_store(folder / "state" / "undelivered", record_count).close()
     partner = await ClockedPartner(200).start()
-    async with program(folder, RESEND_RULE, partner) as (port, _):
+    async with running_program(folder, RESEND_RULE, partner) as (port, _):
         await send_live(port, "standard", 50, 3, "warm")
         started_at = time.perf_counter()
         received_before = len(partner.received_at)
         sent_at = await send_live(port, "standard", 50, seconds, "m")
         await asyncio.sleep(0.5)
         latencies = [
-            (partner.received_at[name] - at) * MILLISECONDS
-            for name, at in sent_at.items()
-            if name in partner.received_at
+            (partner.received_at[key] - submitted_at) * MILLISECONDS
+            for key, submitted_at in sent_at.items()
+            if key in partner.received_at
         ]
         assert len(latencies) == len(sent_at), "live messages were lost"
         resends = len(partner.received_at) - received_before - len(sent_at)
@@ -405,22 +407,22 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """The value below which this fraction of the values lies."""
+    """Return the value below which this fraction of the values lies."""
     return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 async def report_live(folder: Path, quick: bool) -> list[str]:
-    """What resends cost live traffic, in runs without and with them in turn."""
+    """Report the effect of resends on live traffic, in alternating runs without and with resends."""
     seconds, pairs, record_count = (10, 1, 1000) if quick else (30, 2, 10_000)
     latencies: dict[int, list[float]] = {0: [], record_count: []}
     resends = 0
     resend_seconds = 0.0
     for number in range(pairs):
-        for count, into in latencies.items():
+        for count, count_latencies in latencies.items():
             run_folder = folder / f"{number}-{count}"
             run_folder.mkdir()
             result = await measure_live(run_folder, count, seconds)
-            into += result.latencies_ms
+            count_latencies += result.latencies_ms
             resends += result.resends
             if count:
                 resend_seconds += result.seconds
@@ -440,11 +442,11 @@
     ]  # fmt: skip
 
 
-# The store by itself.
+# The store alone.
 
 
 async def report_sizes(folder: Path, _quick: bool) -> list[str]:
-    """Bytes of a record, as counted against the limit and in the file."""
+    """Report the bytes of a record, as counted against the limit and in the file."""
     lines = ["## Bytes a record (three attempts in its history)", "", "| body | counted | in the file |"]
     lines.append("| --- | --- | --- |")
     rng = random.Random(1)
@@ -470,7 +472,7 @@
 
 
 def time_reads(store: Store) -> list[str]:
-    """The median of five runs of each read."""
+    """Return a table row for each read, with the median seconds of five runs."""
     cases: dict[str, tuple[str, dict[str, Any]]] = {
         "list, first page": ("list", {}),
         "list, newest first": ("list", {"newest_first": True}),
@@ -491,7 +493,7 @@
 
 
 def time_commands(folder: Path) -> list[str]:
-    """The commands with the start of their process."""
+    """Return a table row for each command, with its seconds including the start of its process."""
     rows = []
     for name in ("list", "stats"):
         command = [sys.executable, "-m", "honeyhitch", "undelivered", "--store", str(folder), name]
@@ -503,12 +505,12 @@
 
 
 async def report_reads(folder: Path, quick: bool) -> list[str]:
-    """How long reads of a full store take."""
+    """Report how long reads of a filled store take."""
     count = 10_000 if quick else 100_000
     store_folder = folder / "looks"
     lines = [f"## Looking at {count} records", "", "| | seconds |", "| --- | --- |"]
     started_at = time.perf_counter()
-    store = filled_store(store_folder, count, spread=True)
+    store = create_filled_store(store_folder, count, spread=True)
     elapsed = time.perf_counter() - started_at
     lines.append(f"| {count} records added, 1000 in a transaction | {elapsed:.2f} |")
     store.close()
@@ -521,11 +523,14 @@
     return [*lines, *time_commands(store_folder), "", "The aim for a first page is 0.5 s."]
 
 
-# Real processes, killed by SIGKILL.
+# Real processes that are killed by SIGKILL.
 
 
 class FailingPartner:
-    """A receiver that fails in mixed ways until it is healthy; its ledger has what it applied, by key."""
+    """An endpoint that fails in mixed ways until `healthy` is set.
+
+    `ledger` has the times at which each message was applied, by key.
+    """
 
     MODES = ("200", "503", "reset", "late", "500", "500 after", "reset after")
 
@@ -543,7 +548,7 @@
         return self
 
     def apply(self, key: str) -> None:
-        """Apply a message, unless it repeats a key inside the deduplication window."""
+        """Apply a message, unless its key is a repeat inside the deduplication window of 60 s."""
         applied = self.ledger.setdefault(key, [])
         now = time.time()
         if not (key.startswith("keyed") and applied and now < applied[0] + 60):
@@ -556,14 +561,14 @@
     async def _serve_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                mode = await self._take_call(reader)
+                mode = await self._receive_call(reader)
                 if mode.startswith("reset") or mode == "late":
                     break
                 writer.write(f"HTTP/1.1 {mode[:3]} X\r\nContent-Length: 0\r\n\r\n".encode())
         writer.close()
 
-    async def _take_call(self, reader: asyncio.StreamReader) -> str:
-        """Read a call, and apply it as its mode says; the mode."""
+    async def _receive_call(self, reader: asyncio.StreamReader) -> str:
+        """Read a call, and apply the message or not, depending on the call's mode. Return the mode."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         headers = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
         await reader.readexactly(int(headers["content-length"]))
@@ -578,30 +583,30 @@
 
 
 class KilledProgram:
-    """One program that is killed and started again, and its client."""
+    """A program that is repeatedly killed and started again, and its client."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder = folder
         self.seed = seed
         self.rng = random.Random(seed)
         self.port = free_port()
-        self.sent = 0
+        self.submitted = 0
         self.kills = 0
         self.command: list[str] = []
 
     async def run(self) -> KillCounts:
-        """Five lives with failures, each ended by SIGKILL, and one in which the receiver is healthy."""
+        """Run the program five times with a failing endpoint until SIGKILL, and once with a healthy one."""
         partner = await FailingPartner(self.seed).start()
         await self._write_configuration(partner.port)
         for _ in range(5):
-            await self._live_until_killed()
+            await self._run_until_killed()
         partner.healthy = True
         process = await self._start()
         records, unsettled = await self._settle()
         process.terminate()
         await process.wait()
         return KillCounts(
-            messages=self.sent,
+            messages=self.submitted,
             kills=self.kills,
             resends=sum(record.resend_count for record in records),
             applied_twice=sum(len(times) > 1 for times in partner.ledger.values()),
@@ -620,7 +625,7 @@
         return await asyncio.create_subprocess_exec(*self.command, stdout=subprocess.DEVNULL)
 
     async def _submit(self, name: str, fields_text: str, body: bytes) -> bool:
-        """Submit a message; whether it was accepted."""
+        """Submit a message. Return whether it was accepted."""
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(encode_enqueue(name, fields_text, body))
@@ -629,28 +634,31 @@
             return answer.startswith(b"+")
         return False
 
-    async def _live_until_killed(self) -> None:
+    async def _run_until_killed(self) -> None:
         process = await self._start()
         kill_at = time.monotonic() + self.rng.uniform(2.0, 4.0)
         while time.monotonic() < kill_at:
             class_name = self.rng.choice(("standard", "order"))
-            name = f"{'keyed' if class_name == 'standard' else 'unsafe'}-{self.sent}"
+            name = f"{'keyed' if class_name == 'standard' else 'unsafe'}-{self.submitted}"
             fields_text = f"c={class_name},t=studio,d=1500,dest=1,k={name}"
-            self.sent += await self._submit(name, fields_text, b"body")
+            self.submitted += await self._submit(name, fields_text, b"body")
             await asyncio.sleep(0.05)
         process.kill()
         await process.wait()
         self.kills += 1
 
     async def _settle(self) -> tuple[list[Record], int]:
-        """Wait until no record is left that may be resent; the records, and how many are left."""
+        """Wait about 90 s at most until no record is left that the rules may resend.
+
+        Return all records, and the number of records that are left.
+        """
         records: list[Record] = []
         unsettled = -1
         for _ in range(90):
             await asyncio.sleep(1)
-            name = f"live-{self.sent}"
+            name = f"live-{self.submitted}"
             await self._submit(name, f"c=order,t=studio,d=1500,dest=1,k={name}", b"x")
-            self.sent += 1
+            self.submitted += 1
             with contextlib.suppress(StoreError, sqlite3.Error):
                 records = self._read_records()
                 unsettled = sum(is_resendable(record) for record in records)
@@ -671,7 +679,7 @@
 
 
 def is_resendable(record: Record) -> bool:
-    """Whether a rule would still have the record resent."""
+    """Return whether a resend rule may still resend the record."""
     rules = (Rule("r", Action.RESEND),)
     settings = ResendSettings(duplicates_elsewhere=False)
     step = plan_record(record, rules, settings, time.time_ns(), SECOND).step
@@ -679,7 +687,7 @@
 
 
 async def report_kills(folder: Path, quick: bool) -> list[str]:
-    """Runs of real processes, some at a time."""
+    """Report runs of real processes, several at a time."""
     count, concurrent_runs = (4, 4) if quick else (24, 6)
     results: list[KillCounts] = []
     for first in range(0, count, concurrent_runs):
@@ -702,7 +710,7 @@
 
 
 async def measure(quick: bool, only: list[str]) -> list[str]:
-    """The lines of the reports with these names, or of all."""
+    """Return the lines of the reports named in `only`, or of all reports."""
     lines: list[str] = []
     for name in only or REPORTS:
         print(name, file=sys.stderr, flush=True)
@@ -712,7 +720,7 @@
 
 
 def main() -> None:
-    """Measure, print the tables, and write them into the page if asked."""
+    """Measure, print the tables, and write them to the page if asked."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer and shorter runs")
     parser.add_argument("--write", action="store_true", help="put the tables into docs/")
