--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -21,7 +21,7 @@
 from honeyhitch.policy.settings import Settings
 from honeyhitch.time_units import SECOND
 
-log = logs.get()
+log = logs.get_logger()
 BATCH_SIZE = 64  # messages per transaction of the store
 MIN_RETRY_PAUSE = SECOND  # between attempts while the store fails
 MAX_RETRY_PAUSE = 60 * SECOND
--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -39,7 +39,7 @@
 from honeyhitch.policy.settings import DeduplicationScope, Idempotency
 from honeyhitch.time_units import MILLISECOND, NEVER, SECOND
 
-log = logs.get()
+log = logs.get_logger()
 POLL_INTERVAL = SECOND // 5  # between checks for resends that may start
 # Longest time between queries of the store, even if no record is known to be due.
 REFRESH_INTERVAL = 5 * SECOND
--- a/honeyhitch/dead_letters/service.py
+++ b/honeyhitch/dead_letters/service.py
@@ -18,7 +18,7 @@
 from honeyhitch.dispatcher.dispatcher import Dispatcher
 from honeyhitch.dispatcher.ports import Scheduler
 
-log = logs.get()
+log = logs.get_logger()
 MAINTENANCE_INTERVAL_SECONDS = 600.0
 QUEUE_TIMEOUT_SECONDS = 2.0  # limit for loading the store at start and for finishing the queues at stop
 SWITCH_INTERVAL_SECONDS = 0.0002  # Python's default of 5 ms would stall the event loop for that long
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -13,7 +13,7 @@
 from honeyhitch.dead_letters.files import StoreError
 from honeyhitch.dead_letters.store import Store
 
-log = logs.get()
+log = logs.get_logger()
 MAX_BATCH_JOBS = 64  # jobs in one transaction
 MAX_QUEUED_JOBS = 1024
 Job = Callable[[Store], Any]
--- a/honeyhitch/dispatcher/admission.py
+++ b/honeyhitch/dispatcher/admission.py
@@ -11,7 +11,7 @@
 from honeyhitch.journal.transactions import RESEND_FRONTEND, RESP_FRONTEND, Ending, Transaction
 from honeyhitch.time_units import MILLISECOND
 
-log = logs.get()
+log = logs.get_logger()
 BUSY_RETRY_AFTER = 500 * MILLISECOND  # for messages that are rejected before the policy receives them
 
 
--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -14,7 +14,7 @@
 from honeyhitch.policy.events import Outcome, RetryAfterReceived
 from honeyhitch.time_units import MILLISECOND
 
-log = logs.get()
+log = logs.get_logger()
 QUOTA_CHECK_INTERVAL = 250 * MILLISECOND  # between checks whether this instance holds a quota
 
 
--- a/honeyhitch/dispatcher/endings.py
+++ b/honeyhitch/dispatcher/endings.py
@@ -7,7 +7,7 @@
 from honeyhitch.journal.transactions import RESEND_FRONTEND, RESP_FRONTEND, Ending, Transaction
 from honeyhitch.policy.events import MessageWithdrawn
 
-log = logs.get()
+log = logs.get_logger()
 
 
 class Endings:
--- a/honeyhitch/dispatcher/recovery.py
+++ b/honeyhitch/dispatcher/recovery.py
@@ -10,7 +10,7 @@
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Ending, Transaction
 from honeyhitch.policy.events import ShutdownStarted
 
-log = logs.get()
+log = logs.get_logger()
 
 
 class Recovery:
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -32,7 +32,7 @@
 from honeyhitch.journal.state import JournalState
 from honeyhitch.journal.transactions import Attempt, DeliveredKey, Ending, Transaction
 
-log = logs.get()
+log = logs.get_logger()
 JOURNAL_VERSION = 1  # of the record format
 DISK_BYTES_PER_REMEMBERED_ID = 600  # of `max_bytes`; a remembered id or key takes about 45 of these bytes
 MAX_IDS_PER_RECORD = 1000  # ids or keys; keeps each record below the size limit of a replay
--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -132,7 +132,7 @@
     ]
 
 
-def get(**fields: Any) -> structlog.typing.FilteringBoundLogger:
+def get_logger(**fields: Any) -> structlog.typing.FilteringBoundLogger:
     """Return a logger that adds these fields to each of its events."""
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger(**fields)
     return logger
@@ -144,7 +144,7 @@
     With `everything`, as at the end of the process, the bursts that are not over are included, too.
     """
     for name, key, count in _limiter.take_suppressed(everything):
-        get().info(name, key=key, left_out=count)
+        get_logger().info(name, key=key, left_out=count)
 
 
 setup()
--- a/honeyhitch/service/features/control.py
+++ b/honeyhitch/service/features/control.py
@@ -7,7 +7,7 @@
 from honeyhitch.service.service import Service
 from honeyhitch.transports.control import ControlServer, ControlSocketError
 
-log = logs.get()
+log = logs.get_logger()
 
 
 def open_control_socket(service: Service, settings: ControlSettings) -> None:
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -23,7 +23,7 @@
 from honeyhitch.transports.list_watch import ListWatch
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
-log = logs.get()
+log = logs.get_logger()
 VIEW_FILE_NAME = "fleet-view.json"  # in the state directory
 MAX_SAVED_VIEW_BYTES = 250_000
 SAVE_INTERVAL = 60 * SECOND  # after a restart while control is silent, leases count from the last save
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -18,7 +18,7 @@
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Event, RetryAfterReceived
 
-log = logs.get()
+log = logs.get_logger()
 PEER_POLL_SECONDS = 0.02  # between checks while a peer runs
 IDLE_POLL_SECONDS = 0.25  # between checks while no peer runs
 
--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -18,7 +18,7 @@
 from honeyhitch.transports import sockets
 from honeyhitch.transports.client_server import ClientServer, ServerSession
 
-log = logs.get()
+log = logs.get_logger()
 
 
 def listen_for_clients(service: Service) -> None:
--- a/honeyhitch/service/reload.py
+++ b/honeyhitch/service/reload.py
@@ -9,7 +9,7 @@
 from honeyhitch.config import Config, ConfigError
 from honeyhitch.service.service import Service
 
-log = logs.get()
+log = logs.get_logger()
 RESTART_REQUIRED = (
     "name",
     "listen",
--- a/honeyhitch/service/start.py
+++ b/honeyhitch/service/start.py
@@ -8,7 +8,7 @@
 from honeyhitch.service.listeners import listen_for_clients, listen_for_monitoring
 from honeyhitch.service.service import Service
 
-log = logs.get()
+log = logs.get_logger()
 
 
 def start(service: Service, listen: bool = True) -> None:
--- a/honeyhitch/simulator_host/host.py
+++ b/honeyhitch/simulator_host/host.py
@@ -32,7 +32,7 @@
     parse_update_mode,
 )
 
-log = logs.get()
+log = logs.get_logger()
 PAGE_COUNT = 16  # number of endpoint-list pages that `ledger` lines may define
 MAX_QUOTED_LENGTH = 80  # characters of an invalid line that its error quotes
 
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -24,7 +24,7 @@
 from honeyhitch.tls.sessions import SessionCache, SessionKey
 from honeyhitch.tls.settings import Partner, TlsSettings
 
-log = logs.get()
+log = logs.get_logger()
 INITIAL_BLOCK = SECOND  # ns without handshakes after a lasting failure
 MAX_BLOCK = 60 * SECOND  # ns
 MAX_BLOCK_DOUBLINGS = 10
--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -20,7 +20,7 @@
 from honeyhitch.transports import sockets
 from honeyhitch.transports.tasks import Tasks
 
-log = logs.get()
+log = logs.get_logger()
 LISTEN_BACKLOG = 1024  # maximum number of connections that wait to be accepted
 ACCEPT_RETRY_SECONDS = 0.05  # pause after accept() failed because no file descriptor was left
 # Time limit for the first request, for the rest of a partial request, and for the client to read replies.
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -23,7 +23,7 @@
 from honeyhitch.transports import sockets
 from honeyhitch.transports.tasks import Tasks
 
-log = logs.get()
+log = logs.get_logger()
 MAX_CONNECTIONS = 8
 IDLE_TIMEOUT_SECONDS = 30.0  # a connection on which nothing is received for this long is closed
 ACCEPT_RETRY_SECONDS = 0.05  # pause after accept() failed because no file descriptor was left
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -19,7 +19,7 @@
 from honeyhitch.transports.list_watch import ListWatch, connect_before, send_request
 from honeyhitch.transports.tasks import Tasks
 
-log = logs.get()
+log = logs.get_logger()
 
 
 class Discovery:
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -18,7 +18,7 @@
 from honeyhitch.transports.channel import Channel, PlainChannel
 from honeyhitch.transports.tasks import LoopScheduler, Tasks
 
-log = logs.get()
+log = logs.get_logger()
 IDLE_TIMEOUT_FRACTION = 0.8  # maximum idle time, as a fraction of the endpoint's own idle timeout
 SWEEP_INTERVAL_SECONDS = 1.0  # between checks of the idle connections
 # Maximum wait for more bytes of a partial response. A valid response is sent without such pauses.
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -22,7 +22,7 @@
 from honeyhitch.protocols.discovery_backoff import WatchBackoff
 from honeyhitch.transports import sockets
 
-log = logs.get()
+log = logs.get_logger()
 # A watch that ended, and an overloaded agent: the revision that was applied last remains valid.
 HARMLESS_STATUSES = (HTTPStatus.OK, HTTPStatus.SERVICE_UNAVAILABLE)
 CLOSED_BEFORE_RESPONSE = "expected a complete response, but the agent closed the connection"
--- a/honeyhitch/transports/mqtt_frontend.py
+++ b/honeyhitch/transports/mqtt_frontend.py
@@ -13,7 +13,7 @@
 from honeyhitch.time_units import MILLISECOND, SECOND
 from honeyhitch.transports.mqtt_link import MqttContext
 
-log = logs.get()
+log = logs.get_logger()
 IMPLEMENTATION_SPECIFIC_ERROR = 0x83  # reason code of PUBACK
 MAX_REJECTED_IDS = 10_000  # message ids of rejected messages that are kept to recognize a redelivery
 QUOTA_RETRY_DELAY = SECOND  # ns before an answer that exceeded the broker's quota is published again
--- a/honeyhitch/transports/peers.py
+++ b/honeyhitch/transports/peers.py
@@ -22,7 +22,7 @@
 )
 from honeyhitch.transports import sockets
 
-log = logs.get()
+log = logs.get_logger()
 CONNECT_TIMEOUT_SECONDS = 0.1  # owners are on the same network
 # Limit for all steps of forwarding a message together: a client waits 0.4 s for its reply (protocol page).
 FORWARD_TIMEOUT_SECONDS = 0.35
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -10,7 +10,7 @@
 from honeyhitch import logs
 from honeyhitch.time_units import SECOND
 
-log = logs.get()
+log = logs.get_logger()
 INITIAL_RESTART_PAUSE_SECONDS = 0.05
 MAX_RESTART_PAUSE_SECONDS = 2.0  # a task that ran for longer than this restarts with the initial pause
 
--- a/honeyhitch/transports/tls_broker.py
+++ b/honeyhitch/transports/tls_broker.py
@@ -14,7 +14,7 @@
 from honeyhitch.transports.tls_channel import TlsChannel
 from honeyhitch.transports.tls_open import open_verified
 
-log = logs.get()
+log = logs.get_logger()
 CHANGE_POLL_SECONDS = 0.25  # between checks for changed trust or a changed certificate of our own
 RECONNECT_SPREAD_FRACTION = 0.5  # part of the partner's `retire_within` over which reconnects are spread
 
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -40,7 +40,7 @@
 from honeyhitch.transports.tls_channel import TlsChannel
 from honeyhitch.transports.tls_open import VerifiedConnection, open_verified
 
-log = logs.get()
+log = logs.get_logger()
 SWEEP_INTERVAL_SECONDS = 0.25  # between checks for connections to be closed
 FILE_POLL_SECONDS = 2.0  # between checks of the partners' files
 EXPIRY_CHECK_SECONDS = 3600.0  # between checks of our own certificates' expiry
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -33,8 +33,8 @@
 def test_an_event_has_named_fields_in_both_forms() -> None:
     stream = io.StringIO()
     logs.setup("json", "info", stream)
-    logs.get(part="core").warning("journal.full", what="attempt")
-    logs.get().debug("below.the.level")
+    logs.get_logger(part="core").warning("journal.full", what="attempt")
+    logs.get_logger().debug("below.the.level")
     (event,) = events(stream)
     assert event.pop("timestamp")
     assert event == {"event": "journal.full", "level": "warning", "part": "core", "what": "attempt"}
@@ -43,7 +43,7 @@
     try:
         raise RuntimeError("a fault")
     except RuntimeError:
-        logs.get().exception("call.failed", member="one")
+        logs.get_logger().exception("call.failed", member="one")
     first_line = stream.getvalue().splitlines()[0]
     assert "call.failed" in first_line
     assert "member=one" in first_line
@@ -92,7 +92,7 @@
     stream = io.StringIO()
     logs.setup("json", "info", stream)
     for _ in range(logs.BURST_EVENTS + 7):
-        logs.get().warning("accept.failed", error="no descriptor")
+        logs.get_logger().warning("accept.failed", error="no descriptor")
     logs.flush(everything=True)
     logged = events(stream)
     assert len(logged) == logs.BURST_EVENTS + 1
