--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -80,15 +80,15 @@
         burst.passed += 1
         return event
 
-    def take_suppressed(self, everything: bool = False) -> list[SuppressedEvents]:
+    def take_suppressed(self, include_unfinished: bool = False) -> list[SuppressedEvents]:
         """Remove and return the counts of suppressed events in bursts that are over.
 
-        With `everything` the bursts that are not over are included, too. Each count is returned once.
+        With `include_unfinished` the bursts that are not over are included, too. Each count is returned once.
         """
         now = self.clock()
         suppressed: list[SuppressedEvents] = []
         for (name, key), burst in list(self.bursts.items()):
-            if everything or now - burst.started_at >= self.burst_seconds:
+            if include_unfinished or now - burst.started_at >= self.burst_seconds:
                 if burst.suppressed:
                     suppressed.append(SuppressedEvents(name, key, burst.suppressed))
                 del self.bursts[name, key]
@@ -138,12 +138,12 @@
     return logger
 
 
-def flush(everything: bool = False) -> None:
+def flush(include_unfinished: bool = False) -> None:
     """Log how many events were suppressed in bursts that are over.
 
-    With `everything`, as at the end of the process, the bursts that are not over are included, too.
+    With `include_unfinished`, as at the end of the process, the bursts that are not over are included, too.
     """
-    for name, key, count in _limiter.take_suppressed(everything):
+    for name, key, count in _limiter.take_suppressed(include_unfinished):
         get_logger().info(name, key=key, left_out=count)
 
 
--- a/honeyhitch/service/shutdown.py
+++ b/honeyhitch/service/shutdown.py
@@ -76,4 +76,4 @@
     service.handover.close()
     service.journal.close()
     service.state_directory.close()
-    logs.flush(everything=True)
+    logs.flush(include_unfinished=True)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -93,7 +93,7 @@
     logs.setup("json", "info", stream)
     for _ in range(logs.BURST_EVENTS + 7):
         logs.get_logger().warning("accept.failed", error="no descriptor")
-    logs.flush(everything=True)
+    logs.flush(include_unfinished=True)
     logged = events(stream)
     assert len(logged) == logs.BURST_EVENTS + 1
     assert logged[-1]["left_out"] == 7
