--- a/honeyhitch/cli/undelivered/store_access.py
+++ b/honeyhitch/cli/undelivered/store_access.py
@@ -43,7 +43,7 @@
         self.settings = config.operator.dead_letters
         self.directory = self.settings.directory_in(config.state)
         if config.operator.control is not None:
-            self.client = ControlClient(config.operator.control.path_in(config.state))
+            self.client = ControlClient(config.operator.control.socket_path(config.state))
 
     def execute(self, operation: str, arguments: dict[str, Any]) -> dict[str, Any]:
         """Execute an operation of dead_letters/operations.py and return its answer.
--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -79,7 +79,7 @@
 
     path: Path | None = None  # if None, `control.sock` in the state directory
 
-    def path_in(self, state_directory: Path) -> Path:
+    def socket_path(self, state_directory: Path) -> Path:
         """Return the path of the socket for this state directory."""
         return self.path if self.path is not None else state_directory / "control.sock"
 
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -176,7 +176,7 @@
 def _check_control_path(operator: OperatorSettings, state_directory: Path) -> None:
     if operator.control is None:
         return
-    path = operator.control.path_in(state_directory)
+    path = operator.control.socket_path(state_directory)
     if len(os.fsencode(path)) > MAX_SOCKET_PATH_BYTES:
         raise ConfigError(f"control.path: over {MAX_SOCKET_PATH_BYTES} bytes: {path}; give a shorter one")
 
--- a/honeyhitch/service/features/control.py
+++ b/honeyhitch/service/features/control.py
@@ -14,7 +14,7 @@
     """Listen on the control socket. If this fails, log the error and serve messages without the socket."""
     try:
         service.control = ControlServer(
-            settings.path_in(service.config.state), service.commands, service.tasks
+            settings.socket_path(service.config.state), service.commands, service.tasks
         )
     except ControlSocketError as error:
         log.error("control.not-opened", error=str(error))
