--- a/honeyhitch/dispatcher/ports.py
+++ b/honeyhitch/dispatcher/ports.py
@@ -18,8 +18,8 @@
     def now(self) -> int:
         """Return the Unix time in nanoseconds."""
 
-    def call_at(self, when: int, what: Callable[[], None]) -> None:
-        """Call `what` at the Unix time `when` in nanoseconds, or as soon as possible if it is past."""
+    def call_at(self, when: int, callback: Callable[[], None]) -> None:
+        """Call `callback` at the Unix time `when` in nanoseconds, or as soon as possible if it is past."""
 
 
 class Transport(Protocol):
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -26,13 +26,13 @@
         """Return the Unix time in nanoseconds; steps of the system clock after the start are ignored."""
         return time.monotonic_ns() + self.offset
 
-    def call_at(self, when: int, what: Callable[[], None]) -> None:
-        """Call `what` at the Unix time `when` in nanoseconds, or as soon as possible if it is past."""
+    def call_at(self, when: int, callback: Callable[[], None]) -> None:
+        """Call `callback` at the Unix time `when` in nanoseconds, or as soon as possible if it is past."""
         delay = when - self.now()
         if delay <= 0:
-            self.loop.call_soon(what)
+            self.loop.call_soon(callback)
         else:
-            self.loop.call_later(delay / SECOND, what)
+            self.loop.call_later(delay / SECOND, callback)
 
 
 class Tasks:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -51,9 +51,9 @@
     def now(self) -> int:
         return self.time
 
-    def call_at(self, when: int, what: Callable[[], None]) -> None:
+    def call_at(self, when: int, callback: Callable[[], None]) -> None:
         self.sequence += 1
-        heapq.heappush(self.heap, (when, self.sequence, what))
+        heapq.heappush(self.heap, (when, self.sequence, callback))
 
     def run(self, seconds: float) -> None:
         """Advance the time, calling each callback when it is due."""
