--- a/honeyhitch/dispatcher/admission.py
+++ b/honeyhitch/dispatcher/admission.py
@@ -89,7 +89,7 @@
 
     def release(self, message: Transaction) -> None:
         """Pass a message that waited for the dead-letter store to the policy."""
-        if self.context.undecided(message.id):
+        if self.context.find_undecided(message.id):
             self.context.event_queue.enqueue(message, low_priority=message.frontend == RESEND_FRONTEND)
 
     def return_unattempted(self, destination: int, retry_after: int) -> None:
--- a/honeyhitch/dispatcher/context.py
+++ b/honeyhitch/dispatcher/context.py
@@ -48,7 +48,7 @@
         self.peer_process: PeerProcess | None = None
         self.quota_source: QuotaSource | None = None
 
-    def undecided(self, message_id: str) -> Transaction | None:
+    def find_undecided(self, message_id: str) -> Transaction | None:
         """Return the message with this id if this process still has to decide how it ends, else None."""
         message = self.messages.by_id.get(message_id)
         if message is None or message.ending is not None or message_id in self.journal.handed_over:
--- a/honeyhitch/dispatcher/endings.py
+++ b/honeyhitch/dispatcher/endings.py
@@ -18,7 +18,7 @@
 
     def conclude(self, message: Transaction, ending: Ending, retry_after: int) -> None:
         """Conclude an undecided message with this ending; the policy drops its further plans for it."""
-        if self.context.undecided(message.id):
+        if self.context.find_undecided(message.id):
             self.conclude_now(message, ending, retry_after)
             self.context.event_queue.enqueue(
                 MessageWithdrawn(message.id), low_priority=message.frontend == RESEND_FRONTEND
@@ -36,7 +36,7 @@
 
     def withdraw(self, message_id: str) -> None:
         """Withdraw a message for its client: no further attempt is made and no answer is sent."""
-        message = self.context.undecided(message_id)
+        message = self.context.find_undecided(message_id)
         if message is not None:
             self.context.journal.record_end(message, Ending.UNANSWERED)
             self.context.event_queue.enqueue(MessageWithdrawn(message_id))
@@ -45,7 +45,7 @@
 
     def apply_final_answer(self, message_id: str, ending: Ending, retry_after: int) -> None:
         """Apply a final answer that the policy decided; does nothing if the ending was decided before."""
-        message = self.context.undecided(message_id)
+        message = self.context.find_undecided(message_id)
         if message is not None:
             self.conclude_now(message, ending, retry_after)
 
--- a/honeyhitch/dispatcher/outcomes.py
+++ b/honeyhitch/dispatcher/outcomes.py
@@ -89,7 +89,7 @@
         context.calls_in_flight.pop(message.id, None)
         if not not_started:
             self._record(call, index, outcome, result)
-        pending = context.undecided(message.id) is not None
+        pending = context.find_undecided(message.id) is not None
         if concluded and pending:
             ending = Ending.DELIVERED if outcome is Outcome.DELIVERED else Ending.UNANSWERED
             self.endings.conclude_now(message, ending, 0)
