--- a/honeyhitch/protocols/discovery.py
+++ b/honeyhitch/protocols/discovery.py
@@ -68,12 +68,12 @@
     """Parses the response of one watch into lists and changes.
 
     An object may span several lines, none of which is empty; an empty line is a heartbeat. With
-    `keep_member`, a list may have any length, and only the elements of its `members` array for which
-    `keep_member` returns true are kept.
+    `keep_row`, a list may have any length, and only the elements of its `members` array for which
+    `keep_row` returns true are kept.
     """
 
-    def __init__(self, keep_member: Callable[[dict[str, Any]], bool] | None = None) -> None:
-        self.list_parser = ListParser(keep_member) if keep_member is not None else None
+    def __init__(self, keep_row: Callable[[dict[str, Any]], bool] | None = None) -> None:
+        self.list_parser = ListParser(keep_row) if keep_row is not None else None
         self.partial_line = bytearray()
         self.partial_object = bytearray()
         self.bracket_depth = 0  # number of open brackets in the partial object
--- a/honeyhitch/protocols/list_parser.py
+++ b/honeyhitch/protocols/list_parser.py
@@ -25,13 +25,13 @@
 
 
 class ListParser:
-    """Parses a stream of lists, and keeps the rows for which `keep_member` returns true.
+    """Parses a stream of lists, and keeps the rows for which `keep_row` returns true.
 
-    `keep_member` is called with each row as decoded from JSON.
+    `keep_row` is called with each row as decoded from JSON.
     """
 
-    def __init__(self, keep_member: Callable[[dict[str, Any]], bool]) -> None:
-        self.keep_member = keep_member
+    def __init__(self, keep_row: Callable[[dict[str, Any]], bool]) -> None:
+        self.keep_row = keep_row
         self._decoder = json.JSONDecoder()
         self._utf8 = codecs.getincrementaldecoder("utf-8")()
         self._text = ""  # decoded from UTF-8 and not parsed yet
@@ -110,7 +110,7 @@
         if not isinstance(row, dict):
             quoted = str(row)[:MAX_QUOTED_LENGTH]
             raise ListError(f"list: members: expected an object, got {quoted!r}")
-        if self.keep_member(row):
+        if self.keep_row(row):
             self._rows.append(row)
         if len(self._rows) > MAX_KEPT_ROWS:
             raise ListError(f"list: more than {MAX_KEPT_ROWS} members have to be kept")
