--- a/honeyhitch/service/features/tls.py
+++ b/honeyhitch/service/features/tls.py
@@ -47,5 +47,5 @@
         return TLS_TRANSPORT
 
     dispatcher.pool.transport_of = transport_of
-    service.background_tasks += [transport.sweep, transport.watch_files, transport.watch_ends]
+    service.background_tasks += [transport.sweep, transport.watch_files, transport.watch_certificate_expiry]
     service.reload_certificates = transport.reload_certificates
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -462,7 +462,7 @@
             loaded = await asyncio.to_thread(self.partners.read_files, partner)
             self.partners.apply_files(partner, stamps, loaded)
 
-    async def watch_ends(self) -> None:
+    async def watch_certificate_expiry(self) -> None:
         """Log warnings about our own certificates that expire soon. Never returns."""
         while True:
             self.partners.warn_of_expiry()
