--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -456,9 +456,9 @@
             await asyncio.sleep(FILE_POLL_SECONDS)
             await self.reload_certificates()
 
-    async def reload_certificates(self, everything: bool = False) -> None:
-        """Read changed files, or with `everything` all files, once and in a thread."""
-        for partner, stamps in await asyncio.to_thread(self.partners.changed_files, everything):
+    async def reload_certificates(self, include_unchanged: bool = False) -> None:
+        """Read changed files, or with `include_unchanged` all files, once and in a thread."""
+        for partner, stamps in await asyncio.to_thread(self.partners.changed_files, include_unchanged):
             loaded = await asyncio.to_thread(self.partners.read_files, partner)
             self.partners.apply_files(partner, stamps, loaded)
 
