--- a/honeyhitch/dead_letters/key_rotation.py
+++ b/honeyhitch/dead_letters/key_rotation.py
@@ -18,7 +18,7 @@
     if len(store.keys.keys) == 1:
         store.keys.add()
         store.save_keys()
-    return store.keys.current
+    return store.keys.newest_number
 
 
 def reseal_records(store: Store, after_sequence: int = 0) -> int | None:
@@ -52,7 +52,7 @@
     remaining = 0
     for table in SEALED_TABLES:
         statement = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
-        remaining += int(store.database.execute(statement, (store.keys.current,)).fetchone()[0])
+        remaining += int(store.database.execute(statement, (store.keys.newest_number,)).fetchone()[0])
     if not remaining:
         store.keys.drop_old()
         store.save_keys()
--- a/honeyhitch/dead_letters/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -271,9 +271,9 @@
             last_number = key_rotation.reseal_audit(store, after_number)
             return {"next": "end" if last_number is None else "audit", "after": last_number or 0}
         case "end":
-            store.append_audit(0, "", actor, "rekey", f"key {store.keys.current}")
+            store.append_audit(0, "", actor, "rekey", f"key {store.keys.newest_number}")
             remaining = key_rotation.retire_old_keys(store)
-            return {"next": "", "left": remaining, "key": store.keys.current}
+            return {"next": "", "left": remaining, "key": store.keys.newest_number}
         case other:
             raise OperationError(f"step: expected start, records, audit or end, got {other!r}")
 
--- a/honeyhitch/dead_letters/seal.py
+++ b/honeyhitch/dead_letters/seal.py
@@ -29,7 +29,7 @@
 
     def __init__(self, keys: dict[int, bytes]) -> None:
         self.keys = keys
-        self.current = max(keys)
+        self.newest_number = max(keys)
 
     @classmethod
     def load(cls, path: Path, create: bool = False, first_number: int = 1) -> SealKeys:
@@ -70,16 +70,16 @@
 
     def add(self) -> None:
         """Add a new key, which makes all seals from now on; older keys still verify the seals they made."""
-        self.current += 1
-        self.keys[self.current] = secrets.token_bytes(KEY_BYTES)
+        self.newest_number += 1
+        self.keys[self.newest_number] = secrets.token_bytes(KEY_BYTES)
 
     def drop_old(self) -> None:
         """Delete all keys but the newest."""
-        self.keys = {self.current: self.keys[self.current]}
+        self.keys = {self.newest_number: self.keys[self.newest_number]}
 
     def seal(self, data: bytes) -> tuple[int, bytes]:
         """Return the number of the newest key, and the seal of the data that it makes."""
-        return self.current, blake3(data, key=self.keys[self.current]).digest()
+        return self.newest_number, blake3(data, key=self.keys[self.newest_number]).digest()
 
     def verifies(self, number: int, seal: bytes, data: bytes) -> bool:
         """Return whether the key with this number made this seal of the data."""
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -385,7 +385,9 @@
     assert list(reopened.verify()) == []
     assert rotate_key(reopened) == 0
     assert list(reopened.verify()) == []
-    assert list(json.loads((tmp_path / files.KEY_FILE).read_text())["keys"]) == [str(reopened.keys.current)]
+    assert list(json.loads((tmp_path / files.KEY_FILE).read_text())["keys"]) == [
+        str(reopened.keys.newest_number)
+    ]
 
 
 def test_the_old_key_stays_while_a_record_cannot_be_verified(tmp_path: Path) -> None:
