--- a/honeyhitch/dead_letters/key_rotation.py
+++ b/honeyhitch/dead_letters/key_rotation.py
@@ -40,7 +40,7 @@
     Return the number of the last entry of the page, or None if the page is empty.
     """
     with store.transaction():
-        entries = store.audit_page(after=after_number)
+        entries = store.audit_page(after_number=after_number)
         for entry in entries:
             if entry.intact:
                 store.reseal_audit(entry)
--- a/honeyhitch/dead_letters/operations.py
+++ b/honeyhitch/dead_letters/operations.py
@@ -130,7 +130,7 @@
     """Return a page of all audit entries. Arguments: `after`, `most`."""
     after_number = _number(arguments, "after", 0)
     limit = _number(arguments, "most", PAGE_SIZE, MAX_PAGE_SIZE)
-    entries = store.audit_page(after=after_number, limit=limit)
+    entries = store.audit_page(after_number=after_number, limit=limit)
     return {
         "audit": [entry.export() for entry in entries],
         "after": entries[-1].number if entries else after_number,
--- a/honeyhitch/dead_letters/reader.py
+++ b/honeyhitch/dead_letters/reader.py
@@ -107,9 +107,9 @@
         ]
 
     def audit_page(
-        self, sequence: int | None = None, after: int = 0, limit: int = PAGE_SIZE
+        self, sequence: int | None = None, after_number: int = 0, limit: int = PAGE_SIZE
     ) -> list[StoredAuditEntry]:
-        """Return the audit entries that follow the entry with the number `after`, oldest first.
+        """Return the audit entries that follow the entry with the number `after_number`, oldest first.
 
         With `sequence`, only the entries of the record with this number are returned.
         """
@@ -117,7 +117,7 @@
         where, values = ("seq = ? AND ", (sequence,)) if sequence is not None else ("", ())
         columns = ", ".join(AUDIT_COLUMNS)
         statement = f"SELECT number, {columns}, key_number, seal FROM audit WHERE {where}number > ?"
-        rows = self.database.execute(f"{statement} ORDER BY number LIMIT ?", (*values, after, limit))
+        rows = self.database.execute(f"{statement} ORDER BY number LIMIT ?", (*values, after_number, limit))
         return [StoredAuditEntry.from_row(row, self.keys) for row in rows]
 
     def verify(self) -> Iterator[str]:
@@ -129,7 +129,7 @@
             if stored.fault:
                 yield f"record {stored.record.sequence} ({stored.record.id}): {stored.fault}"
         after_number = 0
-        while entries := self.audit_page(after=after_number):
+        while entries := self.audit_page(after_number=after_number):
             for entry in entries:
                 if not entry.intact:
                     yield f"audit {entry.number}: altered since it was sealed"
