--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -18,7 +18,7 @@
 from honeyhitch.policy.settings import Idempotency
 
 EXPIRY_BATCH = 50  # cases checked per call, so that the event loop is not blocked for long
-Key = tuple[int, str]  # destination and idempotency key
+DuplicateKey = tuple[int, str]  # destination and idempotency key
 
 
 class DuplicateState(Enum):
@@ -54,12 +54,12 @@
 
     def __init__(self, retention: int) -> None:
         self.retention = retention
-        self.cases: dict[Key, DuplicateCase] = {}
-        self.live_counts: dict[Key, int] = {}
+        self.cases: dict[DuplicateKey, DuplicateCase] = {}
+        self.live_counts: dict[DuplicateKey, int] = {}
         self._counted_ids: set[str] = set()  # of the messages that are counted in `live_counts`
 
     @staticmethod
-    def key_of(transaction: Transaction) -> Key | None:
+    def key_of(transaction: Transaction) -> DuplicateKey | None:
         """Return the key by which the duplicates of a message are recognised, or None if it has none."""
         return (transaction.destination, transaction.key) if transaction.key else None
 
@@ -159,7 +159,7 @@
         else:
             self.live_counts.pop(key, None)
 
-    def blocked(self, key: Key) -> bool:
+    def blocked(self, key: DuplicateKey) -> bool:
         """Return whether no resend with this key may start.
 
         A live message from a client or a resend in flight blocks resends.
--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -18,7 +18,7 @@
 
 from honeyhitch import logs
 from honeyhitch.dead_letters import resend_store
-from honeyhitch.dead_letters.duplicate_index import DuplicateIndex, Key
+from honeyhitch.dead_letters.duplicate_index import DuplicateIndex, DuplicateKey
 from honeyhitch.dead_letters.pacing import ResendPacing, RuleRates
 from honeyhitch.dead_letters.records import Record
 from honeyhitch.dead_letters.resend_store import (
@@ -82,7 +82,9 @@
         self.pacing = ResendPacing(capacity_fraction, policy_settings.max_concurrent_calls)
         # By id: resends that are in the journal and whose ending is not yet in the store.
         self.resends_in_progress: dict[str, Transaction] = {}
-        self.waiting_duplicates: dict[Key, list[Transaction]] = {}  # each waits for a resend with its key
+        self.waiting_duplicates: dict[
+            DuplicateKey, list[Transaction]
+        ] = {}  # each waits for a resend with its key
         self.due_at: dict[int, int] = {}  # by destination: when the first scheduled record is due
         self.rotation: list[int] = []  # destinations in the order in which they are polled
         self.loaded = False
@@ -306,7 +308,7 @@
             self._wait_for_resend(transaction, key, now)
         return decision
 
-    def _wait_for_resend(self, duplicate: Transaction, key: Key, now: int) -> None:
+    def _wait_for_resend(self, duplicate: Transaction, key: DuplicateKey, now: int) -> None:
         self.waiting_duplicates.setdefault(key, []).append(duplicate)
         lead_time = ANSWER_LEAD_TIME + 2 * self.dispatcher.settings.resolution
         answer_at = max(now, duplicate.deadline - lead_time)
@@ -339,7 +341,7 @@
         else:
             self.dispatcher.conclude(duplicate, Ending.FAILED)
 
-    def _stop_waiting(self, duplicate: Transaction, key: Key) -> bool:
+    def _stop_waiting(self, duplicate: Transaction, key: DuplicateKey) -> bool:
         """Remove the duplicate from those that wait for a resend, and return whether it was one of them."""
         waiting = self.waiting_duplicates.get(key, [])
         if duplicate not in waiting:
