--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -159,7 +159,7 @@
         else:
             self.live_counts.pop(key, None)
 
-    def blocked(self, key: DuplicateKey) -> bool:
+    def blocks_resend(self, key: DuplicateKey) -> bool:
         """Return whether no resend with this key may start.
 
         A live message from a client or a resend in flight blocks resends.
--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -205,7 +205,7 @@
     def _start_resend(self, candidate: ResendCandidate, now: int) -> None:
         record = candidate.record
         rule = candidate.rule
-        if record.key and self.duplicates.blocked((record.destination, record.key)):
+        if record.key and self.duplicates.blocks_resend((record.destination, record.key)):
             self._postpone(record, now + SECOND)
             return
         health = destination_health(self.dispatcher.policy, record.destination, now)
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -65,7 +65,7 @@
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
     "copies go out beside a resend": [(DuplicateIndex, "decide_arrival", always_deliver)],
     "a resend begins beside a copy": [
-        (DuplicateIndex, "blocked", lambda *_: False),
+        (DuplicateIndex, "blocks_resend", lambda *_: False),
         (DuplicateIndex, "decide_arrival", always_deliver),
     ],
     "a delivered copy settles nothing": [(ResendScheduler, "settles_dead_letter", lambda *_: False)],
