--- a/honeyhitch/dead_letters/connection.py
+++ b/honeyhitch/dead_letters/connection.py
@@ -80,7 +80,7 @@
         except SealError as error:
             raise StoreError(str(error)) from error
 
-    def file_unmoved(self) -> bool:
+    def path_names_open_file(self) -> bool:
         """Return whether the path still names the open file; writes to a moved file would be lost."""
         try:
             return files.identity(self.directory / files.DATABASE_FILE) == self._file_identity
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -96,7 +96,7 @@
             self._close()  # the next job opens the store again
 
     def _run_in_transaction(self, jobs: list[Job]) -> list[Any]:
-        if self._store is not None and not self._store.file_unmoved():
+        if self._store is not None and not self._store.path_names_open_file():
             self._close()
         if not jobs:
             return []
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -211,9 +211,9 @@
 
 def test_a_moved_file_is_detected(tmp_path: Path) -> None:
     store = open_store(tmp_path)
-    assert store.file_unmoved()
+    assert store.path_names_open_file()
     os.rename(tmp_path / files.DATABASE_FILE, tmp_path / "away")
-    assert not store.file_unmoved()
+    assert not store.path_names_open_file()
 
 
 def test_a_file_truncated_anywhere_is_refused_or_reported(tmp_path: Path) -> None:
