--- a/honeyhitch/cli/tls.py
+++ b/honeyhitch/cli/tls.py
@@ -138,7 +138,7 @@
 
 def _report_files(partners: Partners, partner: Partner, warn_days: int | None) -> Report:
     material = partners.states[partner].material
-    own, terms = material.own, partner.terms
+    own, terms = material.own_certificate, partner.terms
     report: Report = {
         "partner": partner.name,
         "failure": "",
--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -50,7 +50,7 @@
 
     context: ssl.SSLContext
     digest: str
-    own: CertificateInfo | None
+    own_certificate: CertificateInfo | None
     revoked: RevokedCertificates
     crl_until: int  # ns; the earliest next update of a revocation list, NEVER if there is none
     pins: tuple[bytes, ...]
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -112,7 +112,7 @@
         """Return the machine of a new connection, with a session to resume if one is cached."""
         session = self.sessions.get(key, self.now()) if state.partner.terms.resume else None
         context = state.material.context
-        own_certificate = state.material.own is not None
+        own_certificate = state.material.own_certificate is not None
         try:
             return TlsMachine(context, key.server_name, session, own_certificate)
         except (ValueError, ssl.SSLError):  # OpenSSL does not accept the session
@@ -208,8 +208,8 @@
     def warn_of_expiry(self) -> None:
         """Log a warning for each of our own certificates that expires soon."""
         for state in self.states.values():
-            if state.material.own is not None:
-                self._warn_if_expiring(state, state.material.own, "own")
+            if state.material.own_certificate is not None:
+                self._warn_if_expiring(state, state.material.own_certificate, "own")
 
     def _warn_if_expiring(self, state: PartnerState, certificate: CertificateInfo, owner: str) -> None:
         """Log a warning for a certificate that expires soon, at most once a day."""
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -121,8 +121,8 @@
         {"RIGHT": "secret"},
         time.time_ns(),
     )
-    assert material.own is not None
-    assert material.own.names == ("localhost", "127.0.0.1")
+    assert material.own_certificate is not None
+    assert material.own_certificate.names == ("localhost", "127.0.0.1")
 
 
 def test_all_files_of_a_directory_of_roots_are_read(pki: Authority, tmp_path: Path) -> None:
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -77,7 +77,7 @@
 
 def client(terms: Terms, server_name: str = "localhost", session: ssl.SSLSession | None = None) -> TlsMachine:
     material = load(terms, {}, time.time_ns())
-    return TlsMachine(material.context, server_name, session, material.own is not None)
+    return TlsMachine(material.context, server_name, session, material.own_certificate is not None)
 
 
 @pytest.mark.parametrize("version", ["1.2", "1.3"])
@@ -366,7 +366,7 @@
         load(Terms(certificate=issued.cert_file, key=issued.key_file), {}, now[0])
         for issued in (stale, backup, first)
     ]
-    pins = [material.own.pin for material in materials if material.own is not None]
+    pins = [material.own_certificate.pin for material in materials if material.own_certificate is not None]
     crl = pki.crl(file="in-service.pem")
 
     def create_partners(*accepted_pins: bytes) -> Partners:
