--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -19,7 +19,7 @@
     "server-name", "ca", "crl", "certificate", "key", "key-password-env", "least-version", "pins", "resume",
     "handshakes", "handshake-rate", "handshake-timeout", "retire-within", "warn-days",
 )  # fmt: skip
-PARTNER_SCOPES = (Scope.MEMBER, Scope.DEST, Scope.KIND)
+PARTNER_SCOPES = (Scope.ENDPOINT, Scope.DEST, Scope.KIND)
 MAX_DURATION_SECONDS = DAY // SECOND
 MAX_NAME_LENGTH = 253  # characters of a host name (RFC 1035)
 PIN_BYTES = 32  # length of a SHA-256 digest
--- a/honeyhitch/tls/settings.py
+++ b/honeyhitch/tls/settings.py
@@ -12,7 +12,7 @@
 class Scope(Enum):
     """What a partner's table is matched with; a narrower scope has precedence."""
 
-    MEMBER = "member"
+    ENDPOINT = "member"
     DEST = "dest"
     KIND = "kind"
     BROKER = "broker"  # the MQTT broker; matches no endpoint
@@ -60,7 +60,7 @@
 
     def find_partner(self, endpoint_id: str, destination: int, kind: str) -> Partner | None:
         """Return the partner with the narrowest scope that matches; None for an endpoint without TLS."""
-        by_precedence = ((Scope.MEMBER, endpoint_id), (Scope.DEST, str(destination)), (Scope.KIND, kind))
+        by_precedence = ((Scope.ENDPOINT, endpoint_id), (Scope.DEST, str(destination)), (Scope.KIND, kind))
         for scope, value in by_precedence:
             for partner in self.partners:
                 if partner.scope is scope and partner.value == value:
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -141,7 +141,7 @@
 def test_the_partner_with_the_narrowest_scope_applies() -> None:
     wide, middle, narrow = (
         Partner(scope, value, Terms(handshakes=i))
-        for i, (scope, value) in enumerate(((Scope.KIND, "k"), (Scope.DEST, "7"), (Scope.MEMBER, "m")), 1)
+        for i, (scope, value) in enumerate(((Scope.KIND, "k"), (Scope.DEST, "7"), (Scope.ENDPOINT, "m")), 1)
     )
     tls_settings = TlsSettings((wide, middle, narrow))
     assert tls_settings.find_partner("m", 7, "k") is narrow
