--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -92,7 +92,9 @@
             self._batch_failed(str(result))
             return
         if self.last_error:
-            log.info("dead-letter.store-recovered", waiting=len(self.pending), let_go=self.counts.discarded)
+            log.info(
+                "dead-letter.store-recovered", waiting=len(self.pending), discarded=self.counts.discarded
+            )
         self.batch = []
         self.last_error = ""
         self.retry_pause = MIN_RETRY_PAUSE
--- a/honeyhitch/dispatcher/admission.py
+++ b/honeyhitch/dispatcher/admission.py
@@ -39,7 +39,7 @@
         try:
             context.journal.record_accepted(message)
         except JournalFullError as error:
-            log.warning("journal.full", what="message", error=str(error))
+            log.warning("journal.full", record="message", error=str(error))
             return self._reject(message)
         if self._repeats_delivered_key(message):
             # The message's endpoint would also report a repeat as delivered.
--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -89,7 +89,7 @@
                 call.messages[index], now, call.endpoint.zone, call.endpoint.id
             )
         except JournalFullError as error:  # an attempt that cannot be recorded must not be sent
-            log.warning("journal.full", what="attempt", error=str(error))
+            log.warning("journal.full", record="attempt", error=str(error))
             self.outcomes.attempt_ended(call, index, Outcome.NOT_SENT, False, CallResult([]))
 
     def _is_reachable(self, endpoint: PoolEndpoint) -> bool:
--- a/honeyhitch/dispatcher/recovery.py
+++ b/honeyhitch/dispatcher/recovery.py
@@ -95,7 +95,7 @@
             context.journal.hand_over(waiting, len(calls))
         except JournalFullError as error:
             # The other process takes the messages over once this process has ended.
-            log.warning("journal.full", what="passed", error=str(error))
+            log.warning("journal.full", record="hand-over", error=str(error))
 
     def _stop_sending(self) -> None:
         """Stop sending, and cancel calls that have not started; their messages were not attempted."""
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -207,7 +207,7 @@
     def _save(self, now: int) -> None:
         data = json.dumps(self.fleet.snapshot(), separators=(",", ":")).encode()
         if len(data) > MAX_SAVED_VIEW_BYTES:
-            log.warning("fleet.view-not-saved", bytes=len(data), most=MAX_SAVED_VIEW_BYTES)
+            log.warning("fleet.view-not-saved", bytes=len(data), max_bytes=MAX_SAVED_VIEW_BYTES)
             return
         new_path = self.path.with_suffix(".new")
         try:
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -98,7 +98,7 @@
         self.dispatcher.peer_process = self if running else None
         log.info(
             "handover.peer-started" if running else "handover.peer-ended",
-            place=self.state_directory.other_slot,
+            slot=self.state_directory.other_slot,
         )
         self.peer_calls_in_flight = None
         self.on_change(running, None)
--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -44,7 +44,10 @@
         forward=None if fleet is None else fleet.forwarder.forward,
     )
     if service.handover.peer_running:
-        log.info("listen.address-shared", steered=sockets.prefer_second_listener(service.clients.listener))
+        log.info(
+            "listen.address-shared",
+            prefers_second_listener=sockets.prefer_second_listener(service.clients.listener),
+        )
 
 
 def listen_for_monitoring(service: Service) -> None:
--- a/honeyhitch/service/reload.py
+++ b/honeyhitch/service/reload.py
@@ -37,7 +37,7 @@
         config = read_config(service.config)
     except Exception as error:  # noqa: BLE001  # a faulty file must not end a running process
         reason = str(error) if isinstance(error, ConfigError) else repr(error)
-        log.error("reload.rejected", error=reason, kept="the configuration in force")
+        log.error("reload.rejected", error=reason, in_force="the previous configuration")
         return
     _apply_discovery_address(service, config)
     _apply_resend_rules(service, config)
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -90,7 +90,7 @@
         )
         warnings = HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, settings.instance_count)
         for warning in warnings:
-            log.warning("tls.budget-limited", partner=partner.name, what=warning, key=partner.name)
+            log.warning("tls.budget-limited", partner=partner.name, warning=warning, key=partner.name)
         stamps = material.file_stamps(terms)
         loaded = material.load(terms, self.environ, self.now())
         return PartnerState(partner, loaded, budget, stamps=stamps)
@@ -188,7 +188,9 @@
         state.stamps = stamps
         if isinstance(loaded, MaterialError):
             if state.last_rejection != str(loaded):
-                log.error("tls.files-rejected", partner=state.name, error=str(loaded), kept="the old ones")
+                log.error(
+                    "tls.files-rejected", partner=state.name, error=str(loaded), in_force="the previous files"
+                )
             state.last_rejection = str(loaded)
             return False
         state.last_rejection = ""
--- a/honeyhitch/transports/mqtt_frontend.py
+++ b/honeyhitch/transports/mqtt_frontend.py
@@ -108,4 +108,4 @@
         problem = f"reason {acknowledgement.reason:#x}"
     else:
         return
-    log.warning("answer.unconfirmed", topic=answer.topic, told=problem, key=answer.topic)
+    log.warning("answer.unconfirmed", topic=answer.topic, reason=problem, key=answer.topic)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -33,11 +33,11 @@
 def test_an_event_has_named_fields_in_both_forms() -> None:
     stream = io.StringIO()
     logs.setup("json", "info", stream)
-    logs.get_logger(part="core").warning("journal.full", what="attempt")
+    logs.get_logger(part="core").warning("journal.full", record="attempt")
     logs.get_logger().debug("below.the.level")
     (event,) = events(stream)
     assert event.pop("timestamp")
-    assert event == {"event": "journal.full", "level": "warning", "part": "core", "what": "attempt"}
+    assert event == {"event": "journal.full", "level": "warning", "part": "core", "record": "attempt"}
     stream = io.StringIO()
     logs.setup("console", "info", stream)
     try:
