--- a/tests/test_policy_batches.py
+++ b/tests/test_policy_batches.py
@@ -71,6 +71,6 @@
             world.new_message("long", class_index=class_index),
         ]
     )
-    assert len({at for at, _ in world.sends()}) == 1, "first attempts_before go at once"
+    assert len({at for at, _ in world.sends()}) == 1, "first attempts go at once"
     calls = {id(world.policy.messages[name].call) for name in ("brief", "long")}
     assert (len(calls) == 1) is together
