--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -12,8 +12,12 @@
 from honeyhitch.policy.settings import Settings
 from honeyhitch.time_units import NEVER
 
-HEALTHY_SLOT_FRACTION = 0.75  # largest fraction of all slots for one destination (claim `dest_cap`)
-UNHEALTHY_SLOT_FRACTION = 0.25  # the same for an unhealthy destination; half of the claim `isolates`
+# Calls in flight to one destination stay at or under three quarters of the slots of an instance
+# (claim `dest_cap`).
+HEALTHY_SLOT_FRACTION = 0.75
+# An unhealthy destination holds at most half of an instance's slots (claim `isolates`); this fraction is half
+# of what the claim allows.
+UNHEALTHY_SLOT_FRACTION = 0.25
 FAILURE_RANKS = 4  # steps into which failure fractions are rounded down to compare endpoints
 
 
