--- a/honeyhitch/policy/events.py
+++ b/honeyhitch/policy/events.py
@@ -73,7 +73,7 @@
     ordering_key: int | None = None
     tenant: int = 0
     expected_work: int = 0  # estimated duration of the call, 0 if there is no estimate
-    recovered_from_journal: bool = False
+    recovered_from_journal: bool = False  # also set if the client marked the message as a repeat
     attempts: int = 0  # made before the process restarted
     first_possible_execution: int | None = None  # when an earlier attempt may first have been executed
     first_execution_zone: int = 0  # zone of that earlier attempt
--- a/honeyhitch/policy/message.py
+++ b/honeyhitch/policy/message.py
@@ -84,8 +84,9 @@
     def _set_objective(self, event: NewMessage, now: int) -> None:
         """Set the duration and the end of the latency objective.
 
-        The age of a message recovered from the journal follows from its time left and shortens its objective.
-        The time left of any other message does not depend on its age, so its objective starts now.
+        The age of a message that was recovered from the journal, or that its client marked as a repeat (`r=1`
+        or `again=1`), follows from its time left and shortens its objective. The time left of any other
+        message does not depend on its age, so its objective starts now.
         """
         message_class = self.message_class
         work_allowance = int(message_class.objective_work_factor * event.expected_work)
