--- a/honeyhitch/policy/destination_state.py
+++ b/honeyhitch/policy/destination_state.py
@@ -47,8 +47,10 @@
         self.max_messages_per_call = float(MAX_MESSAGES_PER_CALL)  # lowered when a whole call fails
 
     def ready_at(self, now: int, non_idempotent: bool) -> int:
-        """Return the time from which the destination may take a message (rules 3 and 4).
+        """Return the time from which the destination may take a message.
 
+        The time keeps the send rate, so that a destination in slow start is not overloaded, and an ejected
+        destination gets only recovery probes (rules 3 and 4). It is not before the end of a Retry-After.
         NEVER means that the outcome of the probe in flight decides.
         """
         circuit = self.circuit
--- a/honeyhitch/policy/endpoint_choice.py
+++ b/honeyhitch/policy/endpoint_choice.py
@@ -32,8 +32,9 @@
 def choose_endpoint(message: PendingMessage, now: int, settings: Settings) -> EndpointChoice:
     """Choose the best-ranked endpoint among those that may take a call with the message now.
 
-    An endpoint must be listed, be in the message's required zone if there is one, and be ready for a call
-    (rules 2, 3 and 4).
+    An endpoint must be in the message's required zone if there is one, so that no effect is duplicated; be
+    listed, because one that is draining or gone gets no new calls; and be ready for a call, so that a
+    destination in slow start is not overloaded (rules 2, 3 and 4).
     """
     destination = message.destination
     zone = message.required_zone()
--- a/honeyhitch/policy/endpoint_list.py
+++ b/honeyhitch/policy/endpoint_list.py
@@ -18,7 +18,11 @@
 
 
 class EndpointList:
-    """All destinations by number. A missing or outdated list never stops delivery (rule 3)."""
+    """All destinations by number.
+
+    An endpoint that is draining or gone gets no new calls (rule 3), but a missing or outdated list never
+    stops delivery.
+    """
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._settings = settings
--- a/honeyhitch/policy/engine.py
+++ b/honeyhitch/policy/engine.py
@@ -125,8 +125,9 @@
     def may_start(self, now: int, name: str) -> bool:
         """Return whether the call that carries a message may still start, just before its first byte.
 
-        The check covers what happened since the Send (rules 1 to 5): the message may have ended or have too
-        little time left, and the endpoint may be unlisted, under Retry-After or ejected.
+        The check covers what happened since the Send (rules 1 to 5). The message must not have ended, and
+        must have enough time left before its deadline and the end of its deduplication window. The endpoint
+        must still be listed, must not be under Retry-After, and must not have been ejected since the Send.
         """
         message = self.messages[name]
         call = message.call
--- a/honeyhitch/policy/rate_limiting.py
+++ b/honeyhitch/policy/rate_limiting.py
@@ -22,7 +22,10 @@
 
 
 class RateLimiter:
-    """The rate of calls that this instance may send to one destination (rule 4). Times are nanoseconds."""
+    """The rate of calls that this instance may send to one destination. Times are nanoseconds.
+
+    The rate does not overload a destination in slow start (rule 4).
+    """
 
     __slots__ = (
         "_outage_duration",
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,9 @@
-"""A test driver for the policy; it checks every action against the six rules, independently of its code."""
+"""A test driver for the policy; it checks its actions against the rules, independently of its code.
+
+The rules are: (1) a message gets one final answer in time; (2) no effect is duplicated; (3) an endpoint that
+is draining or gone gets nothing new; (4) a destination in slow start is not overloaded; (5) the order of an
+ordering key is kept; (6) a Retry-After is kept. Rule 4 is not checked here.
+"""
 
 from __future__ import annotations
 
