--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -21,7 +21,7 @@
 from honeyhitch.policy.settings import Settings
 from honeyhitch.time_units import SECOND
 
-log = logs.get()
+log = logs.get_logger()
 BATCH_SIZE = 64  # messages per transaction of the store
 MIN_RETRY_PAUSE = SECOND  # between attempts while the store fails
 MAX_RETRY_PAUSE = 60 * SECOND
@@ -92,7 +92,9 @@
             self._batch_failed(str(result))
             return
         if self.last_error:
-            log.info("dead-letter.store-recovered", waiting=len(self.pending), let_go=self.counts.discarded)
+            log.info(
+                "dead-letter.store-recovered", waiting=len(self.pending), discarded=self.counts.discarded
+            )
         self.batch = []
         self.last_error = ""
         self.retry_pause = MIN_RETRY_PAUSE
--- a/honeyhitch/dead_letters/key_rotation.py
+++ b/honeyhitch/dead_letters/key_rotation.py
@@ -18,7 +18,7 @@
     if len(store.keys.keys) == 1:
         store.keys.add()
         store.save_keys()
-    return store.keys.current
+    return store.keys.newest_number
 
 
 def reseal_records(store: Store, after_sequence: int = 0) -> int | None:
@@ -40,7 +40,7 @@
     Return the number of the last entry of the page, or None if the page is empty.
     """
     with store.transaction():
-        entries = store.audit_page(after=after_number)
+        entries = store.audit_page(after_number=after_number)
         for entry in entries:
             if entry.intact:
                 store.reseal_audit(entry)
@@ -52,7 +52,7 @@
     remaining = 0
     for table in SEALED_TABLES:
         statement = f"SELECT count(*) FROM {table} WHERE key_number IS NOT ?"
-        remaining += int(store.database.execute(statement, (store.keys.current,)).fetchone()[0])
+        remaining += int(store.database.execute(statement, (store.keys.newest_number,)).fetchone()[0])
     if not remaining:
         store.keys.drop_old()
         store.save_keys()
--- a/honeyhitch/dead_letters/worker.py
+++ b/honeyhitch/dead_letters/worker.py
@@ -13,7 +13,7 @@
 from honeyhitch.dead_letters.files import StoreError
 from honeyhitch.dead_letters.store import Store
 
-log = logs.get()
+log = logs.get_logger()
 MAX_BATCH_JOBS = 64  # jobs in one transaction
 MAX_QUEUED_JOBS = 1024
 Job = Callable[[Store], Any]
@@ -96,7 +96,7 @@
             self._close()  # the next job opens the store again
 
     def _run_in_transaction(self, jobs: list[Job]) -> list[Any]:
-        if self._store is not None and not self._store.file_unmoved():
+        if self._store is not None and not self._store.path_names_open_file():
             self._close()
         if not jobs:
             return []
--- a/honeyhitch/dispatcher/admission.py
+++ b/honeyhitch/dispatcher/admission.py
@@ -11,7 +11,7 @@
 from honeyhitch.journal.transactions import RESEND_FRONTEND, RESP_FRONTEND, Ending, Transaction
 from honeyhitch.time_units import MILLISECOND
 
-log = logs.get()
+log = logs.get_logger()
 BUSY_RETRY_AFTER = 500 * MILLISECOND  # for messages that are rejected before the policy receives them
 
 
@@ -39,7 +39,7 @@
         try:
             context.journal.record_accepted(message)
         except JournalFullError as error:
-            log.warning("journal.full", what="message", error=str(error))
+            log.warning("journal.full", record="message", error=str(error))
             return self._reject(message)
         if self._repeats_delivered_key(message):
             # The message's endpoint would also report a repeat as delivered.
@@ -89,7 +89,7 @@
 
     def release(self, message: Transaction) -> None:
         """Pass a message that waited for the dead-letter store to the policy."""
-        if self.context.undecided(message.id):
+        if self.context.find_undecided(message.id):
             self.context.event_queue.enqueue(message, low_priority=message.frontend == RESEND_FRONTEND)
 
     def return_unattempted(self, destination: int, retry_after: int) -> None:
--- a/honeyhitch/dispatcher/recovery.py
+++ b/honeyhitch/dispatcher/recovery.py
@@ -10,7 +10,7 @@
 from honeyhitch.journal.transactions import RESEND_FRONTEND, Ending, Transaction
 from honeyhitch.policy.events import ShutdownStarted
 
-log = logs.get()
+log = logs.get_logger()
 
 
 class Recovery:
@@ -95,7 +95,7 @@
             context.journal.hand_over(waiting, len(calls))
         except JournalFullError as error:
             # The other process takes the messages over once this process has ended.
-            log.warning("journal.full", what="passed", error=str(error))
+            log.warning("journal.full", record="hand-over", error=str(error))
 
     def _stop_sending(self) -> None:
         """Stop sending, and cancel calls that have not started; their messages were not attempted."""
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -23,7 +23,7 @@
 from honeyhitch.transports.list_watch import ListWatch
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
-log = logs.get()
+log = logs.get_logger()
 VIEW_FILE_NAME = "fleet-view.json"  # in the state directory
 MAX_SAVED_VIEW_BYTES = 250_000
 SAVE_INTERVAL = 60 * SECOND  # after a restart while control is silent, leases count from the last save
@@ -207,7 +207,7 @@
     def _save(self, now: int) -> None:
         data = json.dumps(self.fleet.snapshot(), separators=(",", ":")).encode()
         if len(data) > MAX_SAVED_VIEW_BYTES:
-            log.warning("fleet.view-not-saved", bytes=len(data), most=MAX_SAVED_VIEW_BYTES)
+            log.warning("fleet.view-not-saved", bytes=len(data), max_bytes=MAX_SAVED_VIEW_BYTES)
             return
         new_path = self.path.with_suffix(".new")
         try:
--- a/honeyhitch/service/handover.py
+++ b/honeyhitch/service/handover.py
@@ -18,7 +18,7 @@
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.policy.events import Event, RetryAfterReceived
 
-log = logs.get()
+log = logs.get_logger()
 PEER_POLL_SECONDS = 0.02  # between checks while a peer runs
 IDLE_POLL_SECONDS = 0.25  # between checks while no peer runs
 
@@ -98,7 +98,7 @@
         self.dispatcher.peer_process = self if running else None
         log.info(
             "handover.peer-started" if running else "handover.peer-ended",
-            place=self.state_directory.other_slot,
+            slot=self.state_directory.other_slot,
         )
         self.peer_calls_in_flight = None
         self.on_change(running, None)
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -24,7 +24,7 @@
 from honeyhitch.tls.sessions import SessionCache, SessionKey
 from honeyhitch.tls.settings import Partner, TlsSettings
 
-log = logs.get()
+log = logs.get_logger()
 INITIAL_BLOCK = SECOND  # ns without handshakes after a lasting failure
 MAX_BLOCK = 60 * SECOND  # ns
 MAX_BLOCK_DOUBLINGS = 10
@@ -90,7 +90,7 @@
         )
         warnings = HandshakeBudget.warnings(terms.handshakes, terms.handshake_rate, settings.instance_count)
         for warning in warnings:
-            log.warning("tls.budget-limited", partner=partner.name, what=warning, key=partner.name)
+            log.warning("tls.budget-limited", partner=partner.name, warning=warning, key=partner.name)
         stamps = material.file_stamps(terms)
         loaded = material.load(terms, self.environ, self.now())
         return PartnerState(partner, loaded, budget, stamps=stamps)
@@ -112,7 +112,7 @@
         """Return the machine of a new connection, with a session to resume if one is cached."""
         session = self.sessions.get(key, self.now()) if state.partner.terms.resume else None
         context = state.material.context
-        own_certificate = state.material.own is not None
+        own_certificate = state.material.own_certificate is not None
         try:
             return TlsMachine(context, key.server_name, session, own_certificate)
         except (ValueError, ssl.SSLError):  # OpenSSL does not accept the session
@@ -188,7 +188,9 @@
         state.stamps = stamps
         if isinstance(loaded, MaterialError):
             if state.last_rejection != str(loaded):
-                log.error("tls.files-rejected", partner=state.name, error=str(loaded), kept="the old ones")
+                log.error(
+                    "tls.files-rejected", partner=state.name, error=str(loaded), in_force="the previous files"
+                )
             state.last_rejection = str(loaded)
             return False
         state.last_rejection = ""
@@ -208,8 +210,8 @@
     def warn_of_expiry(self) -> None:
         """Log a warning for each of our own certificates that expires soon."""
         for state in self.states.values():
-            if state.material.own is not None:
-                self._warn_if_expiring(state, state.material.own, "own")
+            if state.material.own_certificate is not None:
+                self._warn_if_expiring(state, state.material.own_certificate, "own")
 
     def _warn_if_expiring(self, state: PartnerState, certificate: CertificateInfo, owner: str) -> None:
         """Log a warning for a certificate that expires soon, at most once a day."""
--- a/honeyhitch/transports/tasks.py
+++ b/honeyhitch/transports/tasks.py
@@ -10,7 +10,7 @@
 from honeyhitch import logs
 from honeyhitch.time_units import SECOND
 
-log = logs.get()
+log = logs.get_logger()
 INITIAL_RESTART_PAUSE_SECONDS = 0.05
 MAX_RESTART_PAUSE_SECONDS = 2.0  # a task that ran for longer than this restarts with the initial pause
 
@@ -26,13 +26,13 @@
         """Return the Unix time in nanoseconds; steps of the system clock after the start are ignored."""
         return time.monotonic_ns() + self.offset
 
-    def call_at(self, when: int, what: Callable[[], None]) -> None:
-        """Call `what` at the Unix time `when` in nanoseconds, or as soon as possible if it is past."""
+    def call_at(self, when: int, callback: Callable[[], None]) -> None:
+        """Call `callback` at the Unix time `when` in nanoseconds, or as soon as possible if it is past."""
         delay = when - self.now()
         if delay <= 0:
-            self.loop.call_soon(what)
+            self.loop.call_soon(callback)
         else:
-            self.loop.call_later(delay / SECOND, what)
+            self.loop.call_later(delay / SECOND, callback)
 
 
 class Tasks:
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -40,7 +40,7 @@
 from honeyhitch.transports.tls_channel import TlsChannel
 from honeyhitch.transports.tls_open import VerifiedConnection, open_verified
 
-log = logs.get()
+log = logs.get_logger()
 SWEEP_INTERVAL_SECONDS = 0.25  # between checks for connections to be closed
 FILE_POLL_SECONDS = 2.0  # between checks of the partners' files
 EXPIRY_CHECK_SECONDS = 3600.0  # between checks of our own certificates' expiry
@@ -456,13 +456,13 @@
             await asyncio.sleep(FILE_POLL_SECONDS)
             await self.reload_certificates()
 
-    async def reload_certificates(self, everything: bool = False) -> None:
-        """Read changed files, or with `everything` all files, once and in a thread."""
-        for partner, stamps in await asyncio.to_thread(self.partners.changed_files, everything):
+    async def reload_certificates(self, include_unchanged: bool = False) -> None:
+        """Read changed files, or with `include_unchanged` all files, once and in a thread."""
+        for partner, stamps in await asyncio.to_thread(self.partners.changed_files, include_unchanged):
             loaded = await asyncio.to_thread(self.partners.read_files, partner)
             self.partners.apply_files(partner, stamps, loaded)
 
-    async def watch_ends(self) -> None:
+    async def watch_certificate_expiry(self) -> None:
         """Log warnings about our own certificates that expire soon. Never returns."""
         while True:
             self.partners.warn_of_expiry()
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -211,9 +211,9 @@
 
 def test_a_moved_file_is_detected(tmp_path: Path) -> None:
     store = open_store(tmp_path)
-    assert store.file_unmoved()
+    assert store.path_names_open_file()
     os.rename(tmp_path / files.DATABASE_FILE, tmp_path / "away")
-    assert not store.file_unmoved()
+    assert not store.path_names_open_file()
 
 
 def test_a_file_truncated_anywhere_is_refused_or_reported(tmp_path: Path) -> None:
@@ -385,7 +385,9 @@
     assert list(reopened.verify()) == []
     assert rotate_key(reopened) == 0
     assert list(reopened.verify()) == []
-    assert list(json.loads((tmp_path / files.KEY_FILE).read_text())["keys"]) == [str(reopened.keys.current)]
+    assert list(json.loads((tmp_path / files.KEY_FILE).read_text())["keys"]) == [
+        str(reopened.keys.newest_number)
+    ]
 
 
 def test_the_old_key_stays_while_a_record_cannot_be_verified(tmp_path: Path) -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -33,17 +33,17 @@
 def test_an_event_has_named_fields_in_both_forms() -> None:
     stream = io.StringIO()
     logs.setup("json", "info", stream)
-    logs.get(part="core").warning("journal.full", what="attempt")
-    logs.get().debug("below.the.level")
+    logs.get_logger(part="core").warning("journal.full", record="attempt")
+    logs.get_logger().debug("below.the.level")
     (event,) = events(stream)
     assert event.pop("timestamp")
-    assert event == {"event": "journal.full", "level": "warning", "part": "core", "what": "attempt"}
+    assert event == {"event": "journal.full", "level": "warning", "part": "core", "record": "attempt"}
     stream = io.StringIO()
     logs.setup("console", "info", stream)
     try:
         raise RuntimeError("a fault")
     except RuntimeError:
-        logs.get().exception("call.failed", member="one")
+        logs.get_logger().exception("call.failed", member="one")
     first_line = stream.getvalue().splitlines()[0]
     assert "call.failed" in first_line
     assert "member=one" in first_line
@@ -92,8 +92,8 @@
     stream = io.StringIO()
     logs.setup("json", "info", stream)
     for _ in range(logs.BURST_EVENTS + 7):
-        logs.get().warning("accept.failed", error="no descriptor")
-    logs.flush(everything=True)
+        logs.get_logger().warning("accept.failed", error="no descriptor")
+    logs.flush(include_unfinished=True)
     logged = events(stream)
     assert len(logged) == logs.BURST_EVENTS + 1
     assert logged[-1]["left_out"] == 7
