--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -64,7 +64,7 @@
         self.units: dict[str, tuple[str, str]] = {}
 
     def record(self, name: str, unit: str, per: str, size: float, value: float) -> None:
-        """Add the value of one play at one size. Sizes of a name must be recorded one after the other."""
+        """Add the value of one play at one size. All values of a size must be added in succession."""
         points = self.points.setdefault(name, [])
         self.units[name] = (unit, per)
         if not points or points[-1][0] != size:
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -213,9 +213,8 @@
             peer = self.by_name[owner.name]
             if not peer.ready or not self._reachable(first.zone, peer.zone):
                 continue
-            self.totals.forwarded += (
-                1  # counted even if the other instance replies that it is no owner either
-            )
+            # The message counts as forwarded even if the other instance is no owner either.
+            self.totals.forwarded += 1
             assert peer.fleet is not None
             return peer if peer.fleet.quota_fraction(number, self._clock(peer)) > 0 else None
         return None
--- a/benchmarks/hollow_model.py
+++ b/benchmarks/hollow_model.py
@@ -71,9 +71,8 @@
     # overloads them (standing test).
     fallen: int = 0
     returning: int = 0  # destinations that recovered from an outage
-    in_force: list[float] = field(
-        default_factory=list
-    )  # seconds until an instance applied a change, for each instance and change
+    # Seconds until an instance applied a change, for each instance and change.
+    in_force: list[float] = field(default_factory=list)
 
 
 class HollowDispatcher:
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -5,8 +5,9 @@
 The first measurement performs upgrades in a row and reports how many clients got no reply and how long each
 start took. The second loads one process fully, with floods of PING, and calls its management address while 16
 other callers hold connections with an incomplete call; it reports how long replies took, and how far each
-metric was from the counts of the clients and the endpoint. The last measurement is the CPU time of counting.
-The stand-ins are those of the tests. All connections use loopback, and processes are ended by their IDs.
+metric was from the counts of the clients and the endpoint. Then it times the counting of
+one message. The stand-ins are those of the tests. All connections use loopback, and processes are ended by
+their IDs.
 """
 
 from __future__ import annotations
@@ -33,9 +34,8 @@
 
 STALLED_CONNECTIONS = 16  # connections that send an incomplete line
 CALL_INTERVAL_SECONDS = 0.01
-ALLOWED_DIFFERENCE = (
-    3  # messages that can be counted between a reply and the counts taken before and after it
-)
+# Messages that can be counted between a reply and the counts taken before and after it.
+ALLOWED_DIFFERENCE = 3
 FLOOD_CONNECTIONS = 4  # connections that only keep the process busy
 PINGS_PER_WRITE = 2000
 
--- a/honeyhitch/addresses.py
+++ b/honeyhitch/addresses.py
@@ -8,7 +8,7 @@
 def split_host_port(address: str, *, min_port: int = 1, max_digits: int | None = None) -> tuple[str, int]:
     """Return the host, and the port as a number. The host may contain colons, as IPv6 addresses do.
 
-    Raises ValueError if the host is missing, if the port is not a decimal number from `min_port` to 65535, or
+    Raise ValueError if the host is missing, if the port is not a decimal number from `min_port` to 65535, or
     if the port has more than `max_digits` digits.
     """
     host, _, digits = address.rpartition(":")
--- a/honeyhitch/tls/certificates.py
+++ b/honeyhitch/tls/certificates.py
@@ -36,7 +36,7 @@
 
 
 def describe(certificate: x509.Certificate) -> CertificateInfo:
-    """Return the fields of a certificate. Raises ValueError if its key cannot be read."""
+    """Return the fields of a certificate. Raise ValueError if its key cannot be read."""
     public_key = certificate.public_key()
     key_info = public_key.public_bytes(Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
     return CertificateInfo(
@@ -64,5 +64,5 @@
 
 
 def describe_der(der: bytes) -> CertificateInfo:
-    """Return the fields of a certificate in DER. Raises ValueError if it cannot be parsed."""
+    """Return the fields of a certificate in DER. Raise ValueError if it cannot be parsed."""
     return describe(x509.load_der_x509_certificate(der))
--- a/honeyhitch/tls/connection_gate.py
+++ b/honeyhitch/tls/connection_gate.py
@@ -83,7 +83,7 @@
         self.budget.failed(start, outage=False)
 
     def block(self, now: int) -> None:
-        """Start no handshake after a lasting failure, for a time that grows with each one in a row."""
+        """Allow no handshake for a time, which grows with each lasting failure in a row."""
         self.blocked_until = now + self.block_duration(self.failures)
         self.failures += 1
 
--- a/honeyhitch/tls/failures.py
+++ b/honeyhitch/tls/failures.py
@@ -13,7 +13,10 @@
 
 
 class Failure(Enum):
-    """A failure's name in the log, and whether it is lasting: only a change of configuration can help."""
+    """A failure's name in the log, and whether the failure is lasting.
+
+    Only a change of configuration can end a lasting failure.
+    """
 
     UNTRUSTED = ("untrusted", True)  # no chain to a trusted root
     WRONG_NAME = ("wrong-name", True)
@@ -21,7 +24,7 @@
     NOT_YET_VALID = ("not-yet-valid", True)
     REVOKED = ("revoked", True)
     CRL_UNUSABLE = ("crl-unusable", True)  # no CRL of this issuer, out of date, or not signed by the issuer
-    WRONG_USE = ("wrong-use", True)  # the key usage forbids it, or it is not a server certificate
+    WRONG_USE = ("wrong-use", True)  # a key usage forbids this use, or the certificate is not a server's
     WEAK = ("weak", True)  # a key or signature below the security level
     UNVERIFIED = ("unverified", True)  # any other error of the verification
     PIN_MISMATCH = ("pin-mismatch", True)
--- a/honeyhitch/tls/handshake_budget.py
+++ b/honeyhitch/tls/handshake_budget.py
@@ -25,7 +25,7 @@
 WINDOW_MARGIN = 1.25  # factor that lengthens the rate window
 RESUMED_WEIGHT = 0.25  # of a full handshake's cost: the partner checks a ticket and does one key exchange
 MIN_LOST_FOR_RESTART = 2  # connections lost within RATE_WINDOW
-RETRY_DELAY = 100 * MILLISECOND  # ns after which to ask again while too many handshakes are running
+RETRY_DELAY = 100 * MILLISECOND  # ns; the estimated wait while too many handshakes are running
 
 
 @dataclass(slots=True, eq=False)
@@ -33,7 +33,7 @@
     """One handshake that was allowed to start; `started_at` is a Unix time in nanoseconds."""
 
     started_at: int
-    weight: float = 1.0  # of a full handshake
+    weight: float = 1.0  # cost, as a fraction of a full handshake's
 
 
 class HandshakeBudget:
@@ -77,7 +77,10 @@
         return warnings
 
     def slow_start_share(self, now: int) -> float:
-        """Return the fraction of the limits that slow start allows; 0 in an outage: one handshake may run."""
+        """Return the fraction of the limits that slow start allows.
+
+        The fraction is 0 in an outage, when one handshake may still run.
+        """
         if self.unavailable:
             return 0.0
         progress = min(1.0, (now - self.recovered_at) / self.slow_start_duration)
@@ -87,7 +90,7 @@
         """Return the estimated earliest start of the next handshake; at most `now` if it may start now."""
         share = self.slow_start_share(now)
         if len(self.running) >= max(1, int(self.max_concurrent * share)):
-            return now + RETRY_DELAY  # a running handshake ends sooner, and its end is reported
+            return now + RETRY_DELAY  # if a running handshake ends sooner, the transport reports its end
         rate = self.rate * max(share, self.slow_start_fraction)
         window = _window(rate)
         self._drop_starts_until(now - max(window, self._longest_window()))
--- a/honeyhitch/tls/machine.py
+++ b/honeyhitch/tls/machine.py
@@ -69,7 +69,10 @@
 
 
 class TlsMachine:
-    """The TLS state of one connection. `session` is from an earlier connection with the same context.
+    """The TLS state of one connection.
+
+    `session` is a session to resume, from an earlier connection with the same context. `own_certificate` is
+    whether the context has a certificate of our own.
 
     After `feed`, check `plaintext`, `phase` and `failure`, and send `take_output()`.
     """
@@ -125,7 +128,7 @@
             self._fail(TlsError(Failure.TRUNCATED, "no close_notify"))
 
     def send(self, data: bytes) -> None:
-        """Encrypt bytes for the peer. Raises TlsError if the connection is not open."""
+        """Encrypt bytes for the peer. Raise TlsError if the connection is not open."""
         if self.phase is not Phase.OPEN:
             raise self.failure or TlsError(Failure.ALERT, "the peer has ended the connection")
         try:
@@ -136,7 +139,8 @@
     def close(self) -> None:
         """Produce a close_notify, so that the peer can tell this end from a truncation."""
         if self.phase in (Phase.OPEN, Phase.ENDED):
-            with contextlib.suppress(ssl.SSLError):  # raised, as the peer's close_notify is not awaited
+            # `unwrap` raises an error, as the peer's close_notify is not awaited.
+            with contextlib.suppress(ssl.SSLError):
                 self.tls.unwrap()
 
     def take_output(self) -> bytes:
@@ -200,7 +204,7 @@
             self._fail(TlsError(Failure.WRONG_NAME, str(error)))
         else:
             self.phase = Phase.OPEN
-            # Cipher and version are saved, as OpenSSL no longer has them after a failure.
+            # The cipher and the version are saved, as OpenSSL no longer returns them after a failure.
             cipher = self.tls.cipher()
             self.version = self.tls.version() or ""
             self.cipher = cipher[0] if cipher else ""
--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -109,7 +109,7 @@
 def named_files(terms: Terms) -> list[tuple[str, Path]]:
     """Return every file that the terms name, with its setting; directories are listed at each call.
 
-    Raises MaterialError.
+    Raise MaterialError if a file or directory cannot be read, or a directory has no files.
     """
     settings = (("ca", terms.ca), ("crl", terms.crl), ("certificate", terms.certificate), ("key", terms.key))
     return [(key, file) for key, path in settings if path is not None for file in _list_files(key, path)]
@@ -128,7 +128,10 @@
 
 
 def load(terms: Terms, environ: Mapping[str, str], now: int) -> Material:
-    """Read and check all files. `now` is a Unix time in nanoseconds. Raises MaterialError."""
+    """Read and check all files, and return the material. `now` is a Unix time in nanoseconds.
+
+    Raise MaterialError for a file that cannot be used or that changes while it is read.
+    """
     files = [_File(key, path, _read(key, path)) for key, path in named_files(terms)]
     context = _create_context(terms)
     for file in files:
@@ -173,7 +176,10 @@
 
 
 def _load_revocations(context: ssl.SSLContext, files: list[_File]) -> tuple[RevokedCertificates, int]:
-    """Return the revoked certificates, and the earliest next update of a list; NEVER without one."""
+    """Return the revoked certificates, and the earliest next update of a list in Unix nanoseconds.
+
+    The next update is NEVER if no list has one. Raise MaterialError for a list that cannot be used.
+    """
     revoked: set[tuple[bytes, int]] = set()
     next_update = NEVER
     for file in files:
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -29,7 +29,8 @@
 MAX_BLOCK = 60 * SECOND  # ns
 MAX_BLOCK_DOUBLINGS = 10
 BLOCK_JITTER = 0.2  # fraction of the block
-# Bounds the cache that saves parsing a certificate at each handshake, and the times of expiry warnings.
+# Limits the cache that saves parsing a certificate at each handshake, and the number of
+# certificates for which a partner's state records the time of an expiry warning.
 MAX_CACHED_CERTIFICATES = 1024
 
 FileStamps = tuple[object, ...]
@@ -67,7 +68,7 @@
         now: Callable[[], int],
         rng: Random,
     ) -> None:
-        """Read the files of all partners. Raises MaterialError."""
+        """Read the files of all partners. Raise MaterialError for a file that cannot be used."""
         self.tls_settings = tls_settings
         self.settings = settings
         self.environ = environ
@@ -122,7 +123,7 @@
     def verify(self, state: PartnerState, machine: TlsMachine) -> CertificateInfo:
         """Check what OpenSSL does not check: pins, and validity and revocation after a resumption.
 
-        Returns the partner's certificate. Raises TlsError if it is rejected.
+        Return the partner's certificate. Raise TlsError if it is rejected.
         """
         certificate = self._describe(machine.peer_certificate)
         objection = state.material.find_objection(certificate, self.now())
--- a/honeyhitch/tls/sessions.py
+++ b/honeyhitch/tls/sessions.py
@@ -14,7 +14,7 @@
 
 from honeyhitch.time_units import DAY, SECOND
 
-MAX_LIFETIME = 7 * DAY  # ns; no ticket lives longer (RFC 8446, 4.6.1)
+MAX_LIFETIME = 7 * DAY  # ns; the longest lifetime of a ticket (RFC 8446, 4.6.1)
 DEFAULT_MAX_SESSIONS = 4096
 
 
@@ -68,7 +68,8 @@
         """Return whether a new session is worth copying from a connection.
 
         The copy costs OpenSSL a third of a handshake. It is worth this cost if no session is cached, if half
-        of the cached one's lifetime is over, or if that one was used and the server accepts each ticket once.
+        of the cached session's lifetime is over, or if the cached session was used and the server accepts
+        each ticket once.
         """
         cached = self.sessions.get(key)
         if cached is None or now >= cached.midpoint:
@@ -88,7 +89,7 @@
         return cached.session
 
     def forget(self, key: SessionKey) -> None:
-        """Remove a session that the server did not resume or that is no longer needed."""
+        """Remove the session of a key, because it was not accepted or the handshake failed."""
         cached = self.sessions.pop(key, None)
         # A session that was offered more than once was accepted before: the server may accept it only once.
         if cached is not None and cached.use_count > 1:
--- a/honeyhitch/tls/settings.py
+++ b/honeyhitch/tls/settings.py
@@ -35,7 +35,7 @@
     handshake_rate: float = 8.0  # full handshakes a second, over all dispatchers
     handshake_timeout: int = 3 * SECOND
     retire_within: int = 30 * SECOND  # time to close connections whose terms have changed
-    warn_days: int = 14  # a certificate that expires sooner is logged
+    warn_days: int = 14  # days; a certificate that expires sooner is logged
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/authority.py
+++ b/tests/authority.py
@@ -78,7 +78,7 @@
         password: bytes | None = None,
         file: str = "",
     ) -> Issued:
-        """Issue a certificate that is valid from `start` to `end`, in days from now."""
+        """Issue a certificate that is valid from `start` to `end`, in days from now, and write its files."""
         self.issued_count += 1
         key = key or new_key(kind)
         now = datetime.datetime.now(datetime.UTC)
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -188,7 +188,7 @@
         ]
 
     new_certificate = second.cert_file.read_bytes()
-    # Half written, then complete but without its key.
+    # The certificate file is empty, then half written, and then complete, but still with the old key file.
     for content in (b"", new_certificate[: len(new_certificate) // 2], new_certificate):
         cert.write_bytes(content)
         assert reload_changed_files() == [False]
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -273,7 +273,7 @@
                     partner.context = server_context((authority if case == "same-ca" else other).issue())
                     for session in list(partner.sessions)[::2]:  # some connections end at the rotation
                         partner.close_session(session)
-            if case == "new-ca":  # without an overlap the certificate is rejected until its root is loaded
+            if case == "new-ca":  # the new certificate is rejected until both roots are loaded
                 for session in list(partner.sessions):
                     partner.close_session(session)
                 await submit(client, "late")
@@ -435,8 +435,8 @@
             await receive(client, b"+PONG\r\n")
             await wait_until(lambda: any(partner.sessions for partner in partners))
             open_now = sum(len(partner.sessions) for partner in partners)
-            # Of 60 descriptors, those that are always open, calls and clients leave each transport
-            # 2 connections that are idle or in a handshake.
+            # Each transport may use 2 of the 60 descriptors for connections that are idle or in a handshake.
+            # The others are for calls, for clients, and for descriptors that are always open.
             assert 1 <= open_now <= 3, open_now
 
     play(work())
@@ -530,7 +530,7 @@
 
 
 def test_sigkill_to_the_process_in_the_middle_of_handshakes(tmp_path: Path, authority: Authority) -> None:
-    """Kill the program's process after one message ran, while others wait and handshakes are incomplete."""
+    """Kill the process after it delivered one message, while others wait and handshakes are incomplete."""
 
     async def work() -> None:
         partner = await TlsPartner(server_context(authority.issue())).start()
