--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -33,7 +33,9 @@
 def fit(name: str, unit: str, per: str, points: Sequence[tuple[float, Sequence[float]]]) -> Slope:
     """Fit a line. Raise ValueError for fewer than `MIN_SIZES` sizes."""
     if len({size for size, _ in points}) < MIN_SIZES:
-        raise ValueError(f"{name}: a slope needs four sizes or more, got {len(points)}")
+        raise ValueError(
+            f"{name}: expected {MIN_SIZES} different sizes or more, got {[size for size, _ in points]}"
+        )
     pairs = [(size, value) for size, plays in points for value in plays]
     sizes = [size for size, _ in pairs]
     values = [value for _, value in pairs]
--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -240,7 +240,7 @@
     if not variable:
         return None
     if variable not in environ:
-        raise MaterialError("key-password-env", f"no variable {variable}")
+        raise MaterialError("key-password-env", f"the environment has no variable {variable}")
     return environ[variable].encode()
 
 
