--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -105,9 +105,9 @@
     assert reports["dest:2"]["failure"] == "wrong-name"
     expected_failure = "our-certificate-refused" if version == "1.3" else "handshake-refused"
     assert reports["dest:3"]["failure"] == expected_failure
-    text = run_check(*arguments).output
-    assert "FAILED wrong-name" in text
-    assert "resumes" in text
+    output = run_check(*arguments).output
+    assert "FAILED wrong-name" in output
+    assert "resumes" in output
     assert run_check("--operator", str(operator), "--connect").exit_code == 1, "nobody to connect to"
     address_result = run_check(
         "--operator", str(operator), "--connect", "--address", f"127.0.0.1:{good.port}"
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -202,8 +202,8 @@
         super().__init__(folder, time, **options)  # type: ignore[arg-type]
         self.dispatcher.transports[TLS_TRANSPORT] = self
         self.dispatcher.connection_openers[TLS_TRANSPORT] = self
-        self.dispatcher.pool.transport_of = lambda member: (
-            TLS_TRANSPORT if member.destination == 1 else "http"
+        self.dispatcher.pool.transport_of = lambda endpoint: (
+            TLS_TRANSPORT if endpoint.destination == 1 else "http"
         )
 
     def open(self, _endpoint: PoolEndpoint, calls: int) -> None:
