--- a/benchmarks/hollow_model.py
+++ b/benchmarks/hollow_model.py
@@ -16,9 +16,9 @@
 class FaultKind(Enum):
     """The kind of failure in a play."""
 
-    MACHINES = "machines"  # permanently, with the messages that they held
-    RESTARTS = "restarts"  # planned, one after the other; state directories survive
-    RACK = "rack"  # some dispatchers of one zone, which return with their state directories
+    MACHINES = "machines"  # lost permanently, with the messages that they held
+    RESTARTS = "restarts"  # planned restarts, one after the other, which keep the state directories
+    RACK = "rack"  # some dispatchers of one zone fail, and return with their state directories
     ZONE = "zone"
     REGIONS_APART = "regions apart"  # the link between the regions fails; control is in the first region
     CONTROL = "control"  # all control machines fail
@@ -85,13 +85,14 @@
         self.alive = True
         self.incarnation = 0
         self.clock_skew = 0
-        self.watch_read_until = 0  # time of the last scheduled read; the lines of the watch are read in order
+        self.watch_read_until = 0  # ns; the last scheduled read, as the lines of the watch are read in order
         self.fleet: Fleet | None = None
         self.policy: DeliveryPolicy
         self.held_messages: set[str] = set()
         self.idle_connections: Counter[int] = Counter()
         self.quota_fractions: dict[int, float] = {}
-        self.next_quota_check_at: int | None = 0  # when a quota fraction may change, as in the service
+        # The time in ns at which a quota fraction may change without an update, or None.
+        self.next_quota_check_at: int | None = 0
         self.lease_was_valid = False
 
     @property
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -36,8 +36,8 @@
 from benchmarks.service_process import endpoint_rows, running_service  # noqa: E402
 from benchmarks.standins import Agent, Endpoint, LoopThread  # noqa: E402
 
-# Of one dispatcher: bytes of memory, fraction of a core, bytes a second of the watch, and seconds until a
-# change is in force.
+# The budgets of one dispatcher: bytes of memory, fraction of a core, bytes a second of the watch, and seconds
+# until a change is in force.
 MEMORY_BUDGET, CPU_BUDGET, BYTES_BUDGET, IN_FORCE_BUDGET = 64e6, 0.014, 11_000, 4.0
 WATCHER_PROCESSES = 6
 MAX_PROCESSES = 200
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -31,7 +31,7 @@
 
 
 def fit(name: str, unit: str, per: str, points: Sequence[tuple[float, Sequence[float]]]) -> Slope:
-    """Fit a line. Raise ValueError for fewer than `MIN_SIZES` sizes."""
+    """Return the line fitted through the points. Raise ValueError for fewer than `MIN_SIZES` sizes."""
     if len({size for size, _ in points}) < MIN_SIZES:
         raise ValueError(
             f"{name}: expected {MIN_SIZES} different sizes or more, got {[size for size, _ in points]}"
@@ -47,7 +47,7 @@
 
 
 def table(slopes: Sequence[Slope]) -> str:
-    """Return a line for each slope, each followed by the median and range at each size."""
+    """Return a table with a row for each slope, followed by the median and range at each size."""
     lines = [f"{'what':44} {'fixed':>12} {'each':>12} {'spread':>7}  unit, per"]
     for slope in slopes:
         fit_cells = f"{slope.fixed:12.4g} {slope.each:12.4g} {slope.spread:7.1%}"
--- a/tests/tls_partner.py
+++ b/tests/tls_partner.py
@@ -1,8 +1,8 @@
 """A test partner that speaks TLS on loopback, with configurable faults and counters.
 
 It uses OpenSSL through memory BIOs, so that it can stall, cut and split its output at any step. It answers
-each request with 200 unless `answer` returns another response, and counts the requests applied for each
-idempotency key.
+each request with 200 unless `answer` is set: then it sends the response that `answer` returns, or closes the
+connection if `answer` returns None. It counts the requests applied for each idempotency key.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
     outgoing: ssl.MemoryBIO
     resumed: bool = False
     requests: int = 0
-    ended_by_partner: bool = False  # ended by the partner, which handles no further request on it
+    ended_by_partner: bool = False  # the partner handles no further request on the connection
     plaintext: bytearray = field(default_factory=bytearray)
 
 
