--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -45,7 +45,7 @@
 QUICK_DESTINATIONS = (10, 1_000, 2_000, 5_000)
 QUICK_INSTANCES = (5, 10, 30, 100)
 IDLE_SECONDS = 10.0
-CHANGES = 20  # in a play, one after the other
+CHANGES = 20  # changes of the list in a play, one after the other
 DELIVERY_LIMIT_SECONDS = 120
 SPACIOUS_LIMITS = {"sockets": 1024, "disk_mb": 200}
 TEMPORARY_ROOT = "/dev/shm" if Path("/dev/shm").is_dir() else None
@@ -64,7 +64,7 @@
         self.units: dict[str, tuple[str, str]] = {}
 
     def record(self, name: str, unit: str, per: str, size: float, value: float) -> None:
-        """Add the value of one play at one size. Sizes of a name must be recorded one after the other."""
+        """Add the value of one play at one size. All values of a size must be added in succession."""
         points = self.points.setdefault(name, [])
         self.units[name] = (unit, per)
         if not points or points[-1][0] != size:
