--- a/honeyhitch/cli/management.py
+++ b/honeyhitch/cli/management.py
@@ -33,7 +33,7 @@
 def _find_address(at: str | None, path: str | None) -> configuration.Address:
     """Return the `management` address from the option, the environment or the file, in this order.
 
-    Raises ClickException if none of them names an address or if the address is invalid.
+    Raise ClickException if none of them names an address or if the address is invalid.
     """
     try:
         text = at or os.environ.get("ROUTER_MANAGEMENT")
@@ -61,7 +61,7 @@
 
 
 def fetch_figures(at: str | None, path: str | None, request: str) -> dict[str, Any]:
-    """Return the figures that a running dispatcher replies with. Raises ClickException if it sends none."""
+    """Return the figures that a running dispatcher replies with. Raise ClickException if it sends none."""
     address = _find_address(at, path)
     reply = _call(address, request)
     if not reply.accepted:
--- a/honeyhitch/cli/undelivered/options.py
+++ b/honeyhitch/cli/undelivered/options.py
@@ -25,7 +25,7 @@
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Return the Unix time in nanoseconds. Raises BadParameter for an invalid time."""
+        """Return the Unix time in nanoseconds. Raise BadParameter for an invalid time."""
         if isinstance(value, int):
             return value
         if match := re.fullmatch(r"(\d{1,6})([smhd])", value):
@@ -128,7 +128,7 @@
     def filters(self, store: StoreAccess) -> list[dict[str, str]]:
         """Return the filters that together choose the records.
 
-        Raises UsageError if both names and filters are given, or if neither is given without --all.
+        Raise UsageError if both names and filters are given, or if neither is given without --all.
         """
         if self.names and self.record_filter:
             raise click.UsageError("name records or filter them, not both")
@@ -178,7 +178,7 @@
 def record_sequences(store: StoreAccess, name: str) -> list[int]:
     """Return the numbers of the records with this message id, or else `name` itself as a record number.
 
-    Raises ClickException if there is no record with this id and `name` is not a number.
+    Raise ClickException if there is no record with this id and `name` is not a number.
     """
     page = store.execute("list", {"filter": {"id": name}, "most": MAX_NAMED_RECORDS})
     if page["records"]:
--- a/honeyhitch/cli/undelivered/store_access.py
+++ b/honeyhitch/cli/undelivered/store_access.py
@@ -60,7 +60,7 @@
         return self._execute_directly(operation, arguments)
 
     def dispatcher_state(self) -> dict[str, Any]:
-        """Return the state of the running dispatcher. Raises ClickException if no dispatcher answers."""
+        """Return the state of the running dispatcher. Raise ClickException if no dispatcher answers."""
         if self.client is None:
             raise click.ClickException("state: name the configuration of a running dispatcher")
         try:
--- a/honeyhitch/config/dead_letters.py
+++ b/honeyhitch/config/dead_letters.py
@@ -34,7 +34,7 @@
 
 
 def parse_dead_letters(value: object, settings: Settings) -> DeadLetterSettings:
-    """Return the settings of `[undelivered]`, a table that enables the store. Raises ConfigError."""
+    """Return the settings of `[undelivered]`, which enables the store, or raise ConfigError."""
     table = ConfigTable(value, "undelivered")
     defaults = DeadLetterSettings()
     directory = table.optional("folder", str)
@@ -96,7 +96,7 @@
 
 
 def _parse_rules(rows: list[Any], settings: Settings) -> tuple[Rule, ...]:
-    """Return the rules in the order of the file. Raises ConfigError for a rule that no record can reach."""
+    """Return the rules in the order of the file. Raise ConfigError for a rule that no record can reach."""
     rules = list[Rule]()
     for index, row in enumerate(rows):
         table = ConfigTable(row, f"undelivered.rule.{index}")
--- a/honeyhitch/config/deployment.py
+++ b/honeyhitch/config/deployment.py
@@ -27,7 +27,7 @@
 
     @classmethod
     def parse(cls, text: object, name: str) -> Address:
-        """Parse HOST:PORT. Raises ConfigError, which calls the value `name`."""
+        """Parse HOST:PORT. Raise ConfigError, which calls the value `name`, for any other text."""
         try:
             return cls(*split_host_port(str(text)))
         except ValueError:
--- a/honeyhitch/config/file.py
+++ b/honeyhitch/config/file.py
@@ -50,7 +50,7 @@
     operator: str | None = None,
     previous: Config | None = None,
 ) -> Config:
-    """Return the configuration. Raises ConfigError.
+    """Return the configuration. Raise ConfigError if a part of it cannot be read or is invalid.
 
     It consists of the JSON file at `path` or in ROUTER_CONFIG, of the environment variables, which take
     precedence over the file's values, and of the operator's file if `operator` or ROUTER_OPERATOR names one.
@@ -109,7 +109,7 @@
     """Return the values of INSTANCE_KEYS.
 
     A value that has changed in the file since the start comes from the file; otherwise the variable takes
-    precedence over the file. Raises ConfigError for a required key without a value.
+    precedence over the file. Raise ConfigError for a required key without a value.
     """
     values = dict[str, Any]()
     for key, file_value in file_values.items():
@@ -147,7 +147,7 @@
 def _limit_calls(settings: Settings, limits: ResourceLimits) -> Settings:
     """Return the settings with the number of concurrent calls limited to half the available descriptors.
 
-    Each call takes one descriptor. Raises ConfigError if the limit leaves too few descriptors.
+    Each call takes one descriptor. Raise ConfigError if the limit leaves too few descriptors.
     """
     available = limits.sockets - RESERVED_DESCRIPTORS
     if available < MIN_CALL_DESCRIPTORS:
--- a/honeyhitch/config/fleet.py
+++ b/honeyhitch/config/fleet.py
@@ -15,7 +15,7 @@
 
 
 def parse_fleet(value: object, name: str) -> FleetSettings:
-    """Return the table's settings. `name` is the instance's name in the view. Raises ConfigError."""
+    """Return the table's settings, or raise ConfigError. `name` is the instance's name in the view."""
     table = ConfigTable(value, "fleet")
     view = Address.parse(table.get("view", str), "fleet.view")
     zone = table.get("zone", str)
--- a/honeyhitch/config/instance.py
+++ b/honeyhitch/config/instance.py
@@ -95,7 +95,7 @@
         return cls(values)
 
     def text(self, path: str, default: str | None = None) -> str:
-        """Return the value of a path. Raises ConfigError if both the value and a default are missing."""
+        """Return the value of a path. Raise ConfigError if both the value and a default are missing."""
         value = self.values.get(path, default)
         if value is None:
             raise ConfigError(f"{path}: this setting is missing")
@@ -158,7 +158,7 @@
         return tuple(DestinationKind(*values) for values in zip(own_limits, sizes, names, strict=True))
 
     def settings(self) -> Settings:
-        """Return all settings in the policy's terms. Raises ConfigError for an invalid value."""
+        """Return all settings in the policy's terms. Raise ConfigError for an invalid value."""
         try:
             return self._settings()
         except SettingsError as error:
--- a/honeyhitch/config/mqtt.py
+++ b/honeyhitch/config/mqtt.py
@@ -13,7 +13,7 @@
 def parse_mqtt(value: object, name: str, settings: Settings, environ: Mapping[str, str]) -> MqttSettings:
     """Return the settings of the frontend, its session and the endpoints behind the broker.
 
-    `name` is the name of the instance, and the default client id. Raises ConfigError.
+    `name` is the name of the instance, and the default client id. Raise ConfigError if a value is invalid.
     """
     table = ConfigTable(value, "mqtt")
     rows = table.get("member", list, [])
--- a/honeyhitch/config/operator.py
+++ b/honeyhitch/config/operator.py
@@ -19,7 +19,7 @@
 def read_tls(path: str, environ: Mapping[str, str]) -> list[Partner]:
     """Return the TLS partners in the file at this path, including the MQTT broker.
 
-    The partners are read without an instance's settings. Raises ConfigError.
+    The partners are read without an instance's settings. Raise ConfigError if the file is invalid.
     """
     document = _read_toml(path)
     partners = list[Partner]()
@@ -54,7 +54,7 @@
 def read(path: str, name: str, settings: Settings, environ: Mapping[str, str]) -> OperatorSettings:
     """Return the settings of the file at this path, or the defaults if the path is empty.
 
-    `name` is the name of the instance. Raises ConfigError.
+    `name` is the name of the instance. Raise ConfigError if the file cannot be read or is invalid.
     """
     if not path:
         return OperatorSettings()
--- a/honeyhitch/config/tls.py
+++ b/honeyhitch/config/tls.py
@@ -27,7 +27,7 @@
 
 
 def parse_tls(value: object, settings: Settings | None, environ: Mapping[str, str]) -> TlsSettings:
-    """Return the settings of `[tls]` with its partners. Raises ConfigError.
+    """Return the settings of `[tls]` with its partners. Raise ConfigError if a value is invalid.
 
     Terms in `[tls]` itself are defaults for each partner. Without `settings`, kinds are not checked.
     """
@@ -58,7 +58,7 @@
 
 
 def parse_broker_tls(value: object, environ: Mapping[str, str]) -> Partner:
-    """Return the broker's partner from `[mqtt.tls]`, which has a partner's keys. Raises ConfigError."""
+    """Return the broker's partner from `[mqtt.tls]`, which has a partner's keys, or raise ConfigError."""
     partner = Partner(Scope.BROKER, "mqtt", _parse_terms(ConfigTable(value, "mqtt.tls")))
     check_files(partner, "mqtt.tls", environ)
     return partner
--- a/honeyhitch/config/values.py
+++ b/honeyhitch/config/values.py
@@ -13,7 +13,7 @@
 
 
 def parse_integer(text: str, name: str) -> int:
-    """Return a whole number given in decimal digits. Raises ConfigError, which calls the value `name`."""
+    """Return a whole number given in decimal digits, or raise ConfigError, which calls the value `name`."""
     digits = text.removeprefix("-")
     if not digits.isascii() or not digits.isdigit():
         raise ConfigError(f"{name}: expected a whole number, got {text!r}")
@@ -21,7 +21,7 @@
 
 
 def parse_number(text: str, name: str) -> float:
-    """Return a finite number. Raises ConfigError, which calls the value `name`."""
+    """Return a finite number, or raise ConfigError, which calls the value `name`."""
     try:
         value = float(text)
     except ValueError:
@@ -32,7 +32,7 @@
 
 
 def parse_choice(choices: dict[str, T], text: str, name: str) -> T:
-    """Return the value of the choice that `text` names. Raises ConfigError, which calls the text `name`."""
+    """Return the value of the choice that `text` names, or raise ConfigError, which calls the text `name`."""
     if text not in choices:
         raise ConfigError(f"{name}: expected one of {', '.join(choices)}, got {text!r}")
     return choices[text]
@@ -42,7 +42,7 @@
     """A table of the operator's file. `reject_unknown_keys` raises an error for keys that were not read."""
 
     def __init__(self, value: object, path: str) -> None:
-        """Wrap a table; `path` names it in errors. Raises ConfigError if the value is not a table."""
+        """Wrap a table; `path` names it in errors. Raise ConfigError if the value is not a table."""
         if not isinstance(value, dict):
             raise ConfigError(f"{path}: expected a table, got {type(value).__name__}")
         self.unread = dict(value)
@@ -53,7 +53,7 @@
         return ConfigError(f"{self.path}.{name}: {problem}")
 
     def get(self, name: str, value_type: type[T], default: T | None = None) -> T:
-        """Return a value of this type. Raises ConfigError for another type, or without a value or default."""
+        """Return a value of this type. Raise ConfigError for another type, or without a value or default."""
         value = self.unread.pop(name, default)
         if value_type is float and isinstance(value, int):
             value = float(value)
@@ -66,18 +66,18 @@
         )
 
     def optional(self, name: str, value_type: type[T]) -> T | None:
-        """Return a value of this type, or None if the key is missing. Raises ConfigError for another type."""
+        """Return a value of this type, or None if the key is missing. Raise ConfigError for another type."""
         return self.get(name, value_type) if name in self.unread else None
 
     def choice(self, name: str, choices: Iterable[str], default: str) -> str:
-        """Return a text that is one of the choices. Raises ConfigError for any other value."""
+        """Return a text that is one of the choices. Raise ConfigError for any other value."""
         text = self.get(name, str, default)
         return parse_choice({choice: choice for choice in choices}, text, f"{self.path}.{name}")
 
     def seconds(self, name: str, default: int) -> float:
         """Return a duration in seconds; the default is in nanoseconds.
 
-        Raises ConfigError if the value is not a number.
+        Raise ConfigError if the value is not a number.
         """
         return self.get(name, float, default / SECOND)
 
--- a/honeyhitch/logs.py
+++ b/honeyhitch/logs.py
@@ -63,7 +63,7 @@
         self.bursts: OrderedDict[tuple[str, str], _Burst] = OrderedDict()
 
     def __call__(self, _logger: Any, _method: str, event: Event) -> Event:
-        """Return the event with the count of events suppressed before it. Raises DropEvent over the limit."""
+        """Return the event with the count of events suppressed before it. Raise DropEvent over the limit."""
         now = self.clock()
         name_and_key = str(event.get("event", "")), str(event.get("key", ""))
         burst = self.bursts.get(name_and_key)
@@ -101,7 +101,7 @@
 def setup(log_format: str = "console", level: str = "info", stream: TextIO | None = None) -> None:
     """Log events of this level and above in this format to `stream` (standard error unless given).
 
-    Raises ValueError for an unknown format or level.
+    Raise ValueError for an unknown format or level.
     """
     if log_format not in FORMATS:
         raise ValueError(f"log format: expected one of {', '.join(FORMATS)}, got {log_format!r}")
--- a/honeyhitch/middleware.py
+++ b/honeyhitch/middleware.py
@@ -78,7 +78,7 @@
         """Submit a message without waiting for its final answer; return its id.
 
         Unless given, `cls` is the first class of the settings, `tenant` the first tenant, `key` the id, and
-        `time_left`, in seconds, the deadline of the first class. Raises RejectedError if the dispatcher
+        `time_left`, in seconds, the deadline of the first class. Raise RejectedError if the dispatcher
         does not accept the message, and ValueError naming an invalid field.
         """
         settings = self.dispatcher.settings
@@ -105,7 +105,7 @@
     async def deliver(self, destination: int, body: bytes, **options: Any) -> str:
         """Submit a message and wait until it is delivered; return its id.
 
-        `options` are those of `submit`. Raises RejectedError if the message was not executed and may be
+        `options` are those of `submit`. Raise RejectedError if the message was not executed and may be
         submitted again, UndeliverableError if it failed permanently, and ValueError naming an invalid field.
         Cancelling the caller withdraws the message: no further attempt is made.
         """
@@ -147,7 +147,7 @@
         self.frontend: AppFrontend | None = None
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
-        """Handle one ASGI scope. Raises RuntimeError if the server has not run the lifespan protocol."""
+        """Handle one ASGI scope. Raise RuntimeError if the server has not run the lifespan protocol."""
         if scope["type"] == "lifespan":
             await _Lifespan(self, scope, receive, send).run()
             return
@@ -177,7 +177,7 @@
             await _send_unavailable(send, error.retry_after)
 
     async def start(self) -> None:
-        """Start the dispatcher. Raises ConfigError if its configuration cannot be used."""
+        """Start the dispatcher. Raise ConfigError if its configuration cannot be used."""
         service = assemble(self.config or configuration.read(os.environ), self.listen)
         frontend = AppFrontend(service.dispatcher)
         service.dispatcher.frontends[FRONTEND] = frontend
--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -58,7 +58,7 @@
     def apply_update(self, update: Mapping[str, Any], now: int) -> None:
         """Apply a list, a change or a bare heartbeat in discovery's form.
 
-        Raises FleetViewError and changes nothing if the update is faulty. If ClockError is raised, the view
+        Raise FleetViewError and change nothing if the update is faulty. If ClockError is raised, the view
         has been applied, and the heartbeat has not.
         """
         try:
@@ -217,7 +217,7 @@
         return saved
 
     def restore(self, saved: Mapping[str, Any], now: int) -> None:
-        """Apply the view that an earlier process saved. Raises FleetViewError if it cannot be read."""
+        """Apply the view that an earlier process saved. Raise FleetViewError if it cannot be read."""
         form = saved.get("form") if isinstance(saved, Mapping) else None
         if form != SAVED_VIEW_VERSION:
             raise FleetViewError(f"form: expected {SAVED_VIEW_VERSION}, got {form!r}")
--- a/honeyhitch/partitioning/settings.py
+++ b/honeyhitch/partitioning/settings.py
@@ -78,7 +78,7 @@
         return self.region_of(self.zone)
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone. Raises KeyError if the zone belongs to no region."""
+        """Return the region of a zone. Raise KeyError if the zone belongs to no region."""
         for region in self.regions:
             if zone in region.zones:
                 return region.name
--- a/honeyhitch/partitioning/view.py
+++ b/honeyhitch/partitioning/view.py
@@ -65,7 +65,7 @@
     def updated(self, update: Mapping[str, Any], settings: FleetSettings) -> FleetView:
         """Return the view after a list or a change in discovery's form.
 
-        Raises FleetViewError if the update is faulty or older than this view.
+        Raise FleetViewError if the update is faulty or older than this view.
         """
         revision = _parse_integer(update.get("revision"), "revision")
         if revision < self.revision:
--- a/honeyhitch/service/assembly.py
+++ b/honeyhitch/service/assembly.py
@@ -16,7 +16,7 @@
 def assemble(config: Config, listen: bool = True) -> Service:
     """Return a service for the running event loop, ready to be started.
 
-    Without `listen`, only callers in this process submit messages to it. Raises ConfigError if the
+    Without `listen`, only callers in this process submit messages to it. Raise ConfigError if the
     configuration cannot be used on this machine.
     """
     service = Service(config, listen)
--- a/honeyhitch/service/features/fleet.py
+++ b/honeyhitch/service/features/fleet.py
@@ -15,7 +15,7 @@
 
 
 def add_fleet(service: Service, settings: FleetSettings, listen: bool) -> None:
-    """Take part in a fleet. Raises ConfigError if `listen` is false or the disk limit is too low.
+    """Take part in a fleet. Raise ConfigError if `listen` is false or the disk limit is too low.
 
     Without `listen`, messages come from callers in this process, who cannot be sent to another instance.
     """
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -186,7 +186,7 @@
         return self.fleet.view.revision
 
     def apply_update(self, update: dict[str, Any]) -> None:
-        """Apply a list, change or heartbeat in discovery's form. Raises FleetViewError if it is faulty."""
+        """Apply a list, change or heartbeat in discovery's form. Raise FleetViewError if it is faulty."""
         previous_view = self.fleet.view
         previous_partitions = self.fleet.candidate_partitions
         now = self.scheduler.now()
--- a/honeyhitch/service/listeners.py
+++ b/honeyhitch/service/listeners.py
@@ -22,7 +22,7 @@
 
 
 def listen_for_clients(service: Service) -> None:
-    """Accept messages over RESP2. Raises ConfigError if the address cannot be bound."""
+    """Accept messages over RESP2. Raise ConfigError if the address cannot be bound."""
     dispatcher = service.dispatcher
     fleet = service.fleet
     has_destination = dispatcher.pool.has_destination if fleet is None else fleet.has_destination
@@ -53,7 +53,7 @@
 def listen_for_monitoring(service: Service) -> None:
     """Answer agent-checks, health checks and management calls at their configured addresses.
 
-    Raises ConfigError if one of the addresses cannot be bound.
+    Raise ConfigError if one of the addresses cannot be bound.
     """
     config = service.config
     dispatcher = service.dispatcher
@@ -94,7 +94,7 @@
 ) -> ClientServer:
     """Listen at an address and serve its connections.
 
-    `setting` is the key of the address in the configuration. Raises ConfigError with this key if the address
+    `setting` is the key of the address in the configuration. Raise ConfigError with this key if the address
     cannot be bound.
     """
     try:
--- a/honeyhitch/service/run.py
+++ b/honeyhitch/service/run.py
@@ -18,7 +18,7 @@
 async def run(config: Config, read_config: ConfigReader) -> None:
     """Serve until SIGTERM or SIGINT, then drain and stop.
 
-    On SIGHUP, apply the configuration that `read_config` returns. Raises ConfigError if the service cannot
+    On SIGHUP, apply the configuration that `read_config` returns. Raise ConfigError if the service cannot
     start with `config`.
     """
     loop = asyncio.get_running_loop()
@@ -35,6 +35,6 @@
 
 
 def serve(config: Config, read_config: ConfigReader) -> None:
-    """Call `run` on a uvloop event loop. Raises ConfigError if the service cannot start."""
+    """Call `run` on a uvloop event loop. Raise ConfigError if the service cannot start."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run(config, read_config))
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -37,7 +37,7 @@
     """One dispatcher with its transports, journal and listeners. It belongs to the running event loop."""
 
     def __init__(self, config: Config, listen: bool = True) -> None:
-        """Build the parts of every service. Raises ConfigError if the state directory cannot be used."""
+        """Build the parts of every service. Raise ConfigError if the state directory cannot be used."""
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.tasks = Tasks(self.loop)
@@ -99,7 +99,7 @@
     """Lock a slot of the state directory and return the directory.
 
     The process in the first slot must find its address unused. A process that listens there without a slot is
-    another dispatcher, or a version that shares neither the directory nor the address. Raises ConfigError if
+    another dispatcher, or a version that shares neither the directory nor the address. Raise ConfigError if
     the directory or the address cannot be used.
     """
     try:
--- a/honeyhitch/service/start.py
+++ b/honeyhitch/service/start.py
@@ -14,7 +14,7 @@
 def start(service: Service, listen: bool = True) -> None:
     """Recover the journal, then serve. Without `listen` only callers in this process submit messages.
 
-    Raises ConfigError if an address cannot be bound, or if another process uses the state directory and this
+    Raise ConfigError if an address cannot be bound, or if another process uses the state directory and this
     process may not run beside it.
     """
     if service.fleet is not None:
--- a/honeyhitch/simulator_host/host.py
+++ b/honeyhitch/simulator_host/host.py
@@ -109,7 +109,7 @@
     def handle_line(self, line: str) -> None:
         """Handle one line of input.
 
-        Raises ConfigError, or its subclass WireError, for a line that the wire does not allow.
+        Raise ConfigError, or its subclass WireError, for a line that the wire does not allow.
         """
         name, *values = line.split(" ")
         if self._batch is None:
@@ -147,7 +147,7 @@
     def _select_instance(self, name: str) -> Instance:
         """Return the running instance of this name and let it decide when the batch is committed.
 
-        Raises WireError if no instance of this name is running.
+        Raise WireError if no instance of this name is running.
         """
         instance = self.instances.get(name)
         if instance is None:
@@ -241,7 +241,7 @@
 def main() -> int:
     """Handle standard input until it ends.
 
-    Returns 0 if the input ended between batches, and 1 if it ended inside a batch or held an invalid line.
+    Return 0 if the input ended between batches, and 1 if it ended inside a batch or held an invalid line.
     """
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
--- a/honeyhitch/simulator_host/lines.py
+++ b/honeyhitch/simulator_host/lines.py
@@ -128,7 +128,7 @@
 
 
 def format_action(instance: str, action: Action) -> str:
-    """Return the line of an action. Raises WireError for an action that the wire cannot express."""
+    """Return the line of an action. Raise WireError for an action that the wire cannot express."""
     match action:
         case Send(message, endpoint, timeout):
             return f"route {instance} {message} {timeout} {endpoint}"
--- a/tests/agent.py
+++ b/tests/agent.py
@@ -23,7 +23,7 @@
         self.on_watch: Callable[[], None] = lambda: None  # called when a watch is opened
         self.duplicate_notices: list[str] = []
         self.on_notice: Callable[[], None] = lambda: None  # called after each notice
-        # Returns additional fields of every list, change and heartbeat.
+        # Return the additional fields of every list, change and heartbeat.
         self.extra_fields: Callable[[], dict[str, Any]] = dict
         self.heartbeat_seconds = 2.0
 
--- a/tests/polling.py
+++ b/tests/polling.py
@@ -34,7 +34,7 @@
 ) -> None:
     """Check the state of another process every `interval` seconds until it holds.
 
-    Raises TimeoutError after `limit` seconds.
+    Raise TimeoutError after `limit` seconds.
     """
     async with asyncio.timeout(limit):
         while True:
@@ -50,7 +50,7 @@
 ) -> None:
     """Check the state of this process every `interval` seconds until it holds; 0 is every loop turn.
 
-    Raises TimeoutError after `limit` seconds.
+    Raise TimeoutError after `limit` seconds.
     """
     async with asyncio.timeout(limit):
         while True:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -64,7 +64,7 @@
 
 
 async def wait_until_serving(process: Process, port: int) -> None:
-    """Wait until the process answers PING with PONG. Raises AssertionError if the process ends first."""
+    """Wait until the process answers PING with PONG. Raise AssertionError if the process ends first."""
 
     async def ready() -> bool:
         assert process.returncode is None, f"it ended with {process.returncode}"
