--- a/honeyhitch/partitioning/fleet.py
+++ b/honeyhitch/partitioning/fleet.py
@@ -38,7 +38,7 @@
 class Fleet:
     """The fleet as one instance knows it: who owns a destination, and which quota this instance may use.
 
-    Times are Unix times in nanoseconds (DESIGN, partitioning).
+    Times are Unix times in nanoseconds (docs/design/partitioning.md).
     """
 
     def __init__(self, settings: FleetSettings) -> None:
--- a/honeyhitch/partitioning/quotas.py
+++ b/honeyhitch/partitioning/quotas.py
@@ -10,7 +10,7 @@
 
 Each part is held only as long as a heartbeat of the control machines is recent enough. The result does not
 depend on earlier views or actions of an instance, so that a missed revision cannot raise the sum of all
-quotas above the limit (DESIGN, partitioning).
+quotas above the limit (docs/design/partitioning.md).
 """
 
 from __future__ import annotations
--- a/honeyhitch/service/features/fleet.py
+++ b/honeyhitch/service/features/fleet.py
@@ -1,4 +1,4 @@
-"""Destinations partitioned over a fleet of dispatchers (DESIGN, partitioning)."""
+"""Destinations partitioned over a fleet of dispatchers (docs/design/partitioning.md)."""
 
 from __future__ import annotations
 
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -34,7 +34,8 @@
 class FleetService:
     """Keeps the view, routes messages, and applies this instance's quotas to the dispatcher.
 
-    It implements `Router` for client sessions and `QuotaSource` for the dispatcher (DESIGN, partitioning).
+    It implements `Router` for client sessions and `QuotaSource` for the dispatcher. See
+    docs/design/partitioning.md.
     """
 
     retry_after = BUSY_RETRY_AFTER
