--- a/benchmarks/fleet_watchers.py
+++ b/benchmarks/fleet_watchers.py
@@ -31,7 +31,7 @@
 class Watcher:
     """A hollow dispatcher that records the delay of each phase change in seconds."""
 
-    shared_candidates: ClassVar[dict[str, ZoneCandidates]] = {}  # by zone
+    shared_candidates: ClassVar[dict[str, ZoneCandidates]] = {}  # candidates by zone
     # CPU seconds of the first view of each dispatcher that computed the candidates of its zone.
     first_view_cpu: ClassVar[list[float]] = []
 
--- a/benchmarks/hollow_model.py
+++ b/benchmarks/hollow_model.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Counts over a whole play."""
+    """Counts over a whole simulation run."""
 
     handed_in: int = 0
     delivered: int = 0
--- a/benchmarks/real_fleet.py
+++ b/benchmarks/real_fleet.py
@@ -33,7 +33,7 @@
 
     accepted: int = 0
     rejected: int = 0
-    cpu_seconds: float = 0.0  # of all processes together
+    cpu_seconds: float = 0.0  # sum over all processes
     reply_seconds: list[float] = field(default_factory=list)  # time until each reply
 
 
--- a/honeyhitch/dead_letters/duplicate_index.py
+++ b/honeyhitch/dead_letters/duplicate_index.py
@@ -56,7 +56,7 @@
         self.retention = retention
         self.cases: dict[DuplicateKey, DuplicateCase] = {}
         self.live_counts: dict[DuplicateKey, int] = {}
-        self._counted_ids: set[str] = set()  # of the messages that are counted in `live_counts`
+        self._counted_ids: set[str] = set()  # ids of the messages counted in `live_counts`
 
     @staticmethod
     def key_of(transaction: Transaction) -> DuplicateKey | None:
--- a/honeyhitch/dead_letters/journal_transfer.py
+++ b/honeyhitch/dead_letters/journal_transfer.py
@@ -2,8 +2,8 @@
 
 A message stays in the journal until the store's transaction has been committed. If the process is killed in
 between, the transfer is repeated, finds the record already in the store, and changes nothing. While the store
-fails, messages wait in the journal. They may take only a fraction of its space, so that room is left for live
-traffic.
+fails, messages wait in the journal. They may take only a fraction of its space, so that the rest is left for
+live traffic.
 """
 
 from __future__ import annotations
@@ -123,7 +123,7 @@
     def _discard_excess(self) -> None:
         """Discard the longest waiting messages until the others are within MAX_JOURNAL_FRACTION.
 
-        This keeps room in the journal for live traffic. Messages that may have been executed are discarded
+        This keeps space in the journal for live traffic. Messages that may have been executed are discarded
         last.
         """
         if not self._over_fraction():
--- a/honeyhitch/dead_letters/record_codec.py
+++ b/honeyhitch/dead_letters/record_codec.py
@@ -16,7 +16,7 @@
 from honeyhitch.journal.transactions import Attempt
 
 COMPRESSION_LEVEL = 3  # zstandard level
-MAX_BODY_BYTES = 16 << 20  # of a decompressed body; no accepted body is larger
+MAX_BODY_BYTES = 16 << 20  # limit for a decompressed body; no accepted body is larger
 # Counted against the store's limit for each record, in addition to its texts, attempts and stored body.
 FIXED_RECORD_BYTES = 300
 
--- a/honeyhitch/dead_letters/records.py
+++ b/honeyhitch/dead_letters/records.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DroppedRecords:
-    """Records that were deleted because the store's limits left no room for them."""
+    """Records that were deleted because they exceeded the store's limits."""
 
     reason: str  # "age" or "room"
     may_have_executed: bool
--- a/honeyhitch/dead_letters/store.py
+++ b/honeyhitch/dead_letters/store.py
@@ -16,7 +16,7 @@
 from honeyhitch.dead_letters.records import UNRESOLVED, DroppedRecords, Record, RecordStatus
 from honeyhitch.journal.transactions import Ending
 
-ACTOR = "honeyhitch"  # in audit entries of changes that no person requested
+ACTOR = "honeyhitch"  # actor in the audit entries of changes that no person requested
 VACUUM_PAGES = 256  # free pages returned to the file system per call
 
 
--- a/honeyhitch/dispatcher/calls.py
+++ b/honeyhitch/dispatcher/calls.py
@@ -104,7 +104,7 @@
     def _has_quota(self, endpoint: PoolEndpoint, now: int) -> bool:
         """Return whether this instance holds a quota of the destination's limit.
 
-        Without a quota, the policy is told to wait for `QUOTA_CHECK_INTERVAL` before the next attempt.
+        Without a quota, make the policy wait for `QUOTA_CHECK_INTERVAL` before the next attempt.
         """
         quota_source = self.context.quota_source
         if quota_source is None or quota_source.quota_fraction(endpoint.destination, now) > 0:
--- a/honeyhitch/dispatcher/endings.py
+++ b/honeyhitch/dispatcher/endings.py
@@ -27,7 +27,7 @@
     def conclude_as_delivered(self, message: Transaction) -> None:
         """Conclude a message whose delivery is already known.
 
-        The ending is applied in the next timer callback, so that the client is told of the acceptance first.
+        The ending is applied in the next timer callback, so that the client receives the acceptance first.
         """
         message_id = message.id
         self.context.scheduler.call_at(
--- a/honeyhitch/journal/follower.py
+++ b/honeyhitch/journal/follower.py
@@ -10,7 +10,7 @@
 from honeyhitch.journal.state import JournalState
 from honeyhitch.journal.transactions import Transaction
 
-NO_FILE = -1  # in place of a file descriptor
+NO_FILE = -1  # value of `fd` while no file is open
 
 
 class JournalFollower(JournalState):
@@ -20,7 +20,7 @@
         super().__init__(max_remembered, retention)
         self.path = path
         self.fd = NO_FILE
-        self.read_bytes = 0  # of complete records
+        self.read_bytes = 0  # size of the complete records read so far
 
     def read(self) -> bool:
         """Apply the records written since the last call; return false if there is no file.
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -33,14 +33,14 @@
 from honeyhitch.journal.transactions import Attempt, DeliveredKey, Ending, Transaction
 
 log = logs.get_logger()
-JOURNAL_VERSION = 1  # of the record format
-DISK_BYTES_PER_REMEMBERED_ID = 600  # of `max_bytes`; a remembered id or key takes about 45 of these bytes
+JOURNAL_VERSION = 1  # version of the record format
+DISK_BYTES_PER_REMEMBERED_ID = 600  # bytes of `max_bytes` per id or key; one takes about 45 of them
 MAX_IDS_PER_RECORD = 1000  # ids or keys; keeps each record below the size limit of a replay
 DISK_BLOCK_BYTES = 512  # disk space is counted in whole blocks per file
-SPARE_BLOCKS = 4  # for rounding up both files and their directory to whole blocks
-ACCEPT_FRACTION = 0.75  # of `max_bytes`; beyond this no message is accepted
-WRITE_FRACTION = 0.95  # of `max_bytes`; beyond this no record is written
-COMPACT_FRACTION = 0.3  # of `max_bytes`; a larger file may be compacted
+SPARE_BLOCKS = 4  # reserved for rounding up both files and their directory to whole blocks
+ACCEPT_FRACTION = 0.75  # fraction of `max_bytes` beyond which no message is accepted
+WRITE_FRACTION = 0.95  # fraction of `max_bytes` beyond which no record is written
+COMPACT_FRACTION = 0.3  # fraction of `max_bytes` beyond which the file may be compacted
 # Fraction of the file size; a smaller gain does not justify the milliseconds of a compaction.
 MIN_COMPACTION_GAIN = 0.125
 OWNER_ONLY = 0o600  # file mode
@@ -94,7 +94,7 @@
         self.compaction_overhead = 0  # bytes by which the last compacted file exceeded `live_bytes`
         self.clock = clock
         self.detailed = detailed
-        self.new_path.unlink(missing_ok=True)  # of an interrupted compaction; the old file is complete
+        self.new_path.unlink(missing_ok=True)  # left by an interrupted compaction; the old file is complete
         self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, OWNER_ONLY)
         self.size = 0
         self._replay()
@@ -111,7 +111,7 @@
     # Records, each written before the action that it covers.
 
     def record_accepted(self, transaction: Transaction) -> None:
-        """Record an accepted message before its client is told of the acceptance.
+        """Record an accepted message before the acceptance is sent to its client.
 
         Raise JournalFullError if there is no space.
         """
--- a/honeyhitch/journal/state.py
+++ b/honeyhitch/journal/state.py
@@ -27,7 +27,7 @@
 )
 from honeyhitch.journal.transactions import DeliveredKey, Ending, MessageTable, Transaction
 
-ESTIMATED_OVERHEAD_BYTES = 512  # of a message's records, excluding its body
+ESTIMATED_OVERHEAD_BYTES = 512  # size of a message's records, excluding its body
 
 
 def _estimated_bytes(message: Transaction) -> int:
@@ -58,7 +58,7 @@
         self.handed_over: dict[str, Transaction] = {}
         self.calls_in_flight: int | None = None  # None if the writer does not hand over
         self.name = ""  # the dispatcher's name
-        self.version = 0  # of the journal's format; 0 if no record states it
+        self.version = 0  # version of the journal's format; 0 if no record states it
 
     def has_accepted(self, message_id: str) -> bool:
         """Return whether this message is held, or was held and is still remembered."""
--- a/honeyhitch/journal/transactions.py
+++ b/honeyhitch/journal/transactions.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-RESP_FRONTEND = "resp"  # the RESP frontend; its clients are not told of deliveries
+RESP_FRONTEND = "resp"  # the RESP frontend; its clients get no notice of deliveries
 RESEND_FRONTEND = "resend"  # the frontend of messages that the dead-letter store resends
 
 
@@ -64,7 +64,7 @@
     destination: int
     deadline: int
     body: bytes
-    key: str = ""  # its idempotency key
+    key: str = ""  # the message's idempotency key
     tenant: int = 0
     recovered_from_journal: bool = False
     frontend: str = RESP_FRONTEND  # the frontend that accepted it
--- a/honeyhitch/partitioning/settings.py
+++ b/honeyhitch/partitioning/settings.py
@@ -24,8 +24,8 @@
 class FleetSettings:
     """The table `[fleet]` of the operator's file. Times are nanoseconds."""
 
-    name: str  # of this instance, as the view lists it
-    zone: str  # of this instance
+    name: str  # this instance's name in the view
+    zone: str  # this instance's zone
     view: str  # HOST:PORT of the agent that lists the fleet
     regions: tuple[Region, ...]
     partitions: int = 4096
--- a/honeyhitch/policy/backoff.py
+++ b/honeyhitch/policy/backoff.py
@@ -9,7 +9,7 @@
 BACKOFF_STEPS = (250 * MILLISECOND, SECOND, 4 * SECOND, 16 * SECOND)
 JITTER = 0.2  # fraction by which a pause is lengthened or shortened
 MAX_ATTEMPTS = 5  # per message; the settings may allow fewer
-REJECTION_PAUSE_FACTOR = 2  # for a rejection without Retry-After
+REJECTION_PAUSE_FACTOR = 2  # factor of the pause after a rejection without Retry-After
 INITIAL_SUBSCRIBE_PAUSE = 500 * MILLISECOND
 MAX_SUBSCRIBE_PAUSE = 5 * SECOND
 
--- a/honeyhitch/policy/latency.py
+++ b/honeyhitch/policy/latency.py
@@ -5,10 +5,10 @@
 from honeyhitch.time_units import MILLISECOND
 
 INITIAL_LATENCY = 200 * MILLISECOND  # until the first response
-SAMPLE_WEIGHT = 0.1  # of a new sample in the mean
-OVERDUE_FACTOR = 5  # times the mean latency, after which a response is overdue
+SAMPLE_WEIGHT = 0.1  # weight of a new sample in the mean latency
+OVERDUE_FACTOR = 5  # a response is overdue after this many times the mean latency
 MIN_OVERDUE_AFTER = 700 * MILLISECOND
-MIN_USEFUL_FACTOR = 0.5  # of the mean latency; no attempt is made with less time left
+MIN_USEFUL_FACTOR = 0.5  # fraction of the mean latency; no attempt is made with less time left
 
 
 class LatencyEstimate:
--- a/honeyhitch/policy/settings.py
+++ b/honeyhitch/policy/settings.py
@@ -141,7 +141,7 @@
     max_retry_after: int = 0
     connect_timeout: int = 0
     must_subscribe: bool = False
-    resolution: int = 0  # of the clock
+    resolution: int = 0  # resolution of the clock
     late_decay: LateDecay = LateDecay.LINEAR
     listed_rate_meaning: ListedRateMeaning = ListedRateMeaning.OFF
     cross_zone_cost: float = 0.0
--- a/honeyhitch/protocols/discovery_backoff.py
+++ b/honeyhitch/protocols/discovery_backoff.py
@@ -118,7 +118,7 @@
         """Return the pause before the first request: 0 if there is no list or it came from another agent.
 
         A change counts as known even before it is requested. Therefore the pause and the response have to fit
-        into the drain grace, whatever the size of the fleet.
+        into the drain grace, regardless of the size of the fleet.
         """
         if self.full_list or self.instance_count <= MAX_INSTANCES_WITHOUT_SPREAD:
             return 0.0
--- a/honeyhitch/protocols/mqtt_messages.py
+++ b/honeyhitch/protocols/mqtt_messages.py
@@ -116,7 +116,7 @@
 
 
 def _result_of_reason(reason: int, count: int) -> CallResult:
-    if reason == NO_SUBSCRIBERS:  # the server accepted the call, but nobody received or executed it
+    if reason == NO_SUBSCRIBERS:  # the server accepted the call, but no subscriber received or executed it
         return CallResult.uniform(Outcome.CONNECT_FAILED, count)
     if reason == QUOTA_EXCEEDED:
         return CallResult.uniform(Outcome.REJECTED, count)
--- a/honeyhitch/protocols/mqtt_packets.py
+++ b/honeyhitch/protocols/mqtt_packets.py
@@ -38,7 +38,7 @@
 CLEAN_START_FLAG = 2
 UNSUPPORTED_CONNECT_FLAGS = 0x3D  # the flags of a will, which this program never sends, and the reserved bit
 
-SESSION_PRESENT_FLAG = 1  # of CONNACK (3.2.2.1)
+SESSION_PRESENT_FLAG = 1  # flag of CONNACK (3.2.2.1)
 
 
 class Kind(IntEnum):
--- a/honeyhitch/service/features/fleet.py
+++ b/honeyhitch/service/features/fleet.py
@@ -9,7 +9,7 @@
 from honeyhitch.service.fleet import MAX_SAVED_VIEW_BYTES, FleetService
 from honeyhitch.service.service import Service
 
-FLEET_SEED = 0xF1EE7  # mixed into the dispatcher's seed for a random stream of its own
+FLEET_SEED = 0xF1EE7  # mixed into the dispatcher's seed to make a separate random stream
 RESERVED_BYTES = 2 * MAX_SAVED_VIEW_BYTES  # the saved view, and the file that replaces it
 BYTES_PER_MEGABYTE = 1e6
 
--- a/honeyhitch/service/features/tls.py
+++ b/honeyhitch/service/features/tls.py
@@ -13,7 +13,7 @@
 from honeyhitch.transports.tls_broker import TlsConnector
 from honeyhitch.transports.tls_transport import TlsTransport
 
-TLS_SEED = 0x715  # mixed into the dispatcher's seed for a random stream of its own
+TLS_SEED = 0x715  # mixed into the dispatcher's seed to make a separate random stream
 
 
 def add_tls(service: Service, operator: OperatorSettings, max_idle: int) -> TlsConnector | None:
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -24,7 +24,7 @@
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
 log = logs.get_logger()
-VIEW_FILE_NAME = "fleet-view.json"  # in the state directory
+VIEW_FILE_NAME = "fleet-view.json"  # file in the state directory
 MAX_SAVED_VIEW_BYTES = 250_000
 SAVE_INTERVAL = 60 * SECOND  # after a restart while control is silent, leases count from the last save
 REFRESH_CHECK_SECONDS = 0.25  # between checks for quotas that change with time
--- a/honeyhitch/service/service.py
+++ b/honeyhitch/service/service.py
@@ -30,7 +30,7 @@
     from honeyhitch.transports.control import ControlServer
 
 BROKER_REDELIVERY = 10 * MINUTE  # how long a broker may redeliver a message; its id is kept as long
-DISCOVERY_SEED = 0xD15C  # mixed into the dispatcher's seed for a random stream of its own
+DISCOVERY_SEED = 0xD15C  # mixed into the dispatcher's seed to make a separate random stream
 
 
 class Service:
--- a/honeyhitch/service/start.py
+++ b/honeyhitch/service/start.py
@@ -15,7 +15,7 @@
     """Recover the journal, then serve. Without `listen` only callers in this process submit messages.
 
     Raise ConfigError if an address cannot be bound, or if another process uses the state directory and this
-    process may not run beside it.
+    process may not run at the same time.
     """
     if service.fleet is not None:
         service.fleet.restore()
@@ -48,7 +48,7 @@
 
 
 def _check_peer(service: Service) -> None:
-    """Raise ConfigError if this process may not run beside the peer.
+    """Raise ConfigError if this process may not run at the same time as the peer.
 
     This is so if the peer belongs to another dispatcher, or if a feature that two processes cannot share is
     configured: the store of dead letters, the control socket, the session at the MQTT broker, or the quota of
--- a/honeyhitch/tls/handshake_budget.py
+++ b/honeyhitch/tls/handshake_budget.py
@@ -23,7 +23,8 @@
 
 RATE_WINDOW = SECOND  # ns
 WINDOW_MARGIN = 1.25  # factor that lengthens the rate window
-RESUMED_WEIGHT = 0.25  # of a full handshake's cost: the partner checks a ticket and does one key exchange
+# Fraction of a full handshake's cost: the partner checks a ticket and does one key exchange.
+RESUMED_WEIGHT = 0.25
 MIN_LOST_FOR_RESTART = 2  # connections lost within RATE_WINDOW
 RETRY_DELAY = 100 * MILLISECOND  # ns; the estimated wait while too many handshakes are running
 
@@ -64,7 +65,7 @@
 
     @staticmethod
     def warnings(handshakes: int, rate: float, instance_count: int) -> list[str]:
-        """Return a text for each limit that cannot be kept exactly with so many dispatchers."""
+        """Return a text for each limit that cannot be kept exactly with this number of dispatchers."""
         warnings = []
         if handshakes < instance_count:
             warnings.append(
--- a/honeyhitch/tls/machine.py
+++ b/honeyhitch/tls/machine.py
@@ -18,8 +18,9 @@
 from honeyhitch.tls import failures
 from honeyhitch.tls.failures import TLS_1_3, Failure, TlsError
 
-MAX_CHUNK_BYTES = 1 << 16  # of received bytes given to OpenSSL, or plaintext taken from it, at once
-MAX_UNSENT_BYTES = 1 << 16  # of output that a peer causes (KeyUpdate) but does not read
+# Maximum size of the received data given to OpenSSL at once, and of the plaintext read from it at once.
+MAX_CHUNK_BYTES = 1 << 16
+MAX_UNSENT_BYTES = 1 << 16  # limit for output that a peer causes (KeyUpdate) but does not read
 RECORD_HEADER_BYTES = 5  # type, version and length (RFC 8446, 5.1)
 
 
@@ -28,7 +29,7 @@
 
     HANDSHAKE = "handshake"
     OPEN = "open"
-    ENDED = "ended"  # by the peer's close_notify
+    ENDED = "ended"  # the peer sent close_notify
     FAILED = "failed"
 
 
--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -29,7 +29,7 @@
 from honeyhitch.tls.failures import Failure, TlsError
 from honeyhitch.tls.settings import Terms
 
-MAX_FILE_BYTES = 8 << 20  # of one file
+MAX_FILE_BYTES = 8 << 20  # maximum size of one file
 TLS_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 CRL_BEGIN = b"-----BEGIN X509 CRL"
 GROUP_AND_OTHERS = 0o077  # permission bits
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -75,7 +75,7 @@
         self.now = now
         self.rng = rng
         self.sessions = SessionCache()
-        self.certificate_cache: dict[bytes, CertificateInfo] = {}  # by DER
+        self.certificate_cache: dict[bytes, CertificateInfo] = {}  # by DER encoding
         self.states = {partner: self._create_state(partner) for partner in tls_settings.partners}
         self.on_change: list[Callable[[PartnerState], None]] = []
 
--- a/honeyhitch/tls/settings.py
+++ b/honeyhitch/tls/settings.py
@@ -43,7 +43,7 @@
     """One `[[tls.partner]]`: its terms, and the endpoints that they apply to."""
 
     scope: Scope
-    value: str  # of the scope: an endpoint's id, a destination's number, or the name of a kind
+    value: str  # the endpoint's id, the destination's number or the name of the kind
     terms: Terms
 
     @property
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -200,7 +200,7 @@
             certificate=opened.certificate,
             retire_at=partner.material.valid_until(opened.certificate),
             idle_since=now,
-            used=True,  # by the handshake, in which a reached connection limit would already have shown
+            used=True,  # by its handshake: an endpoint at its connection limit would have refused it
         )
         if not resumed:  # the partner did not accept the session that was offered, if any
             self.partners.sessions.forget(key)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -36,7 +36,7 @@
 ROUND_TRIP = 40 * MILLISECOND
 HANDSHAKE = 100 * MILLISECOND
 REPORT_REFRESH_PERIOD = 500 * MILLISECOND
-CLASS_INDEX = 1  # of the settings in `world`: messages with an idempotency key
+CLASS_INDEX = 1  # class in the settings of `world` whose messages have an idempotency key
 
 
 class Report(NamedTuple):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -45,7 +45,7 @@
     arguments = [sys.executable, "-m", "honeyhitch", "serve", "--config", path]
     arguments += ["--operator", operator] if operator is not None else []
     program = shlex.join(arguments)
-    with Path(path).with_suffix(".log").open("ab") as log:  # for the analysis of a failed test
+    with Path(path).with_suffix(".log").open("ab") as log:  # read to analyse a failed test
         return await asyncio.create_subprocess_shell(f"{limit}exec {program}", cwd=ROOT, stderr=log)
 
 
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -142,7 +142,7 @@
 
 
 def test_an_add_to_a_full_file_fails_without_effect(tmp_path: Path) -> None:
-    """A page limit simulates a full disk: an add fails without effect, and succeeds once there is room."""
+    """A page limit simulates a full disk: an add fails without effect, and succeeds once there is space."""
     store = open_store(tmp_path)
     (page_count,) = store.database.execute("PRAGMA page_count").fetchone()
     store.database.execute(f"PRAGMA max_page_count={page_count + 4}")
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -39,7 +39,7 @@
         deadline=20 * SECOND,
     ),
 )
-CALL_DURATION = 40 * MS  # of a call to a healthy endpoint
+CALL_DURATION = 40 * MS  # duration of a call to a healthy endpoint
 MAX_DELAY = 300 * MS  # maximum time from the deadline to the ending
 MAX_START_DELAY = int(1.5 * SECOND)  # from a start to the ending, if the deadline passed before that start
 RATE = 200.0  # calls per second; enough for all messages, even during slow start
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -106,7 +106,7 @@
             self.replies[name] = answer
             stream = stream if answer else None
             self.progress.notify()
-            # A rejected client waits until a partner's answer frees room for a message.
+            # A rejected client waits until a partner's answer frees capacity for a message.
             if answer != b"+OK\r\n" and self.waits_for_room:
                 await self.room_made.changed.wait()
 
--- a/tests/tls_partner.py
+++ b/tests/tls_partner.py
@@ -18,7 +18,7 @@
 from .authority import Issued
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-RESUMED_WEIGHT = 0.25  # of a full handshake's cost, as in the dispatcher's handshake budget
+RESUMED_WEIGHT = 0.25  # fraction of a full handshake's cost, as in the dispatcher's handshake budget
 
 
 def server_context(issued: Issued, min_version: str = "1.2", max_version: str = "1.3") -> ssl.SSLContext:
