--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on loopback: requests that are forwarded, and owners that are killed, hang or drain.
+"""A fleet of real processes on loopback: forwarded requests, and owners that are killed, hang or drain.
 
 The endpoint counts each call by its message's id. In all cases a message whose client got `+OK` is delivered
 once, and none is sent twice.
