--- a/honeyhitch/dispatcher/endings.py
+++ b/honeyhitch/dispatcher/endings.py
@@ -44,7 +44,7 @@
                 self.context.resend_coordinator.message_concluded(message)
 
     def apply_final_answer(self, message_id: str, ending: Ending, retry_after: int) -> None:
-        """Apply a final answer that the policy decided; does nothing if the ending was decided before."""
+        """Apply a final answer that the policy decided; do nothing if the ending was decided before."""
         message = self.context.find_undecided(message_id)
         if message is not None:
             self.conclude_now(message, ending, retry_after)
--- a/honeyhitch/journal/directory.py
+++ b/honeyhitch/journal/directory.py
@@ -28,7 +28,8 @@
 class StateDirectory:
     """One process's lock on the state directory, in the first `slot` that was free.
 
-    Raise OSError if the directory cannot be written, and StateDirectoryInUseError if no slot is free.
+    The constructor raises OSError if the directory cannot be written, and StateDirectoryInUseError if no slot
+    is free.
     """
 
     def __init__(self, path: Path) -> None:
--- a/honeyhitch/journal/journal.py
+++ b/honeyhitch/journal/journal.py
@@ -73,8 +73,8 @@
     """A journal file, and the state that a replay of it would give.
 
     `max_bytes` is the disk space that the file and its replacement may use together. A `detailed` journal
-    keeps the endpoints, outcomes and times of attempts for dead letters. Raise JournalVersionError if the
-    file has a later format version, and OSError if it cannot be opened.
+    keeps the endpoints, outcomes and times of attempts for dead letters. The constructor raises
+    JournalVersionError if the file has a later format version, and OSError if it cannot be opened.
     """
 
     def __init__(
--- a/honeyhitch/transports/client_server.py
+++ b/honeyhitch/transports/client_server.py
@@ -125,7 +125,7 @@
         return int(self.listener.getsockname()[1])
 
     async def accept(self) -> None:
-        """Accept clients. Never returns."""
+        """Accept clients until cancelled."""
         while True:
             await sockets.wait_readable(self.loop, self.listener)
             try:
@@ -181,7 +181,7 @@
             pass
 
     async def sweep(self) -> None:
-        """Close connections whose request, or whose reading of replies, timed out. Never returns."""
+        """Until cancelled, close connections whose request, or whose reading of replies, timed out."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             oldest_allowed = self.loop.time() - REQUEST_TIMEOUT_SECONDS
--- a/honeyhitch/transports/control.py
+++ b/honeyhitch/transports/control.py
@@ -91,7 +91,7 @@
         self.path.unlink(missing_ok=True)
 
     async def accept(self) -> None:
-        """Accept connections. Never returns."""
+        """Accept connections until cancelled."""
         while True:
             try:
                 sock, _ = await self.loop.sock_accept(self.listener)
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -65,7 +65,7 @@
         self.running_tasks[1:] = [self.tasks.run_forever(self.watch)]
 
     async def watch(self) -> None:
-        """Watch the endpoint list; the pool stays as it is while discovery sends nothing. Never returns."""
+        """Watch the endpoint list until cancelled; the pool stays as it is while discovery sends nothing."""
         pool = self.dispatcher.pool
         settings = self.dispatcher.settings
         backoff = WatchBackoff(
@@ -97,7 +97,7 @@
         self.notice_added.set()
 
     async def notify(self) -> None:
-        """Send notices. Never returns.
+        """Send notices until cancelled.
 
         Unconfirmed notices are sent again on another connection. The agent responds immediately, so a
         connection without a response is considered dead, and a second notice of the same final answer is
--- a/honeyhitch/transports/http_transport.py
+++ b/honeyhitch/transports/http_transport.py
@@ -96,7 +96,7 @@
         self._enforce_idle_limit()
 
     async def sweep(self) -> None:
-        """Close connections that are idle too long, dead, or of an unlisted endpoint. Never returns."""
+        """Until cancelled, close connections that are idle too long, dead, or of an unlisted endpoint."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             for endpoint_id in list(self.idle):
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -53,7 +53,7 @@
         self.keep_row = keep_row
 
     async def run(self) -> None:
-        """Watch; updates that were applied stay in use while the agent sends nothing. Never returns."""
+        """Watch until cancelled; updates that were applied stay in use while the agent sends nothing."""
         await asyncio.sleep(self.backoff.first_pause())
         while True:
             started_at = self.loop.time()
--- a/honeyhitch/transports/tls_transport.py
+++ b/honeyhitch/transports/tls_transport.py
@@ -403,7 +403,7 @@
                 connection.retire_at = min(connection.retire_at, now + duration)
 
     async def sweep(self) -> None:
-        """Close connections that are idle too long, outdated, or of an unlisted endpoint. Never returns."""
+        """Until cancelled, close connections that are idle too long, outdated, or of an unlisted endpoint."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self.scheduler.now()
@@ -451,7 +451,7 @@
         return not connection.tls.machine.quiescent and idle_time > PARTIAL_RECORD_TIMEOUT
 
     async def watch_files(self) -> None:
-        """Read the partners' files again whenever they change. Never returns."""
+        """Read the partners' files again whenever they change, until cancelled."""
         while True:
             await asyncio.sleep(FILE_POLL_SECONDS)
             await self.reload_certificates()
@@ -463,7 +463,7 @@
             self.partners.apply_files(partner, stamps, loaded)
 
     async def watch_certificate_expiry(self) -> None:
-        """Log warnings about our own certificates that expire soon. Never returns."""
+        """Log warnings about our own certificates that expire soon, until cancelled."""
         while True:
             self.partners.warn_of_expiry()
             await asyncio.sleep(EXPIRY_CHECK_SECONDS)
