--- a/honeyhitch/config/dead_letters.py
+++ b/honeyhitch/config/dead_letters.py
@@ -34,7 +34,10 @@
 
 
 def parse_dead_letters(value: object, settings: Settings) -> DeadLetterSettings:
-    """Return the settings of `[undelivered]`, which enables the store, or raise ConfigError."""
+    """Return the settings of `[undelivered]`, which enables the store.
+
+    Raise ConfigError if a value is invalid or the extra is not installed.
+    """
     table = ConfigTable(value, "undelivered")
     defaults = DeadLetterSettings()
     directory = table.optional("folder", str)
--- a/honeyhitch/transports/discovery.py
+++ b/honeyhitch/transports/discovery.py
@@ -115,7 +115,11 @@
                 await asyncio.sleep(response_timeout.retry_pause)
 
     async def _send_notices(self, response_timeout: ResponseTimeout) -> None:
-        """Send notices on one connection; return once it is found closed. Raise OSError and HttpError."""
+        """Send notices on one connection; return once it is found closed.
+
+        Raise OSError if the connection breaks, a response is late or the agent rejects a request, and
+        HttpError if a response is malformed.
+        """
         sock = await connect_before(self.loop, self.address, self.loop.time() + response_timeout.current)
         buffer = Buffer()
         try:
--- a/honeyhitch/transports/list_watch.py
+++ b/honeyhitch/transports/list_watch.py
@@ -119,7 +119,10 @@
     async def _fetch_complete_list(
         self, sock: socket.socket, buffer: Buffer, deadline: float
     ) -> dict[str, Any]:
-        """Request and return the complete list. Raise TimeoutError, OSError, HttpError and WatchError.
+        """Request and return the complete list.
+
+        Raise TimeoutError if the response is late, OSError if the connection breaks, and HttpError or
+        WatchError if the response is not a valid list.
 
         Without `keep_row` the whole response must be received by `deadline`. A list that is parsed
         incrementally must begin by `deadline`, and each read must receive bytes within the read timeout.
@@ -148,7 +151,10 @@
 async def send_request(
     loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer, request: bytes
 ) -> http1.Response:
-    """Send one request on an open connection and return its response. Raise OSError and HttpError."""
+    """Send one request on an open connection and return its response.
+
+    Raise OSError if the connection breaks, and HttpError if the response is malformed or too long.
+    """
     parser = http1.ResponseParser(max_bytes=MAX_LIST_BYTES)
     await loop.sock_sendall(sock, request)
     while True:
--- a/honeyhitch/transports/sockets.py
+++ b/honeyhitch/transports/sockets.py
@@ -93,7 +93,8 @@
 async def read(loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: Buffer) -> int:
     """Read once into the buffer, after other tasks have had the chance to run.
 
-    Return the number of bytes, 0 at the end of the connection. Raise OSError and BufferOverflowError.
+    Return the number of bytes, 0 at the end of the connection. Raise OSError if the socket fails, and
+    BufferOverflowError if the buffer is full.
     """
     while True:
         await wait_readable(loop, sock)
@@ -104,8 +105,8 @@
 def read_available(sock: socket.socket, buffer: Buffer) -> int:
     """Read once into the buffer without waiting, and return the number of bytes.
 
-    Return 0 at the end of the connection, and NOTHING_AVAILABLE if no byte was received. Raise OSError and
-    BufferOverflowError.
+    Return 0 at the end of the connection, and NOTHING_AVAILABLE if no byte was received. Raise OSError if
+    the socket fails, and BufferOverflowError if the buffer is full.
     """
     with buffer.free_space() as space:
         try:
