--- a/honeyhitch/partitioning/settings.py
+++ b/honeyhitch/partitioning/settings.py
@@ -24,8 +24,8 @@
 class FleetSettings:
     """The table `[fleet]` of the operator's file. Times are nanoseconds."""
 
-    name: str  # of this instance, as the view lists it
-    zone: str  # of this instance
+    name: str  # this instance's name in the view
+    zone: str  # this instance's zone
     view: str  # HOST:PORT of the agent that lists the fleet
     regions: tuple[Region, ...]
     partitions: int = 4096
@@ -78,7 +78,7 @@
         return self.region_of(self.zone)
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone. Raises KeyError if the zone belongs to no region."""
+        """Return the region of a zone. Raise KeyError if the zone belongs to no region."""
         for region in self.regions:
             if zone in region.zones:
                 return region.name
--- a/honeyhitch/service/fleet.py
+++ b/honeyhitch/service/fleet.py
@@ -24,7 +24,7 @@
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
 log = logs.get_logger()
-VIEW_FILE_NAME = "fleet-view.json"  # in the state directory
+VIEW_FILE_NAME = "fleet-view.json"  # file in the state directory
 MAX_SAVED_VIEW_BYTES = 250_000
 SAVE_INTERVAL = 60 * SECOND  # after a restart while control is silent, leases count from the last save
 REFRESH_CHECK_SECONDS = 0.25  # between checks for quotas that change with time
@@ -34,7 +34,8 @@
 class FleetService:
     """Keeps the view, routes messages, and applies this instance's quotas to the dispatcher.
 
-    It implements `Router` for client sessions and `QuotaSource` for the dispatcher (DESIGN, partitioning).
+    It implements `Router` for client sessions and `QuotaSource` for the dispatcher. See
+    docs/design/partitioning.md.
     """
 
     retry_after = BUSY_RETRY_AFTER
@@ -186,7 +187,7 @@
         return self.fleet.view.revision
 
     def apply_update(self, update: dict[str, Any]) -> None:
-        """Apply a list, change or heartbeat in discovery's form. Raises FleetViewError if it is faulty."""
+        """Apply a list, change or heartbeat in discovery's form. Raise FleetViewError if it is faulty."""
         previous_view = self.fleet.view
         previous_partitions = self.fleet.candidate_partitions
         now = self.scheduler.now()
