--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -223,7 +223,7 @@
             submit(rig, client, name)
     answers_before = len(rig.answers)
     try:
-        rig.run(STEP_SECONDS)
+        rig.advance(STEP_SECONDS)
     finally:  # clients receive the answers that were sent before a kill
         for answer in rig.answers[answers_before:]:
             client = next(client for client in clients if answer.id in client.ids)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -55,7 +55,7 @@
         self.sequence += 1
         heapq.heappush(self.heap, (when, self.sequence, callback))
 
-    def run(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Advance the time, calling each callback when it is due."""
         end_time = self.time + int(seconds * SECOND)
         while self.heap and self.heap[0][0] <= end_time:
@@ -132,10 +132,10 @@
             setattr(result, name, value)
         self.dispatcher.call_ended(call, result)
 
-    def run(self, seconds: float) -> list[Call]:
+    def advance(self, seconds: float) -> list[Call]:
         """Advance the time and return the calls started meanwhile."""
         previous_count = len(self.calls)
-        self.time.run(seconds)
+        self.time.advance(seconds)
         return self.calls[previous_count:]
 
 
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -72,7 +72,7 @@
         if self.duplicate_after is not None and elapsed > self.duplicate_after:
             self.submit("copy")
         try:
-            self.rig.run(0.2)
+            self.rig.advance(0.2)
         finally:
             self.receive_answers()
         self.receiver.apply_due(self.clock.time)
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -99,7 +99,7 @@
         self.receiver = Receiver()
         self.rig = ResendRig(folder, VirtualTime(), self.receiver, random.Random(1), **rig_options)
         self.rig.modes = ("refuse",)
-        self.rig.run(1)
+        self.rig.advance(1)
 
     def submit(self, name: str, class_index: int = KEYED, key: str = "k", frontend: str = "mqtt") -> None:
         """Submit a message, and fail the test if it is not accepted."""
@@ -110,7 +110,7 @@
     def run(self, seconds: float) -> None:
         """Let this much time pass at the dispatcher and the receiver."""
         for _ in range(int(seconds * 5)):
-            self.rig.run(0.2)
+            self.rig.advance(0.2)
             self.receiver.apply_due(self.rig.time.now())
 
     def fail(self, name: str, mode: str = "refuse", **message_options: Any) -> Record:
@@ -141,7 +141,7 @@
         """Run until another attempt has been sent."""
         sent_count = len(self.rig.sent)
         while len(self.rig.sent) == sent_count:
-            self.rig.run(0.005)
+            self.rig.advance(0.005)
 
     def answers(self) -> dict[str, Ending | None]:
         """Return the ending of each answered message, by message id."""
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -37,7 +37,7 @@
     """Submit a message, and end all its attempts with this outcome."""
     assert rig.submit(name, **arguments)  # type: ignore[arg-type]
     for _ in range(60):
-        for call in rig.run(0.5):
+        for call in rig.advance(0.5):
             rig.end(call, outcome)
 
 
@@ -73,11 +73,11 @@
     rig = DeadLetterRig(tmp_path)
     rig.submit("a")
     rig.submit("b")
-    for call in rig.run(1):
+    for call in rig.advance(1):
         rig.end(call, Outcome.DELIVERED)
     rig.submit("c", dest=2)
     rig.dispatcher.withdraw("c")
-    rig.run(30)
+    rig.advance(30)
     assert stored_records(rig) == []
     assert not rig.journal.messages.pending_dead_letters
 
@@ -85,12 +85,12 @@
 def test_outcomes_that_prove_no_execution_are_in_the_record(tmp_path: Path) -> None:
     rig = DeadLetterRig(tmp_path)
     rig.submit("a")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.REJECTED, retry_after=2 * SECOND, failure_reason="")
     while not rig.answers:
-        for call in rig.run(0.5):
+        for call in rig.advance(0.5):
             rig.end(call, Outcome.REJECTED)
-    rig.run(0.1)
+    rig.advance(0.1)
     (record,) = stored_records(rig)
     assert not record.may_have_executed
     assert record.attempts[0].retry_after == 2 * SECOND
@@ -107,7 +107,7 @@
     assert len(rig.journal.messages.pending_dead_letters) == 1
     assert rig.dispatcher.state().message_count == 0
     rig.worker.failure = None
-    rig.run(70)
+    rig.advance(70)
     assert [record.id for record in stored_records(rig)] == ["a"]
     assert not rig.journal.messages.pending_dead_letters
 
@@ -122,14 +122,14 @@
     fail_message(rig, "ran", Outcome.ERROR)
     for i in range(60):
         assert rig.submit(f"m{i}", left=SECOND // 2), "a live message was rejected"
-        for call in rig.run(1):
+        for call in rig.advance(1):
             rig.end(call, Outcome.REJECTED)
     assert rig.journal.dead_letter_bytes <= 0.25 * 100_000
     assert rig.journal_transfer.counts.discarded[False] > 0
     assert rig.journal_transfer.counts.discarded[True] == 0
     assert "ran" in {transaction.id for transaction in rig.journal.messages.pending_dead_letters.values()}
     rig.worker.failure = None
-    rig.run(120)
+    rig.advance(120)
     stored_ids = {record.id for record in stored_records(rig)}
     assert "ran" in stored_ids
     assert len(stored_ids) + rig.journal_transfer.counts.discarded[False] == 61
@@ -139,12 +139,12 @@
     rig = DeadLetterRig(tmp_path)
     rig.worker.failure = sqlite3.OperationalError("locked")
     fail_message(rig, "a")
-    rig.run(60)
+    rig.advance(60)
     rig.journal.messages.drop_expired(rig.time.now())
     fail_message(rig, "a")
     rig.close_as_killed()
     restarted = DeadLetterRig(tmp_path, rig.time)
-    restarted.run(1)
+    restarted.advance(1)
     assert [record.id for record in stored_records(restarted)] == ["a", "a"]
 
 
@@ -161,7 +161,7 @@
     assert transaction_after.ended_at == transaction_before.ended_at
     assert transaction_after.body == transaction_before.body
     assert restarted.journal.dead_letter_bytes == rig.journal.dead_letter_bytes > 0
-    restarted.run(1)
+    restarted.advance(1)
     assert len(stored_records(restarted)) == 1
     assert restarted.journal.dead_letter_bytes == 0
     assert restarted.journal.live_bytes == 0
@@ -185,7 +185,7 @@
                 for name in sorted({f"m{i}" for i in range(4)} - submitted):
                     submitted.add(name)
                     rig.submit(name, left=6 * SECOND)
-                for call in rig.run(0.5):
+                for call in rig.advance(0.5):
                     rig.end(call, rng.choice(OUTCOMES))
             was_killed = False
         except Killed:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -19,7 +19,7 @@
 def test_a_message_is_sent_immediately_and_its_delivery_concludes_it(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     assert rig.submit("a")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     assert call.endpoint.id == "s-1"
     assert [message.id for message in call.messages] == ["a"]
     rig.end(call, Outcome.DELIVERED)
@@ -31,7 +31,7 @@
     rig = DispatcherRig(tmp_path)
     for name in "abcde":
         rig.submit(name, dest=2)
-    calls = rig.run(0.006)
+    calls = rig.advance(0.006)
     assert sorted(len(call.messages) for call in calls) == [2, 3]
     assert all(call.endpoint.id == "s-2" for call in calls)
 
@@ -50,12 +50,12 @@
     rig.dispatcher.pool.pin(PoolEndpoint("topic", "partner/1", 1, transport="mqtt"))
     rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(ENDPOINT_LIST))
     rig.submit("a")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
     received_at = rig.time.time
     rig.submit("b")
-    assert not rig.run(1.9)
-    later_calls = rig.run(3)
+    assert not rig.advance(1.9)
+    later_calls = rig.advance(3)
     assert later_calls
     assert all(call.sent_at >= received_at + 2 * SECOND for call in later_calls)
 
@@ -63,11 +63,11 @@
 def test_a_retry_after_with_a_delivered_batch_applies_to_the_destination(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a", dest=2)
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.DELIVERED, retry_after=2 * SECOND)
     rig.submit("b", dest=2)
-    assert not rig.run(1.9)
-    assert rig.run(1)
+    assert not rig.advance(1.9)
+    assert rig.advance(1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT])
@@ -76,28 +76,28 @@
 ) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a")
-    (first,) = rig.run(0.1)
+    (first,) = rig.advance(0.1)
     rig.end(first, outcome)
     while not rig.answers:
-        for call in rig.run(0.5):
+        for call in rig.advance(0.5):
             assert call.sent_at <= first.sent_at + 5 * SECOND
             rig.end(call, outcome)
     assert rig.answers[0].ending is Ending.REJECTED
-    assert not rig.run(30)
+    assert not rig.advance(30)
 
 
 def test_a_message_that_expires_ends_while_its_call_stays_in_flight(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("short", dest=2, left=200 * MS)
     rig.submit("long", dest=2)
-    (call,) = rig.run(0.1)
-    rig.run(0.2)
+    (call,) = rig.advance(0.1)
+    rig.advance(0.2)
     assert [answer.id for answer in rig.answers] == ["short"]
     # The reply is too late for one message, so it is unknown whether the reply counts for the other.
     rig.end(call, Outcome.DELIVERED)
     assert list(rig.dispatcher.messages.by_id) == ["long"]
     assert len(rig.answers) == 1
-    (repeated,) = rig.run(1)
+    (repeated,) = rig.advance(1)
     assert [message.id for message in repeated.messages] == ["long"]
     assert repeated.attempt_numbers == [1]
     rig.end(repeated, Outcome.DELIVERED)
@@ -108,15 +108,15 @@
 def test_a_restart_resumes_inside_the_deduplication_window_only(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a")
-    assert len(rig.run(0.1)) == 1
+    assert len(rig.advance(0.1)) == 1
     recovered = DispatcherRig(tmp_path, rig.time)
-    (repeated,) = recovered.run(0.1)
+    (repeated,) = recovered.advance(0.1)
     assert repeated.messages[0].attempt_count == 2
     assert repeated.attempt_numbers == [1]
     assert repeated.messages[0].body == b"body"
-    rig.time.run(6)
+    rig.time.advance(6)
     expired = DispatcherRig(tmp_path, rig.time)
-    assert not expired.run(1)
+    assert not expired.advance(1)
     assert [answer.ending for answer in expired.answers] == [Ending.REJECTED]
 
 
@@ -130,17 +130,17 @@
     time = VirtualTime()
     rig = DispatcherRig(tmp_path, time, classes=(message_class,))
     rig.submit("a")
-    calls = rig.run(0.05)
+    calls = rig.advance(0.05)
     (first,) = calls
     for _ in range(restarts):
-        time.run(down_for)
+        time.advance(down_for)
         rig = DispatcherRig(tmp_path, time, classes=(message_class,))
-        calls += rig.run(0.05)
+        calls += rig.advance(0.05)
     for _ in range(4):  # each further call may have been executed as well
         for call in rig.calls:
             if any(call.pending):
                 rig.end(call, Outcome.RESET)
-        calls += rig.run(1.5)
+        calls += rig.advance(1.5)
     assert all(call.sent_at <= first.sent_at + SECOND for call in calls)
     assert (len(calls) > 1) is (down_for < 1), "it is repeated where there is time"
     assert not rig.dispatcher.messages.by_id
@@ -151,45 +151,45 @@
     rig = DispatcherRig(tmp_path)
     rig.confirms_answers = False
     rig.submit("a", dest=9, left=SECOND)  # no endpoint serves it
-    rig.run(2)
+    rig.advance(2)
     assert len(rig.answers) == 1
     restarted = DispatcherRig(tmp_path, rig.time)
     assert [answer.id for answer in restarted.answers] == ["a"]
-    assert not restarted.run(30)
+    assert not restarted.advance(30)
     assert not DispatcherRig(tmp_path, rig.time).answers
 
 
 def test_a_restart_past_the_deadline_answers_immediately(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a")
-    rig.time.run(0)
+    rig.time.advance(0)
     rig.time.time += 60 * SECOND
     restarted = DispatcherRig(tmp_path, rig.time)
-    restarted.run(0.01)
+    restarted.advance(0.01)
     assert [answer.id for answer in restarted.answers] == ["a"]
 
 
 def test_a_copy_of_a_delivered_key_keeps_the_first_window_and_is_answered_over_mqtt(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a", key="k")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.DELIVERED)
-    rig.run(1)
+    rig.advance(1)
     restarted = DispatcherRig(tmp_path, rig.time)  # the key is remembered over a restart
     restarted.submit("b", key="k")
-    (copy,) = restarted.run(0.1)
+    (copy,) = restarted.advance(0.1)
     restarted.end(copy, Outcome.DELIVERED)
     restarted.submit("c", key="k", frontend="mqtt")
-    restarted.run(0.1)
+    restarted.advance(0.1)
     assert [(answer.id, answer.ending) for answer in restarted.answers] == [("c", Ending.DELIVERED)]
-    restarted.run(4.5)  # inside the copy's own window, but after the window of the first message
+    restarted.advance(4.5)  # inside the copy's own window, but after the window of the first message
     restarted.submit("d", key="k")
-    assert not restarted.run(1), "outside the first window a copy would be executed"
+    assert not restarted.advance(1), "outside the first window a copy would be executed"
     assert restarted.answers[-1].id == "d"
     assert restarted.answers[-1].ending is Ending.REJECTED
-    restarted.run(30)
+    restarted.advance(30)
     restarted.submit("e", key="k")
-    assert restarted.run(1), "after the retention it is no copy"
+    assert restarted.advance(1), "after the retention it is no copy"
 
 
 def test_a_full_journal_rejects_and_never_crashes(tmp_path: Path) -> None:
@@ -197,33 +197,33 @@
     accepted = [rig.submit(f"m{i}") for i in range(300)]
     assert accepted[0]
     assert not accepted[-1]
-    rig.run(40)
+    rig.advance(40)
     used = sum(-(-file.stat().st_size // 512) * 512 for file in tmp_path.iterdir())
     assert used <= 60_000
     for call in rig.calls:
         rig.end(call, Outcome.TIMEOUT)
-    rig.run(30)
+    rig.advance(30)
     assert not rig.dispatcher.messages.by_id, "each accepted message was concluded"
     assert rig.submit("later")
 
 
 def test_a_draining_endpoint_gets_nothing_new(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
-    rig.run(0.1)
+    rig.advance(0.1)
     changes = {"revision": 2, "complete": False, "members": [endpoint_row("s-1", 1, phase="Terminating")]}
     rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(changes))
     rig.submit("a")
-    assert not rig.run(1)
+    assert not rig.advance(1)
 
 
 def test_messages_that_cannot_outlive_a_restart_are_rejected_before_it(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("first")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
     rig.submit("brief", left=3 * SECOND)
     rig.submit("long", left=12 * SECOND)
-    rig.run(1)
+    rig.advance(1)
     assert not rig.answers
     rig.dispatcher.stop_deciding(2500 * MS)
     (answer,) = rig.answers
@@ -231,13 +231,13 @@
     assert answer.ending is Ending.REJECTED
     assert answer.retry_after > 0
     assert {"first", "long"} == set(rig.dispatcher.messages.by_id)
-    assert not rig.run(20), "nothing is decided any more"
+    assert not rig.advance(20), "nothing is decided any more"
 
 
 def test_a_call_in_flight_at_a_restart_ends_by_its_outcome(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("out", left=2 * SECOND)
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.dispatcher.stop_deciding(5 * SECOND)
     assert not rig.answers
     rig.end(call, Outcome.DELIVERED)
@@ -257,15 +257,15 @@
     )
     rig = DispatcherRig(tmp_path, kinds=kinds)
     rig.submit("a")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.REJECTED, retry_after=3 * SECOND)
     retry_after_until = rig.time.time + 3 * SECOND
     for revision, phase in ((2, "Gone"), (3, "Ready")):
         change = {"revision": revision, "members": [endpoint_row("s-1", 1, phase=phase)]}
         rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(change))
-        rig.run(0.1)
+        rig.advance(0.1)
     rig.submit("b")
-    calls = rig.run(6)
+    calls = rig.advance(6)
     assert calls
     assert all(call.sent_at >= retry_after_until for call in calls), "started before the Retry-After was over"
 
@@ -275,7 +275,7 @@
     assert rig.submit("a", left=2 * SECOND)
     rig.dispatcher.journal.record_retry_after(1, "s-1", rig.time.time + 10 * SECOND)
     restarted = DispatcherRig(tmp_path, rig.time)
-    attempted = [message.id for call in restarted.run(1) for message in call.messages]
+    attempted = [message.id for call in restarted.advance(1) for message in call.messages]
     assert attempted == ["a"], "it is attempted"
     assert not restarted.answers, "and not rejected for a Retry-After that the restart ended"
 
@@ -290,19 +290,19 @@
     rig = DispatcherRig(tmp_path)
     rig.submit("brief", dest=2, left=2 * SECOND)
     rig.submit("long", dest=2)
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     assert len(call.messages) == 2
     if how == "delivered too late":
-        rig.run(2)  # the first message expires
+        rig.advance(2)  # the first message expires
     elif how == "withdrawn":
         for message in call.messages:
             rig.dispatcher.withdraw(message.id)
     outcome = Outcome.NOT_SENT if how == "no attempts left" else Outcome.DELIVERED
     rig.end(call, outcome, retry_after=3 * SECOND)
     retry_after_until = rig.time.time + 3 * SECOND
-    rig.run(0.1)
+    rig.advance(0.1)
     rig.submit("next", dest=2)
-    calls = rig.run(6)
+    calls = rig.advance(6)
     assert calls
     assert all(call.sent_at >= retry_after_until for call in calls), "started before the Retry-After was over"
 
@@ -316,7 +316,7 @@
     rig = DispatcherRig(tmp_path)
     if backing_off:
         rig.submit("before")
-        (call,) = rig.run(0.01)
+        (call,) = rig.advance(0.01)
         rig.end(call, Outcome.REJECTED)  # the message waits before its next attempt
     rows = [endpoint_row("s-1", 7), *([endpoint_row("s-2", 2, "large")] if complete else [])]
     rig.dispatcher.apply_list_update(
@@ -324,12 +324,12 @@
     )
     rig.submit("first")
     rig.submit("other", dest=7)
-    calls = rig.run(5)
+    calls = rig.advance(5)
     assert [(message.id, call.endpoint.id) for call in calls for message in call.messages] == [
         ("other", "s-1")
     ]
     rig.dispatcher.apply_list_update(
         rig.dispatcher.pool.update({"revision": 3, "complete": False, "members": [endpoint_row("s-3", 1)]})
     )
-    later_sends = [(message.id, call.endpoint.id) for call in rig.run(5) for message in call.messages]
+    later_sends = [(message.id, call.endpoint.id) for call in rig.advance(5) for message in call.messages]
     assert set(later_sends) == {("first", "s-3"), *([("before", "s-3")] if backing_off else [])}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -112,21 +112,21 @@
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
-    (call,) = old.run(0.1)
+    (call,) = old.advance(0.1)
     new = Process(tmp_path, time)
     assert new.dispatcher.peer_process is not None
     assert not new.held()
-    assert not new.run(0.5)
+    assert not new.advance(0.5)
     old.end(call, Outcome.CONNECT_FAILED)
     old.dispatcher.hand_over()
     assert old.submit("b")
-    assert not old.run(0.5), "nothing new is sent"
+    assert not old.advance(0.5), "nothing new is sent"
     old.kill()
     new.handover.check_peer()
     assert new.held() == {"a", "b"}
     assert new.dispatcher.peer_process is None
     assert new.state_directory.slot == FIRST_SLOT
-    sent_ids = [message.id for call in new.run(2) for message in call.messages]
+    sent_ids = [message.id for call in new.advance(2) for message in call.messages]
     assert sorted(sent_ids) == ["a", "b"]
     assert [file.name for file in sorted(tmp_path.glob("journal*"))] == ["journal"], "the name of old"
 
@@ -136,7 +136,7 @@
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
-    (call,) = old.run(0.1)
+    (call,) = old.advance(0.1)
     assert not old.closed_endpoints
     old.dispatcher.hand_over()
     assert sorted(old.closed_endpoints) == ["s-1", "s-2"]
@@ -152,7 +152,7 @@
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
-    (call,) = old.run(0.1)
+    (call,) = old.advance(0.1)
     old.submit("b")
     new = Process(tmp_path, time)
     new.handover.check_peer()
@@ -162,7 +162,7 @@
     new.handover.check_peer()
     assert (old.held(), new.held()) == ({"a"}, {"b"})
     assert new.reported_calls == [None, 1], "with the slots left over"
-    assert [message.id for call in new.run(0.5) for message in call.messages] == ["b"]
+    assert [message.id for call in new.advance(0.5) for message in call.messages] == ["b"]
     assert old.dispatcher.metrics_snapshot()["active"] == new.dispatcher.metrics_snapshot()["active"] == 1
     old.submit("c")
     old.end(call, Outcome.CONNECT_FAILED)  # does not end the message, which the new process resumes
@@ -170,7 +170,7 @@
     new.handover.check_peer()
     assert (old.held(), new.held()) == (set(), {"a", "b", "c"})
     assert new.reported_calls == [None, 1, 0]
-    assert not old.run(1), "the old one does nothing more for them"
+    assert not old.advance(1), "the old one does nothing more for them"
     old.dispatcher.withdraw("b")
     old.dispatcher.conclude(old.dispatcher.messages.by_id["c"], Ending.FAILED)
     assert not old.answers, "and answers none of them"
@@ -225,7 +225,7 @@
     (tmp_path / "journal-2").unlink()
     restarted = Process(tmp_path, time)
     assert restarted.held() == {"a"}
-    assert [message.id for call in restarted.run(1) for message in call.messages] == ["a"]
+    assert [message.id for call in restarted.advance(1) for message in call.messages] == ["a"]
 
 
 def test_a_process_that_hands_over_leaves_its_successor_the_disk_space_it_needs(tmp_path: Path) -> None:
@@ -303,16 +303,16 @@
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
-    (call,) = old.run(0.1)
+    (call,) = old.advance(0.1)
     new = Process(tmp_path, time)
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
     received_at = time.time
     new.submit("b")
-    assert not new.run(1)
+    assert not new.advance(1)
     old.dispatcher.hand_over()
     old.kill()
     new.handover.check_peer()
-    calls = new.run(4)
+    calls = new.advance(4)
     assert calls
     assert all(call.sent_at >= received_at + 2 * S for call in calls)
 
@@ -321,20 +321,20 @@
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
-    (call,) = old.run(0.1)
+    (call,) = old.advance(0.1)
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
     old.journal.compact()
     new = Process(tmp_path, time)
     new.submit("b")
-    assert not new.run(1.9)
-    assert new.run(2)
+    assert not new.advance(1.9)
+    assert new.advance(2)
 
 
 def test_a_retry_after_of_a_removed_endpoint_applies_to_its_replacements(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
-    (call,) = old.run(0.1)
+    (call,) = old.advance(0.1)
     new = Process(tmp_path, time)
     new.dispatcher.apply_list_update(
         new.dispatcher.pool.update({"revision": 2, "complete": True, "members": [endpoint_row("s-9", 1)]})
@@ -342,22 +342,22 @@
     old.end(call, Outcome.REJECTED, retry_after=2 * S)
     received_at = time.time
     new.submit("b")
-    assert not new.run(1.9)
-    assert all(call.sent_at >= received_at + 2 * S and call.endpoint.id == "s-9" for call in new.run(2))
+    assert not new.advance(1.9)
+    assert all(call.sent_at >= received_at + 2 * S and call.endpoint.id == "s-9" for call in new.advance(2))
 
 
 def test_an_id_submitted_to_both_processes_is_accepted_once(tmp_path: Path) -> None:
     time = VirtualTime()
     old = Process(tmp_path, time)
     old.submit("a")
-    (call,) = old.run(0.1)
+    (call,) = old.advance(0.1)
     new = Process(tmp_path, time)
     assert new.submit("a")
     assert not new.held(), "the other one has accepted it"
     old.end(call, Outcome.DELIVERED)
     assert new.submit("a")
     assert not new.held()
-    assert not new.run(1), "also once it ended"
+    assert not new.advance(1), "also once it ended"
 
 
 def test_a_kill_between_the_two_writes_of_a_take_over_leaves_one_owner(tmp_path: Path) -> None:
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -84,7 +84,7 @@
                 number += 1
                 name = f"{number:016x}"
                 rig.submit(name, 1 + number % 3, left=rng.randrange(1, 20) * SECOND, key=f"k{number}")
-            open_calls += rig.run(0.05)
+            open_calls += rig.advance(0.05)
             open_calls = end_calls(rig, open_calls, rng)
         rig.calls.clear()
         rig.answers.clear()
@@ -194,7 +194,7 @@
         for restart_at, i in [entry for entry in stopped if entry[0] <= time.time]:
             stopped.remove((restart_at, i))
             nodes[i] = Node(tmp_path / str(i), time, message_log)
-        time.run(0.025)
+        time.advance(0.025)
     assert len(deadlines) > 900
     unfinished = [name for name in deadlines if name not in message_log.ended_at]
     assert not unfinished, f"without an end: {unfinished[:5]}"
@@ -229,10 +229,10 @@
             with contextlib.suppress(PoolError):  # a change older than the last one is rejected
                 rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(change))
             rig.submit(f"m{i}-{len(rig.dispatcher.messages)}")
-            assert not rig.run(0.5), "nothing is sent to a removed endpoint"
+            assert not rig.advance(0.5), "nothing is sent to a removed endpoint"
         rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(complete_list))
         rig.dispatcher.apply_list_update(rig.dispatcher.pool.update(complete_list))
-        assert {call.endpoint.id for call in rig.run(2)} == {"s-9"}
+        assert {call.endpoint.id for call in rig.advance(2)} == {"s-9"}
         endpoints: dict[str, PoolEndpoint] = rig.dispatcher.pool.endpoints
         assert set(endpoints) == {"s-9", "s-2"}
     assert ENDPOINT_LIST["revision"] == 1
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -34,7 +34,7 @@
     for name in "abcd":
         assert rig.submit(name)
     assert not rig.submit("e"), "full: turned away"
-    (first, *_) = rig.run(0.1)
+    (first, *_) = rig.advance(0.1)
     rig.dispatcher.call_written(first)
     rig.end(first, Outcome.DELIVERED)
     assert rig.dispatcher.metrics_snapshot()["responses"]["standard"] == {
@@ -93,11 +93,11 @@
 def test_an_endpoint_that_sent_a_retry_after_is_avoided_until_it_expires(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
-    rig.run(0.1)
+    rig.advance(0.1)
     assert rig.dispatcher.metrics_snapshot()["pool_ejected"] == 1
-    rig.run(2)
+    rig.advance(2)
     assert rig.dispatcher.metrics_snapshot()["pool_ejected"] == 0
 
 
@@ -113,7 +113,7 @@
             accepted += 1
         else:
             counted["shed"] += 1
-        for call in rig.run(rng.random() / 20):
+        for call in rig.advance(rng.random() / 20):
             written = rng.random() < 0.9
             if written:
                 counted["tries"] += len(call.messages)
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -72,7 +72,7 @@
         """Let time pass with a heartbeat in each second."""
         for _ in range(seconds):
             self.receive_update(revision, False, [])
-            self.time.run(1)
+            self.time.advance(1)
             self.fleet.refresh_if_due()
 
     def destination_with_home(self, home: str | None = None) -> int:
@@ -143,7 +143,7 @@
     assert rig.route(other, forwarded=True) is Route.REJECT
     assert rig.submit("held", mine)
     held = Transaction("held", 0, mine, rig.now + SECOND, b"")
-    rig.time.run(LEASE / SECOND + 30)
+    rig.time.advance(LEASE / SECOND + 30)
     assert rig.fleet.route(held, False) is Route.LOCAL, "its reserved part, also while control is silent"
 
 
@@ -161,12 +161,12 @@
     assert rig.fleet.quota_fraction(number, rig.now) == 0.25
     rig.receive_update(2, False, [])
     assert rig.submit("sent", number)
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.DELIVERED)
     lease_ends = rig.fleet.fleet.last_heartbeat + LEASE - SKEW  # type: ignore[operator]
-    rig.time.run((lease_ends - rig.now) / SECOND + 0.001)
+    rig.time.advance((lease_ends - rig.now) / SECOND + 0.001)
     assert rig.submit("late", number)
-    assert not rig.run(1), "its share has run out before the first byte"
+    assert not rig.advance(1), "its share has run out before the first byte"
     rig.fleet.refresh_if_due()
     late = next(answer for answer in rig.answers if answer.id == "late")
     assert late.ending is Ending.REJECTED
@@ -182,14 +182,14 @@
     rig.receive_update()
     assert rig.submit("out", number)
     assert rig.submit("ran", number)
-    calls = rig.run(0.1)
+    calls = rig.advance(0.1)
     rig.end(calls[-1], Outcome.ERROR)
     own_row = next(row for row in ROWS if row["id"] == NAME)
     rig.receive_update(2, False, [{**own_row, "phase": "Gone"}])
     assert rig.fleet.quota_fraction(number, rig.now) == 0
     names = {part.id for call in calls for part in call.messages}
     assert names <= set(rig.dispatcher.messages.by_id), "neither is answered for it"
-    assert not rig.run(2), "and neither is sent again"
+    assert not rig.advance(2), "and neither is sent again"
     rig.end(calls[0], Outcome.DELIVERED)
     assert calls[0].messages[0].id not in rig.dispatcher.messages.by_id
 
@@ -201,14 +201,14 @@
     number = rig.destination_with_home()
     rig.receive_update()
     assert rig.submit("out", number)
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     own_row = next(row for row in ROWS if row["id"] == NAME)
     rig.receive_update(2, False, [{**own_row, "phase": "Gone"}])
-    rig.time.run(1)
+    rig.time.advance(1)
     rig.fleet.refresh_if_due()
     assert "out" in rig.dispatcher.messages.by_id, "its call is out"
     rig.end(call, Outcome.REJECTED)
-    rig.time.run(0.2)
+    rig.time.advance(0.2)
     rig.fleet.refresh_if_due()
     assert [answer.ending for answer in rig.answers] == [Ending.REJECTED]
     rig.fleet.refresh_if_due()
@@ -223,17 +223,17 @@
     assert state is not None
     assert state.rate.quota() == 40.0 / 1.0 / 4 / 1 or state.rate.quota() == 10.0
     assert rig.submit("a", number)
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
-    rig.run(0.1)
+    rig.advance(0.1)
     assert state.rate.quota() == 5.0
-    rig.time.run(LEASE / SECOND)
+    rig.time.advance(LEASE / SECOND)
     rig.fleet.refresh_if_due()
-    rig.run(0.1)
+    rig.advance(0.1)
     assert rig.submit("b", number)
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
-    rig.run(0.1)
+    rig.advance(0.1)
     assert state.rate.quota() == 3.75, "three quarters of it while control is silent"
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -93,9 +93,9 @@
         if stop_method == "SIGTERM":  # as in the service: decisions stop, calls in flight get time to end
             self.node.dispatcher.draining, self.node.dispatcher.accepting = True, False
             self.node.dispatcher.stop_deciding(int(1.5 * SECOND))
-            self.time.run(0.5)
+            self.time.advance(0.5)
         self.node.kill()
-        self.time.run(0.6)
+        self.time.advance(0.6)
         self.started_at = self.time.time
         self.unhealthy_until = self.started_at + int(self.rng.uniform(0.5, 2.5) * SECOND)
         for name, tracked in self.tracked.items():
@@ -211,11 +211,11 @@
     world.node.dispatcher.policy.limit_concurrent_calls(1)  # most messages wait for the only slot
     for number in range(400):
         world.submit(number)
-        world.time.run(0.005)
+        world.time.advance(0.005)
     world.restart(stop_method)
-    world.time.run(world.rng.uniform(0.1, 1.5))
+    world.time.advance(world.rng.uniform(0.1, 1.5))
     world.restart(stop_method)
-    world.time.run(25)
+    world.time.advance(25)
     return world
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -66,7 +66,7 @@
     for name in names:
         dest = rng.choice((1, 2))
         assert rig.submit(name, dest=dest, left=int(rng.uniform(8, 20) * SECOND), key=f"k-{name}")
-        assert not rig.run(0.001)
+        assert not rig.advance(0.001)
     if process_end == "shutdown":
         rig.dispatcher.stop_deciding(int(1.5 * SECOND))
     assert not rig.answers, "none is rejected early"
@@ -75,7 +75,7 @@
     attempted: set[str] = set()
     call_duration = 40 * MS
     for _ in range(int(20 * SECOND / call_duration)):
-        for call in restarted.run(call_duration / SECOND):
+        for call in restarted.advance(call_duration / SECOND):
             attempted |= {message.id for message in call.messages}
             end = partial(restarted.end, call, Outcome.DELIVERED)
             restarted.time.call_at(restarted.time.time + call_duration, end)
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -211,7 +211,7 @@
 
     def report_capacity(self, connections: int, **fields: int) -> list[Call]:
         self.dispatcher.apply_connection_capacity(ConnectionCapacity("s-1", 1, connections, **fields))  # type: ignore[arg-type]
-        return self.run(0.05)
+        return self.advance(0.05)
 
 
 @pytest.fixture
@@ -226,56 +226,56 @@
             {"revision": 4, **{k: v for k, v in ENDPOINT_LIST.items() if k != "revision"}}
         )
     )
-    rig.run(0.1)
+    rig.advance(0.1)
     return rig
 
 
 def test_messages_wait_for_connections_without_slots_or_attempts(gated: Gated) -> None:
     for i in range(3):
         assert gated.submit(f"m{i}")
-    assert gated.run(1) == []
+    assert gated.advance(1) == []
     assert gated.requested_connections
     assert max(gated.requested_connections) >= 1
     assert gated.dispatcher.policy.concurrent_calls == 0, "no slot is held by a handshake"
     calls = gated.report_capacity(2)
     assert len(calls) == 2
     assert all(call.attempt_numbers == [0] for call in calls)
-    assert gated.run(1) == [], "no more calls than connections"
+    assert gated.advance(1) == [], "no more calls than connections"
     gated.end(calls[0], Outcome.DELIVERED)
-    (third,) = gated.run(0.1)
+    (third,) = gated.advance(0.1)
     assert third.attempt_numbers == [0]
     gated.end(third, Outcome.DELIVERED)
     gated.end(calls[1], Outcome.DELIVERED)
-    gated.run(0.1)
+    gated.advance(0.1)
     assert not gated.dispatcher.messages.by_id
 
 
 def test_failed_handshakes_are_an_outage_with_probes_but_no_attempts(gated: Gated) -> None:
     gated.submit("m")
-    gated.run(0.1)
+    gated.advance(0.1)
     request_counts = []
     for _ in range(6):
         request_counts.append(len(gated.requested_connections))
         gated.report_capacity(0, connect_failed=True, elapsed=10 * MS)
-        gated.run(1)
+        gated.advance(1)
     assert gated.dispatcher.messages.by_id["m"].attempt_count == 0
     gaps = [b - a for a, b in itertools.pairwise(request_counts)]
     assert all(gap <= 2 for gap in gaps), "single trials, no storm"
-    (call,) = gated.report_capacity(1) or gated.run(5)
+    (call,) = gated.report_capacity(1) or gated.advance(5)
     assert call.attempt_numbers == [0]
 
 
 def test_no_connection_is_requested_before_the_retry_after_time(gated: Gated) -> None:
     gated.submit("m")
-    gated.run(0.1)
+    gated.advance(0.1)
     (call,) = gated.report_capacity(1)
     gated.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
     gated.report_capacity(0)
     requests_before = len(gated.requested_connections)
     gated.submit("n")
-    gated.run(1.8)
+    gated.advance(1.8)
     assert len(gated.requested_connections) == requests_before, "no connection is even asked for"
-    gated.run(0.5)
+    gated.advance(0.5)
     assert len(gated.requested_connections) > requests_before
 
 
@@ -284,14 +284,14 @@
 ) -> None:
     gated.submit("short", left=5 * SECOND)
     gated.submit("long", left=20 * SECOND)
-    gated.run(0.1)
+    gated.advance(0.1)
     gated.report_capacity(0, connect_blocked_for=8 * SECOND)
     assert [answer.id for answer in gated.answers] == ["short"], "and not near its deadline"
     assert gated.answers[0].retry_after > 0
     gated.submit("new", left=5 * SECOND)
-    gated.run(0.1)
+    gated.advance(0.1)
     assert [answer.id for answer in gated.answers] == ["short", "new"]
-    gated.run(8)
+    gated.advance(8)
     assert gated.requested_connections, "asked again once it may be"
     (call,) = gated.report_capacity(1)
     gated.end(call, Outcome.DELIVERED)
@@ -299,7 +299,7 @@
 
 def test_a_stale_connection_is_no_failure_of_the_endpoint(gated: Gated) -> None:
     gated.submit("m")
-    gated.run(0.1)
+    gated.advance(0.1)
     (call,) = gated.report_capacity(1)
     gated.end(call, Outcome.CONNECT_FAILED, connection_stale=True)
     gated.report_capacity(0)
