--- a/tests/dead_letters_rig.py
+++ b/tests/dead_letters_rig.py
@@ -149,7 +149,7 @@
         store.kill_points = self.kill_points
         return store
 
-    def prepare(self) -> None:
+    def before_recovery(self) -> None:
         self.worker = InlineWorker(self._open_store, self.time)
         self.journal_transfer = JournalTransfer(
             self.settings, self.journal, self.time, self.worker.submit, self.dispatcher.dead_letter_stored
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -126,8 +126,8 @@
         rig_options.setdefault("max_messages", 50)
         super().__init__(folder, time, kill_points, **rig_options)
 
-    def prepare(self) -> None:
-        super().prepare()
+    def before_recovery(self) -> None:
+        super().before_recovery()
         settings = DeadLetterSettings(rules=self.rules, resend_settings=self.resend_settings)
         self.resend_scheduler = ResendScheduler(settings, self.dispatcher, self.time, self.worker.submit)
         self.journal_transfer.stored_listeners.append(self.resend_scheduler.records_stored)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -88,7 +88,7 @@
             self.dispatcher.transports[name] = self
         for name in ("resp", "mqtt"):
             self.dispatcher.frontends[name] = self
-        self.prepare()
+        self.before_recovery()
         self.dispatcher.apply_list_update(
             self.dispatcher.pool.update(ENDPOINT_LIST if known is None else known, cached=True)
         )
@@ -100,7 +100,7 @@
     def make_journal(self, folder: Path, disk: int) -> Journal:
         return Journal(folder, disk, self.time.now, retention)
 
-    def prepare(self) -> None:
+    def before_recovery(self) -> None:
         """Hook for subclasses, called before the messages of the journal are resumed."""
 
     def start(self, call: Call) -> None:
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -34,7 +34,7 @@
 
     refetched = 0
 
-    def prepare(self) -> None:
+    def before_recovery(self) -> None:
         self.dispatcher.scheduler = self.time
         loop = cast(Any, None)  # for connections to other instances, which these tests do not use
         self.fleet = FleetService(
