--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -170,7 +170,7 @@
     for _ in range(12):
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
         failed_at, log_length = world.now, len(world.log)
-        world.run(world.now + int(NOTIFICATION_DEADLINE_SECONDS * SECOND))
+        world.advance_to(world.now + int(NOTIFICATION_DEADLINE_SECONDS * SECOND))
         subscribed = [time for time, action in world.log[log_length:] if isinstance(action, Subscribe)]
         assert subscribed
         assert subscribed[0] - failed_at < NOTIFICATION_DEADLINE_SECONDS * SECOND
--- a/tests/test_policy_batches.py
+++ b/tests/test_policy_batches.py
@@ -38,7 +38,7 @@
     world.batch([world.new_message("other")], now=110 * MILLISECOND)
     assert world.sends("other"), "one broken call is one failure, however much it carried"
     world.batch([world.attempt_ended("other", Outcome.DELIVERED)], now=160 * MILLISECOND)
-    world.run(600 * MILLISECOND)
+    world.advance_to(600 * MILLISECOND)
     batch_sizes = Counter(at for at, _ in world.sends() if at > 160 * MILLISECOND)
     assert batch_sizes
     assert max(batch_sizes.values()) <= 9
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -36,7 +36,7 @@
         attempts_before = len(world.messages[name].attempts)
         world.batch([world.attempt_ended(name, outcome)])
         while len(world.messages[name].attempts) == attempts_before and not world.messages[name].concluded:
-            world.run(world.now + 5 * MILLISECOND)
+            world.advance_to(world.now + 5 * MILLISECOND)
         if not world.messages[name].concluded:
             pauses.append(world.now - ended)
     return pauses
@@ -83,7 +83,7 @@
             if not message.concluded and message.attempts and message.attempts[-1].outcome is None:
                 attempted_at.append(world.now)
                 world.batch([world.attempt_ended(name, Outcome.REJECTED, connection_limited=True)])
-        world.run(world.now + 50 * MILLISECOND)
+        world.advance_to(world.now + 50 * MILLISECOND)
     gaps = [after - before for before, after in itertools.pairwise(sorted(set(attempted_at)))]
     assert max(gaps) <= longest_pause + 100 * MILLISECOND
     assert instances > 2 or max(gaps) > 0.4 * longest_pause, "connects are not repeated at short pauses"
@@ -101,10 +101,10 @@
         [world.attempt_ended("m", Outcome.REJECTED, retry_after=1500 * MILLISECOND)], now=50 * MILLISECOND
     )
     world.batch([world.new_message("n")], now=100 * MILLISECOND)
-    world.run(1540 * MILLISECOND)
+    world.advance_to(1540 * MILLISECOND)
     assert not world.sends("n")
     assert len(world.sends("m")) == 1
-    world.run(3 * SECOND)
+    world.advance_to(3 * SECOND)
     assert world.sends("n")
     assert len(world.sends("m")) == 2
 
@@ -131,7 +131,7 @@
         action.message: (at, action.retry_after) for at, action in world.log if isinstance(action, Reject)
     }
     assert rejected == {"queued": (50 * MILLISECOND, 3 * SECOND), "late": (60 * MILLISECOND, 3 * SECOND)}
-    world.run(10 * SECOND)
+    world.advance_to(10 * SECOND)
     assert world.sends("long") or world.messages["out"].attempts[1:], (
         "a message that can outlive it waits, and is sent"
     )
@@ -159,7 +159,7 @@
     )
     for i in range(60):
         world.batch([world.new_message(f"m{i}")])
-        world.run(world.now + 100 * MILLISECOND)
+        world.advance_to(world.now + 100 * MILLISECOND)
     late_sends = [at for at, _ in world.sends() if at > 2 * SECOND]
     assert 0 < len(late_sends) <= 6
     world.batch([world.new_message("other", destination=1)])
@@ -183,7 +183,7 @@
             count += 1
             events.append(world.new_message(f"m{count}"))
         world.batch(events)
-        world.run(world.now + 100 * MILLISECOND)
+        world.advance_to(world.now + 100 * MILLISECOND)
     sent_at = [at for at, _ in world.sends() if at >= recovers_at]
     assert sent_at
     for start in sent_at:
@@ -209,7 +209,7 @@
         now=MILLISECOND,
     )
     assert Fail("m") in actions
-    world.run(23 * SECOND)  # the non-idempotent message waits until the recorded failures have decayed
+    world.advance_to(23 * SECOND)  # the non-idempotent message waits until the recorded failures have decayed
     assert len(world.sends("n")) == 2
 
 
@@ -218,7 +218,7 @@
     world.batch([world.new_message("m", 1), world.new_message("n")])
     world.batch([world.attempt_ended("m", Outcome.RESET)], now=100 * MILLISECOND)
     world.batch([world.attempt_ended("n", Outcome.REJECTED, retry_after=9 * SECOND)], now=200 * MILLISECOND)
-    world.run(7 * SECOND)
+    world.advance_to(7 * SECOND)
     answers = world.messages["m"].answers
     assert len(answers) == 1
     assert answers[0][1] == "Reject"
@@ -230,7 +230,7 @@
     world.batch([world.new_message("m", 2)])
     first_endpoint = world.sends("m")[0][1].endpoint
     world.batch([world.attempt_ended("m", Outcome.ERROR)], now=10 * MILLISECOND)
-    world.run(3 * SECOND)
+    world.advance_to(3 * SECOND)
     assert [a.endpoint for _, a in world.sends("m")][:2] == [first_endpoint, first_endpoint]
 
 
@@ -260,7 +260,7 @@
         [world.attempt_ended("m", Outcome.TIMEOUT), world.attempt_ended("f", Outcome.DELIVERED)], now=SECOND
     )
     assert not world.sends("n")
-    world.run(16 * SECOND)  # the recorded failures must decay before a non-idempotent message is sent
+    world.advance_to(16 * SECOND)  # the recorded failures must decay before a non-idempotent message is sent
     assert world.sends("n")[0][0] >= SECOND + 100 * MILLISECOND
 
 
@@ -270,7 +270,7 @@
     world.batch([MessageWithdrawn("m")], now=50 * MILLISECOND)
     assert not world.sends("n")
     world.batch([world.attempt_ended("m", Outcome.CANCELLED)], now=80 * MILLISECOND)
-    world.run(SECOND)
+    world.advance_to(SECOND)
     assert world.sends("n")
 
 
@@ -278,7 +278,7 @@
     world = World(settings(), ONE_ENDPOINT)
     drain = EndpointListUpdate(UpdateMode.CHANGES, (EndpointListing("a", 0, status=EndpointStatus.DRAINING),))
     world.batch([drain, world.new_message("m")])
-    world.run(17 * SECOND)
+    world.advance_to(17 * SECOND)
     assert not world.sends("m")
     assert world.messages["m"].answers[0][1] == "Reject"
 
@@ -312,7 +312,7 @@
         count_before = len(subscribed_at)
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
         while len(subscribed_at) == count_before:
-            world.run(world.now + 5 * MILLISECOND)
+            world.advance_to(world.now + 5 * MILLISECOND)
             subscribed_at = [at for at, a in world.log if isinstance(a, Subscribe)]
     gaps = [b - a for a, b in itertools.pairwise(subscribed_at)]
     assert gaps == sorted(gaps)
@@ -347,7 +347,7 @@
     outcomes: list[Event] = [world.attempt_ended(f"m{i}", Outcome.REJECTED) for i in range(6)]
     world.batch(outcomes, now=20 * SECOND + 50 * MILLISECOND)
     while world.now < 22_100 * MILLISECOND:
-        world.run(world.now + 50 * MILLISECOND)
+        world.advance_to(world.now + 50 * MILLISECOND)
         in_flight = [name for name, message in world.messages.items() if message.attempts[-1].outcome is None]
         world.batch([world.attempt_ended(name, Outcome.DELIVERED) for name in in_flight])
     assert sum(message.concluded for message in world.messages.values()) >= 5
@@ -401,7 +401,7 @@
     world.batch([world.new_message("hasty", time_left=SECOND)], now=10 * MILLISECOND)
     for name in ("out0", "out1", "out2"):
         world.batch([world.attempt_ended(name, Outcome.DELIVERED)], now=world.now + 60 * MILLISECOND)
-        world.run(world.now + 60 * MILLISECOND)
+        world.advance_to(world.now + 60 * MILLISECOND)
     assert [a.message for _, a in world.sends()[3:]] == ["hasty", "long", "old"]
 
 
@@ -435,7 +435,7 @@
                 if message.attempts and message.attempts[-1].outcome is None
             ]
             world.batch([*events, world.new_message(name)])
-            world.run(world.now + 100 * MILLISECOND)
+            world.advance_to(world.now + 100 * MILLISECOND)
         counts.append(len(world.sends()) - sends_before)
     assert counts[1] > 85, "a hundred were submitted at half the limit"
 
@@ -444,7 +444,7 @@
     world = World(settings(max_concurrent_calls=4), ONE_ENDPOINT)
     world.batch([world.new_message(f"out{i}") for i in range(3)])
     world.batch([world.new_message("hasty", time_left=300 * MILLISECOND)], now=10 * MILLISECOND)
-    world.run(280 * MILLISECOND)  # half of the initial latency estimate of 200 ms must be left
+    world.advance_to(280 * MILLISECOND)  # half of the initial latency estimate of 200 ms must be left
     assert [(type(a), at) for at, a in world.log if getattr(a, "message", "") == "hasty"] == [
         (Reject, 200 * MILLISECOND)
     ]
@@ -453,7 +453,7 @@
 def test_timeouts_shortened_by_deadlines_do_not_eject_a_destination() -> None:
     world = World(settings(), ONE_ENDPOINT)
     world.batch([world.new_message(f"m{i}", time_left=150 * MILLISECOND) for i in range(5)])
-    world.run(SECOND)
+    world.advance_to(SECOND)
     world.batch([world.new_message(f"n{i}") for i in range(4)])
     assert sum(at == world.now for at, _ in world.sends()) == 4
 
@@ -462,5 +462,5 @@
     world = World(settings(), TWO_ENDPOINTS)
     world.batch([world.new_message("m", time_left=600 * MILLISECOND)])
     world.batch([world.attempt_ended("m", Outcome.RESET)], now=50 * MILLISECOND)
-    world.run(600 * MILLISECOND)
+    world.advance_to(600 * MILLISECOND)
     assert len(world.sends("m")) == 2
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -120,9 +120,9 @@
             events += list_updates or self._complete_list()
             events += self._withdrawn_message(events)
             world.batch(events)
-            world.run(world.now + self.rng.randrange(5, 150) * MILLISECOND)
+            world.advance_to(world.now + self.rng.randrange(5, 150) * MILLISECOND)
         longest_deadline = max(message_class.deadline for message_class in self.classes)
-        world.run(world.now + longest_deadline + 2 * SECOND)
+        world.advance_to(world.now + longest_deadline + 2 * SECOND)
         return world
 
     def _ended_attempts(self) -> list[Event]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -53,7 +53,7 @@
     world = World(settings(instance_count=3), ONE_ENDPOINT)
     world.batch([world.new_message("m")])
     world.batch([world.attempt_ended("m", Outcome.CONNECT_FAILED)], now=10 * MILLISECOND)
-    world.run(2 * SECOND)
+    world.advance_to(2 * SECOND)
     world.batch([world.attempt_ended("m", Outcome.DELIVERED)], now=world.now + 50 * MILLISECOND)
     assert closed_connections(world) == 0
 
@@ -65,7 +65,7 @@
     world.batch([world.new_message("n"), world.new_message("o")], now=60 * MILLISECOND)
     assert not world.sends("n")
     assert not world.sends("o")
-    world.run(400 * MILLISECOND)
+    world.advance_to(400 * MILLISECOND)
     assert len(world.sends()) == 2  # the second send is a probe, at the first backoff step
 
 
@@ -84,7 +84,7 @@
     world = World(settings(instance_count=200), (EndpointListing("a", 0, listed_rate=5.0),))
     world.batch([world.new_message("m")])
     world.batch([world.attempt_ended("m", Outcome.ERROR)], now=50 * MILLISECOND)
-    world.run(SECOND)
+    world.advance_to(SECOND)
     world.batch([world.attempt_ended("m", Outcome.DELIVERED)], now=world.now + 50 * MILLISECOND)
     world.batch([world.new_message("n")], now=world.now + 10 * MILLISECOND)
     world.batch(
@@ -116,7 +116,7 @@
                 events.append(world.new_message(f"n{submitted}"))
             if events:
                 world.batch(events)
-            world.run(world.now + 50 * MILLISECOND)
+            world.advance_to(world.now + 50 * MILLISECOND)
         sent_at += [at for at, _ in world.sends()]
     sends_in_window = sum(recovers_at <= at < recovers_at + 2 * SECOND for at in sent_at)
     slow_start_fraction = (
@@ -135,7 +135,7 @@
     world.batch([world.new_message("m", 1)])
     assert world.sends("m")[0][1].endpoint == first_endpoint
     world.batch([world.attempt_ended("m", Outcome.ERROR)], now=world.now + 50 * MILLISECOND)
-    world.run(world.now + SECOND)
+    world.advance_to(world.now + SECOND)
     assert world.sends("m")[1][1].endpoint == other_endpoint
     world.batch([world.attempt_ended("m", Outcome.DELIVERED)], now=world.now + 50 * MILLISECOND)
     assert deliver(world, "n", 1) == other_endpoint
@@ -156,9 +156,9 @@
     world = World(settings(instance_count=200), (EndpointListing("a", 0, listed_rate=10.0),))
     world.batch([world.new_message("m")])
     world.batch([world.attempt_ended("m", Outcome.REJECTED)], now=50 * MILLISECOND)
-    world.run(15 * SECOND)
+    world.advance_to(15 * SECOND)
     world.batch([world.new_message("n", 1)])
-    world.run(world.now + 19 * SECOND)
+    world.advance_to(world.now + 19 * SECOND)
     assert world.sends("n")
 
 
@@ -189,8 +189,8 @@
         world.batch(
             [world.attempt_ended(f"k{i}", Outcome.DELIVERED), world.attempt_ended(f"m{i}", Outcome.DELIVERED)]
         )
-        world.run(world.now + 500 * MILLISECOND)
-    world.run(world.now + 30 * SECOND)
+        world.advance_to(world.now + 500 * MILLISECOND)
+    world.advance_to(world.now + 30 * SECOND)
     policy: DeliveryPolicy = world.policy
     assert [len(d.endpoints) for d in policy.destinations.values()] == [1]
     assert not policy.ordered_queues
@@ -211,6 +211,6 @@
         world = World(settings(instance_count=200), (EndpointListing("a", 0, listed_rate=5.0),), seed)
         world.batch([world.new_message("m", 3)])
         world.batch([world.attempt_ended("m", Outcome.CONNECT_FAILED)], now=50 * MILLISECOND)
-        world.run(20 * SECOND)
+        world.advance_to(20 * SECOND)
         sent_at.append(world.sends("m")[1][0])
     assert max(sent_at) - min(sent_at) > 5 * SECOND
--- a/tests/world.py
+++ b/tests/world.py
@@ -288,7 +288,7 @@
             name, attempt.number, attempt.endpoint, outcome, elapsed, concluded, retry_after, **fields
         )
 
-    def run(self, until: int) -> None:
+    def advance_to(self, until: int) -> None:
         """Advance the clock to `until` in steps of its resolution; let timers fire and attempts time out."""
         while self.now < until:
             self.now += self.settings.resolution or 5 * MILLISECOND
