--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -169,9 +169,9 @@
     world = World(settings(must_subscribe=True), ())
     for _ in range(12):
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
-        failed_at, log_length = world.now, len(world.log)
+        failed_at, log_length = world.now, len(world.action_log)
         world.advance_to(world.now + int(NOTIFICATION_DEADLINE_SECONDS * SECOND))
-        subscribed = [time for time, action in world.log[log_length:] if isinstance(action, Subscribe)]
+        subscribed = [time for time, action in world.action_log[log_length:] if isinstance(action, Subscribe)]
         assert subscribed
         assert subscribed[0] - failed_at < NOTIFICATION_DEADLINE_SECONDS * SECOND
 
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -128,7 +128,9 @@
         )
     world.batch([world.new_message("late", time_left=5 * SECOND)], now=60 * MILLISECOND)
     rejected = {
-        action.message: (at, action.retry_after) for at, action in world.log if isinstance(action, Reject)
+        action.message: (at, action.retry_after)
+        for at, action in world.action_log
+        if isinstance(action, Reject)
     }
     assert rejected == {"queued": (50 * MILLISECOND, 3 * SECOND), "late": (60 * MILLISECOND, 3 * SECOND)}
     world.advance_to(10 * SECOND)
@@ -306,14 +308,14 @@
 
 def test_failed_subscriptions_are_repeated_with_growing_pauses() -> None:
     world = World(settings(must_subscribe=True), ONE_ENDPOINT)
-    subscribed_at = [at for at, a in world.log if isinstance(a, Subscribe)]
+    subscribed_at = [at for at, a in world.action_log if isinstance(a, Subscribe)]
     assert subscribed_at == [0]
     for _ in range(5):
         count_before = len(subscribed_at)
         world.batch([EndpointListUpdate(UpdateMode.FAILED)])
         while len(subscribed_at) == count_before:
             world.advance_to(world.now + 5 * MILLISECOND)
-            subscribed_at = [at for at, a in world.log if isinstance(a, Subscribe)]
+            subscribed_at = [at for at, a in world.action_log if isinstance(a, Subscribe)]
     gaps = [b - a for a, b in itertools.pairwise(subscribed_at)]
     assert gaps == sorted(gaps)
     assert gaps[-1] <= 10 * SECOND
@@ -445,7 +447,7 @@
     world.batch([world.new_message(f"out{i}") for i in range(3)])
     world.batch([world.new_message("hasty", time_left=300 * MILLISECOND)], now=10 * MILLISECOND)
     world.advance_to(280 * MILLISECOND)  # half of the initial latency estimate of 200 ms must be left
-    assert [(type(a), at) for at, a in world.log if getattr(a, "message", "") == "hasty"] == [
+    assert [(type(a), at) for at, a in world.action_log if getattr(a, "message", "") == "hasty"] == [
         (Reject, 200 * MILLISECOND)
     ]
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -224,4 +224,4 @@
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
-    assert play_random_day(5).log == play_random_day(5).log
+    assert play_random_day(5).action_log == play_random_day(5).action_log
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,7 +22,7 @@
 
 
 def closed_connections(world: World) -> int:
-    return sum(isinstance(a, CloseIdleConnections) for _, a in world.log)
+    return sum(isinstance(a, CloseIdleConnections) for _, a in world.action_log)
 
 
 def deliver(world: World, name: str, class_index: int = 0, latency: int = 100 * MILLISECOND) -> str:
@@ -141,7 +141,7 @@
     assert deliver(world, "n", 1) == other_endpoint
     for i in range(3):
         assert deliver(world, f"p{i}") in (first_endpoint, other_endpoint)
-    assert not any(isinstance(a, Reject | Fail) for _, a in world.log)
+    assert not any(isinstance(a, Reject | Fail) for _, a in world.action_log)
 
 
 def test_a_hanging_call_leaves_the_second_slot_to_other_destinations() -> None:
@@ -166,11 +166,11 @@
     world = World(settings(instance_count=20), (*ONE_ENDPOINT, OTHER_DESTINATION))
     world.batch([world.new_message("m")])
     world.batch([world.attempt_ended("m", Outcome.REJECTED), world.new_message("w")], now=50 * MILLISECOND)
-    log_length = len(world.log)
+    log_length = len(world.action_log)
     for i in range(50):
         world.batch([world.new_message(f"z{i}", destination=1)])
         world.batch([world.attempt_ended(f"z{i}", Outcome.DELIVERED)], now=world.now + 5 * MILLISECOND)
-    timers = sum(isinstance(a, SetTimer) for _, a in world.log[log_length:])
+    timers = sum(isinstance(a, SetTimer) for _, a in world.action_log[log_length:])
     assert timers <= 10
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -144,7 +144,7 @@
         self.messages: dict[str, SubmittedMessage] = {}
         self.submission_order: list[str] = []
         self.timer_at: int | None = None
-        self.log: list[tuple[int, Action]] = []
+        self.action_log: list[tuple[int, Action]] = []
         self.batch([EndpointListUpdate(UpdateMode.CACHED, listings)])
 
     def retry_after_scope(self, endpoint: str) -> object:
@@ -164,7 +164,7 @@
         actions = self.policy.handle(self.now, events)
         for action in actions:
             self.check_action(action, retry_after_before)
-        self.log += [(self.now, action) for action in actions]
+        self.action_log += [(self.now, action) for action in actions]
         return actions
 
     def record_event(self, event: Event) -> None:
@@ -311,5 +311,5 @@
 
     def sends(self, name: str | None = None) -> list[tuple[int, Send]]:
         """Return all sends so far, or those of one message, each with its time."""
-        sends = [(sent_at, action) for sent_at, action in self.log if isinstance(action, Send)]
+        sends = [(sent_at, action) for sent_at, action in self.action_log if isinstance(action, Send)]
         return [(sent_at, action) for sent_at, action in sends if name is None or action.message == name]
