--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -34,7 +34,7 @@
 from honeyhitch.policy.engine import DeliveryPolicy  # noqa: E402
 from honeyhitch.protocols import discovery, http1  # noqa: E402
 from honeyhitch.time_units import SECOND  # noqa: E402
-from tests.fleet import Fleet, Partner, constant_limit  # noqa: E402
+from tests.fleet import Fleet, SimulatedDestination, constant_limit  # noqa: E402
 from tests.program import SETTINGS  # noqa: E402
 from tests.world import settings  # noqa: E402
 
@@ -211,7 +211,7 @@
         }
         for count in self.instances:
             for seed in range(1, self.plays + 1):
-                partner = Partner(limit=constant_limit(14.0), outage=(5 * SECOND, 35 * SECOND))
+                partner = SimulatedDestination(limit=constant_limit(14.0), outage=(5 * SECOND, 35 * SECOND))
                 fleet = Fleet(partner, seed, count=count, listed_rate=14.0, **slow_start)
                 fleet.submit_at_rate(0, 50 * SECOND, 9.5)
                 total = fleet.run(50 * SECOND)
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -45,7 +45,7 @@
 )
 from honeyhitch.policy.settings import ListedRateMeaning  # noqa: E402
 from honeyhitch.time_units import MILLISECOND, SECOND  # noqa: E402
-from tests.fleet import HANDSHAKE, NO_REPORT, ROUND_TRIP, Partner, constant_limit  # noqa: E402
+from tests.fleet import HANDSHAKE, NO_REPORT, ROUND_TRIP, SimulatedDestination, constant_limit  # noqa: E402
 from tests.world import settings  # noqa: E402
 
 START = 1_700_000_000 * SECOND
@@ -104,7 +104,9 @@
         )
         self.message_class = self.settings.classes[CLASS_INDEX]
         self.partners = {
-            number: Partner(limit=constant_limit(RATE_LIMIT_PER_SECOND), outage=self._outage(number, down))
+            number: SimulatedDestination(
+                limit=constant_limit(RATE_LIMIT_PER_SECOND), outage=self._outage(number, down)
+            )
             for number in range(destinations)
         }
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class Partner:
+class SimulatedDestination:
     """The simulated destination; `limit` maps the time to the rate limit, which rejected calls use up, too.
 
     Times are nanoseconds, rates are calls per second.
@@ -165,7 +165,7 @@
 
     def __init__(
         self,
-        partner: Partner,
+        partner: SimulatedDestination,
         seed: int,
         count: int = 40,
         listed_rate: float = 26.0,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 from honeyhitch.policy.settings import DestinationKind
 from honeyhitch.protocols import calls, http1
 
-from .fleet import Fleet, Partner, constant_limit
+from .fleet import Fleet, SimulatedDestination, constant_limit
 from .test_exchanges import messages
 from .world import SECOND
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_idle_connections_do_not_use_up_a_shared_connection_limit(seed: int) -> None:
-    fleet = Fleet(Partner(connection_limit=9), seed)
+    fleet = Fleet(SimulatedDestination(connection_limit=9), seed)
     fleet.submit_at_rate(0, 20 * SECOND, 20.0)
     totals = fleet.run(40 * SECOND)
     assert totals.in_time >= 0.65 * totals.submitted  # 0.2 to 0.3 if each instance keeps its connection
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_connections_are_pooled_below_the_connection_limit(seed: int) -> None:
-    fleet = Fleet(Partner(limit=constant_limit(80.0)), seed, listed_rate=80.0)
+    fleet = Fleet(SimulatedDestination(limit=constant_limit(80.0)), seed, listed_rate=80.0)
     fleet.submit_at_rate(0, 20 * SECOND, 20.0)
     totals = fleet.run(40 * SECOND)
     assert totals.in_time >= 0.9 * totals.submitted
@@ -59,7 +59,7 @@
 def test_rejected_calls_that_count_do_not_keep_the_fleet_above_the_limit(seed: int) -> None:
     """Bursts go to a destination that takes several messages per call; its limit counts rejected calls."""
     fleet = Fleet(
-        Partner(limit=constant_limit(53.0)),
+        SimulatedDestination(limit=constant_limit(53.0)),
         seed,
         listed_rate=53.0,
         kinds=(DestinationKind(max_messages_per_call=20),),
@@ -82,7 +82,7 @@
 ) -> None:
     """Each instance gets few responses from the destination; some get several times the mean load."""
     fleet = Fleet(
-        Partner(limit=constant_limit(40.0), connection_limit=24),
+        SimulatedDestination(limit=constant_limit(40.0), connection_limit=24),
         seed,
         count=200,
         listed_rate=40.0,
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_two_hundred_instances_detect_a_recovery_soon_and_do_not_overload_the_destination(seed: int) -> None:
-    partner = Partner(limit=constant_limit(40.0), outage=(5 * SECOND, 10 * SECOND))
+    partner = SimulatedDestination(limit=constant_limit(40.0), outage=(5 * SECOND, 10 * SECOND))
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
     fleet = Fleet(partner, seed, count=200, listed_rate=40.0, uneven=True, **slow_start)
     fleet.submit_at_rate(0, 24 * SECOND, 30.0)
@@ -122,7 +122,7 @@
     The calls of all instances count, whether or not they detected the outage.
     """
     recovers_at = 5 + down_for
-    partner = Partner(limit=constant_limit(limit), outage=(5 * SECOND, recovers_at * SECOND))
+    partner = SimulatedDestination(limit=constant_limit(limit), outage=(5 * SECOND, recovers_at * SECOND))
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
     fleet = Fleet(partner, seed, count=count, listed_rate=limit, uneven=uneven, **slow_start)
     fleet.submit_at_rate(0, (recovers_at + 16) * SECOND, load)
