--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -214,7 +214,7 @@
                 partner = SimulatedDestination(limit=constant_limit(14.0), outage=(5 * SECOND, 35 * SECOND))
                 fleet = Fleet(partner, seed, count=count, listed_rate=14.0, **slow_start)
                 fleet.submit_at_rate(0, 50 * SECOND, 9.5)
-                total = fleet.run(50 * SECOND)
+                total = fleet.advance_to(50 * SECOND)
                 per = "instance that sends"
                 submitted = total.submitted
                 peak_load = partner.peak_load(fleet.settings, 3 * SECOND, 14.0)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -165,7 +165,7 @@
 
     def __init__(
         self,
-        partner: SimulatedDestination,
+        destination: SimulatedDestination,
         seed: int,
         count: int = 40,
         listed_rate: float = 26.0,
@@ -183,7 +183,7 @@
         self.settings = settings(**setting_values)
         self.message_class = self.settings.classes[CLASS_INDEX]
         self.rng = Random(seed)
-        self.partner = partner
+        self.destination = destination
         self.totals = FleetTotals()
         self.policies = [DeliveryPolicy(self.settings, seed * 1000 + i) for i in range(count)]
         self.weights = [self.rng.expovariate(1.0) for _ in range(count)] if uneven else None
@@ -216,7 +216,7 @@
             event = NewMessage(name, CLASS_INDEX, 0, self.message_class.deadline)
             self.schedule_events(now, instance, event)
 
-    def run(self, until: int) -> FleetTotals:
+    def advance_to(self, until: int) -> FleetTotals:
         """Run the simulation until this time; return the totals."""
         while self.heap and self.heap[0][0] <= until:
             now, _, instance, events = heapq.heappop(self.heap)
@@ -247,8 +247,8 @@
         """Send one call; its result is determined now and passed to the policy when the call ends."""
         new_connection = not self.idle_connections[instance]
         self.totals.handshakes += new_connection
-        if now >= self.partner.outage[1] > 0:
-            self.partner.calls_after_outage.append((now, instance))
+        if now >= self.destination.outage[1] > 0:
+            self.destination.calls_after_outage.append((now, instance))
         result = self._call_result(now, instance, new_connection)
         elapsed = int(result.duration * self.rng.uniform(0.8, 1.2))
         attempt_ends = [
@@ -270,23 +270,23 @@
 
     def _call_result(self, now: int, instance: int, new_connection: bool) -> CallResult:
         """Return the result of a call to the destination."""
-        partner = self.partner
-        report = partner.reported  # the report before this call
+        destination = self.destination
+        report = destination.reported  # the report before this call
         duration = ROUND_TRIP + HANDSHAKE * new_connection
-        if partner.is_down(now):
-            partner.aware_instances.add(instance)
+        if destination.is_down(now):
+            destination.aware_instances.add(instance)
             self._take_idle_connection(instance, new_connection)
             self.open_connections -= not new_connection
             return CallResult(Outcome.CONNECT_FAILED, ROUND_TRIP)
-        if new_connection and self.open_connections >= partner.connection_limit:
+        if new_connection and self.open_connections >= destination.connection_limit:
             self.totals.connection_limited += 1
             return CallResult(Outcome.REJECTED, duration, connection_limited=True)
         self.open_connections += new_connection
         self._take_idle_connection(instance, new_connection)
-        if partner.admit(now):
+        if destination.admit(now):
             return CallResult(Outcome.DELIVERED, duration, report)
-        has_retry_after = self.rng.random() < partner.retry_after_probability
-        retry_after = partner.retry_after if has_retry_after else 0
+        has_retry_after = self.rng.random() < destination.retry_after_probability
+        retry_after = destination.retry_after if has_retry_after else 0
         return CallResult(Outcome.REJECTED, duration, report, retry_after)
 
     def _take_idle_connection(self, instance: int, new_connection: bool) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 def test_idle_connections_do_not_use_up_a_shared_connection_limit(seed: int) -> None:
     fleet = Fleet(SimulatedDestination(connection_limit=9), seed)
     fleet.submit_at_rate(0, 20 * SECOND, 20.0)
-    totals = fleet.run(40 * SECOND)
+    totals = fleet.advance_to(40 * SECOND)
     assert totals.in_time >= 0.65 * totals.submitted  # 0.2 to 0.3 if each instance keeps its connection
     assert totals.connection_limited <= 0.7 * totals.submitted
 
@@ -28,7 +28,7 @@
 def test_connections_are_pooled_below_the_connection_limit(seed: int) -> None:
     fleet = Fleet(SimulatedDestination(limit=constant_limit(80.0)), seed, listed_rate=80.0)
     fleet.submit_at_rate(0, 20 * SECOND, 20.0)
-    totals = fleet.run(40 * SECOND)
+    totals = fleet.advance_to(40 * SECOND)
     assert totals.in_time >= 0.9 * totals.submitted
     assert totals.handshakes <= 0.9 * totals.submitted
 
@@ -67,7 +67,7 @@
     fleet.submit_at_rate(0, 21 * SECOND, 82.0)
     for start in (2, 8, 14):
         fleet.submit_at_rate(start * SECOND, start * SECOND + SECOND // 2, 440.0)
-    totals = fleet.run(40 * SECOND)
+    totals = fleet.advance_to(40 * SECOND)
     assert sum(totals.rejected.values()) <= 0.07 * totals.submitted
     assert totals.in_time >= 0.95 * totals.submitted
 
@@ -89,7 +89,7 @@
         uneven=True,
     )
     fleet.submit_at_rate(0, 20 * SECOND, 40.0 * load)
-    totals = fleet.run(45 * SECOND)
+    totals = fleet.advance_to(45 * SECOND)
     assert sum(totals.delivered.values()) >= delivered * totals.submitted
     assert sum(totals.rejected.values()) <= rejected * totals.submitted
     assert totals.handshakes <= 1.2 * totals.submitted
@@ -101,7 +101,7 @@
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
     fleet = Fleet(partner, seed, count=200, listed_rate=40.0, uneven=True, **slow_start)
     fleet.submit_at_rate(0, 24 * SECOND, 30.0)
-    totals = fleet.run(24 * SECOND)
+    totals = fleet.advance_to(24 * SECOND)
     assert len(partner.aware_instances) >= 60
     assert partner.peak_load(fleet.settings, 3 * SECOND, 40.0) <= 1.0
     detection_delay = partner.calls_after_outage[0][0] - partner.outage[1]
@@ -126,6 +126,6 @@
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
     fleet = Fleet(partner, seed, count=count, listed_rate=limit, uneven=uneven, **slow_start)
     fleet.submit_at_rate(0, (recovers_at + 16) * SECOND, load)
-    fleet.run((recovers_at + 16) * SECOND)
+    fleet.advance_to((recovers_at + 16) * SECOND)
     assert partner.calls_after_outage, "calls were made after the outage"
     assert partner.peak_excess(fleet.settings, 3 * SECOND, limit) <= 0
