--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -101,7 +101,7 @@
     with tempfile.TemporaryDirectory(dir="/dev/shm") as folder:
         async with upgrade_under_load(Path(folder), 2) as rig:
             (process,) = rig.running
-            rig.clients.waits_for_room = False  # rejected clients submit again at once
+            rig.clients.waits_for_capacity = False  # rejected clients submit again at once
             management = json.loads((Path(folder) / "1" / "config.json").read_text())["management"]
             port = int(management.rpartition(":")[2])
             stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in range(STALLED_CONNECTIONS)]
@@ -127,8 +127,8 @@
             for task in floods:
                 task.cancel()
             rig.clients.running = False
-            rig.room_made.notify()
-            await rig.progress.wait_until(rig.settled)
+            rig.capacity_freed.notify()
+            await rig.progress.wait_until(rig.all_messages_ended)
             _, reply = await timed_call(port, b"stats\n")
             last_reported, last_observed = (
                 json.loads(reply.split(b"\r\n")[0])["responses"]["standard"],
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -32,11 +32,11 @@
 class EndpointLedger:
     """A partner that records messages with two concurrent attempts and counts deliveries by message id."""
 
-    def __init__(self, seed: int, progress: Changes, room_made: Changes) -> None:
-        self.rng, self.progress, self.room_made, self.port, self.calls = (
+    def __init__(self, seed: int, progress: Changes, capacity_freed: Changes) -> None:
+        self.rng, self.progress, self.capacity_freed, self.port, self.calls = (
             random.Random(seed),
             progress,
-            room_made,
+            capacity_freed,
             0,
             0,
         )
@@ -81,15 +81,15 @@
             self.delivered[message_id] += 1
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.progress.notify()
-        self.room_made.notify()
+        self.capacity_freed.notify()
 
 
 class Clients:
     """Clients that each submit one message after another, on a connection kept as long as possible."""
 
-    def __init__(self, port: int, progress: Changes, room_made: Changes) -> None:
+    def __init__(self, port: int, progress: Changes, capacity_freed: Changes) -> None:
         self.port, self.progress, self.numbers, self.running = port, progress, itertools.count(), True
-        self.room_made, self.waits_for_room = room_made, True
+        self.capacity_freed, self.waits_for_capacity = capacity_freed, True
         self.replies = dict[str, bytes]()
 
     async def run(self) -> None:
@@ -106,9 +106,9 @@
             self.replies[name] = answer
             stream = stream if answer else None
             self.progress.notify()
-            # A rejected client waits until a partner's answer frees room for a message.
-            if answer != b"+OK\r\n" and self.waits_for_room:
-                await self.room_made.changed.wait()
+            # A rejected client waits until a partner's answer frees capacity for a message.
+            if answer != b"+OK\r\n" and self.waits_for_capacity:
+                await self.capacity_freed.changed.wait()
 
     async def _submit(self, name: str, stream: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> bytes:
         fields = f"c=standard,t=studio,d=20000,dest=1,k=key-{name}"
@@ -127,9 +127,9 @@
     """A partner, an agent, clients, and the processes of one dispatcher."""
 
     def __init__(self, folder: Path, seed: int) -> None:
-        self.folder, self.port, self.progress, self.room_made = folder, free_port(), Changes(), Changes()
-        self.ledger = EndpointLedger(seed, self.progress, self.room_made)
-        self.clients = Clients(self.port, self.progress, self.room_made)
+        self.folder, self.port, self.progress, self.capacity_freed = folder, free_port(), Changes(), Changes()
+        self.ledger = EndpointLedger(seed, self.progress, self.capacity_freed)
+        self.clients = Clients(self.port, self.progress, self.capacity_freed)
         self.agent, self.start_count, self.running = Agent([]), 0, list[Process]()
 
     async def start(self) -> Process:
@@ -157,7 +157,7 @@
             return reply.startswith(b"+OK")
 
         await poll_until(accepting, interval=0.01)
-        self.room_made.notify()
+        self.capacity_freed.notify()
         return process
 
     async def stop(self, process: Process, signal_number: signal.Signals) -> int:
@@ -165,7 +165,7 @@
         process.send_signal(signal_number)
         return await process.wait()
 
-    def settled(self) -> bool:
+    def all_messages_ended(self) -> bool:
         """Return whether each accepted message was delivered or ended by a notice."""
         return self.clients.accepted() <= self.ledger.delivered.keys() | self.agent.notices.keys()
 
@@ -189,9 +189,9 @@
     try:
         yield rig
         rig.clients.running = False
-        rig.room_made.notify()
+        rig.capacity_freed.notify()
         await asyncio.gather(*tasks)
-        await rig.progress.wait_until(rig.settled)
+        await rig.progress.wait_until(rig.all_messages_ended)
         for process in list(rig.running):
             assert await rig.stop(process, signal.SIGTERM) == 0
         assert not rig.ledger.concurrent_attempts, "two attempts of one message out at once"
