--- a/tests/partner.py
+++ b/tests/partner.py
@@ -9,16 +9,16 @@
 class Partner:
     """An endpoint that answers every call with `status` once the event `released` is set.
 
-    With `holds` the event is initially not set, so that calls stay without an answer.
+    With `holds_replies` the event is initially not set, so that calls stay without an answer.
     """
 
-    def __init__(self, status: int, holds: bool = False) -> None:
+    def __init__(self, status: int, holds_replies: bool = False) -> None:
         self.status = status
         self.calls = 0
         self.port = 0
         self.bodies: list[bytes] = []
         self.released = asyncio.Event()
-        if not holds:
+        if not holds_replies:
             self.released.set()
 
     async def start(self) -> Self:
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -373,7 +373,7 @@
     """
 
     async def work() -> None:
-        partner, broker = await Partner(200, holds=True).start(), Broker()
+        partner, broker = await Partner(200, holds_replies=True).start(), Broker()
         await broker.start()
         client = Client(asyncio.get_running_loop())
         members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
