--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -40,7 +40,7 @@
 from tests.authority import Authority
 from tests.program import SETTINGS, free_port, started, write
 from tests.rig import endpoint_row
-from tests.tls_partner import OK, Session, TlsPartner, asking, server_context
+from tests.tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
 from tests.world import settings
 
 ROOT = Path(__file__).parent.parent
@@ -252,7 +252,7 @@
     pki = Authority(folder)
     own, new_own = (pki.issue(("us",), use=CLIENT_AUTH, file=name) for name in ("ours", "fresh"))
     issued = pki.issue()
-    partner = TlsPartner(asking(server_context(issued), pki.file))
+    partner = TlsPartner(require_client_certificate(server_context(issued), pki.file))
 
     async def answer(session: Session, _request: bytes) -> bytes:
         if session.requests >= 10:  # the partner closes each connection after 10 requests
@@ -277,7 +277,9 @@
         async def rotate() -> None:
             running = asyncio.ensure_future(load.submit(count, 0.01))
             await asyncio.sleep(count * 0.01 / 4)
-            partner.context = asking(server_context(pki.issue()), pki.file)  # the partner's certificate
+            partner.context = require_client_certificate(
+                server_context(pki.issue()), pki.file
+            )  # the partner's certificate
             for source, target in ((new_own.cert_file, own.cert_file), (new_own.key_file, own.key_file)):
                 temporary = target.with_suffix(".new")
                 temporary.touch(0o600)
@@ -292,7 +294,7 @@
             await partner.stop()
             await asyncio.sleep(1.5)
             # The new context accepts no earlier ticket.
-            partner.context = asking(server_context(issued), pki.file)
+            partner.context = require_client_certificate(server_context(issued), pki.file)
             await partner.start()
             await running
 
@@ -329,12 +331,17 @@
                 if rng.random() < 0.7:
                     partner.context = server_context(issued)
                 partner.delay = rng.uniform(0.0, 0.1)
-                partner.most = 0
+                partner.max_running = 0
                 partner.starts.clear()
                 await partner.start()
                 await asyncio.sleep(5.0)
                 applied_twice = sum(1 for times in partner.applied.values() if times > 1)
-                return partner.most, partner.most_in(1.0), len(partner.applied), applied_twice
+                return (
+                    partner.max_running,
+                    partner.max_weight_within(1.0),
+                    len(partner.applied),
+                    applied_twice,
+                )
 
     logs.setup("json", "error")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -17,7 +17,7 @@
 from .authority import Authority
 from .program import write
 from .rig import endpoint_row
-from .tls_partner import TlsPartner, asking, server_context
+from .tls_partner import TlsPartner, require_client_certificate, server_context
 
 
 @pytest.fixture(scope="module")
@@ -79,7 +79,7 @@
     good = start_partner(loop, server_context(pki.issue(), version, version))
     bad = start_partner(loop, server_context(pki.issue(("other.example",))))
     requires_certificate = start_partner(
-        loop, asking(server_context(pki.issue(), version, version), pki.file)
+        loop, require_client_certificate(server_context(pki.issue(), version, version), pki.file)
     )
     endpoints = []
     for i, partner in enumerate((good, bad, requires_certificate), 1):
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -23,7 +23,7 @@
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
 from .authority import Authority, Issued
-from .tls_partner import asking, server_context
+from .tls_partner import require_client_certificate, server_context
 from .world import settings
 
 HELLO, ANSWER = b"POST / HTTP/1.1\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -146,7 +146,7 @@
     without_common_cipher = server_context(pki.issue(), "1.2", "1.2")
     without_common_cipher.set_ciphers("AES128-SHA")
     yield Failure.HANDSHAKE_REJECTED, terms, without_common_cipher
-    requires_certificate = asking(server_context(pki.issue(), "1.2", "1.2"), pki.file)
+    requires_certificate = require_client_certificate(server_context(pki.issue(), "1.2", "1.2"), pki.file)
     yield Failure.HANDSHAKE_REJECTED, terms, requires_certificate
     own = other_authority.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
     terms_with_own = Terms(ca=pki.file, certificate=own.cert_file, key=own.key_file)
@@ -222,7 +222,7 @@
     other_authority = Authority(tmp_path, "Other CA")
     ours = other_authority.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
     terms = Terms(ca=pki.file, certificate=ours.cert_file, key=ours.key_file) if own else Terms(ca=pki.file)
-    server = Server(asking(server_context(pki.issue(), "1.3", "1.3"), pki.file))
+    server = Server(require_client_certificate(server_context(pki.issue(), "1.3", "1.3"), pki.file))
     machine = client(terms)
     server_output = server.take(machine.take_output())
     machine.feed(server_output)
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -26,7 +26,7 @@
 from .program import SETTINGS, Peer, free_port, play, started, write
 from .rig import endpoint_row
 from .test_program import OPERATOR, Client, receive, set_reasons
-from .tls_partner import OK, Session, TlsPartner, asking, server_context
+from .tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
 
 CLIENT_AUTH = ExtendedKeyUsageOID.CLIENT_AUTH
 
@@ -201,7 +201,9 @@
         own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
         install_own_files(untrusted, *own_files)
         issued = authority.issue()
-        partner = await TlsPartner(asking(server_context(issued, "1.3", "1.3"), authority.file)).start()
+        partner = await TlsPartner(
+            require_client_certificate(server_context(issued, "1.3", "1.3"), authority.file)
+        ).start()
         operator = PARTNER.format(ca=authority.file) + 'certificate = "{}"\nkey = "{}"\n'.format(*own_files)
         async with running(tmp_path, [partner], operator) as (_, client):
             await submit(client, "m")
@@ -296,7 +298,9 @@
         own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
         first, second = (authority.issue(("us",), use=CLIENT_AUTH) for _ in range(2))
         install_own_files(first, *own_files)
-        partner = await TlsPartner(asking(server_context(authority.issue()), authority.file)).start()
+        partner = await TlsPartner(
+            require_client_certificate(server_context(authority.issue()), authority.file)
+        ).start()
         serials: list[int] = []
 
         async def answer(session: Session, _request: bytes) -> bytes:
@@ -376,12 +380,12 @@
             for i in range(200):
                 await submit(client, f"m{i}")
             partner.context = server_context(issued)
-            partner.most = 0
+            partner.max_running = 0
             partner.starts.clear()
             await partner.start()
             await wait_until(lambda: len(partner.applied) >= 40)
-            assert partner.most <= 3
-            assert partner.most_in(1.0) <= 20
+            assert partner.max_running <= 3
+            assert partner.max_weight_within(1.0) <= 20
         assert set(partner.applied.values()) == {1}
 
     play(work())
--- a/tests/tls_partner.py
+++ b/tests/tls_partner.py
@@ -29,7 +29,7 @@
     return context
 
 
-def asking(context: ssl.SSLContext, ca: object) -> ssl.SSLContext:
+def require_client_certificate(context: ssl.SSLContext, ca: object) -> ssl.SSLContext:
     """Make a server context require a client certificate that `ca` issued, and return the context."""
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_verify_locations(str(ca))
@@ -64,7 +64,7 @@
         self.sessions: set[Session] = set()
         self.applied: Counter[str] = Counter()  # requests by idempotency key
         self.begun = self.full = self.resumed = self.failed = 0  # counts of handshakes
-        self.running = self.most = 0  # handshakes that run at once, and the most that did
+        self.running = self.max_running = 0  # handshakes that run at once, and the most that did
         self.starts: list[list[float]] = []  # start time in seconds and weight of each handshake
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -87,7 +87,7 @@
         session.ended_by_partner = True
         session.writer.close()
 
-    def most_in(self, window: float) -> float:
+    def max_weight_within(self, window: float) -> float:
         """Return the greatest total weight of the handshakes that began within any `window` seconds."""
         greatest = 0.0
         for window_start, _ in self.starts:
@@ -120,7 +120,7 @@
             await asyncio.Event().wait()
         start = [asyncio.get_running_loop().time(), 1.0]
         self.begun, self.running = self.begun + 1, self.running + 1
-        self.most = max(self.most, self.running)
+        self.max_running = max(self.max_running, self.running)
         self.starts.append(start)
         try:
             while not await self._continue_handshake(session):
