--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -250,7 +250,9 @@
     sessions (a cold return).
     """
     pki = Authority(folder)
-    own, new_own = (pki.issue(("us",), use=CLIENT_AUTH, file=name) for name in ("ours", "fresh"))
+    own, new_own = (
+        pki.issue(("us",), extended_key_usage=CLIENT_AUTH, file=name) for name in ("ours", "fresh")
+    )
     issued = pki.issue()
     partner = TlsPartner(require_client_certificate(server_context(issued), pki.file))
 
--- a/tests/authority.py
+++ b/tests/authority.py
@@ -72,7 +72,7 @@
         names: tuple[str, ...] = ("localhost", "127.0.0.1"),
         start: float = -1,
         end: float = 30,
-        use: x509.ObjectIdentifier = ExtendedKeyUsageOID.SERVER_AUTH,
+        extended_key_usage: x509.ObjectIdentifier = ExtendedKeyUsageOID.SERVER_AUTH,
         kind: str = "ecdsa",
         key: Any = None,
         password: bytes | None = None,
@@ -98,7 +98,7 @@
             .not_valid_after(now + end * DAY)
             .add_extension(x509.BasicConstraints(False, None), True)
             .add_extension(_usage(), True)
-            .add_extension(x509.ExtendedKeyUsage([use]), False)
+            .add_extension(x509.ExtendedKeyUsage([extended_key_usage]), False)
             .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(self.key.public_key()), False)
         )
         if general_names:
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -132,7 +132,7 @@
     yield Failure.UNTRUSTED, Terms(ca=other_authority.file), server_context(pki.issue())
     yield Failure.EXPIRED, terms, server_context(pki.issue(start=-9, end=-1))
     yield Failure.NOT_YET_VALID, terms, server_context(pki.issue(start=1))
-    client_certificate = pki.issue(use=ExtendedKeyUsageOID.CLIENT_AUTH)
+    client_certificate = pki.issue(extended_key_usage=ExtendedKeyUsageOID.CLIENT_AUTH)
     yield Failure.WRONG_USE, terms, server_context(client_certificate)
     revoked = pki.issue()
     crl = pki.crl(revoked, file="revoked.pem")
@@ -148,7 +148,7 @@
     yield Failure.HANDSHAKE_REJECTED, terms, without_common_cipher
     requires_certificate = require_client_certificate(server_context(pki.issue(), "1.2", "1.2"), pki.file)
     yield Failure.HANDSHAKE_REJECTED, terms, requires_certificate
-    own = other_authority.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
+    own = other_authority.issue(("us",), extended_key_usage=ExtendedKeyUsageOID.CLIENT_AUTH)
     terms_with_own = Terms(ca=pki.file, certificate=own.cert_file, key=own.key_file)
     yield Failure.OUR_CERTIFICATE_REJECTED, terms_with_own, requires_certificate
 
@@ -220,7 +220,7 @@
     pki: Authority, tmp_path: Path, own: bool
 ) -> None:
     other_authority = Authority(tmp_path, "Other CA")
-    ours = other_authority.issue(("us",), use=ExtendedKeyUsageOID.CLIENT_AUTH)
+    ours = other_authority.issue(("us",), extended_key_usage=ExtendedKeyUsageOID.CLIENT_AUTH)
     terms = Terms(ca=pki.file, certificate=ours.cert_file, key=ours.key_file) if own else Terms(ca=pki.file)
     server = Server(require_client_certificate(server_context(pki.issue(), "1.3", "1.3"), pki.file))
     machine = client(terms)
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -197,7 +197,7 @@
 ) -> None:
     async def work() -> None:
         (tmp_path / "other").mkdir()
-        untrusted = Authority(tmp_path / "other", "Other CA").issue(("us",), use=CLIENT_AUTH)
+        untrusted = Authority(tmp_path / "other", "Other CA").issue(("us",), extended_key_usage=CLIENT_AUTH)
         own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
         install_own_files(untrusted, *own_files)
         issued = authority.issue()
@@ -208,7 +208,7 @@
         async with running(tmp_path, [partner], operator) as (_, client):
             await submit(client, "m")
             await wait_until(lambda: log.events("tls.call-broken") or log.events("tls.connection-rejected"))
-            install_own_files(authority.issue(("us",), use=CLIENT_AUTH), *own_files)
+            install_own_files(authority.issue(("us",), extended_key_usage=CLIENT_AUTH), *own_files)
             os.kill(os.getpid(), signal.SIGHUP)
             await wait_until(lambda: partner.applied["k-m"])
         assert partner.applied == {"k-m": 1}
@@ -296,7 +296,7 @@
 ) -> None:
     async def work() -> None:
         own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
-        first, second = (authority.issue(("us",), use=CLIENT_AUTH) for _ in range(2))
+        first, second = (authority.issue(("us",), extended_key_usage=CLIENT_AUTH) for _ in range(2))
         install_own_files(first, *own_files)
         partner = await TlsPartner(
             require_client_certificate(server_context(authority.issue()), authority.file)
