--- a/tests/dead_letter_records.py
+++ b/tests/dead_letter_records.py
@@ -16,8 +16,8 @@
 _record_numbers = itertools.count()
 
 
-def make_record(ran: bool = False, **fields: Any) -> Record:
-    """Return a record with a new message id; with `ran`, the message may have been executed."""
+def make_record(may_have_executed: bool = False, **fields: Any) -> Record:
+    """Return a record with a new message id; with `may_have_executed`, the message may have been executed."""
     message_id = f"m{next(_record_numbers)}"
     defaults: dict[str, Any] = {
         "id": message_id,
@@ -36,7 +36,7 @@
         "ending": "failed",
         "reason": "timeout",
         "retry_after": 0,
-        "first_possible_execution": START if ran else None,
+        "first_possible_execution": START if may_have_executed else None,
         "first_execution_zone": 0,
         "attempts": (Attempt(0, "s-1", START, "timeout", SECOND, 0, ""),),
         "body": b"body",
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -192,7 +192,7 @@
     store = Store(folder, clock=lambda: START)
     store.add(
         [
-            make_record(ran=i % 2 == 0, tenant=f"t{i % 3}", destination=i % 4, body=b"=cmd()")
+            make_record(may_have_executed=i % 2 == 0, tenant=f"t{i % 3}", destination=i % 4, body=b"=cmd()")
             for i in range(count)
         ]
     )
@@ -297,7 +297,7 @@
     store.add(
         [
             make_record(body=body, tenant="<b>one</b>"),
-            make_record(body=body, ran=True, idempotency="unsafe", destination=2),
+            make_record(body=body, may_have_executed=True, idempotency="unsafe", destination=2),
             make_record(
                 body=b'{"invoice": {"total": "4.5"}}', status=RecordStatus.SETTLED, settled_by="resend:x"
             ),
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -28,7 +28,7 @@
     store = open_store(tmp_path)
     records = [
         make_record(body=bytes(range(256))),
-        make_record(ran=True, body=b"x" * 20_000),
+        make_record(may_have_executed=True, body=b"x" * 20_000),
         make_record(body=b"", key=""),
     ]
     assert store.add(records) == []
@@ -83,22 +83,26 @@
 def test_settled_records_are_dropped_first_and_possibly_executed_ones_last(tmp_path: Path) -> None:
     store = open_store(tmp_path, limits=StoreLimits(max_records=4))
     possibly_executed, never_executed, settled = (
-        make_record(ran=True),
+        make_record(may_have_executed=True),
         make_record(),
-        make_record(ran=True, status=RecordStatus.SETTLED),
+        make_record(may_have_executed=True, status=RecordStatus.SETTLED),
     )
     resending = make_record(status=RecordStatus.RESENDING)
     store.add([possibly_executed, never_executed, settled, resending])
     assert [
         (dropped.reason, dropped.may_have_executed, dropped.ids)
-        for dropped in store.add([make_record(ran=True)])
+        for dropped in store.add([make_record(may_have_executed=True)])
     ] == [("room", True, (settled.id,))]
-    assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(never_executed.id,)]
+    assert [dropped.ids for dropped in store.add([make_record(may_have_executed=True)])] == [
+        (never_executed.id,)
+    ]
     newest = make_record()
     assert [dropped.ids for dropped in store.add([newest])] == [(newest.id,)], (
         "the new record is dropped rather than one that may have been executed"
     )
-    assert [dropped.ids for dropped in store.add([make_record(ran=True)])] == [(possibly_executed.id,)]
+    assert [dropped.ids for dropped in store.add([make_record(may_have_executed=True)])] == [
+        (possibly_executed.id,)
+    ]
     assert {stored.record.id for stored in store.page(RecordFilter())} >= {resending.id}
     assert store.record_count == 4
     totals = {
@@ -124,7 +128,7 @@
     store = Store(tmp_path, StoreLimits(max_age=10 * DAY), clock=lambda: now)
     store.add(
         [
-            make_record(ran=True),
+            make_record(may_have_executed=True),
             make_record(),
             make_record(status=RecordStatus.RESENDING),
             make_record(ended_at=START + 5 * DAY),
@@ -246,7 +250,7 @@
 def test_a_changed_value_in_any_sealed_column_is_reported_for_that_record_alone(tmp_path: Path) -> None:
     """Each column of the sealed tables is altered in turn."""
     store = open_store(tmp_path)
-    store.add([make_record(ran=True, body=b"x" * 600), make_record(), make_record()])
+    store.add([make_record(may_have_executed=True, body=b"x" * 600), make_record(), make_record()])
     tables = {"record": "seq", "detail": "seq"}
     for table, key_column in tables.items():
         for _, column, *_ in store.database.execute(f"PRAGMA table_info({table})").fetchall():
@@ -283,7 +287,9 @@
 def test_a_flipped_bit_in_the_file_is_reported_or_harmless(tmp_path: Path) -> None:
     """No flipped bit makes the store return a record that was never added."""
     store = open_store(tmp_path / "whole")
-    records = [make_record(ran=bool(i % 2), body=os.urandom(700), key=f"key-{i}") for i in range(12)]
+    records = [
+        make_record(may_have_executed=bool(i % 2), body=os.urandom(700), key=f"key-{i}") for i in range(12)
+    ]
     store.add(records)
     store.update(records[0], "me", "release", "the partner's letter of today")
     store.close()
@@ -408,7 +414,11 @@
         store.add(
             [
                 make_record(
-                    ran=i % 2 == 0, destination=i % 5, tenant=f"t{i % 3}", ended_at=START + i, id=f"n{i}"
+                    may_have_executed=i % 2 == 0,
+                    destination=i % 5,
+                    tenant=f"t{i % 3}",
+                    ended_at=START + i,
+                    id=f"n{i}",
                 )
             ]
         )
@@ -491,7 +501,9 @@
 
 def test_each_change_is_audited_and_a_dry_run_changes_nothing(tmp_path: Path) -> None:
     store = open_store(tmp_path)
-    store.add([make_record(ran=True), make_record(), make_record(status=RecordStatus.RESENDING)])
+    store.add(
+        [make_record(may_have_executed=True), make_record(), make_record(status=RecordStatus.RESENDING)]
+    )
     before = [stored.record for stored in store.page(RecordFilter())]
     arguments = {"verb": "release", "why": "letter 17 of the partner", "dry_run": True}
     preview = operations.execute(store, "change", arguments, "anna")
