--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -26,7 +26,7 @@
 
 from .polling import poll_condition
 from .program import play, write
-from .test_exchanges import EXCHANGE_SETTINGS, START, raw
+from .test_exchanges import EXCHANGE_SETTINGS, START, decode_escapes
 from .test_program import ENQUEUE
 
 PING, PONG = b"PING\r\n", b"+PONG\r\n"
@@ -268,7 +268,9 @@
             def send_after_check(checked_sock: socket.socket) -> bool:
                 reusable = is_reusable(checked_sock)
                 if reusable and checked_sock.getpeername() == sock.getsockname():
-                    sock.send(raw(ENQUEUE))  # after the server's check and before its shutdown of the socket
+                    sock.send(
+                        decode_escapes(ENQUEUE)
+                    )  # after the server's check and before its shutdown of the socket
                 return reusable
 
             with monkeypatch.context() as patch:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -316,7 +316,7 @@
 FAULTS = (http1.HttpError, discovery.WatchError, MqttError, PoolError, FieldError)
 
 
-def raw(text: str) -> bytes:
+def decode_escapes(text: str) -> bytes:
     if text.startswith("hex:"):
         return bytes.fromhex(text[4:])
     return text.encode().decode("unicode_escape").encode("latin-1")
@@ -344,11 +344,11 @@
     try:
         for line in lines:
             if line[0] == ">":
-                data = raw(line[2:])
+                data = decode_escapes(line[2:])
                 for chunk in [data[i : i + 1] for i in range(len(data))] if split else [data]:
                     output += b"".join(adapter.feed(chunk))
         output += b"".join(adapter.end())
     except FAULTS as error:
         problem = str(error)
-    assert output == b"".join(raw(line[2:]) for line in lines if line[0] == "<")
+    assert output == b"".join(decode_escapes(line[2:]) for line in lines if line[0] == "<")
     assert problem == "".join(line[2:] for line in lines if line[0] == "!")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -16,7 +16,7 @@
 
 from .program import Peer, play, started
 from .rig import endpoint_row
-from .test_exchanges import raw
+from .test_exchanges import decode_escapes
 from .test_program import ENQUEUE, receive
 
 
@@ -110,7 +110,7 @@
             stream.truncate(0)
             await client.dial(port)
             assert client.connection is not None
-            client.connection[1].write(raw(ENQUEUE))
+            client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
             reader, writer = await endpoint.accepted()
             await reader.readuntil(b"body")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -32,7 +32,7 @@
 from .polling import Changes, poll_condition
 from .program import Peer, free_port, play, started, write
 from .rig import endpoint_row
-from .test_exchanges import raw
+from .test_exchanges import decode_escapes
 from .world import MS
 
 PROGRAMS = sorted((Path(__file__).parent / "programs").glob("*.txt"))
@@ -116,10 +116,10 @@
             writer.close()
             self.peers[name].connection = None
         elif name[-1] == ">":
-            (await self.peers[name[:-1]].accepted())[1].write(raw(argument))
+            (await self.peers[name[:-1]].accepted())[1].write(decode_escapes(argument))
         else:
             peer = self.peers[name[:-1]]
-            await receive(peer, raw(argument.replace("PORT", str(peer.port))))
+            await receive(peer, decode_escapes(argument.replace("PORT", str(peer.port))))
 
     def _connection(self, name: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         connection = self.peers[name].connection
@@ -146,13 +146,13 @@
 
 async def watched(agent: Peer, port: int, revision: int = 1) -> None:
     """Expect a watch of the changes after this revision, and answer with no change."""
-    await receive(agent, raw(TARGETS % (f"?stream=1&index={revision}", port)))
+    await receive(agent, decode_escapes(TARGETS % (f"?stream=1&index={revision}", port)))
     (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 
 
 async def listed(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
     """Serve a new agent's first requests: one for its complete list, then one for its changes."""
-    await receive(agent, raw(TARGETS % ("", port)))
+    await receive(agent, decode_escapes(TARGETS % ("", port)))
     body = json.dumps({"revision": 3, "complete": True, "members": members}).encode()
     (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     await watched(agent, port, 3)
@@ -180,7 +180,7 @@
         async with started(tmp_path, agent.port, members) as port:
             await client.dial(port)
             assert client.connection is not None
-            client.connection[1].write(raw(ENQUEUE))
+            client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
             await poll_condition(lambda: not faults)
             await endpoint.accepted()  # the connection of the failed call, on which nothing is sent
@@ -418,7 +418,7 @@
             await poll_condition(lambda: "n0-calls" in broker.kept)
             await client.dial(port)
             assert client.connection is not None
-            client.connection[1].write(raw(ENQUEUE))
+            client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
             reader, writer = await endpoint.accepted()
             await reader.readuntil(b"body")
