--- a/tests/broker.py
+++ b/tests/broker.py
@@ -30,31 +30,36 @@
 
 
 class Broker:
-    """The broker. `partner` returns the PUBACK of a publish to partner/..., or None to send none."""
+    """The broker.
+
+    `acknowledge_partner_publish` returns the PUBACK of a publish to partner/..., or None to send none.
+    """
 
     def __init__(self) -> None:
-        self.kept: dict[str, ClientSession] = {}
+        self.sessions: dict[str, ClientSession] = {}
         # Without this callback, PUBLISH packets to partner/... are routed as usual.
-        self.partner: Callable[[Packet], Packet | None] | None = None
+        self.acknowledge_partner_publish: Callable[[Packet], Packet | None] | None = None
         self.published: list[Packet] = []
         self.answers_held = False
-        self.secure: ssl.SSLContext | None = None  # None for TCP without TLS
+        self.ssl_context: ssl.SSLContext | None = None  # None for TCP without TLS
         self.server: asyncio.Server | None = None
         self.port = 0
 
     def subscribed(self, *client_ids: str) -> bool:
         """Return whether all these clients have a subscription, so that publishes can reach them."""
-        return all(name in self.kept and self.kept[name].filters for name in client_ids)
+        return all(name in self.sessions and self.sessions[name].filters for name in client_ids)
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self._serve_client, "127.0.0.1", self.port, ssl=self.secure)
+        self.server = await asyncio.start_server(
+            self._serve_client, "127.0.0.1", self.port, ssl=self.ssl_context
+        )
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def kill(self) -> None:
         """Abort all connections, as if the process were killed; the sessions are kept."""
         assert self.server is not None
         self.server.close()
-        for session in self.kept.values():
+        for session in self.sessions.values():
             if session.writer is not None:
                 session.writer.transport.abort()
                 session.writer = None
@@ -74,8 +79,8 @@
         writer.close()
 
     def _handle_connect(self, packet: Packet, writer: asyncio.StreamWriter) -> ClientSession:
-        previous = None if packet.flag else self.kept.get(packet.client_id)
-        session = self.kept[packet.client_id] = previous or ClientSession()
+        previous = None if packet.flag else self.sessions.get(packet.client_id)
+        session = self.sessions[packet.client_id] = previous or ClientSession()
         session.writer = writer
         self.write(session, Packet(Kind.CONNACK, flag=previous is not None))
         for packet_to_resend in session.unacknowledged.values():
@@ -107,13 +112,13 @@
 
     def _handle_publish(self, session: ClientSession, packet: Packet) -> None:
         self.published.append(packet)
-        if packet.topic.startswith("partner/") and self.partner is not None:
-            self.write(session, self.partner(packet))
+        if packet.topic.startswith("partner/") and self.acknowledge_partner_publish is not None:
+            self.write(session, self.acknowledge_partner_publish(packet))
             return
         if packet.qos == 2 and packet.id in session.unreleased:  # a repetition of a publish that was accepted
             self.write(session, Packet(Kind.PUBREC, id=packet.id))
             return
-        for subscriber in self.kept.values():
+        for subscriber in self.sessions.values():
             if packet.topic in subscriber.filters:
                 subscriber.last_packet_id += 1
                 forwarded = Packet(
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -280,11 +280,11 @@
 def set_reasons(broker: Broker, reasons: dict[str, int]) -> None:
     """Make the partner acknowledge each call once with its message's reason, or never if that is below 0."""
 
-    def partner(packet: Packet) -> Packet | None:
+    def acknowledge(packet: Packet) -> Packet | None:
         reason = reasons.get(dict(packet.user)["id"], 0)
         return None if reason < 0 else Packet(Kind.PUBACK, id=packet.id, reason=reason)
 
-    broker.partner = partner
+    broker.acknowledge_partner_publish = acknowledge
 
 
 def test_mqtt_serves_deadlines_rejects_errors_and_bad_input(tmp_path: Path) -> None:
@@ -415,7 +415,7 @@
         set_reasons(broker, {})
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
         async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
-            await poll_condition(lambda: "n0-calls" in broker.kept)
+            await poll_condition(lambda: "n0-calls" in broker.sessions)
             await client.dial(port)
             assert client.connection is not None
             client.connection[1].write(decode_escapes(ENQUEUE))
@@ -440,14 +440,14 @@
         silent: list[Packet] = []
         second_calls: list[float] = []
 
-        def partner(packet: Packet) -> Packet | None:
+        def acknowledge(packet: Packet) -> Packet | None:
             if not silent:
                 silent.append(packet)
                 return None
             second_calls.append(loop.time())
             return Packet(Kind.PUBACK, id=packet.id)
 
-        broker.partner, client = partner, Client(loop)
+        broker.acknowledge_partner_publish, client = acknowledge, Client(loop)
         async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
@@ -456,7 +456,7 @@
             (first,) = silent
             retry_after_received_at = loop.time()
             late_reply = Packet(Kind.PUBACK, id=first.id, reason=0x97, user=[("Retry-After", "0.5")])
-            broker.write(broker.kept["n0-calls"], late_reply)
+            broker.write(broker.sessions["n0-calls"], late_reply)
             await poll_condition(lambda: journal_records(tmp_path, "wait"))
             client.submit("next", 1)
             await client.wait_for_answers(2)
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -481,7 +481,7 @@
 ) -> None:
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
-        broker.secure = server_context(authority.issue())
+        broker.ssl_context = server_context(authority.issue())
         await broker.start()
         set_reasons(broker, {})
         client = Client(asyncio.get_running_loop())
@@ -495,13 +495,13 @@
             await wait_until(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("one", 1)
             await client.wait_for_answers(1)
-            writer_before = broker.kept["n0-calls"].writer
+            writer_before = broker.sessions["n0-calls"].writer
             (tmp_path / "other").mkdir()
             other = Authority(tmp_path / "other", "Other CA")
             trust.write_bytes(trust.read_bytes() + other.file.read_bytes())
             os.kill(os.getpid(), signal.SIGHUP)
             await wait_until(lambda: log.events("tls.files-reloaded"))
-            await wait_until(lambda: broker.kept["n0-calls"].writer not in (writer_before, None))
+            await wait_until(lambda: broker.sessions["n0-calls"].writer not in (writer_before, None))
             client.submit("two", 1)
             await client.wait_for_answers(2)
         client.paho.disconnect()
@@ -521,14 +521,14 @@
 ) -> None:
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
-        broker.secure = server_context(authority.issue(("other.example",)))
+        broker.ssl_context = server_context(authority.issue(("other.example",)))
         await broker.start()
         operator = OPERATOR.format(port=broker.port, dest=1)
         operator += f'[mqtt.tls]\nca = "{authority.file}"\nserver-name = "localhost"\n'
         async with started(tmp_path, agent.port, [], operator):
             await wait_until(lambda: len(log.events("tls.handshake-failed")) >= 3)
         assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"wrong-name"}
-        assert not broker.kept
+        assert not broker.sessions
 
     play(work())
 
