--- a/benchmarks/dead_letters.py
+++ b/benchmarks/dead_letters.py
@@ -47,7 +47,7 @@
 from tests.agent import Agent
 from tests.dead_letter_records import make_record
 from tests.partner import Partner
-from tests.program import SETTINGS, free_port, write
+from tests.program import SETTINGS, free_port, write_config_files
 from tests.resend_world import run_day
 from tests.rig import endpoint_row
 
@@ -245,7 +245,7 @@
     endpoint = {**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 2000.0}
     agent = await Agent([endpoint]).start()
     port = free_port()
-    paths = write(folder, port, agent.port, [endpoint], operator, settings=LARGE_SETTINGS)
+    paths = write_config_files(folder, port, agent.port, [endpoint], operator, settings=LARGE_SETTINGS)
     process = await asyncio.create_subprocess_exec(*serve_command(*paths), stdout=subprocess.PIPE)
     try:
         await wait_until_ready(process, port)
@@ -613,7 +613,9 @@
         agent = await Agent([endpoint]).start()
         keyed_class = {**SETTINGS["classes"][0], "window": 60 * SECOND, "deadline": 3 * SECOND}
         settings = {**LARGE_SETTINGS, "classes": [keyed_class, ORDER_CLASS]}
-        paths = write(self.folder, self.port, agent.port, [endpoint], KILL_RULE, settings=settings)
+        paths = write_config_files(
+            self.folder, self.port, agent.port, [endpoint], KILL_RULE, settings=settings
+        )
         self.command = serve_command(*paths)
 
     async def _start(self) -> asyncio.subprocess.Process:
--- a/benchmarks/service_process.py
+++ b/benchmarks/service_process.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 from benchmarks.start import cpu_seconds  # noqa: E402
-from tests.program import free_port, write  # noqa: E402
+from tests.program import free_port, write_config_files  # noqa: E402
 
 START_TIMEOUT_SECONDS = 120.0
 READ_SIZE = 1 << 16
@@ -96,7 +96,7 @@
     `port` 0 selects a free port, and `config` overrides fields of the configuration file.
     """
     port = port or free_port()
-    path, operator_path = write(folder, port, discovery, known, operator, **config)
+    path, operator_path = write_config_files(folder, port, discovery, known, operator, **config)
     program = [sys.executable, "-m", "honeyhitch", "serve", "--config", path]
     program += ["--operator", operator_path] if operator_path is not None else []
     began = time.monotonic()
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -23,7 +23,7 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from tests.program import write  # noqa: E402
+from tests.program import write_config_files  # noqa: E402
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 START_TIMEOUT_SECONDS = 60.0
@@ -45,7 +45,7 @@
     """
     folder.mkdir()
     host = f"127.0.1.{number + 1}"
-    path, _ = write(folder, PORT, discovery, [], listen=f"{host}:{PORT}")
+    path, _ = write_config_files(folder, PORT, discovery, [], listen=f"{host}:{PORT}")
     environ = {**os.environ, "PYTHONDONTWRITEBYTECODE": "" if compiled else "1"}
     program = [sys.executable, "-m", "honeyhitch", "serve", "--config", path]
     return subprocess.Popen(program, cwd=root, env=environ, stderr=subprocess.DEVNULL), host
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -38,7 +38,7 @@
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 from tests.agent import Agent
 from tests.authority import Authority
-from tests.program import SETTINGS, free_port, started, write
+from tests.program import SETTINGS, free_port, started, write_config_files
 from tests.rig import endpoint_row
 from tests.tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
 from tests.world import settings
@@ -173,7 +173,7 @@
     port = free_port()
     # The budget allows as many TLS connections as plain ones, because open connections are compared.
     operator_text = PARTNER_TABLE.format(ca=pki.file) + "handshakes = 64\nhandshake-rate = 1000\n"
-    config, operator = write(
+    config, operator = write_config_files(
         folder, port, agent.port, endpoints, operator_text, settings=LARGE_SETTINGS, limits={"disk_mb": 50}
     )
     program = subprocess.Popen(  # noqa: ASYNC220  # Popen returns at once
--- a/tests/program.py
+++ b/tests/program.py
@@ -119,7 +119,7 @@
 ) -> AsyncIterator[int]:
     """Run the program and yield its port once it is ready. At the end cancel it, as abruptly as a kill."""
     port = port or free_port()
-    paths = write(folder, port, discovery, members, operator, **file_fields)
+    paths = write_config_files(folder, port, discovery, members, operator, **file_fields)
     task = asyncio.ensure_future(
         run(config.read({}, *paths), lambda previous: config.read({}, *paths, previous))
     )
@@ -133,7 +133,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def write(
+def write_config_files(
     folder: Path,
     port: int,
     discovery: int,
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -25,7 +25,7 @@
 from honeyhitch.transports.tasks import Tasks
 
 from .polling import poll_condition
-from .program import play, write
+from .program import play, write_config_files
 from .test_exchanges import EXCHANGE_SETTINGS, START, decode_escapes
 from .test_program import ENQUEUE
 
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("sockets", [64, 256, 1024])
 def test_all_descriptors_together_stay_under_the_limit(tmp_path: Path, sockets: int) -> None:
-    path = Path(write(tmp_path, 6379, 8500, [])[0])
+    path = Path(write_config_files(tmp_path, 6379, 8500, [])[0])
     content = json.loads(path.read_text())
     content["settings"]["family-info"]["call-slots"] = 200
     path.write_text(json.dumps({**content, "limits": {"sockets": sockets}}))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from honeyhitch.cli.main import main
 from honeyhitch.policy.settings import Settings
 
-from .program import SETTINGS, write
+from .program import SETTINGS, write_config_files
 
 ROOT = Path(__file__).parent.parent
 
@@ -44,7 +44,7 @@
     ],
 )
 def test_a_faulty_setting_is_named(tmp_path: Path, path: str, value: object, message: str) -> None:
-    file = Path(write(tmp_path, 6379, 8500, [])[0])
+    file = Path(write_config_files(tmp_path, 6379, 8500, [])[0])
     file.write_text(json.dumps({**json.loads(file.read_text()), "settings": settings_with(path, value)}))
     with pytest.raises(config.ConfigError) as error:
         config.read({}, str(file))
@@ -64,7 +64,7 @@
     ],
 )
 def test_a_faulty_key_is_named(tmp_path: Path, change: dict[str, Any], message: str) -> None:
-    file = Path(write(tmp_path, 6379, 8500, [])[0])
+    file = Path(write_config_files(tmp_path, 6379, 8500, [])[0])
     file.write_text(json.dumps({**json.loads(file.read_text()), **change}))
     with pytest.raises(config.ConfigError) as error:
         config.read({}, str(file))
@@ -95,7 +95,7 @@
 )
 def test_a_faulty_operators_file_is_named(tmp_path: Path, text: str, message: str) -> None:
     with pytest.raises(config.ConfigError) as error:
-        config.read({}, *write(tmp_path, 6379, 8500, [], text))
+        config.read({}, *write_config_files(tmp_path, 6379, 8500, [], text))
     assert str(error.value).startswith(message)
 
 
@@ -137,11 +137,11 @@
 
 def test_on_a_reload_a_value_changed_in_the_file_takes_precedence_over_a_variable(tmp_path: Path) -> None:
     environ = {"ROUTER_DISCOVERY": "127.0.0.1:1"}
-    path = write(tmp_path, 6379, 8500, [])
+    path = write_config_files(tmp_path, 6379, 8500, [])
     first = config.read(environ, *path)
     assert str(first.discovery) == "127.0.0.1:1"
     assert str(config.read(environ, *path, first).discovery) == "127.0.0.1:1", "the file says what it said"
-    write(tmp_path, 6379, 8600, [])
+    write_config_files(tmp_path, 6379, 8600, [])
     second = config.read(environ, *path, first)
     assert str(second.discovery) == "127.0.0.1:8600"
     assert config.read(environ, *path, second) == second, "and goes on saying it"
@@ -200,20 +200,20 @@
 def test_a_fleet_that_cannot_be_set_up_is_refused_with_its_key(
     tmp_path: Path, text: str, message: str
 ) -> None:
-    path, operator = write(tmp_path, 6379, 8500, [], text)
+    path, operator = write_config_files(tmp_path, 6379, 8500, [], text)
     result = CliRunner().invoke(main, ["check", "--config", path, "--operator", str(operator)])
     assert result.exit_code == 2, result.output
     assert message in result.output
 
 
 def test_with_a_fleet_a_limit_is_split_over_its_zones(tmp_path: Path) -> None:
-    path, operator = write(tmp_path, 6379, 8500, [], fleet_file())
+    path, operator = write_config_files(tmp_path, 6379, 8500, [], fleet_file())
     assert config.read({}, path, operator).settings.instance_count == 2
     assert config.read({}, path, None).settings.instance_count == 1
 
 
 def test_the_fleet_example_can_be_read(tmp_path: Path) -> None:
-    path, _ = write(tmp_path, 6379, 8500, [])
+    path, _ = write_config_files(tmp_path, 6379, 8500, [])
     loaded = config.read({}, path, str(ROOT / "deploy" / "fleet.toml"))
     assert loaded.operator.fleet is not None
     assert len(loaded.operator.fleet.zones) == 10
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -24,7 +24,7 @@
     spawn,
     wait_until_serving,
 )
-from .program import enqueue, play, write
+from .program import enqueue, play, write_config_files
 from .rig import endpoint_row
 
 SOCKETS = 72  # descriptors of the process, as configured
@@ -53,7 +53,7 @@
             [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}, endpoint_row("s-2", 2)]
         ).start()
         agent.on_notice = agent.on_watch = events.notify
-        path, _ = write(tmp_path, port, agent.port, agent.members, limits={"sockets": SOCKETS})
+        path, _ = write_config_files(tmp_path, port, agent.port, agent.members, limits={"sockets": SOCKETS})
         process = await spawn(path, SOCKETS)
         async with killed_at_end([process]):
             await wait_until_serving(process, port)
@@ -94,7 +94,7 @@
         for number in range(RESTARTED):
             folder, port = tmp_path / str(number), listening_port()
             folder.mkdir()
-            paths[port], _ = write(folder, port, agent.port, agent.members)
+            paths[port], _ = write_config_files(folder, port, agent.port, agent.members)
         processes = [await spawn(path) for path in paths.values()]
         async with killed_at_end(processes):
             for process, port in zip(processes, paths, strict=True):
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -36,7 +36,7 @@
 from .dead_letter_records import make_record
 from .partner import Partner
 from .polling import poll_until
-from .program import free_port, play, started, write
+from .program import free_port, play, started, write_config_files
 from .rig import START, endpoint_row
 from .test_program import Client
 
@@ -446,7 +446,9 @@
 
     async def work() -> None:
         port = free_port()
-        path = write(tmp_path, port, free_port(), [], OPERATOR_FILE, management=f"127.0.0.1:{management}")
+        path = write_config_files(
+            tmp_path, port, free_port(), [], OPERATOR_FILE, management=f"127.0.0.1:{management}"
+        )
         task = asyncio.ensure_future(run(config.read({}, *path), lambda now: now))
         try:
             while not ready_callbacks:
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -16,7 +16,7 @@
 from honeyhitch.policy.health import DestinationHealth
 
 from .dead_letter_records import make_record
-from .program import write
+from .program import write_config_files
 from .rig import START
 from .world import SECOND
 
@@ -170,7 +170,9 @@
 
 def read_settings(folder: Path, text: str, **overrides: Any) -> DeadLetterSettings:
     """Return the settings of `[undelivered]` in an operator's file with this text."""
-    settings = config.read({}, *write(folder, 6379, 8500, [], text, **overrides)).operator.dead_letters
+    settings = config.read(
+        {}, *write_config_files(folder, 6379, 8500, [], text, **overrides)
+    ).operator.dead_letters
     assert settings is not None
     return settings
 
--- a/tests/test_endpoint_pool.py
+++ b/tests/test_endpoint_pool.py
@@ -14,7 +14,7 @@
 from honeyhitch.endpoints.pool import EndpointPool
 from honeyhitch.policy.events import EndpointStatus
 
-from .program import SETTINGS, write
+from .program import SETTINGS, write_config_files
 from .rig import endpoint_row
 from .world import settings
 
@@ -88,9 +88,14 @@
 def test_a_count_below_one_is_reported_under_its_key(tmp_path: Path, value: int) -> None:
     file_settings = copy.deepcopy(SETTINGS) | {"replicas-of-me": value}
     with pytest.raises(config.ConfigError, match=r"settings\.replicas-of-me: must be at least 1"):
-        config.read({}, *write(tmp_path, 1, 1, [], settings=file_settings))
+        config.read({}, *write_config_files(tmp_path, 1, 1, [], settings=file_settings))
     del file_settings["replicas-of-me"]
-    assert config.read({}, *write(tmp_path, 1, 1, [], settings=file_settings)).settings.instance_count == 1
+    assert (
+        config.read(
+            {}, *write_config_files(tmp_path, 1, 1, [], settings=file_settings)
+        ).settings.instance_count
+        == 1
+    )
 
 
 @pytest.mark.parametrize("row", [7, "s-1", None, [], {}])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
 from honeyhitch.transports import sockets
 
 from .polling import poll_condition
-from .program import Peer, play, started, write
+from .program import Peer, play, started, write_config_files
 from .rig import START, DispatcherRig, VirtualTime, endpoint_row
 from .world import SECOND as S
 
@@ -531,7 +531,7 @@
 
     async def check_refusal() -> None:
         other_program = await Peer().start()
-        path, _ = write(tmp_path, other_program.port, 9, [])
+        path, _ = write_config_files(tmp_path, other_program.port, 9, [])
         with pytest.raises(config.ConfigError, match=r"^listen: cannot listen on 127.0.0.1:\d+: Address"):
             await run(config.read({}, path), lambda before: before)
         assert not list((tmp_path / "state").glob("journal*"))
@@ -574,7 +574,7 @@
         async with started(tmp_path, agent.port, [endpoint_row("s", 1)]) as port:
             second_directory = tmp_path / "second"
             second_directory.mkdir()
-            path = write(
+            path = write_config_files(
                 second_directory,
                 port,
                 agent.port,
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -24,7 +24,7 @@
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
 from honeyhitch.service.run import run
 
-from .program import Peer, free_port, play, started, write
+from .program import Peer, free_port, play, started, write_config_files
 from .rig import DispatcherRig, endpoint_row
 from .world import SECOND
 
@@ -189,14 +189,14 @@
 def test_an_invalid_management_address_is_reported_with_its_key(
     tmp_path: Path, address: str, expected: str
 ) -> None:
-    path, _ = write(tmp_path, 6379, 8500, [], management=address)
+    path, _ = write_config_files(tmp_path, 6379, 8500, [], management=address)
     with pytest.raises(config.ConfigError) as error:
         config.read({}, path)
     assert str(error.value) == expected
 
 
 def test_the_variable_takes_precedence_and_descriptors_are_reserved(tmp_path: Path) -> None:
-    path, _ = write(tmp_path, 6379, 8500, [])
+    path, _ = write_config_files(tmp_path, 6379, 8500, [])
     without_management = config.read({}, path)
     with_management = config.read({"ROUTER_MANAGEMENT": "127.0.0.1:9"}, path)
     assert without_management.management is None
@@ -210,7 +210,7 @@
 def test_an_address_in_use_ends_the_start_with_its_key(tmp_path: Path) -> None:
     async def work() -> None:
         port = (await Peer().start()).port
-        path, _ = write(tmp_path, free_port(), port, [], management=f"127.0.0.1:{port}")
+        path, _ = write_config_files(tmp_path, free_port(), port, [], management=f"127.0.0.1:{port}")
         used_address_config = config.read({}, path)
         with pytest.raises(config.ConfigError, match=r"^management: cannot listen on 127.0.0.1:\d+: Address"):
             await run(used_address_config, lambda before: before)
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -18,7 +18,7 @@
 from honeyhitch import config
 from honeyhitch.middleware import DispatcherMiddleware
 
-from .program import Peer, free_port, play, write
+from .program import Peer, free_port, play, write_config_files
 from .rig import endpoint_row
 
 
@@ -71,7 +71,7 @@
 def make_config(folder: Path, agent: Peer, endpoint: Peer) -> config.Config:
     endpoint_rows = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
     endpoint_rows.append(endpoint_row("leaving", 9, phase="Terminating"))
-    return config.read({}, *write(folder, free_port(), agent.port, endpoint_rows))
+    return config.read({}, *write_config_files(folder, free_port(), agent.port, endpoint_rows))
 
 
 def test_an_application_delivers_and_a_reject_becomes_503(tmp_path: Path) -> None:
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -27,7 +27,7 @@
 from .agent import Agent
 from .polling import Changes, poll_until
 from .processes import CountingEndpoint, listening_port, request_line, spawn, wait_until_serving
-from .program import enqueue, play, write
+from .program import enqueue, play, write_config_files
 from .rig import endpoint_row
 
 REGIONS = (Region("east", ("a1",)), Region("west", ("b1",)))
@@ -86,7 +86,7 @@
             operator += "[fleet.regions]\n"
             operator += "".join(f"{region.name} = {json.dumps(list(region.zones))}\n" for region in REGIONS)
             management = f"127.0.0.1:{self.management[name]}"
-            self.paths[name] = write(
+            self.paths[name] = write_config_files(
                 folder, self.ports[name], agent.port, [], operator, name=name, management=management
             )
         for name in INSTANCES:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,7 +30,7 @@
 
 from .broker import Broker
 from .polling import Changes, poll_condition
-from .program import Peer, free_port, play, started, write
+from .program import Peer, free_port, play, started, write_config_files
 from .rig import endpoint_row
 from .test_exchanges import decode_escapes
 from .world import MS
@@ -102,7 +102,7 @@
         await client.dial(self.port)
         (await client.accepted())[1].write(b"PING\r\n")
         await receive(client, b"+PONG\r\n")
-        write(self.directory, self.port, other_agent.port, [])
+        write_config_files(self.directory, self.port, other_agent.port, [])
         os.kill(os.getpid(), signal.SIGHUP)
         await listed(other_agent, other_agent.port, self.members)
         other_agent.connection = None  # notices come on another connection
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -15,7 +15,7 @@
 from honeyhitch.cli.main import main
 
 from .authority import Authority
-from .program import write
+from .program import write_config_files
 from .rig import endpoint_row
 from .tls_partner import TlsPartner, require_client_certificate, server_context
 
@@ -87,7 +87,7 @@
     text = "".join(
         f'[[tls.partner]]\ndest = {i}\nca = "{pki.file}"\nserver-name = "localhost"\n' for i in (1, 2, 3)
     )
-    config, operator = write(tmp_path, 6379, 8500, endpoints, text)
+    config, operator = write_config_files(tmp_path, 6379, 8500, endpoints, text)
     arguments = ["--operator", str(operator), "--config", config, "--connect"]
     result = run_check(*arguments, "--json")
     assert result.exit_code == 1, result.output
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -19,7 +19,7 @@
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 
 from .authority import Authority
-from .program import write
+from .program import write_config_files
 from .world import SECOND, settings
 
 
@@ -66,7 +66,7 @@
     tmp_path: Path, text: str, expected_error: str
 ) -> None:
     with pytest.raises(config.ConfigError) as error:
-        config.read({}, *write(tmp_path, 6379, 8500, [], text))
+        config.read({}, *write_config_files(tmp_path, 6379, 8500, [], text))
     assert str(error.value).startswith(expected_error), error.value
 
 
@@ -152,7 +152,7 @@
 
 def test_defaults_apply_to_each_partner_without_its_own_value(pki: Authority, tmp_path: Path) -> None:
     text = f'[tls]\nca = "{pki.file}"\nhandshakes = 7\n{PARTNER}[[tls.partner]]\ndest = 2\nhandshakes = 9\n'
-    tls_settings = config.read({}, *write(tmp_path, 6379, 8500, [], text)).operator.tls
+    tls_settings = config.read({}, *write_config_files(tmp_path, 6379, 8500, [], text)).operator.tls
     assert tls_settings is not None
     assert [partner.terms.handshakes for partner in tls_settings.partners] == [7, 9]
     assert {partner.terms.ca for partner in tls_settings.partners} == {pki.file}
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -23,7 +23,7 @@
 from .authority import Authority, Issued
 from .broker import Broker
 from .polling import poll_condition
-from .program import SETTINGS, Peer, free_port, play, started, write
+from .program import SETTINGS, Peer, free_port, play, started, write_config_files
 from .rig import endpoint_row
 from .test_program import OPERATOR, Client, receive, set_reasons
 from .tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
@@ -539,7 +539,7 @@
     async def work() -> None:
         partner = await TlsPartner(server_context(authority.issue())).start()
         agent, port = await Agent(endpoint_rows([partner])).start(), free_port()
-        config, operator = write(
+        config, operator = write_config_files(
             tmp_path, port, agent.port, agent.members, PARTNER.format(ca=authority.file), settings=ROUGH_RATES
         )
         command = [sys.executable, "-m", "honeyhitch", "serve", "--config", config]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,7 @@
 
 from .agent import Agent
 from .polling import Changes, poll_until
-from .program import free_port, play, write
+from .program import free_port, play, write_config_files
 from .rig import endpoint_row
 
 ROOT = Path(__file__).parent.parent
@@ -138,7 +138,7 @@
         directory, management = self.folder / str(self.start_count), free_port()
         directory.mkdir()
         overrides = {"state": str(self.folder / "state"), "management": f"127.0.0.1:{management}"}
-        path, _ = write(directory, self.port, self.agent.port, self.agent.members, **overrides)
+        path, _ = write_config_files(directory, self.port, self.agent.port, self.agent.members, **overrides)
         with (directory / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "honeyhitch", "serve", "--config", path, cwd=ROOT, stderr=log
