--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -38,7 +38,7 @@
 from honeyhitch.tls.settings import Partner, Scope, Terms, TlsSettings
 from tests.agent import Agent
 from tests.authority import Authority
-from tests.program import SETTINGS, free_port, started, write_config_files
+from tests.program import SETTINGS, free_port, running_program, write_config_files
 from tests.rig import endpoint_row
 from tests.tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
 from tests.world import settings
@@ -239,7 +239,7 @@
     """Run the program with one partner that uses TLS. Yield the client and the discovery agent."""
     endpoints = [{**endpoint_row("p0", 1), "host_port": f"127.0.0.1:{partner.port}", "size": 200.0}]
     agent = await Agent(endpoints).start()
-    async with started(folder, agent.port, endpoints, operator_text, settings=LARGE_SETTINGS) as port:
+    async with running_program(folder, agent.port, endpoints, operator_text, settings=LARGE_SETTINGS) as port:
         yield Load(port, partner), agent
 
 
--- a/tests/program.py
+++ b/tests/program.py
@@ -108,7 +108,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started(
+async def running_program(
     folder: Path,
     discovery: int,
     members: list[dict[str, Any]],
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -36,7 +36,7 @@
 from .dead_letter_records import make_record
 from .partner import Partner
 from .polling import poll_until
-from .program import free_port, play, started, write_config_files
+from .program import free_port, play, running_program, write_config_files
 from .rig import START, endpoint_row
 from .test_program import Client
 
@@ -77,7 +77,7 @@
         members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         control = tmp_path / "state" / "control.sock"
-        async with started(tmp_path, agent.port, members, OPERATOR_FILE) as port:
+        async with running_program(tmp_path, agent.port, members, OPERATOR_FILE) as port:
             assert stat.S_IMODE(os.stat(control).st_mode) == 0o600
             await submit_message(port, "m1")
             cli_options = [
@@ -136,7 +136,7 @@
     async def work() -> None:
         agent = await Agent([]).start()
         operator = f'[control]\npath = "{tmp_path}/c.sock"\n'
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "c.sock"))
             writer.write(
                 b"GET /state HTTP/1.1\r\nHost: x\r\n\r\nPOST /x HTTP/1.1\r\nContent-Length: 1\r\n\r\n{"
@@ -158,7 +158,7 @@
         agent = await Agent(members).start()
         (tmp_path / "file").write_text("in the way")
         operator = f'[undelivered]\nfolder = "{tmp_path}/file"\n'
-        async with started(tmp_path, agent.port, members, operator) as port:
+        async with running_program(tmp_path, agent.port, members, operator) as port:
             await submit_message(port, "m1")
             await wait_until(lambda: "m1" in agent.notices)
             partner.status = 200
@@ -166,7 +166,7 @@
             await submit_message(port, "m2", time_left_ms=15_000)
             await wait_until(lambda: partner.calls > calls)
         os.unlink(tmp_path / "file")
-        async with started(tmp_path, agent.port, members, operator):
+        async with running_program(tmp_path, agent.port, members, operator):
             await wait_until(
                 lambda: (tmp_path / "file" / "undelivered.db").exists() and stored_records(tmp_path / "file")
             )
@@ -276,11 +276,11 @@
         operator = f'[control]\npath = "{tmp_path}/c.sock"\n'
         with socket.socket(socket.AF_UNIX) as stale_socket:
             stale_socket.bind(f"{tmp_path}/c.sock")
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert state["phase"] == "ready"
             (tmp_path / "second").mkdir()
-            async with started(tmp_path / "second", agent.port, [], operator):
+            async with running_program(tmp_path / "second", agent.port, [], operator):
                 later_state = await asyncio.to_thread(
                     ControlClient(tmp_path / "c.sock").request, "GET", "/state"
                 )
@@ -392,7 +392,9 @@
         # If the duplicate is first, RULES_FILE is loaded later.
         rules_file = hold_rules_file if first == "copy" else RULES_FILE
         store.close()
-        async with started(tmp_path, agent.port, members, rules_file.format(broker=broker.port)) as port:
+        async with running_program(
+            tmp_path, agent.port, members, rules_file.format(broker=broker.port)
+        ) as port:
             client.connect(broker.port)
             await wait_until(lambda: broker.subscribed("n0-intake", "client"))
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
 from honeyhitch.transports import sockets
 
 from .polling import poll_condition
-from .program import Peer, play, started, write_config_files
+from .program import Peer, play, running_program, write_config_files
 from .rig import START, DispatcherRig, VirtualTime, endpoint_row
 from .world import SECOND as S
 
@@ -571,7 +571,7 @@
 
     async def start_second_process() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, [endpoint_row("s", 1)]) as port:
+        async with running_program(tmp_path, agent.port, [endpoint_row("s", 1)]) as port:
             second_directory = tmp_path / "second"
             second_directory.mkdir()
             path = write_config_files(
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,7 +14,7 @@
 from honeyhitch import logs
 from honeyhitch.cli.main import main
 
-from .program import Peer, play, started
+from .program import Peer, play, running_program
 from .rig import endpoint_row
 from .test_exchanges import decode_escapes
 from .test_program import ENQUEUE, receive
@@ -106,7 +106,7 @@
     async def work() -> None:
         agent, endpoint, client = await Peer().start(), await Peer().start(), Peer()
         endpoint_rows = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
-        async with started(tmp_path, agent.port, endpoint_rows) as port:
+        async with running_program(tmp_path, agent.port, endpoint_rows) as port:
             stream.truncate(0)
             await client.dial(port)
             assert client.connection is not None
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -24,7 +24,7 @@
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
 from honeyhitch.service.run import run
 
-from .program import Peer, free_port, play, started, write_config_files
+from .program import Peer, free_port, play, running_program, write_config_files
 from .rig import DispatcherRig, endpoint_row
 from .world import SECOND
 
@@ -133,7 +133,9 @@
 def test_callers_that_stall_delay_no_other_reply(tmp_path: Path) -> None:
     async def work() -> None:
         port, agent = free_port(), await Peer().start()
-        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{port}"):
+        async with running_program(
+            tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{port}"
+        ):
             stalled = [
                 await asyncio.open_connection("127.0.0.1", port) for _ in range(2 * MONITORING_CONNECTIONS)
             ]
@@ -162,7 +164,9 @@
         code, output = await call("status")
         assert code == 1
         assert "no answer" in output
-        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=address_option[1]):
+        async with running_program(
+            tmp_path, agent.port, [endpoint_row("s", 1)], management=address_option[1]
+        ):
             assert await call("status") == (0, f"{address_option[1]}: ready\n")
             code, output = await call("status", "--json")
             assert code == 0
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,7 +30,7 @@
 
 from .broker import Broker
 from .polling import Changes, poll_condition
-from .program import Peer, free_port, play, started, write_config_files
+from .program import Peer, free_port, play, running_program, write_config_files
 from .rig import endpoint_row
 from .test_exchanges import decode_escapes
 from .world import MS
@@ -71,7 +71,7 @@
         """Play the lines of one process, from its start to its end."""
         agent = self.peers["agent"]
         stopped = "stop" in lines
-        async with started(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
+        async with running_program(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
             # The first connection to the agent is the watch; notices come on another connection.
             self.peers["watch"].connection = await agent.connections.get()
             await watched(self.peers["watch"], agent.port)
@@ -177,7 +177,7 @@
     async def work() -> None:
         agent, endpoint, client = await Peer().start(), await Peer().start(), Peer()
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
-        async with started(tmp_path, agent.port, members) as port:
+        async with running_program(tmp_path, agent.port, members) as port:
             await client.dial(port)
             assert client.connection is not None
             client.connection[1].write(decode_escapes(ENQUEUE))
@@ -196,7 +196,7 @@
     async def work() -> None:
         agent, ports = await Peer().start(), (free_port(), free_port())
         operator = '[beside]\nagent-check = "127.0.0.1:{}"\nhealth = "127.0.0.1:{}"\n'.format(*ports)
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             reader, _ = await asyncio.open_connection("127.0.0.1", ports[0])
             assert await reader.read() == b"up ready 100%\n"
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[1])
@@ -293,7 +293,7 @@
         await broker.start()
         set_reasons(broker, {"fails": 0x83, "silent": -1, "full": 0x97})
         client = Client(asyncio.get_running_loop())
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("good", 1)
@@ -332,7 +332,7 @@
         await broker.start()
         set_reasons(broker, {})
         client = Client(asyncio.get_running_loop())
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             for i in range(count):
@@ -361,7 +361,7 @@
         await broker.start()
         set_reasons(broker, {"m": -1})
         client = Client(asyncio.get_running_loop())
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("m", 1)
@@ -388,13 +388,13 @@
         set_reasons(broker, {"m": -1})
         client = Client(asyncio.get_running_loop())
         operator = OPERATOR.format(port=broker.port, dest=1)
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("m", 1)
             await poll_condition(lambda: calls_to_partner(broker))
         set_reasons(broker, {})
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             client.submit("m", 1)  # submitted twice: the id is still known after the restart
             await client.wait_for_answers(1)
             client.submit("n", 1)
@@ -414,7 +414,9 @@
         await broker.start()
         set_reasons(broker, {})
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
-        async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
+        async with running_program(
+            tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)
+        ) as port:
             await poll_condition(lambda: "n0-calls" in broker.sessions)
             await client.dial(port)
             assert client.connection is not None
@@ -448,7 +450,7 @@
             return Packet(Kind.PUBACK, id=packet.id)
 
         broker.acknowledge_partner_publish, client = acknowledge, Client(loop)
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("brief", 1, left=300)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from honeyhitch.service import shutdown
 
 from .agent import Agent
-from .program import enqueue, play, started
+from .program import enqueue, play, running_program
 from .rig import DispatcherRig, endpoint_row
 from .world import MS, SECOND
 
@@ -33,7 +33,7 @@
     async def work() -> None:
         agent = await Agent([]).start()
         members = [endpoint_row("s-1", 1)]
-        async with started(tmp_path, agent.port, members, stopped=True) as port:
+        async with running_program(tmp_path, agent.port, members, stopped=True) as port:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             if held:  # the port of its endpoint is closed, so the message waits for the next attempt
                 writer.write(enqueue("held"))
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -11,7 +11,7 @@
 
 from honeyhitch.protocols import discovery_backoff, notices
 
-from .program import Peer, enqueue, play, started
+from .program import Peer, enqueue, play, running_program
 from .rig import endpoint_row
 from .test_program import listed, watched
 
@@ -35,7 +35,9 @@
 
     async def scenario() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]) as port:  # s-1 does not listen
+        async with running_program(
+            tmp_path, agent.port, [endpoint_row("s-1", 1)]
+        ) as port:  # s-1 does not listen
             await watched(agent, agent.port)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(enqueue("id", left=500))
@@ -61,7 +63,7 @@
 
     async def scenario() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, [endpoint_row("s-1", 1)]):
+        async with running_program(tmp_path, agent.port, [endpoint_row("s-1", 1)]):
             dead = await agent.connections.get()
             second = await agent.connections.get()
             assert await dead[0].read() != b"", "its request, and then its end"
@@ -79,7 +81,7 @@
 
     async def scenario() -> None:
         agent = await Peer().start()
-        async with started(tmp_path, agent.port, []):  # without a list the complete list is requested
+        async with running_program(tmp_path, agent.port, []):  # without a list the complete list is requested
             dead = await agent.connections.get()
             agent.connection = await agent.connections.get()
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -23,7 +23,7 @@
 from .authority import Authority, Issued
 from .broker import Broker
 from .polling import poll_condition
-from .program import SETTINGS, Peer, free_port, play, started, write_config_files
+from .program import SETTINGS, Peer, free_port, play, running_program, write_config_files
 from .rig import endpoint_row
 from .test_program import OPERATOR, Client, receive, set_reasons
 from .tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
@@ -78,7 +78,7 @@
     client = Peer()
     agent = await Agent(endpoint_rows(partners)).start()
     options = {"settings": ROUGH_RATES, **options}
-    async with started(folder, agent.port, agent.members, operator, port, **options) as port:
+    async with running_program(folder, agent.port, agent.members, operator, port, **options) as port:
         await client.dial(port)
         yield port, client
 
@@ -174,7 +174,9 @@
         await partner.start()
         agent, client = await Agent(endpoint_rows([partner])).start(), Peer()
         operator = PARTNER.format(ca=authority.file)
-        async with started(tmp_path, agent.port, agent.members, operator, settings=ROUGH_RATES) as port:
+        async with running_program(
+            tmp_path, agent.port, agent.members, operator, settings=ROUGH_RATES
+        ) as port:
             await client.dial(port)
             for i in range(20):
                 await submit(client, f"m{i}", left=900)
@@ -425,7 +427,7 @@
             {**endpoint_row(f"p{i}", i), "host_port": f"127.0.0.1:{partner.port}"}
             for i, partner in enumerate(partners)
         ]
-        async with started(tmp_path, agent.port, endpoints, operator, limits=limits) as port:
+        async with running_program(tmp_path, agent.port, endpoints, operator, limits=limits) as port:
             await client.dial(port)
             assert client.connection is not None
             for i in range(40):
@@ -490,7 +492,7 @@
         operator = OPERATOR.format(port=broker.port, dest=1)
         operator += f'[mqtt.tls]\nca = "{trust}"\nserver-name = "localhost"\nretire-within = 0.2\n'
         client.paho.tls_set(str(authority.file))
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             await asyncio.to_thread(client.connect, broker.port)
             await wait_until(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("one", 1)
@@ -525,7 +527,7 @@
         await broker.start()
         operator = OPERATOR.format(port=broker.port, dest=1)
         operator += f'[mqtt.tls]\nca = "{authority.file}"\nserver-name = "localhost"\n'
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             await wait_until(lambda: len(log.events("tls.handshake-failed")) >= 3)
         assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"wrong-name"}
         assert not broker.sessions
