--- a/tests/program.py
+++ b/tests/program.py
@@ -75,7 +75,7 @@
         self.port = server.sockets[0].getsockname()[1]
         return self
 
-    async def accepted(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def accept_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         if self.connection is None:
             self.connection = await self.connections.get()
         return self.connection
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -112,7 +112,7 @@
             assert client.connection is not None
             client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
-            reader, writer = await endpoint.accepted()
+            reader, writer = await endpoint.accept_connection()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             client.connection[1].write(b"PING\r\n")
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -88,7 +88,7 @@
         async with lifespan(app) as sent:
             assert sent == [{"type": "lifespan.startup.complete"}]
             response = asyncio.ensure_future(post(app, ""))
-            reader, writer = await endpoint.accepted()
+            reader, writer = await endpoint.accept_connection()
             assert (await reader.readuntil(b"\r\n\r\nhi")).startswith(b"POST /v1/messages ")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             assert (await response)[0] == 200
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -40,7 +40,7 @@
 
 async def receive(peer: Peer, pattern: bytes) -> None:
     """Read exactly the bytes of `pattern`, in which `%` stands for digits."""
-    reader, _ = await peer.accepted()
+    reader, _ = await peer.accept_connection()
     expected = re.compile(re.escape(pattern).replace(b"%", rb"\d+"), re.DOTALL)
     received = b""
     while not expected.fullmatch(received):
@@ -100,7 +100,7 @@
         (self.directory / "config.json").write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
         await client.dial(self.port)
-        (await client.accepted())[1].write(b"PING\r\n")
+        (await client.accept_connection())[1].write(b"PING\r\n")
         await receive(client, b"+PONG\r\n")
         write_config_files(self.directory, self.port, other_agent.port, [])
         os.kill(os.getpid(), signal.SIGHUP)
@@ -116,7 +116,7 @@
             writer.close()
             self.peers[name].connection = None
         elif name[-1] == ">":
-            (await self.peers[name[:-1]].accepted())[1].write(decode_escapes(argument))
+            (await self.peers[name[:-1]].accept_connection())[1].write(decode_escapes(argument))
         else:
             peer = self.peers[name[:-1]]
             await receive(peer, decode_escapes(argument.replace("PORT", str(peer.port))))
@@ -147,14 +147,18 @@
 async def watched(agent: Peer, port: int, revision: int = 1) -> None:
     """Expect a watch of the changes after this revision, and answer with no change."""
     await receive(agent, decode_escapes(TARGETS % (f"?stream=1&index={revision}", port)))
-    (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+    (await agent.accept_connection())[1].write(
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
+    )
 
 
 async def listed(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
     """Serve a new agent's first requests: one for its complete list, then one for its changes."""
     await receive(agent, decode_escapes(TARGETS % ("", port)))
     body = json.dumps({"revision": 3, "complete": True, "members": members}).encode()
-    (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+    (await agent.accept_connection())[1].write(
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+    )
     await watched(agent, port, 3)
 
 
@@ -183,9 +187,9 @@
             client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
             await poll_condition(lambda: not faults)
-            await endpoint.accepted()  # the connection of the failed call, on which nothing is sent
+            await endpoint.accept_connection()  # the connection of the failed call, on which nothing is sent
             endpoint.connection = None
-            reader, _ = await endpoint.accepted()
+            reader, _ = await endpoint.accept_connection()
             assert await reader.readuntil(b"body")
 
     monkeypatch.setattr(calls, "encode_call", failing_encode)
@@ -422,7 +426,7 @@
             assert client.connection is not None
             client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
-            reader, writer = await endpoint.accepted()
+            reader, writer = await endpoint.accept_connection()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 429 No\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n")
             await poll_condition(lambda: calls_to_partner(broker))
