--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -74,7 +74,7 @@
         async with running_program(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
             # The first connection to the agent is the watch; notices come on another connection.
             self.peers["watch"].connection = await agent.connections.get()
-            await watched(self.peers["watch"], agent.port)
+            await serve_watch(self.peers["watch"], agent.port)
             agent.connection = None
             await self.peers["client"].dial(self.port)
             for line in lines:
@@ -104,7 +104,7 @@
         await receive(client, b"+PONG\r\n")
         write_config_files(self.directory, self.port, other_agent.port, [])
         os.kill(os.getpid(), signal.SIGHUP)
-        await listed(other_agent, other_agent.port, self.members)
+        await serve_list_and_watch(other_agent, other_agent.port, self.members)
         other_agent.connection = None  # notices come on another connection
 
     async def _play(self, name: str, argument: str) -> None:
@@ -144,7 +144,7 @@
 TARGETS = r"GET /api/targets%s HTTP/1.1\r\nHost: 127.0.0.1:%d\r\nAccept: application/json\r\n\r\n"
 
 
-async def watched(agent: Peer, port: int, revision: int = 1) -> None:
+async def serve_watch(agent: Peer, port: int, revision: int = 1) -> None:
     """Expect a watch of the changes after this revision, and answer with no change."""
     await receive(agent, decode_escapes(TARGETS % (f"?stream=1&index={revision}", port)))
     (await agent.accept_connection())[1].write(
@@ -152,14 +152,14 @@
     )
 
 
-async def listed(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
+async def serve_list_and_watch(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
     """Serve a new agent's first requests: one for its complete list, then one for its changes."""
     await receive(agent, decode_escapes(TARGETS % ("", port)))
     body = json.dumps({"revision": 3, "complete": True, "members": members}).encode()
     (await agent.accept_connection())[1].write(
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     )
-    await watched(agent, port, 3)
+    await serve_watch(agent, port, 3)
 
 
 ENQUEUE = (
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -13,7 +13,7 @@
 
 from .program import Peer, enqueue, play, running_program
 from .rig import endpoint_row
-from .test_program import listed, watched
+from .test_program import serve_list_and_watch, serve_watch
 
 UNREACHED_TIMEOUT_SECONDS = 3600.0  # seconds, a timeout that does not elapse within a test
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -38,7 +38,7 @@
         async with running_program(
             tmp_path, agent.port, [endpoint_row("s-1", 1)]
         ) as port:  # s-1 does not listen
-            await watched(agent, agent.port)
+            await serve_watch(agent, agent.port)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(enqueue("id", left=500))
             assert await reader.readline() == b"+OK\r\n"
@@ -68,7 +68,7 @@
             second = await agent.connections.get()
             assert await dead[0].read() != b"", "its request, and then its end"
             agent.connection = second
-            await watched(agent, agent.port)
+            await serve_watch(agent, agent.port)
 
     play(scenario())
 
@@ -85,6 +85,6 @@
             dead = await agent.connections.get()
             agent.connection = await agent.connections.get()
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
-            await listed(agent, agent.port, [endpoint_row("s-1", 1)])
+            await serve_list_and_watch(agent, agent.port, [endpoint_row("s-1", 1)])
 
     play(scenario())
