--- a/tests/program.py
+++ b/tests/program.py
@@ -45,7 +45,7 @@
 }
 
 
-def play(work: Coroutine[Any, Any, None]) -> None:
+def run_async_test(work: Coroutine[Any, Any, None]) -> None:
     """Run a test on uvloop; fail it if it takes longer than PLAY_TIMEOUT seconds, which is 60 by default."""
 
     async def bounded() -> None:
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -25,7 +25,7 @@
 from honeyhitch.transports.tasks import Tasks
 
 from .polling import poll_condition
-from .program import play, write_config_files
+from .program import run_async_test, write_config_files
 from .test_exchanges import EXCHANGE_SETTINGS, START, decode_escapes
 from .test_program import ENQUEUE
 
@@ -75,7 +75,7 @@
             for _ in range(20):  # each of many clients that send one request and stay connected gets a slot
                 await ping(await connect(server))
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_server_is_not_quiescent_while_connections_wait_for_a_slot() -> None:
@@ -95,7 +95,7 @@
                 await ping(stream)
             assert server.quiescent
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_connection_that_never_completes_a_request_gets_an_error_and_is_closed(
@@ -114,7 +114,7 @@
                 assert await reader.read() == expected + client_server.REQUEST_TIMEOUT_REPLY
             await ping(used)  # the timeout does not apply to a client that was answered and sends nothing
 
-    play(work())
+    run_async_test(work())
 
 
 def test_other_connections_are_served_during_a_flood_on_one() -> None:
@@ -133,7 +133,7 @@
             assert len(await flood[0].read(1 << 20)) < 100_000 * len(PONG)
             flood[1].close()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("sockets", [64, 256, 1024])
@@ -171,7 +171,7 @@
             streams[3][1].write(b"NG\r\n")
             assert await streams[3][0].readline() == PONG
 
-    play(work())
+    run_async_test(work())
 
 
 class SameIterationCallback:
@@ -220,7 +220,7 @@
             reader, _ = await asyncio.open_connection(sock=sock)
             assert await reader.read() == PONG, "whole, and only then the end"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_server_is_not_quiescent_while_it_accepts_a_connection() -> None:
@@ -236,7 +236,7 @@
             assert quiescent_states == [False]
             sock.close()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("moment", ["drain", "room", "limit"])
@@ -287,7 +287,7 @@
             await poll_condition(lambda: not server.clients, interval=0)
             assert not accepted
 
-    play(work())
+    run_async_test(work())
 
 
 class StallingLoop:
@@ -321,4 +321,4 @@
             reader, _ = await asyncio.open_connection(sock=sock)
             assert await reader.read() == PONG, "whole, and then the end"
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -24,7 +24,7 @@
     spawn,
     wait_until_serving,
 )
-from .program import enqueue, play, write_config_files
+from .program import enqueue, run_async_test, write_config_files
 from .rig import endpoint_row
 
 SOCKETS = 72  # descriptors of the process, as configured
@@ -82,7 +82,7 @@
             for task in idle_clients:
                 task.cancel()
 
-    play(work())
+    run_async_test(work())
 
 
 def test_nine_in_ten_processes_restarted_together_are_ready_in_time(tmp_path: Path) -> None:
@@ -123,7 +123,7 @@
                 assert repeated == b"+OK\r\n", "its journal was read: it knows what it holds"
                 assert messages_held(path) >= MESSAGES_EACH
 
-    play(work())
+    run_async_test(work())
 
 
 def messages_held(config_path: str) -> int:
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -36,7 +36,7 @@
 from .dead_letter_records import make_record
 from .partner import Partner
 from .polling import poll_until
-from .program import free_port, play, running_program, write_config_files
+from .program import free_port, run_async_test, running_program, write_config_files
 from .rig import START, endpoint_row
 from .test_program import Client
 
@@ -129,7 +129,7 @@
         assert exported["standing"] == "settled"
         assert exported["settled_by"].startswith("person:")
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broken_request_is_answered_and_its_connection_closed(tmp_path: Path) -> None:
@@ -148,7 +148,7 @@
             assert answers.count(b"HTTP/1.1 ") == 2
             writer.close()
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_store_that_cannot_be_opened_does_not_affect_live_traffic(tmp_path: Path) -> None:
@@ -172,7 +172,7 @@
             )
         assert [record.id for record in stored_records(tmp_path / "file")] == ["m1"]
 
-    play(work())
+    run_async_test(work())
 
 
 def stored_records(folder: Path) -> list[Record]:
@@ -288,7 +288,7 @@
             later_state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert later_state == state, "the second one's end must not take the first one's socket away"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_report_sums_each_message_once(tmp_path: Path) -> None:
@@ -429,7 +429,7 @@
         assert record.settled_by == ("copy:copy" if first == "copy" else f"resend:{record.resend_id}")
         assert partner.calls == 2, partner.bodies
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_program_does_not_report_ready_before_it_accepts_messages(
@@ -467,7 +467,7 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    play(work())
+    run_async_test(work())
 
 
 def is_listening(port: int) -> bool:
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -10,7 +10,7 @@
 from honeyhitch.journal.transactions import Transaction
 from honeyhitch.transports.peers import Forwarder, PeerConnections
 
-from .program import play
+from .program import run_async_test
 from .rig import SETTINGS
 from .world import SECOND, settings
 
@@ -52,7 +52,7 @@
 
 
 def run_test(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    play(work())
+    run_async_test(work())
 
 
 async def accept(_number: int, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
 from honeyhitch.transports import sockets
 
 from .polling import poll_condition
-from .program import Peer, play, running_program, write_config_files
+from .program import Peer, run_async_test, running_program, write_config_files
 from .rig import START, DispatcherRig, VirtualTime, endpoint_row
 from .world import SECOND as S
 
@@ -536,7 +536,7 @@
             await run(config.read({}, path), lambda before: before)
         assert not list((tmp_path / "state").glob("journal*"))
 
-    play(check_refusal())
+    run_async_test(check_refusal())
 
 
 FLEET = '[fleet]\nview = "127.0.0.1:9"\nzone = "a"\n[fleet.regions]\neast = ["a"]\n'
@@ -600,4 +600,4 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    play(start_second_process())
+    run_async_test(start_second_process())
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,7 +14,7 @@
 from honeyhitch import logs
 from honeyhitch.cli.main import main
 
-from .program import Peer, play, running_program
+from .program import Peer, run_async_test, running_program
 from .rig import endpoint_row
 from .test_exchanges import decode_escapes
 from .test_program import ENQUEUE, receive
@@ -123,4 +123,4 @@
             # The only event expected here reports that the scripted agent does not answer.
             assert [event for event in events(stream) if event.get("work") != "Discovery.watch"] == []
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -25,7 +25,7 @@
 from honeyhitch.policy.events import Outcome
 from honeyhitch.service.run import run
 
-from .program import free_port, play, write_config_files
+from .program import free_port, run_async_test, write_config_files
 from .rig import ENDPOINT_LIST, DispatcherRig, VirtualTime, endpoint_row
 from .world import SECOND
 
@@ -251,7 +251,7 @@
     path, _ = write_config_files(tmp_path, free_port(), 9, [], state=str(state_directory))
     loaded = config.read({}, path)
     with pytest.raises(config.ConfigError, match=r"^state: "):
-        play(run(loaded, lambda before: before))
+        run_async_test(run(loaded, lambda before: before))
 
 
 def test_stored_values_of_endings_are_unchanged() -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -24,7 +24,7 @@
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
 from honeyhitch.service.run import run
 
-from .program import Peer, free_port, play, running_program, write_config_files
+from .program import Peer, free_port, run_async_test, running_program, write_config_files
 from .rig import DispatcherRig, endpoint_row
 from .world import SECOND
 
@@ -149,7 +149,7 @@
             for _, writer in stalled:
                 writer.close()
 
-    play(work())
+    run_async_test(work())
 
 
 def test_status_and_stats_report_on_a_running_dispatcher(tmp_path: Path) -> None:
@@ -179,7 +179,7 @@
             assert "active: 0" in output
             assert "standard" in output
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize(
@@ -219,7 +219,7 @@
         with pytest.raises(config.ConfigError, match=r"^management: cannot listen on 127.0.0.1:\d+: Address"):
             await run(used_address_config, lambda before: before)
 
-    play(work())
+    run_async_test(work())
 
 
 @given(
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -18,7 +18,7 @@
 from honeyhitch import config
 from honeyhitch.middleware import DispatcherMiddleware
 
-from .program import Peer, free_port, play, write_config_files
+from .program import Peer, free_port, run_async_test, write_config_files
 from .rig import endpoint_row
 
 
@@ -105,7 +105,7 @@
         assert sent[-1] == {"type": "lifespan.shutdown.complete"}
         assert middlewares[0].service is None
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_middleware_answers_the_lifespan_of_an_application_that_has_none(tmp_path: Path) -> None:
@@ -119,7 +119,7 @@
             assert (await post(app, ""))[0] == 503
         assert sent[-1] == {"type": "lifespan.shutdown.complete"}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_dispatcher_that_cannot_start_is_reported_to_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -137,4 +137,4 @@
         assert [message["type"] for message in sent] == ["lifespan.startup.failed"]
         assert "ROUTER_CONFIG" in sent[0]["message"]
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -27,7 +27,7 @@
 from .agent import Agent
 from .polling import Changes, poll_until
 from .processes import CountingEndpoint, listening_port, request_line, spawn, wait_until_serving
-from .program import enqueue, play, write_config_files
+from .program import enqueue, run_async_test, write_config_files
 from .rig import endpoint_row
 
 REGIONS = (Region("east", ("a1",)), Region("west", ("b1",)))
@@ -204,7 +204,7 @@
             assert "y Ready, x Ready" in owner_result.output, owner_result.output
             assert "may use 0%" in owner_result.output, owner_result.output
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_request_is_forwarded_once_at_most(tmp_path: Path) -> None:
@@ -216,7 +216,7 @@
             await rig.wait_until_delivered("fine")
             assert not rig.endpoint.calls["looped"]
 
-    play(work())
+    run_async_test(work())
 
 
 def test_an_owner_that_was_killed_is_replaced_by_the_next_candidate(tmp_path: Path) -> None:
@@ -238,7 +238,7 @@
             rig.processes["x"].kill()
             await rig.processes["x"].wait()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("failure", ["hangs", "killed"])
@@ -266,7 +266,7 @@
                 assert await rig.submit("x", "after", destination) == b"+OK\r\n"
                 await rig.wait_until_delivered("after")
 
-    play(work())
+    run_async_test(work())
 
 
 def has_unread_bytes(port: int) -> bool:
@@ -300,7 +300,7 @@
             await rig.wait_until_delivered("after", *accepted)
             assert not any(rig.endpoint.calls[name] for name in replies.keys() - set(accepted))
 
-    play(work())
+    run_async_test(work())
 
 
 def test_with_control_down_all_instances_keep_their_reserved_part_also_after_a_restart(
@@ -327,7 +327,7 @@
             await rig.control.start()
             await rig.wait_for_quota("x", destination, 1.0)
 
-    play(work())
+    run_async_test(work())
 
 
 def test_without_a_reachable_owner_the_reply_names_a_retry_after(tmp_path: Path) -> None:
@@ -339,7 +339,7 @@
                 await rig.processes[name].wait()
             assert await rig.submit("x", "one", destination) == b"-BUSY 500\r\n"
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize(
@@ -364,4 +364,4 @@
             await rig.wait_until_delivered("two")
             assert not rig.endpoint.calls["one"]
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,7 +30,7 @@
 
 from .broker import Broker
 from .polling import Changes, poll_condition
-from .program import Peer, free_port, play, running_program, write_config_files
+from .program import Peer, free_port, run_async_test, running_program, write_config_files
 from .rig import endpoint_row
 from .test_exchanges import decode_escapes
 from .world import MS
@@ -138,7 +138,7 @@
         for process in processes:
             await runner.run(process.splitlines())
 
-    play(work())
+    run_async_test(work())
 
 
 TARGETS = r"GET /api/targets%s HTTP/1.1\r\nHost: 127.0.0.1:%d\r\nAccept: application/json\r\n\r\n"
@@ -193,7 +193,7 @@
             assert await reader.readuntil(b"body")
 
     monkeypatch.setattr(calls, "encode_call", failing_encode)
-    play(work())
+    run_async_test(work())
 
 
 def test_health_checks_of_load_balancers_are_answered(tmp_path: Path) -> None:
@@ -209,7 +209,7 @@
             assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
             assert answer.endswith(b'"held": 0, "most": 50}')
 
-    play(work())
+    run_async_test(work())
 
 
 OPERATOR = """
@@ -327,7 +327,7 @@
         assert client.answers[""][0]["reason"].startswith("id:")
         assert client.answers["nobody"][0]["reason"].startswith("dest:")
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broker_killed_in_a_burst_leaves_one_final_answer_each(tmp_path: Path) -> None:
@@ -356,7 +356,7 @@
         calls = calls_to_partner(broker)
         assert not any(packet.dup for packet in calls), "no call is repeated by itself"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broker_lost_with_a_call_in_flight_is_a_reset_and_the_policy_decides(tmp_path: Path) -> None:
@@ -382,7 +382,7 @@
         assert {dict(packet.user)["key"] for packet in calls} == {"k-m"}, "its key lets the partner drop it"
         assert [answer["status"] for answer in client.answers["m"]] == ["delivered"]
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_process_killed_with_a_call_in_flight_still_gives_one_final_answer(tmp_path: Path) -> None:
@@ -409,7 +409,7 @@
         calls = calls_to_partner(broker)
         assert [dict(packet.user)["id"] for packet in calls] == ["m", "m", "n"]
 
-    play(work())
+    run_async_test(work())
 
 
 def test_one_partner_over_both_protocols_shares_its_retry_after(tmp_path: Path) -> None:
@@ -434,7 +434,7 @@
         assert len(attempts) == 2
         assert attempts[1] - attempts[0] >= 800 * MS
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_retry_after_received_after_its_call_was_cancelled_is_applied(tmp_path: Path) -> None:
@@ -471,4 +471,4 @@
         assert len(second_calls) == 1
         assert second_calls[0] >= retry_after_received_at + 0.5, "started before the Retry-After was over"
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from honeyhitch.service import shutdown
 
 from .agent import Agent
-from .program import enqueue, play, running_program
+from .program import enqueue, run_async_test, running_program
 from .rig import DispatcherRig, endpoint_row
 from .world import MS, SECOND
 
@@ -48,7 +48,7 @@
             writer.write(request[-3:])
             assert (await reader.readline())[:5] in (b"-BUSY", b"+OK\r\n"), "the reply is complete"
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("process_end", ["kill", "shutdown"])
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -11,7 +11,7 @@
 
 from honeyhitch.protocols import discovery_backoff, notices
 
-from .program import Peer, enqueue, play, running_program
+from .program import Peer, enqueue, run_async_test, running_program
 from .rig import endpoint_row
 from .test_program import serve_list_and_watch, serve_watch
 
@@ -52,7 +52,7 @@
             writer.write(b"PING\r\n")
             assert await reader.readline() == b"+PONG\r\n"
 
-    play(scenario())
+    run_async_test(scenario())
 
 
 def test_a_watch_without_a_response_ends_before_the_heartbeat_timeout(
@@ -70,7 +70,7 @@
             agent.connection = second
             await serve_watch(agent, agent.port)
 
-    play(scenario())
+    run_async_test(scenario())
 
 
 def test_a_list_that_never_arrives_is_requested_on_another_connection(
@@ -87,4 +87,4 @@
             assert b"GET /api/targets HTTP/1.1" in await dead[0].read()
             await serve_list_and_watch(agent, agent.port, [endpoint_row("s-1", 1)])
 
-    play(scenario())
+    run_async_test(scenario())
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -23,7 +23,7 @@
 from .authority import Authority, Issued
 from .broker import Broker
 from .polling import poll_condition
-from .program import SETTINGS, Peer, free_port, play, running_program, write_config_files
+from .program import SETTINGS, Peer, free_port, run_async_test, running_program, write_config_files
 from .rig import endpoint_row
 from .test_program import OPERATOR, Client, receive, set_reasons
 from .tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
@@ -126,7 +126,7 @@
         assert (partner.full, partner.resumed) == (1, 1)
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("fault", ["split", "no-resumption", "restart"])
@@ -152,7 +152,7 @@
         assert set(partner.applied.values()) == {1}
         assert not partner.resumed or fault != "no-resumption"
 
-    play(work())
+    run_async_test(work())
 
 
 FAULTS = {
@@ -191,7 +191,7 @@
         assert failed_handshakes[0]["member"] == "p0"
         assert failed_handshakes[0]["partner"] == "dest:1"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_late_rejection_of_our_certificate_is_recorded_as_not_executed(
@@ -224,7 +224,7 @@
             "all but the last never ran"
         )
 
-    play(work())
+    run_async_test(work())
 
 
 def install_own_files(issued: Issued, certificate: Path, key: Path) -> None:
@@ -256,7 +256,7 @@
         records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
         assert len([fields for fields in records if fields["t"] == "attempt"]) == 8, "no attempt was used up"
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("case", ["same-ca", "overlap", "new-ca"])
@@ -290,7 +290,7 @@
             await wait_until(lambda: all(partner.applied[f"k-m{i}"] for i in range(30)))
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_our_own_certificate_is_rotated_under_load_and_half_written_files_change_nothing(
@@ -338,7 +338,7 @@
         assert "does not belong to the certificate" in rejection["error"]
         assert rejection["partner"] == "dest:1"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_partner_with_a_revoked_certificate_gets_no_further_call(
@@ -363,7 +363,7 @@
         assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"revoked"}
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_restarted_partner_gets_a_burst_within_its_handshake_budget(
@@ -390,7 +390,7 @@
             assert partner.max_weight_within(1.0) <= 20
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_kill_during_handshakes_neither_loses_nor_repeats_messages(
@@ -410,7 +410,7 @@
             await wait_until(lambda: len(partner.applied) == 5)
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_handshakes_stay_within_the_descriptor_limit(tmp_path: Path, authority: Authority) -> None:
@@ -445,7 +445,7 @@
             # 2 connections that are idle or in a handshake.
             assert 1 <= open_now <= 3, open_now
 
-    play(work())
+    run_async_test(work())
 
 
 def test_an_end_without_close_notify_breaks_only_a_response_that_the_end_delimits(
@@ -475,7 +475,7 @@
         (broken,) = log.events("tls.call-broken")
         assert broken["failure"] == "truncated"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_broker_is_reached_over_tls_and_reconnected_after_a_reload(
@@ -515,7 +515,7 @@
             "two": ["delivered"],
         }
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broker_with_the_wrong_name_receives_nothing(
@@ -532,7 +532,7 @@
         assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"wrong-name"}
         assert not broker.sessions
 
-    play(work())
+    run_async_test(work())
 
 
 def test_sigkill_to_the_process_in_the_middle_of_handshakes(tmp_path: Path, authority: Authority) -> None:
@@ -577,7 +577,7 @@
         assert set(partner.applied.values()) == {1}
         assert not agent.notices
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_partners_certificate_that_expires_soon_is_logged(
@@ -592,4 +592,4 @@
         assert (warning["whose"], warning["partner"]) == ("partner", "dest:1")
         assert 2 < warning["days_left"] <= 3
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,7 @@
 
 from .agent import Agent
 from .polling import Changes, poll_until
-from .program import free_port, play, write_config_files
+from .program import free_port, run_async_test, write_config_files
 from .rig import endpoint_row
 
 ROOT = Path(__file__).parent.parent
@@ -220,7 +220,7 @@
         assert not unanswered, "connections that were closed, refused or left unread"
         assert max(rig.ledger.delivered.values()) == 1
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -255,4 +255,4 @@
                 if not rig.running:
                     await rig.start()
 
-    play(work())
+    run_async_test(work())
