--- a/tests/dead_letters_rig.py
+++ b/tests/dead_letters_rig.py
@@ -133,10 +133,10 @@
         self.limits = limits or StoreLimits()
         super().__init__(folder, time, **rig_options)
 
-    def make_journal(self, folder: Path, disk: int) -> Journal:
+    def make_journal(self, folder: Path, max_journal_bytes: int) -> Journal:
         journal = KilledJournal.__new__(KilledJournal)
         journal.kill_points = self.kill_points  # set before __init__, which already writes
-        journal.__init__(folder, disk, self.time.now, lambda _ended: 20 * SECOND, detailed=True)  # type: ignore[misc]
+        journal.__init__(folder, max_journal_bytes, self.time.now, lambda _ended: 20 * SECOND, detailed=True)  # type: ignore[misc]
         return journal
 
     def _open_store(self) -> Store:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -72,13 +72,13 @@
         self,
         folder: Path,
         time: VirtualTime | None = None,
-        disk: int = 3_000_000,
-        known: dict[str, Any] | None = None,
+        max_journal_bytes: int = 3_000_000,
+        endpoint_list: dict[str, Any] | None = None,
         **setting_overrides: Any,
     ) -> None:
         self.settings = settings(**{**SETTINGS, **setting_overrides})
         self.time = time or VirtualTime()
-        self.journal = self.make_journal(folder, disk)
+        self.journal = self.make_journal(folder, max_journal_bytes)
         self.calls: list[Call] = []
         self.closed_endpoints: list[str] = []  # endpoints whose idle connections were closed
         self.answers: list[Transaction] = []
@@ -90,15 +90,17 @@
             self.dispatcher.frontends[name] = self
         self.before_recovery()
         self.dispatcher.apply_list_update(
-            self.dispatcher.pool.update(ENDPOINT_LIST if known is None else known, cached=True)
+            self.dispatcher.pool.update(
+                ENDPOINT_LIST if endpoint_list is None else endpoint_list, cached=True
+            )
         )
         self.resume()
 
     def resume(self) -> None:
         self.dispatcher.recover()
 
-    def make_journal(self, folder: Path, disk: int) -> Journal:
-        return Journal(folder, disk, self.time.now, retention)
+    def make_journal(self, folder: Path, max_journal_bytes: int) -> Journal:
+        return Journal(folder, max_journal_bytes, self.time.now, retention)
 
     def before_recovery(self) -> None:
         """Hook for subclasses, called before the messages of the journal are resumed."""
--- a/tests/test_dead_letters_transfer.py
+++ b/tests/test_dead_letters_transfer.py
@@ -117,7 +117,7 @@
 
     Messages that were certainly not executed are discarded first.
     """
-    rig = DeadLetterRig(tmp_path, disk=100_000)
+    rig = DeadLetterRig(tmp_path, max_journal_bytes=100_000)
     rig.worker.failure = sqlite3.OperationalError("database or disk is full")
     fail_message(rig, "ran", Outcome.ERROR)
     for i in range(60):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -193,7 +193,7 @@
 
 
 def test_a_full_journal_rejects_and_never_crashes(tmp_path: Path) -> None:
-    rig = DispatcherRig(tmp_path, disk=60_000, max_messages=10_000)
+    rig = DispatcherRig(tmp_path, max_journal_bytes=60_000, max_messages=10_000)
     accepted = [rig.submit(f"m{i}") for i in range(300)]
     assert accepted[0]
     assert not accepted[-1]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -81,9 +81,9 @@
         self.state_directory = StateDirectory(folder)
         super().__init__(folder, time, **rig_arguments)
 
-    def make_journal(self, folder: Path, disk: int) -> Journal:
+    def make_journal(self, folder: Path, max_journal_bytes: int) -> Journal:
         file_name = self.state_directory.journal_path(self.state_directory.slot).name
-        return Journal(folder, disk, self.time.now, lambda _: RETENTION, file_name=file_name)
+        return Journal(folder, max_journal_bytes, self.time.now, lambda _: RETENTION, file_name=file_name)
 
     def resume(self) -> None:
         self.reported_calls: list[int | None] = []  # reported numbers of the peer's calls in flight
@@ -231,14 +231,14 @@
 def test_a_process_that_hands_over_leaves_its_successor_the_disk_space_it_needs(tmp_path: Path) -> None:
     """Both processes hold the same messages for a while, so half of a full journal's messages fit twice."""
     time, disk, count = VirtualTime(), 200_000, 0
-    old = Process(tmp_path, time, disk=disk, max_messages=1000)
+    old = Process(tmp_path, time, max_journal_bytes=disk, max_messages=1000)
     while old.submit(f"m{count}"):
         if count % 4:  # most records in the file are of ended messages
             old.dispatcher.conclude(old.dispatcher.messages.by_id[f"m{count}"], Ending.REJECTED)
         count += 1
     for name in sorted(old.held())[::2]:
         old.dispatcher.conclude(old.dispatcher.messages.by_id[name], Ending.REJECTED)
-    new, expected_ids = Process(tmp_path, time, disk=disk, max_messages=1000), old.held()
+    new, expected_ids = Process(tmp_path, time, max_journal_bytes=disk, max_messages=1000), old.held()
     new.handover.retry_after_events()  # as in a round; also reads how much disk space the other process uses
     old.dispatcher.hand_over()
     new.handover.check_peer()
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -51,8 +51,8 @@
     def __init__(self, folder: Path, **settings_overrides: Any) -> None:
         self.directory = folder
         listed = [{**endpoint_row(f"s-{number}", number), "size": 40.0} for number in range(1, 60)]
-        known = {"revision": 1, "complete": True, "members": listed}
-        super().__init__(folder, known=known, instance_count=4, **settings_overrides)
+        endpoint_list = {"revision": 1, "complete": True, "members": listed}
+        super().__init__(folder, endpoint_list=endpoint_list, instance_count=4, **settings_overrides)
 
     def refetch(self) -> None:
         self.refetched += 1
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -125,7 +125,7 @@
     def __init__(self, world: World, endpoint_list: dict[str, Any]) -> None:
         self.world, self.killed = world, False
         node_settings: dict[str, Any] = {"classes": CLASSES, "max_messages": 600, "max_concurrent_calls": 12}
-        super().__init__(world.directory, world.time, known=endpoint_list, **node_settings)
+        super().__init__(world.directory, world.time, endpoint_list=endpoint_list, **node_settings)
 
     def start(self, call: Call) -> None:
         if self.killed:
