--- a/tests/program.py
+++ b/tests/program.py
@@ -45,7 +45,7 @@
 }
 
 
-def play(work: Coroutine[Any, Any, None]) -> None:
+def run_async_test(work: Coroutine[Any, Any, None]) -> None:
     """Run a test on uvloop; fail it if it takes longer than PLAY_TIMEOUT seconds, which is 60 by default."""
 
     async def bounded() -> None:
@@ -75,7 +75,7 @@
         self.port = server.sockets[0].getsockname()[1]
         return self
 
-    async def accepted(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def accept_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         if self.connection is None:
             self.connection = await self.connections.get()
         return self.connection
@@ -108,7 +108,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started(
+async def running_program(
     folder: Path,
     discovery: int,
     members: list[dict[str, Any]],
@@ -119,7 +119,7 @@
 ) -> AsyncIterator[int]:
     """Run the program and yield its port once it is ready. At the end cancel it, as abruptly as a kill."""
     port = port or free_port()
-    paths = write(folder, port, discovery, members, operator, **file_fields)
+    paths = write_config_files(folder, port, discovery, members, operator, **file_fields)
     task = asyncio.ensure_future(
         run(config.read({}, *paths), lambda previous: config.read({}, *paths, previous))
     )
@@ -133,7 +133,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def write(
+def write_config_files(
     folder: Path,
     port: int,
     discovery: int,
--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -126,8 +126,8 @@
         rig_options.setdefault("max_messages", 50)
         super().__init__(folder, time, kill_points, **rig_options)
 
-    def prepare(self) -> None:
-        super().prepare()
+    def before_recovery(self) -> None:
+        super().before_recovery()
         settings = DeadLetterSettings(rules=self.rules, resend_settings=self.resend_settings)
         self.resend_scheduler = ResendScheduler(settings, self.dispatcher, self.time, self.worker.submit)
         self.journal_transfer.stored_listeners.append(self.resend_scheduler.records_stored)
@@ -223,7 +223,7 @@
             submit(rig, client, name)
     answers_before = len(rig.answers)
     try:
-        rig.run(STEP_SECONDS)
+        rig.advance(STEP_SECONDS)
     finally:  # clients receive the answers that were sent before a kill
         for answer in rig.answers[answers_before:]:
             client = next(client for client in clients if answer.id in client.ids)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -55,7 +55,7 @@
         self.sequence += 1
         heapq.heappush(self.heap, (when, self.sequence, callback))
 
-    def run(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Advance the time, calling each callback when it is due."""
         end_time = self.time + int(seconds * SECOND)
         while self.heap and self.heap[0][0] <= end_time:
@@ -72,13 +72,13 @@
         self,
         folder: Path,
         time: VirtualTime | None = None,
-        disk: int = 3_000_000,
-        known: dict[str, Any] | None = None,
+        max_journal_bytes: int = 3_000_000,
+        endpoint_list: dict[str, Any] | None = None,
         **setting_overrides: Any,
     ) -> None:
         self.settings = settings(**{**SETTINGS, **setting_overrides})
         self.time = time or VirtualTime()
-        self.journal = self.make_journal(folder, disk)
+        self.journal = self.make_journal(folder, max_journal_bytes)
         self.calls: list[Call] = []
         self.closed_endpoints: list[str] = []  # endpoints whose idle connections were closed
         self.answers: list[Transaction] = []
@@ -88,19 +88,21 @@
             self.dispatcher.transports[name] = self
         for name in ("resp", "mqtt"):
             self.dispatcher.frontends[name] = self
-        self.prepare()
+        self.before_recovery()
         self.dispatcher.apply_list_update(
-            self.dispatcher.pool.update(ENDPOINT_LIST if known is None else known, cached=True)
+            self.dispatcher.pool.update(
+                ENDPOINT_LIST if endpoint_list is None else endpoint_list, cached=True
+            )
         )
         self.resume()
 
     def resume(self) -> None:
         self.dispatcher.recover()
 
-    def make_journal(self, folder: Path, disk: int) -> Journal:
-        return Journal(folder, disk, self.time.now, retention)
+    def make_journal(self, folder: Path, max_journal_bytes: int) -> Journal:
+        return Journal(folder, max_journal_bytes, self.time.now, retention)
 
-    def prepare(self) -> None:
+    def before_recovery(self) -> None:
         """Hook for subclasses, called before the messages of the journal are resumed."""
 
     def start(self, call: Call) -> None:
@@ -132,10 +134,10 @@
             setattr(result, name, value)
         self.dispatcher.call_ended(call, result)
 
-    def run(self, seconds: float) -> list[Call]:
+    def advance(self, seconds: float) -> list[Call]:
         """Advance the time and return the calls started meanwhile."""
         previous_count = len(self.calls)
-        self.time.run(seconds)
+        self.time.advance(seconds)
         return self.calls[previous_count:]
 
 
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -36,7 +36,7 @@
 from .dead_letter_records import make_record
 from .partner import Partner
 from .polling import poll_until
-from .program import free_port, play, started, write
+from .program import free_port, run_async_test, running_program, write_config_files
 from .rig import START, endpoint_row
 from .test_program import Client
 
@@ -77,7 +77,7 @@
         members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
         agent = await Agent(members).start()
         control = tmp_path / "state" / "control.sock"
-        async with started(tmp_path, agent.port, members, OPERATOR_FILE) as port:
+        async with running_program(tmp_path, agent.port, members, OPERATOR_FILE) as port:
             assert stat.S_IMODE(os.stat(control).st_mode) == 0o600
             await submit_message(port, "m1")
             cli_options = [
@@ -129,14 +129,14 @@
         assert exported["standing"] == "settled"
         assert exported["settled_by"].startswith("person:")
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broken_request_is_answered_and_its_connection_closed(tmp_path: Path) -> None:
     async def work() -> None:
         agent = await Agent([]).start()
         operator = f'[control]\npath = "{tmp_path}/c.sock"\n'
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "c.sock"))
             writer.write(
                 b"GET /state HTTP/1.1\r\nHost: x\r\n\r\nPOST /x HTTP/1.1\r\nContent-Length: 1\r\n\r\n{"
@@ -148,7 +148,7 @@
             assert answers.count(b"HTTP/1.1 ") == 2
             writer.close()
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_store_that_cannot_be_opened_does_not_affect_live_traffic(tmp_path: Path) -> None:
@@ -158,7 +158,7 @@
         agent = await Agent(members).start()
         (tmp_path / "file").write_text("in the way")
         operator = f'[undelivered]\nfolder = "{tmp_path}/file"\n'
-        async with started(tmp_path, agent.port, members, operator) as port:
+        async with running_program(tmp_path, agent.port, members, operator) as port:
             await submit_message(port, "m1")
             await wait_until(lambda: "m1" in agent.notices)
             partner.status = 200
@@ -166,13 +166,13 @@
             await submit_message(port, "m2", time_left_ms=15_000)
             await wait_until(lambda: partner.calls > calls)
         os.unlink(tmp_path / "file")
-        async with started(tmp_path, agent.port, members, operator):
+        async with running_program(tmp_path, agent.port, members, operator):
             await wait_until(
                 lambda: (tmp_path / "file" / "undelivered.db").exists() and stored_records(tmp_path / "file")
             )
         assert [record.id for record in stored_records(tmp_path / "file")] == ["m1"]
 
-    play(work())
+    run_async_test(work())
 
 
 def stored_records(folder: Path) -> list[Record]:
@@ -192,7 +192,7 @@
     store = Store(folder, clock=lambda: START)
     store.add(
         [
-            make_record(ran=i % 2 == 0, tenant=f"t{i % 3}", destination=i % 4, body=b"=cmd()")
+            make_record(may_have_executed=i % 2 == 0, tenant=f"t{i % 3}", destination=i % 4, body=b"=cmd()")
             for i in range(count)
         ]
     )
@@ -276,11 +276,11 @@
         operator = f'[control]\npath = "{tmp_path}/c.sock"\n'
         with socket.socket(socket.AF_UNIX) as stale_socket:
             stale_socket.bind(f"{tmp_path}/c.sock")
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert state["phase"] == "ready"
             (tmp_path / "second").mkdir()
-            async with started(tmp_path / "second", agent.port, [], operator):
+            async with running_program(tmp_path / "second", agent.port, [], operator):
                 later_state = await asyncio.to_thread(
                     ControlClient(tmp_path / "c.sock").request, "GET", "/state"
                 )
@@ -288,7 +288,7 @@
             later_state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
             assert later_state == state, "the second one's end must not take the first one's socket away"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_report_sums_each_message_once(tmp_path: Path) -> None:
@@ -297,7 +297,7 @@
     store.add(
         [
             make_record(body=body, tenant="<b>one</b>"),
-            make_record(body=body, ran=True, idempotency="unsafe", destination=2),
+            make_record(body=body, may_have_executed=True, idempotency="unsafe", destination=2),
             make_record(
                 body=b'{"invoice": {"total": "4.5"}}', status=RecordStatus.SETTLED, settled_by="resend:x"
             ),
@@ -373,7 +373,7 @@
     """
 
     async def work() -> None:
-        partner, broker = await Partner(200, holds=True).start(), Broker()
+        partner, broker = await Partner(200, holds_replies=True).start(), Broker()
         await broker.start()
         client = Client(asyncio.get_running_loop())
         members = [{**endpoint_row("s-1", 1), "host_port": f"127.0.0.1:{partner.port}"}]
@@ -392,7 +392,9 @@
         # If the duplicate is first, RULES_FILE is loaded later.
         rules_file = hold_rules_file if first == "copy" else RULES_FILE
         store.close()
-        async with started(tmp_path, agent.port, members, rules_file.format(broker=broker.port)) as port:
+        async with running_program(
+            tmp_path, agent.port, members, rules_file.format(broker=broker.port)
+        ) as port:
             client.connect(broker.port)
             await wait_until(lambda: broker.subscribed("n0-intake", "client"))
 
@@ -427,7 +429,7 @@
         assert record.settled_by == ("copy:copy" if first == "copy" else f"resend:{record.resend_id}")
         assert partner.calls == 2, partner.bodies
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_program_does_not_report_ready_before_it_accepts_messages(
@@ -446,7 +448,9 @@
 
     async def work() -> None:
         port = free_port()
-        path = write(tmp_path, port, free_port(), [], OPERATOR_FILE, management=f"127.0.0.1:{management}")
+        path = write_config_files(
+            tmp_path, port, free_port(), [], OPERATOR_FILE, management=f"127.0.0.1:{management}"
+        )
         task = asyncio.ensure_future(run(config.read({}, *path), lambda now: now))
         try:
             while not ready_callbacks:
@@ -463,7 +467,7 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    play(work())
+    run_async_test(work())
 
 
 def is_listening(port: int) -> bool:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,9 +14,9 @@
 from honeyhitch import logs
 from honeyhitch.cli.main import main
 
-from .program import Peer, play, started
+from .program import Peer, run_async_test, running_program
 from .rig import endpoint_row
-from .test_exchanges import raw
+from .test_exchanges import decode_escapes
 from .test_program import ENQUEUE, receive
 
 
@@ -106,13 +106,13 @@
     async def work() -> None:
         agent, endpoint, client = await Peer().start(), await Peer().start(), Peer()
         endpoint_rows = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
-        async with started(tmp_path, agent.port, endpoint_rows) as port:
+        async with running_program(tmp_path, agent.port, endpoint_rows) as port:
             stream.truncate(0)
             await client.dial(port)
             assert client.connection is not None
-            client.connection[1].write(raw(ENQUEUE))
+            client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
-            reader, writer = await endpoint.accepted()
+            reader, writer = await endpoint.accept_connection()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             client.connection[1].write(b"PING\r\n")
@@ -123,4 +123,4 @@
             # The only event expected here reports that the scripted agent does not answer.
             assert [event for event in events(stream) if event.get("work") != "Discovery.watch"] == []
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -24,7 +24,7 @@
 from honeyhitch.service.descriptors import MONITORING_CONNECTIONS, descriptor_budget
 from honeyhitch.service.run import run
 
-from .program import Peer, free_port, play, started, write
+from .program import Peer, free_port, run_async_test, running_program, write_config_files
 from .rig import DispatcherRig, endpoint_row
 from .world import SECOND
 
@@ -34,7 +34,7 @@
     for name in "abcd":
         assert rig.submit(name)
     assert not rig.submit("e"), "full: turned away"
-    (first, *_) = rig.run(0.1)
+    (first, *_) = rig.advance(0.1)
     rig.dispatcher.call_written(first)
     rig.end(first, Outcome.DELIVERED)
     assert rig.dispatcher.metrics_snapshot()["responses"]["standard"] == {
@@ -93,11 +93,11 @@
 def test_an_endpoint_that_sent_a_retry_after_is_avoided_until_it_expires(tmp_path: Path) -> None:
     rig = DispatcherRig(tmp_path)
     rig.submit("a")
-    (call,) = rig.run(0.1)
+    (call,) = rig.advance(0.1)
     rig.end(call, Outcome.REJECTED, retry_after=2 * SECOND)
-    rig.run(0.1)
+    rig.advance(0.1)
     assert rig.dispatcher.metrics_snapshot()["pool_ejected"] == 1
-    rig.run(2)
+    rig.advance(2)
     assert rig.dispatcher.metrics_snapshot()["pool_ejected"] == 0
 
 
@@ -113,7 +113,7 @@
             accepted += 1
         else:
             counted["shed"] += 1
-        for call in rig.run(rng.random() / 20):
+        for call in rig.advance(rng.random() / 20):
             written = rng.random() < 0.9
             if written:
                 counted["tries"] += len(call.messages)
@@ -133,7 +133,9 @@
 def test_callers_that_stall_delay_no_other_reply(tmp_path: Path) -> None:
     async def work() -> None:
         port, agent = free_port(), await Peer().start()
-        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{port}"):
+        async with running_program(
+            tmp_path, agent.port, [endpoint_row("s", 1)], management=f"127.0.0.1:{port}"
+        ):
             stalled = [
                 await asyncio.open_connection("127.0.0.1", port) for _ in range(2 * MONITORING_CONNECTIONS)
             ]
@@ -147,7 +149,7 @@
             for _, writer in stalled:
                 writer.close()
 
-    play(work())
+    run_async_test(work())
 
 
 def test_status_and_stats_report_on_a_running_dispatcher(tmp_path: Path) -> None:
@@ -162,7 +164,9 @@
         code, output = await call("status")
         assert code == 1
         assert "no answer" in output
-        async with started(tmp_path, agent.port, [endpoint_row("s", 1)], management=address_option[1]):
+        async with running_program(
+            tmp_path, agent.port, [endpoint_row("s", 1)], management=address_option[1]
+        ):
             assert await call("status") == (0, f"{address_option[1]}: ready\n")
             code, output = await call("status", "--json")
             assert code == 0
@@ -175,7 +179,7 @@
             assert "active: 0" in output
             assert "standard" in output
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize(
@@ -189,14 +193,14 @@
 def test_an_invalid_management_address_is_reported_with_its_key(
     tmp_path: Path, address: str, expected: str
 ) -> None:
-    path, _ = write(tmp_path, 6379, 8500, [], management=address)
+    path, _ = write_config_files(tmp_path, 6379, 8500, [], management=address)
     with pytest.raises(config.ConfigError) as error:
         config.read({}, path)
     assert str(error.value) == expected
 
 
 def test_the_variable_takes_precedence_and_descriptors_are_reserved(tmp_path: Path) -> None:
-    path, _ = write(tmp_path, 6379, 8500, [])
+    path, _ = write_config_files(tmp_path, 6379, 8500, [])
     without_management = config.read({}, path)
     with_management = config.read({"ROUTER_MANAGEMENT": "127.0.0.1:9"}, path)
     assert without_management.management is None
@@ -210,12 +214,12 @@
 def test_an_address_in_use_ends_the_start_with_its_key(tmp_path: Path) -> None:
     async def work() -> None:
         port = (await Peer().start()).port
-        path, _ = write(tmp_path, free_port(), port, [], management=f"127.0.0.1:{port}")
+        path, _ = write_config_files(tmp_path, free_port(), port, [], management=f"127.0.0.1:{port}")
         used_address_config = config.read({}, path)
         with pytest.raises(config.ConfigError, match=r"^management: cannot listen on 127.0.0.1:\d+: Address"):
             await run(used_address_config, lambda before: before)
 
-    play(work())
+    run_async_test(work())
 
 
 @given(
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -18,7 +18,7 @@
 from honeyhitch import config
 from honeyhitch.middleware import DispatcherMiddleware
 
-from .program import Peer, free_port, play, write
+from .program import Peer, free_port, run_async_test, write_config_files
 from .rig import endpoint_row
 
 
@@ -71,7 +71,7 @@
 def make_config(folder: Path, agent: Peer, endpoint: Peer) -> config.Config:
     endpoint_rows = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
     endpoint_rows.append(endpoint_row("leaving", 9, phase="Terminating"))
-    return config.read({}, *write(folder, free_port(), agent.port, endpoint_rows))
+    return config.read({}, *write_config_files(folder, free_port(), agent.port, endpoint_rows))
 
 
 def test_an_application_delivers_and_a_reject_becomes_503(tmp_path: Path) -> None:
@@ -88,7 +88,7 @@
         async with lifespan(app) as sent:
             assert sent == [{"type": "lifespan.startup.complete"}]
             response = asyncio.ensure_future(post(app, ""))
-            reader, writer = await endpoint.accepted()
+            reader, writer = await endpoint.accept_connection()
             assert (await reader.readuntil(b"\r\n\r\nhi")).startswith(b"POST /v1/messages ")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             assert (await response)[0] == 200
@@ -105,7 +105,7 @@
         assert sent[-1] == {"type": "lifespan.shutdown.complete"}
         assert middlewares[0].service is None
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_middleware_answers_the_lifespan_of_an_application_that_has_none(tmp_path: Path) -> None:
@@ -119,7 +119,7 @@
             assert (await post(app, ""))[0] == 503
         assert sent[-1] == {"type": "lifespan.shutdown.complete"}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_dispatcher_that_cannot_start_is_reported_to_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -137,4 +137,4 @@
         assert [message["type"] for message in sent] == ["lifespan.startup.failed"]
         assert "ROUTER_CONFIG" in sent[0]["message"]
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,9 +30,9 @@
 
 from .broker import Broker
 from .polling import Changes, poll_condition
-from .program import Peer, free_port, play, started, write
+from .program import Peer, free_port, run_async_test, running_program, write_config_files
 from .rig import endpoint_row
-from .test_exchanges import raw
+from .test_exchanges import decode_escapes
 from .world import MS
 
 PROGRAMS = sorted((Path(__file__).parent / "programs").glob("*.txt"))
@@ -40,7 +40,7 @@
 
 async def receive(peer: Peer, pattern: bytes) -> None:
     """Read exactly the bytes of `pattern`, in which `%` stands for digits."""
-    reader, _ = await peer.accepted()
+    reader, _ = await peer.accept_connection()
     expected = re.compile(re.escape(pattern).replace(b"%", rb"\d+"), re.DOTALL)
     received = b""
     while not expected.fullmatch(received):
@@ -71,10 +71,10 @@
         """Play the lines of one process, from its start to its end."""
         agent = self.peers["agent"]
         stopped = "stop" in lines
-        async with started(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
+        async with running_program(self.directory, agent.port, self.members, port=self.port, stopped=stopped):
             # The first connection to the agent is the watch; notices come on another connection.
             self.peers["watch"].connection = await agent.connections.get()
-            await watched(self.peers["watch"], agent.port)
+            await serve_watch(self.peers["watch"], agent.port)
             agent.connection = None
             await self.peers["client"].dial(self.port)
             for line in lines:
@@ -100,11 +100,11 @@
         (self.directory / "config.json").write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
         await client.dial(self.port)
-        (await client.accepted())[1].write(b"PING\r\n")
+        (await client.accept_connection())[1].write(b"PING\r\n")
         await receive(client, b"+PONG\r\n")
-        write(self.directory, self.port, other_agent.port, [])
+        write_config_files(self.directory, self.port, other_agent.port, [])
         os.kill(os.getpid(), signal.SIGHUP)
-        await listed(other_agent, other_agent.port, self.members)
+        await serve_list_and_watch(other_agent, other_agent.port, self.members)
         other_agent.connection = None  # notices come on another connection
 
     async def _play(self, name: str, argument: str) -> None:
@@ -116,10 +116,10 @@
             writer.close()
             self.peers[name].connection = None
         elif name[-1] == ">":
-            (await self.peers[name[:-1]].accepted())[1].write(raw(argument))
+            (await self.peers[name[:-1]].accept_connection())[1].write(decode_escapes(argument))
         else:
             peer = self.peers[name[:-1]]
-            await receive(peer, raw(argument.replace("PORT", str(peer.port))))
+            await receive(peer, decode_escapes(argument.replace("PORT", str(peer.port))))
 
     def _connection(self, name: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         connection = self.peers[name].connection
@@ -138,24 +138,28 @@
         for process in processes:
             await runner.run(process.splitlines())
 
-    play(work())
+    run_async_test(work())
 
 
 TARGETS = r"GET /api/targets%s HTTP/1.1\r\nHost: 127.0.0.1:%d\r\nAccept: application/json\r\n\r\n"
 
 
-async def watched(agent: Peer, port: int, revision: int = 1) -> None:
+async def serve_watch(agent: Peer, port: int, revision: int = 1) -> None:
     """Expect a watch of the changes after this revision, and answer with no change."""
-    await receive(agent, raw(TARGETS % (f"?stream=1&index={revision}", port)))
-    (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+    await receive(agent, decode_escapes(TARGETS % (f"?stream=1&index={revision}", port)))
+    (await agent.accept_connection())[1].write(
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
+    )
 
 
-async def listed(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
+async def serve_list_and_watch(agent: Peer, port: int, members: list[dict[str, Any]]) -> None:
     """Serve a new agent's first requests: one for its complete list, then one for its changes."""
-    await receive(agent, raw(TARGETS % ("", port)))
+    await receive(agent, decode_escapes(TARGETS % ("", port)))
     body = json.dumps({"revision": 3, "complete": True, "members": members}).encode()
-    (await agent.accepted())[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    await watched(agent, port, 3)
+    (await agent.accept_connection())[1].write(
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+    )
+    await serve_watch(agent, port, 3)
 
 
 ENQUEUE = (
@@ -177,26 +181,26 @@
     async def work() -> None:
         agent, endpoint, client = await Peer().start(), await Peer().start(), Peer()
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
-        async with started(tmp_path, agent.port, members) as port:
+        async with running_program(tmp_path, agent.port, members) as port:
             await client.dial(port)
             assert client.connection is not None
-            client.connection[1].write(raw(ENQUEUE))
+            client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
             await poll_condition(lambda: not faults)
-            await endpoint.accepted()  # the connection of the failed call, on which nothing is sent
+            await endpoint.accept_connection()  # the connection of the failed call, on which nothing is sent
             endpoint.connection = None
-            reader, _ = await endpoint.accepted()
+            reader, _ = await endpoint.accept_connection()
             assert await reader.readuntil(b"body")
 
     monkeypatch.setattr(calls, "encode_call", failing_encode)
-    play(work())
+    run_async_test(work())
 
 
 def test_health_checks_of_load_balancers_are_answered(tmp_path: Path) -> None:
     async def work() -> None:
         agent, ports = await Peer().start(), (free_port(), free_port())
         operator = '[beside]\nagent-check = "127.0.0.1:{}"\nhealth = "127.0.0.1:{}"\n'.format(*ports)
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             reader, _ = await asyncio.open_connection("127.0.0.1", ports[0])
             assert await reader.read() == b"up ready 100%\n"
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[1])
@@ -205,7 +209,7 @@
             assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
             assert answer.endswith(b'"held": 0, "most": 50}')
 
-    play(work())
+    run_async_test(work())
 
 
 OPERATOR = """
@@ -280,11 +284,11 @@
 def set_reasons(broker: Broker, reasons: dict[str, int]) -> None:
     """Make the partner acknowledge each call once with its message's reason, or never if that is below 0."""
 
-    def partner(packet: Packet) -> Packet | None:
+    def acknowledge(packet: Packet) -> Packet | None:
         reason = reasons.get(dict(packet.user)["id"], 0)
         return None if reason < 0 else Packet(Kind.PUBACK, id=packet.id, reason=reason)
 
-    broker.partner = partner
+    broker.acknowledge_partner_publish = acknowledge
 
 
 def test_mqtt_serves_deadlines_rejects_errors_and_bad_input(tmp_path: Path) -> None:
@@ -293,7 +297,7 @@
         await broker.start()
         set_reasons(broker, {"fails": 0x83, "silent": -1, "full": 0x97})
         client = Client(asyncio.get_running_loop())
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("good", 1)
@@ -323,7 +327,7 @@
         assert client.answers[""][0]["reason"].startswith("id:")
         assert client.answers["nobody"][0]["reason"].startswith("dest:")
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broker_killed_in_a_burst_leaves_one_final_answer_each(tmp_path: Path) -> None:
@@ -332,7 +336,7 @@
         await broker.start()
         set_reasons(broker, {})
         client = Client(asyncio.get_running_loop())
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             for i in range(count):
@@ -352,7 +356,7 @@
         calls = calls_to_partner(broker)
         assert not any(packet.dup for packet in calls), "no call is repeated by itself"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broker_lost_with_a_call_in_flight_is_a_reset_and_the_policy_decides(tmp_path: Path) -> None:
@@ -361,7 +365,7 @@
         await broker.start()
         set_reasons(broker, {"m": -1})
         client = Client(asyncio.get_running_loop())
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("m", 1)
@@ -378,7 +382,7 @@
         assert {dict(packet.user)["key"] for packet in calls} == {"k-m"}, "its key lets the partner drop it"
         assert [answer["status"] for answer in client.answers["m"]] == ["delivered"]
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_process_killed_with_a_call_in_flight_still_gives_one_final_answer(tmp_path: Path) -> None:
@@ -388,13 +392,13 @@
         set_reasons(broker, {"m": -1})
         client = Client(asyncio.get_running_loop())
         operator = OPERATOR.format(port=broker.port, dest=1)
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("m", 1)
             await poll_condition(lambda: calls_to_partner(broker))
         set_reasons(broker, {})
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             client.submit("m", 1)  # submitted twice: the id is still known after the restart
             await client.wait_for_answers(1)
             client.submit("n", 1)
@@ -405,7 +409,7 @@
         calls = calls_to_partner(broker)
         assert [dict(packet.user)["id"] for packet in calls] == ["m", "m", "n"]
 
-    play(work())
+    run_async_test(work())
 
 
 def test_one_partner_over_both_protocols_shares_its_retry_after(tmp_path: Path) -> None:
@@ -414,13 +418,15 @@
         await broker.start()
         set_reasons(broker, {})
         members = [{**endpoint_row("one", 1), "host_port": f"127.0.0.1:{endpoint.port}"}]
-        async with started(tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)) as port:
-            await poll_condition(lambda: "n0-calls" in broker.kept)
+        async with running_program(
+            tmp_path, agent.port, members, OPERATOR.format(port=broker.port, dest=1)
+        ) as port:
+            await poll_condition(lambda: "n0-calls" in broker.sessions)
             await client.dial(port)
             assert client.connection is not None
-            client.connection[1].write(raw(ENQUEUE))
+            client.connection[1].write(decode_escapes(ENQUEUE))
             await receive(client, b"+OK\r\n")
-            reader, writer = await endpoint.accepted()
+            reader, writer = await endpoint.accept_connection()
             await reader.readuntil(b"body")
             writer.write(b"HTTP/1.1 429 No\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n")
             await poll_condition(lambda: calls_to_partner(broker))
@@ -428,7 +434,7 @@
         assert len(attempts) == 2
         assert attempts[1] - attempts[0] >= 800 * MS
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_retry_after_received_after_its_call_was_cancelled_is_applied(tmp_path: Path) -> None:
@@ -440,15 +446,15 @@
         silent: list[Packet] = []
         second_calls: list[float] = []
 
-        def partner(packet: Packet) -> Packet | None:
+        def acknowledge(packet: Packet) -> Packet | None:
             if not silent:
                 silent.append(packet)
                 return None
             second_calls.append(loop.time())
             return Packet(Kind.PUBACK, id=packet.id)
 
-        broker.partner, client = partner, Client(loop)
-        async with started(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
+        broker.acknowledge_partner_publish, client = acknowledge, Client(loop)
+        async with running_program(tmp_path, agent.port, [], OPERATOR.format(port=broker.port, dest=1)):
             client.connect(broker.port)
             await poll_condition(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("brief", 1, left=300)
@@ -456,7 +462,7 @@
             (first,) = silent
             retry_after_received_at = loop.time()
             late_reply = Packet(Kind.PUBACK, id=first.id, reason=0x97, user=[("Retry-After", "0.5")])
-            broker.write(broker.kept["n0-calls"], late_reply)
+            broker.write(broker.sessions["n0-calls"], late_reply)
             await poll_condition(lambda: journal_records(tmp_path, "wait"))
             client.submit("next", 1)
             await client.wait_for_answers(2)
@@ -465,4 +471,4 @@
         assert len(second_calls) == 1
         assert second_calls[0] >= retry_after_received_at + 0.5, "started before the Retry-After was over"
 
-    play(work())
+    run_async_test(work())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from honeyhitch.service import shutdown
 
 from .agent import Agent
-from .program import enqueue, play, started
+from .program import enqueue, run_async_test, running_program
 from .rig import DispatcherRig, endpoint_row
 from .world import MS, SECOND
 
@@ -33,7 +33,7 @@
     async def work() -> None:
         agent = await Agent([]).start()
         members = [endpoint_row("s-1", 1)]
-        async with started(tmp_path, agent.port, members, stopped=True) as port:
+        async with running_program(tmp_path, agent.port, members, stopped=True) as port:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             if held:  # the port of its endpoint is closed, so the message waits for the next attempt
                 writer.write(enqueue("held"))
@@ -48,7 +48,7 @@
             writer.write(request[-3:])
             assert (await reader.readline())[:5] in (b"-BUSY", b"+OK\r\n"), "the reply is complete"
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("process_end", ["kill", "shutdown"])
@@ -66,7 +66,7 @@
     for name in names:
         dest = rng.choice((1, 2))
         assert rig.submit(name, dest=dest, left=int(rng.uniform(8, 20) * SECOND), key=f"k-{name}")
-        assert not rig.run(0.001)
+        assert not rig.advance(0.001)
     if process_end == "shutdown":
         rig.dispatcher.stop_deciding(int(1.5 * SECOND))
     assert not rig.answers, "none is rejected early"
@@ -75,7 +75,7 @@
     attempted: set[str] = set()
     call_duration = 40 * MS
     for _ in range(int(20 * SECOND / call_duration)):
-        for call in restarted.run(call_duration / SECOND):
+        for call in restarted.advance(call_duration / SECOND):
             attempted |= {message.id for message in call.messages}
             end = partial(restarted.end, call, Outcome.DELIVERED)
             restarted.time.call_at(restarted.time.time + call_duration, end)
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -15,9 +15,9 @@
 from honeyhitch.cli.main import main
 
 from .authority import Authority
-from .program import write
+from .program import write_config_files
 from .rig import endpoint_row
-from .tls_partner import TlsPartner, asking, server_context
+from .tls_partner import TlsPartner, require_client_certificate, server_context
 
 
 @pytest.fixture(scope="module")
@@ -79,7 +79,7 @@
     good = start_partner(loop, server_context(pki.issue(), version, version))
     bad = start_partner(loop, server_context(pki.issue(("other.example",))))
     requires_certificate = start_partner(
-        loop, asking(server_context(pki.issue(), version, version), pki.file)
+        loop, require_client_certificate(server_context(pki.issue(), version, version), pki.file)
     )
     endpoints = []
     for i, partner in enumerate((good, bad, requires_certificate), 1):
@@ -87,7 +87,7 @@
     text = "".join(
         f'[[tls.partner]]\ndest = {i}\nca = "{pki.file}"\nserver-name = "localhost"\n' for i in (1, 2, 3)
     )
-    config, operator = write(tmp_path, 6379, 8500, endpoints, text)
+    config, operator = write_config_files(tmp_path, 6379, 8500, endpoints, text)
     arguments = ["--operator", str(operator), "--config", config, "--connect"]
     result = run_check(*arguments, "--json")
     assert result.exit_code == 1, result.output
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -23,10 +23,10 @@
 from .authority import Authority, Issued
 from .broker import Broker
 from .polling import poll_condition
-from .program import SETTINGS, Peer, free_port, play, started, write
+from .program import SETTINGS, Peer, free_port, run_async_test, running_program, write_config_files
 from .rig import endpoint_row
 from .test_program import OPERATOR, Client, receive, set_reasons
-from .tls_partner import OK, Session, TlsPartner, asking, server_context
+from .tls_partner import OK, Session, TlsPartner, require_client_certificate, server_context
 
 CLIENT_AUTH = ExtendedKeyUsageOID.CLIENT_AUTH
 
@@ -78,7 +78,7 @@
     client = Peer()
     agent = await Agent(endpoint_rows(partners)).start()
     options = {"settings": ROUGH_RATES, **options}
-    async with started(folder, agent.port, agent.members, operator, port, **options) as port:
+    async with running_program(folder, agent.port, agent.members, operator, port, **options) as port:
         await client.dial(port)
         yield port, client
 
@@ -126,7 +126,7 @@
         assert (partner.full, partner.resumed) == (1, 1)
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("fault", ["split", "no-resumption", "restart"])
@@ -152,7 +152,7 @@
         assert set(partner.applied.values()) == {1}
         assert not partner.resumed or fault != "no-resumption"
 
-    play(work())
+    run_async_test(work())
 
 
 FAULTS = {
@@ -174,7 +174,9 @@
         await partner.start()
         agent, client = await Agent(endpoint_rows([partner])).start(), Peer()
         operator = PARTNER.format(ca=authority.file)
-        async with started(tmp_path, agent.port, agent.members, operator, settings=ROUGH_RATES) as port:
+        async with running_program(
+            tmp_path, agent.port, agent.members, operator, settings=ROUGH_RATES
+        ) as port:
             await client.dial(port)
             for i in range(20):
                 await submit(client, f"m{i}", left=900)
@@ -189,7 +191,7 @@
         assert failed_handshakes[0]["member"] == "p0"
         assert failed_handshakes[0]["partner"] == "dest:1"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_late_rejection_of_our_certificate_is_recorded_as_not_executed(
@@ -197,16 +199,18 @@
 ) -> None:
     async def work() -> None:
         (tmp_path / "other").mkdir()
-        untrusted = Authority(tmp_path / "other", "Other CA").issue(("us",), use=CLIENT_AUTH)
+        untrusted = Authority(tmp_path / "other", "Other CA").issue(("us",), extended_key_usage=CLIENT_AUTH)
         own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
         install_own_files(untrusted, *own_files)
         issued = authority.issue()
-        partner = await TlsPartner(asking(server_context(issued, "1.3", "1.3"), authority.file)).start()
+        partner = await TlsPartner(
+            require_client_certificate(server_context(issued, "1.3", "1.3"), authority.file)
+        ).start()
         operator = PARTNER.format(ca=authority.file) + 'certificate = "{}"\nkey = "{}"\n'.format(*own_files)
         async with running(tmp_path, [partner], operator) as (_, client):
             await submit(client, "m")
             await wait_until(lambda: log.events("tls.call-broken") or log.events("tls.connection-rejected"))
-            install_own_files(authority.issue(("us",), use=CLIENT_AUTH), *own_files)
+            install_own_files(authority.issue(("us",), extended_key_usage=CLIENT_AUTH), *own_files)
             os.kill(os.getpid(), signal.SIGHUP)
             await wait_until(lambda: partner.applied["k-m"])
         assert partner.applied == {"k-m": 1}
@@ -220,7 +224,7 @@
             "all but the last never ran"
         )
 
-    play(work())
+    run_async_test(work())
 
 
 def install_own_files(issued: Issued, certificate: Path, key: Path) -> None:
@@ -252,7 +256,7 @@
         records = [fields for fields, _, _ in decode_frames((tmp_path / "state" / "journal").read_bytes())]
         assert len([fields for fields in records if fields["t"] == "attempt"]) == 8, "no attempt was used up"
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("case", ["same-ca", "overlap", "new-ca"])
@@ -286,7 +290,7 @@
             await wait_until(lambda: all(partner.applied[f"k-m{i}"] for i in range(30)))
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_our_own_certificate_is_rotated_under_load_and_half_written_files_change_nothing(
@@ -294,9 +298,11 @@
 ) -> None:
     async def work() -> None:
         own_files = tmp_path / "ours.crt", tmp_path / "ours.key"
-        first, second = (authority.issue(("us",), use=CLIENT_AUTH) for _ in range(2))
+        first, second = (authority.issue(("us",), extended_key_usage=CLIENT_AUTH) for _ in range(2))
         install_own_files(first, *own_files)
-        partner = await TlsPartner(asking(server_context(authority.issue()), authority.file)).start()
+        partner = await TlsPartner(
+            require_client_certificate(server_context(authority.issue()), authority.file)
+        ).start()
         serials: list[int] = []
 
         async def answer(session: Session, _request: bytes) -> bytes:
@@ -332,7 +338,7 @@
         assert "does not belong to the certificate" in rejection["error"]
         assert rejection["partner"] == "dest:1"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_partner_with_a_revoked_certificate_gets_no_further_call(
@@ -357,7 +363,7 @@
         assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"revoked"}
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_restarted_partner_gets_a_burst_within_its_handshake_budget(
@@ -376,15 +382,15 @@
             for i in range(200):
                 await submit(client, f"m{i}")
             partner.context = server_context(issued)
-            partner.most = 0
+            partner.max_running = 0
             partner.starts.clear()
             await partner.start()
             await wait_until(lambda: len(partner.applied) >= 40)
-            assert partner.most <= 3
-            assert partner.most_in(1.0) <= 20
+            assert partner.max_running <= 3
+            assert partner.max_weight_within(1.0) <= 20
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_kill_during_handshakes_neither_loses_nor_repeats_messages(
@@ -404,7 +410,7 @@
             await wait_until(lambda: len(partner.applied) == 5)
         assert set(partner.applied.values()) == {1}
 
-    play(work())
+    run_async_test(work())
 
 
 def test_handshakes_stay_within_the_descriptor_limit(tmp_path: Path, authority: Authority) -> None:
@@ -421,7 +427,7 @@
             {**endpoint_row(f"p{i}", i), "host_port": f"127.0.0.1:{partner.port}"}
             for i, partner in enumerate(partners)
         ]
-        async with started(tmp_path, agent.port, endpoints, operator, limits=limits) as port:
+        async with running_program(tmp_path, agent.port, endpoints, operator, limits=limits) as port:
             await client.dial(port)
             assert client.connection is not None
             for i in range(40):
@@ -439,7 +445,7 @@
             # The others are for calls, for clients, and for descriptors that are always open.
             assert 1 <= open_now <= 3, open_now
 
-    play(work())
+    run_async_test(work())
 
 
 def test_an_end_without_close_notify_breaks_only_a_response_that_the_end_delimits(
@@ -469,7 +475,7 @@
         (broken,) = log.events("tls.call-broken")
         assert broken["failure"] == "truncated"
 
-    play(work())
+    run_async_test(work())
 
 
 def test_the_broker_is_reached_over_tls_and_reconnected_after_a_reload(
@@ -477,7 +483,7 @@
 ) -> None:
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
-        broker.secure = server_context(authority.issue())
+        broker.ssl_context = server_context(authority.issue())
         await broker.start()
         set_reasons(broker, {})
         client = Client(asyncio.get_running_loop())
@@ -486,18 +492,18 @@
         operator = OPERATOR.format(port=broker.port, dest=1)
         operator += f'[mqtt.tls]\nca = "{trust}"\nserver-name = "localhost"\nretire-within = 0.2\n'
         client.paho.tls_set(str(authority.file))
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             await asyncio.to_thread(client.connect, broker.port)
             await wait_until(lambda: broker.subscribed("n0-intake", "client"))
             client.submit("one", 1)
             await client.wait_for_answers(1)
-            writer_before = broker.kept["n0-calls"].writer
+            writer_before = broker.sessions["n0-calls"].writer
             (tmp_path / "other").mkdir()
             other = Authority(tmp_path / "other", "Other CA")
             trust.write_bytes(trust.read_bytes() + other.file.read_bytes())
             os.kill(os.getpid(), signal.SIGHUP)
             await wait_until(lambda: log.events("tls.files-reloaded"))
-            await wait_until(lambda: broker.kept["n0-calls"].writer not in (writer_before, None))
+            await wait_until(lambda: broker.sessions["n0-calls"].writer not in (writer_before, None))
             client.submit("two", 1)
             await client.wait_for_answers(2)
         client.paho.disconnect()
@@ -509,7 +515,7 @@
             "two": ["delivered"],
         }
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_broker_with_the_wrong_name_receives_nothing(
@@ -517,16 +523,16 @@
 ) -> None:
     async def work() -> None:
         broker, agent = Broker(), await Peer().start()
-        broker.secure = server_context(authority.issue(("other.example",)))
+        broker.ssl_context = server_context(authority.issue(("other.example",)))
         await broker.start()
         operator = OPERATOR.format(port=broker.port, dest=1)
         operator += f'[mqtt.tls]\nca = "{authority.file}"\nserver-name = "localhost"\n'
-        async with started(tmp_path, agent.port, [], operator):
+        async with running_program(tmp_path, agent.port, [], operator):
             await wait_until(lambda: len(log.events("tls.handshake-failed")) >= 3)
         assert {event["failure"] for event in log.events("tls.handshake-failed")} == {"wrong-name"}
-        assert not broker.kept
+        assert not broker.sessions
 
-    play(work())
+    run_async_test(work())
 
 
 def test_sigkill_to_the_process_in_the_middle_of_handshakes(tmp_path: Path, authority: Authority) -> None:
@@ -535,7 +541,7 @@
     async def work() -> None:
         partner = await TlsPartner(server_context(authority.issue())).start()
         agent, port = await Agent(endpoint_rows([partner])).start(), free_port()
-        config, operator = write(
+        config, operator = write_config_files(
             tmp_path, port, agent.port, agent.members, PARTNER.format(ca=authority.file), settings=ROUGH_RATES
         )
         command = [sys.executable, "-m", "honeyhitch", "serve", "--config", config]
@@ -571,7 +577,7 @@
         assert set(partner.applied.values()) == {1}
         assert not agent.notices
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_partners_certificate_that_expires_soon_is_logged(
@@ -586,4 +592,4 @@
         assert (warning["whose"], warning["partner"]) == ("partner", "dest:1")
         assert 2 < warning["days_left"] <= 3
 
-    play(work())
+    run_async_test(work())
