--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -211,13 +211,15 @@
         }
         for count in self.instances:
             for seed in range(1, self.plays + 1):
-                partner = SimulatedDestination(limit=constant_limit(14.0), outage=(5 * SECOND, 35 * SECOND))
-                fleet = Fleet(partner, seed, count=count, listed_rate=14.0, **slow_start)
+                destination = SimulatedDestination(
+                    limit=constant_limit(14.0), outage=(5 * SECOND, 35 * SECOND)
+                )
+                fleet = Fleet(destination, seed, count=count, listed_rate=14.0, **slow_start)
                 fleet.submit_at_rate(0, 50 * SECOND, 9.5)
                 total = fleet.advance_to(50 * SECOND)
                 per = "instance that sends"
                 submitted = total.submitted
-                peak_load = partner.peak_load(fleet.settings, 3 * SECOND, 14.0)
+                peak_load = destination.peak_load(fleet.settings, 3 * SECOND, 14.0)
                 rejected = sum(total.rejected.values()) / submitted
                 delivered = sum(total.delivered.values()) / submitted
                 self.record("return: most calls, share of what it bears", "1", per, count, peak_load)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -97,14 +97,14 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_two_hundred_instances_detect_a_recovery_soon_and_do_not_overload_the_destination(seed: int) -> None:
-    partner = SimulatedDestination(limit=constant_limit(40.0), outage=(5 * SECOND, 10 * SECOND))
+    destination = SimulatedDestination(limit=constant_limit(40.0), outage=(5 * SECOND, 10 * SECOND))
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
-    fleet = Fleet(partner, seed, count=200, listed_rate=40.0, uneven=True, **slow_start)
+    fleet = Fleet(destination, seed, count=200, listed_rate=40.0, uneven=True, **slow_start)
     fleet.submit_at_rate(0, 24 * SECOND, 30.0)
     totals = fleet.advance_to(24 * SECOND)
-    assert len(partner.aware_instances) >= 60
-    assert partner.peak_load(fleet.settings, 3 * SECOND, 40.0) <= 1.0
-    detection_delay = partner.calls_after_outage[0][0] - partner.outage[1]
+    assert len(destination.aware_instances) >= 60
+    assert destination.peak_load(fleet.settings, 3 * SECOND, 40.0) <= 1.0
+    detection_delay = destination.calls_after_outage[0][0] - destination.outage[1]
     assert detection_delay <= 1 * SECOND
     assert sum(totals.delivered[second] for second in (11, 12, 13)) >= 40
 
@@ -122,10 +122,10 @@
     The calls of all instances count, whether or not they detected the outage.
     """
     recovers_at = 5 + down_for
-    partner = SimulatedDestination(limit=constant_limit(limit), outage=(5 * SECOND, recovers_at * SECOND))
+    destination = SimulatedDestination(limit=constant_limit(limit), outage=(5 * SECOND, recovers_at * SECOND))
     slow_start = {"overload_factor": 1.5, "slow_start_fraction": 0.31, "slow_start_duration": 14 * SECOND}
-    fleet = Fleet(partner, seed, count=count, listed_rate=limit, uneven=uneven, **slow_start)
+    fleet = Fleet(destination, seed, count=count, listed_rate=limit, uneven=uneven, **slow_start)
     fleet.submit_at_rate(0, (recovers_at + 16) * SECOND, load)
     fleet.advance_to((recovers_at + 16) * SECOND)
-    assert partner.calls_after_outage, "calls were made after the outage"
-    assert partner.peak_excess(fleet.settings, 3 * SECOND, limit) <= 0
+    assert destination.calls_after_outage, "calls were made after the outage"
+    assert destination.peak_excess(fleet.settings, 3 * SECOND, limit) <= 0
