--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -159,7 +159,7 @@
     await poll_condition(condition, interval=0, limit=LIMIT_SECONDS)
 
 
-def play(work: Coroutine[Any, Any, None]) -> None:
+def run_async_test(work: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
         async with asyncio.timeout(LIMIT_SECONDS):
             await work
@@ -200,7 +200,7 @@
         assert endpoint.connection_count == 2, "the connection that was opened is pooled and used"
         await rig.close()
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_message_that_ends_while_a_connection_opens_is_removed_from_its_call(
@@ -224,7 +224,7 @@
         assert [fields["id"] for fields in rig.records("attempt")] == ["long"]
         await rig.close()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("change", ["Terminating", "Gone", "other address", "other destination"])
@@ -250,7 +250,7 @@
         assert [fields["n"] for fields in rig.records("attempt")] == [0], "no attempt was used up"
         await rig.close()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("how", ["shutdown", "hand-over"])
@@ -273,7 +273,7 @@
         assert bool(rig.records("passed")), "without its call it can be handed over"
         await rig.close()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.usefixtures("held_connections")
@@ -294,7 +294,7 @@
         assert (transaction.attempt_count, transaction.possible_executions) == (1, [])
         await restarted.close()
 
-    play(work())
+    run_async_test(work())
 
 
 def test_a_late_reply_to_a_call_is_not_counted_as_a_delivery(tmp_path: Path) -> None:
@@ -314,7 +314,7 @@
         assert attempts == [("brief", 0), ("long", 0), ("long", 1)]
         await rig.close()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("end", ["timeout", "cancelled"])
@@ -360,7 +360,7 @@
         assert rig.dispatcher.journal.retry_after_until, "the Retry-After was received"
         await rig.close()
 
-    play(work())
+    run_async_test(work())
 
 
 @pytest.mark.parametrize("remainder", [b"abc", b"garbage without end" * 9000], ids=["short", "long"])
@@ -389,7 +389,7 @@
         assert not rig.records("never")
         await rig.close()
 
-    play(work())
+    run_async_test(work())
 
 
 class SessionBroker:
@@ -449,4 +449,4 @@
         assert [fields["n"] for fields in rig.records("attempt")] == [0, 0], "no attempt was used up"
         await rig.close()
 
-    play(work())
+    run_async_test(work())
