--- a/honeyhitch/tls/material.py
+++ b/honeyhitch/tls/material.py
@@ -135,13 +135,13 @@
         if file.key == "ca":
             _load_trust(context, file)
     revoked, crl_until = _load_revocations(context, [file for file in files if file.key == "crl"])
-    own = None
+    own_certificate = None
     if terms.certificate is not None:
-        own = _load_own_certificate(context, terms, files, environ, now)
+        own_certificate = _load_own_certificate(context, terms, files, environ, now)
     for file in files:  # OpenSSL has read some of the files again, by path
         if _read(file.key, file.path) != file.content:
             raise MaterialError(file.key, f"{file.path} changed while it was read")
-    return Material(context, _digest(files), own, revoked, crl_until, terms.pins)
+    return Material(context, _digest(files), own_certificate, revoked, crl_until, terms.pins)
 
 
 def _create_context(terms: Terms) -> ssl.SSLContext:
--- a/honeyhitch/tls/partners.py
+++ b/honeyhitch/tls/partners.py
@@ -112,12 +112,12 @@
         """Return the machine of a new connection, with a session to resume if one is cached."""
         session = self.sessions.get(key, self.now()) if state.partner.terms.resume else None
         context = state.material.context
-        own_certificate = state.material.own_certificate is not None
+        has_own_certificate = state.material.own_certificate is not None
         try:
-            return TlsMachine(context, key.server_name, session, own_certificate)
+            return TlsMachine(context, key.server_name, session, has_own_certificate)
         except (ValueError, ssl.SSLError):  # OpenSSL does not accept the session
             self.sessions.forget(key)
-            return TlsMachine(context, key.server_name, None, own_certificate)
+            return TlsMachine(context, key.server_name, None, has_own_certificate)
 
     def verify(self, state: PartnerState, machine: TlsMachine) -> CertificateInfo:
         """Check what OpenSSL does not check: pins, and validity and revocation after a resumption.
