--- a/honeyhitch/dead_letters/resend_scheduler.py
+++ b/honeyhitch/dead_letters/resend_scheduler.py
@@ -82,9 +82,8 @@
         self.pacing = ResendPacing(capacity_fraction, policy_settings.max_concurrent_calls)
         # By id: resends that are in the journal and whose ending is not yet in the store.
         self.resends_in_progress: dict[str, Transaction] = {}
-        self.waiting_duplicates: dict[
-            DuplicateKey, list[Transaction]
-        ] = {}  # each waits for a resend with its key
+        # Each waits for a resend with its key.
+        self.waiting_duplicates: dict[DuplicateKey, list[Transaction]] = {}
         self.due_at: dict[int, int] = {}  # by destination: when the first scheduled record is due
         self.rotation: list[int] = []  # destinations in the order in which they are polled
         self.loaded = False
