--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -279,9 +279,8 @@
         async def rotate() -> None:
             running = asyncio.ensure_future(load.submit(count, 0.01))
             await asyncio.sleep(count * 0.01 / 4)
-            partner.context = require_client_certificate(
-                server_context(pki.issue()), pki.file
-            )  # the partner's certificate
+            # Rotate the partner's certificate.
+            partner.context = require_client_certificate(server_context(pki.issue()), pki.file)
             for source, target in ((new_own.cert_file, own.cert_file), (new_own.key_file, own.key_file)):
                 temporary = target.with_suffix(".new")
                 temporary.touch(0o600)
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -268,9 +268,8 @@
             def send_after_check(checked_sock: socket.socket) -> bool:
                 reusable = is_reusable(checked_sock)
                 if reusable and checked_sock.getpeername() == sock.getsockname():
-                    sock.send(
-                        decode_escapes(ENQUEUE)
-                    )  # after the server's check and before its shutdown of the socket
+                    # Send after the server's check and before its shutdown of the socket.
+                    sock.send(decode_escapes(ENQUEUE))
                 return reusable
 
             with monkeypatch.context() as patch:
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -35,9 +35,8 @@
 
     async def scenario() -> None:
         agent = await Peer().start()
-        async with running_program(
-            tmp_path, agent.port, [endpoint_row("s-1", 1)]
-        ) as port:  # s-1 does not listen
+        # The endpoint s-1 does not listen.
+        async with running_program(tmp_path, agent.port, [endpoint_row("s-1", 1)]) as port:
             await serve_watch(agent, agent.port)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(enqueue("id", left=500))
