--- a/tests/resend_world.py
+++ b/tests/resend_world.py
@@ -184,7 +184,7 @@
 
         After a kill an answer may be repeated, and must have the same ending.
         """
-        assert self.endings.get(answer.id, answer.ending) is answer.ending, f"{answer.id}: two answers"
+        assert self.endings.get(answer.id, answer.ending) is answer.ending, f"{answer.id}: answers differ"
         is_first_answer = answer.id not in self.endings
         self.endings[answer.id] = answer.ending
         return is_first_answer
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -71,7 +71,7 @@
             await ping(new)
             newer = await connect(server)
             await ping(newer)
-            assert await partial[0].read() == b"", "the one that has been unused for longest"
+            assert await partial[0].read() == b"", "the connection that was unused for longest is closed"
             for _ in range(20):  # each of many clients that send one request and stay connected gets a slot
                 await ping(await connect(server))
 
@@ -90,7 +90,7 @@
             queued = [await connect(server) for _ in range(3)]
             partial[1].write(b"NG\r\n")
             assert await partial[0].readline() == PONG
-            assert not server.quiescent, "one waits for a slot, two to be accepted"
+            assert not server.quiescent, "one connection waits for a slot, two wait to be accepted"
             for stream in queued:
                 await ping(stream)
             assert server.quiescent
@@ -218,7 +218,7 @@
             callback = SameIterationCallback(server.drain)
             await callback.run_after(lambda: sock.send(PING))
             reader, _ = await asyncio.open_connection(sock=sock)
-            assert await reader.read() == PONG, "whole, and only then the end"
+            assert await reader.read() == PONG, "the complete reply precedes the end of the connection"
 
     run_async_test(work())
 
@@ -319,6 +319,6 @@
             assert not server.quiescent
             stalling_loop.resume.set()
             reader, _ = await asyncio.open_connection(sock=sock)
-            assert await reader.read() == PONG, "whole, and then the end"
+            assert await reader.read() == PONG, "the complete reply precedes the end of the connection"
 
     run_async_test(work())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -117,8 +117,8 @@
     example = str(ROOT / "example" / "config.json")
     loaded = config.read({"ROUTER_LISTEN": "127.0.0.2:7", "ROUTER_STATE": "elsewhere"}, example)
     assert (str(loaded.listen), str(loaded.state)) == ("127.0.0.2:7", "elsewhere")
-    assert loaded.operator.mqtt is None, "nothing is on by itself"
-    assert loaded.operator.health is None, "nothing is on by itself"
+    assert loaded.operator.mqtt is None, "mqtt is off by default"
+    assert loaded.operator.health is None, "health is off by default"
     operator_file = (ROOT / "deploy" / "mqtt.toml").read_text()
     operator_settings = config.read_operator(
         str(ROOT / "deploy" / "mqtt.toml"), "n", _with_kind(loaded, "small-partner"), {}
@@ -140,11 +140,11 @@
     path = write_config_files(tmp_path, 6379, 8500, [])
     first = config.read(environ, *path)
     assert str(first.discovery) == "127.0.0.1:1"
-    assert str(config.read(environ, *path, first).discovery) == "127.0.0.1:1", "the file says what it said"
+    assert str(config.read(environ, *path, first).discovery) == "127.0.0.1:1", "the file is unchanged"
     write_config_files(tmp_path, 6379, 8600, [])
     second = config.read(environ, *path, first)
     assert str(second.discovery) == "127.0.0.1:8600"
-    assert config.read(environ, *path, second) == second, "and goes on saying it"
+    assert config.read(environ, *path, second) == second, "reloading an unchanged file changes nothing"
 
 
 def _with_kind(loaded: config.Config, kind: str) -> Settings:
--- a/tests/test_crowded_start.py
+++ b/tests/test_crowded_start.py
@@ -61,7 +61,7 @@
             agent.go_down()
             watches = len(agent.watches)
             idle_clients = [asyncio.ensure_future(stay_idle(port)) for _ in range(CLIENTS)]
-            assert await request_line(port, PING) == PONG, "a client that sends something has its place"
+            assert await request_line(port, PING) == PONG, "a client that sends a request gets a slot"
             await agent.start()
             await events.wait_until(lambda: len(agent.watches) > watches)  # discovery has a descriptor
             assert await request_line(port, enqueue("one")) == b"+OK\r\n"
@@ -120,7 +120,7 @@
             assert in_time >= 0.9 * RESTARTED, sorted(start_times)
             for port, path in paths.items():
                 repeated = await request_line(port, enqueue(f"{port}-0"))
-                assert repeated == b"+OK\r\n", "its journal was read: it knows what it holds"
+                assert repeated == b"+OK\r\n", "the instance has read its journal and knows the message"
                 assert messages_held(path) >= MESSAGES_EACH
 
     run_async_test(work())
--- a/tests/test_dead_letters_kills.py
+++ b/tests/test_dead_letters_kills.py
@@ -86,14 +86,14 @@
     def receive_answers(self) -> None:
         for answer in self.rig.answers:
             first_ending = self.answers.setdefault(answer.id, answer.ending)
-            assert first_ending is answer.ending, f"{answer.id}: two answers"
+            assert first_ending is answer.ending, f"{answer.id}: answers differ"
 
     def check(self) -> None:
         records = [stored.record for stored in self.rig.store.page(RecordFilter(), limit=100)]
         applied_at = self.receiver.ledger.get("k", [])
-        assert len(applied_at) <= 1, "applied twice"
+        assert len(applied_at) <= 1, "the message was applied twice"
         assert len([record for record in records if record.status in UNRESOLVED]) <= 1, (
-            "a message stands twice"
+            "a message has two unresolved records"
         )
         assert not self.rig.dispatcher.messages.by_id
         assert not self.rig.dispatcher.messages.pending_dead_letters
@@ -106,9 +106,9 @@
             record for record in records if record.status is RecordStatus.PENDING and record.may_have_executed
         ]
         if "m" in self.answers or records:
-            assert delivered or in_doubt, "neither settled nor in doubt"
+            assert delivered or in_doubt, "the message is neither settled nor in doubt"
         if applied_at and not delivered:
-            assert in_doubt, "it was applied, and no record tells"
+            assert in_doubt, "the message was applied, but no record is in doubt"
 
 
 CASES = [
--- a/tests/test_dead_letters_program.py
+++ b/tests/test_dead_letters_program.py
@@ -214,7 +214,7 @@
     assert text.count("2023-11-14") == 6
     rows = list(csv.DictReader(io.StringIO(cli(*store_options, "export", "--tenant", "t1"))))
     assert len(rows) == 40
-    assert {row["body"] for row in rows} == {"'=cmd()"}, "no formula reaches a spreadsheet"
+    assert {row["body"] for row in rows} == {"'=cmd()"}, "formulas are escaped for spreadsheets"
     lines = cli(*store_options, "export", "--format", "jsonl").splitlines()
     assert len(lines) == 120
     assert json.loads(lines[0])["body"] == "=cmd()"
@@ -286,7 +286,7 @@
                 )
                 assert later_state == state
             later_state = await asyncio.to_thread(ControlClient(tmp_path / "c.sock").request, "GET", "/state")
-            assert later_state == state, "the second one's end must not take the first one's socket away"
+            assert later_state == state, "the end of the second process removed the first one's socket"
 
     run_async_test(work())
 
--- a/tests/test_dead_letters_resending.py
+++ b/tests/test_dead_letters_resending.py
@@ -212,7 +212,7 @@
     assert record.first_possible_execution > record.ended_at
     scenario.rig.modes = ("deliver",)
     scenario.run(200)
-    assert scenario.record("m").resend_count == 1, "the evidence was of the attempts before it"
+    assert scenario.record("m").resend_count == 1, "the evidence covers only attempts before the resend"
     assert scenario.audit("m") == ["release", "resend", "resend-ended"]
 
 
@@ -261,7 +261,7 @@
             for message_id in scenario.rig.dispatcher.calls_in_flight
             if scenario.rig.dispatcher.calls_in_flight[message_id].messages[0].key == "k"
         ]
-        assert len(ids_in_flight) <= 1, "the copy and the resend are out together"
+        assert len(ids_in_flight) <= 1, "the duplicate and the resend are both in flight"
         scenario.run(0.2)
     if class_index != SAFE:
         assert len(scenario.receiver.ledger.get("k", [])) <= 1
@@ -269,9 +269,9 @@
         assert scenario.answers().get("copy", Ending.DELIVERED) is Ending.DELIVERED
         assert [message.id for message in scenario.rig.sent].count("copy") == 0
     elif mode == "refuse" or class_index != UNSAFE:
-        assert scenario.receiver.ledger["k"], "the copy goes once the resend is over"
+        assert scenario.receiver.ledger["k"], "the duplicate is sent after the resend has ended"
     else:
-        assert scenario.answers()["copy"] is Ending.FAILED, "nobody knows whether the resend ran"
+        assert scenario.answers()["copy"] is Ending.FAILED, "the resend may have been executed"
     scenario.run(100)
     assert len(scenario.receiver.ledger.get("k", [])) <= 1 or class_index == SAFE
 
@@ -356,7 +356,7 @@
         Transaction("copy", UNSAFE, 1, now + SECOND, b"body", key="k", frontend="mqtt")
     ).accepted
     scenario.run(1)
-    assert scenario.answers()["copy"] is Ending.FAILED, "the resend may run yet"
+    assert scenario.answers()["copy"] is Ending.FAILED, "the resend may still be executed"
     scenario.rig.modes = ("deliver",)
     scenario.run(100)
     assert scenario.record("copy").status is RecordStatus.REPLACED
@@ -449,7 +449,7 @@
     sent_before_outage = len(scenario.rig.sent)
     scenario.run(600)
     assert len(scenario.rig.sent) - sent_before_outage <= 12 * 5, (
-        "a partner that is out is tried at growing gaps"
+        "an unavailable partner is probed at growing intervals"
     )
     scenario.rig.modes = ("deliver",)
     scenario.run(1500)
--- a/tests/test_dead_letters_rules.py
+++ b/tests/test_dead_letters_rules.py
@@ -254,18 +254,18 @@
 def test_resends_use_a_fraction_of_the_slots_and_of_the_rate() -> None:
     pacing = ResendPacing(0.1, 40)
     assert pacing.max_concurrent_resends == 4
-    assert pacing.available_resends(1, HEALTHY, NOW) == 1, "one at a time until one has passed"
+    assert pacing.available_resends(1, HEALTHY, NOW) == 1, "one resend at a time until a call is delivered"
     pacing.resend_started(1, NOW)
     assert pacing.available_resends(1, HEALTHY, NOW + SECOND) == 0
     pacing.call_delivered(1)
-    assert pacing.available_resends(1, HEALTHY, NOW + SECOND) == 1, "a tenth of ten a second"
+    assert pacing.available_resends(1, HEALTHY, NOW + SECOND) == 1, "a tenth of the rate of ten per second"
     pacing.resend_ended(1)
     for i in range(20):
         now = NOW + 10 * SECOND + i * SECOND // 10
         if pacing.available_resends(1, HEALTHY, now):
             pacing.resend_started(1, now)
             pacing.resend_ended(1)
-    assert pacing.destinations[1].tokens < 1, "no more than two that were saved up, and one a second"
+    assert pacing.destinations[1].tokens < 1, "at most two saved resends and one more per second"
     fast = health_with(quota=10_000.0)
     for destination in range(2, 10):
         available = pacing.available_resends(destination, fast, NOW + 60 * SECOND)
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -195,7 +195,7 @@
     elapsed += backoff.read_timeout
     backoff.timed_out()
     elapsed += backoff.next_pause(backoff.read_timeout, False)
-    assert elapsed < NOTIFICATION_DEADLINE_SECONDS + grace - 0.1, "and there is time for the answer"
+    assert elapsed < NOTIFICATION_DEADLINE_SECONDS + grace - 0.1, "time is left for the answer"
 
 
 def test_timeouts_for_a_silent_agent_grow_and_finally_the_complete_list_is_requested() -> None:
@@ -211,7 +211,7 @@
     assert timeouts[-1] == HEARTBEAT_TIMEOUT_SECONDS
     backoff.watch_opened()
     backoff.data_received()
-    assert backoff.read_timeout == HEARTBEAT_TIMEOUT_SECONDS, "from its first bytes on heartbeats come"
+    assert backoff.read_timeout == HEARTBEAT_TIMEOUT_SECONDS, "heartbeats are expected after the first bytes"
     backoff.watch_opened()
     assert backoff.read_timeout == timeouts[0]
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -40,7 +40,7 @@
     rig = DispatcherRig(tmp_path)
     assert all(rig.submit(f"m{i}") for i in range(8))
     assert not rig.submit("m8")
-    assert rig.submit("m3"), "one that is held is not rejected, nor accepted twice"
+    assert rig.submit("m3"), "a duplicate of a held message is neither rejected nor held twice"
     assert len(rig.dispatcher.messages) == 8
 
 
@@ -142,7 +142,7 @@
                 rig.end(call, Outcome.RESET)
         calls += rig.advance(1.5)
     assert all(call.sent_at <= first.sent_at + SECOND for call in calls)
-    assert (len(calls) > 1) is (down_for < 1), "it is repeated where there is time"
+    assert (len(calls) > 1) is (down_for < 1), "the message is repeated if its window is still open"
     assert not rig.dispatcher.messages.by_id
     assert all(answer.ending is Ending.REJECTED for answer in rig.answers)
 
@@ -184,12 +184,12 @@
     assert [(answer.id, answer.ending) for answer in restarted.answers] == [("c", Ending.DELIVERED)]
     restarted.advance(4.5)  # inside the copy's own window, but after the window of the first message
     restarted.submit("d", key="k")
-    assert not restarted.advance(1), "outside the first window a copy would be executed"
+    assert not restarted.advance(1), "a duplicate is not sent after the first window"
     assert restarted.answers[-1].id == "d"
     assert restarted.answers[-1].ending is Ending.REJECTED
     restarted.advance(30)
     restarted.submit("e", key="k")
-    assert restarted.advance(1), "after the retention it is no copy"
+    assert restarted.advance(1), "after the retention the message is not a duplicate"
 
 
 def test_a_full_journal_rejects_and_never_crashes(tmp_path: Path) -> None:
@@ -231,7 +231,7 @@
     assert answer.ending is Ending.REJECTED
     assert answer.retry_after > 0
     assert {"first", "long"} == set(rig.dispatcher.messages.by_id)
-    assert not rig.advance(20), "nothing is decided any more"
+    assert not rig.advance(20), "no call is started after stop_deciding"
 
 
 def test_a_call_in_flight_at_a_restart_ends_by_its_outcome(tmp_path: Path) -> None:
@@ -267,7 +267,7 @@
     rig.submit("b")
     calls = rig.advance(6)
     assert calls
-    assert all(call.sent_at >= retry_after_until for call in calls), "started before the Retry-After was over"
+    assert all(call.sent_at >= retry_after_until for call in calls), "a call started during the Retry-After"
 
 
 def test_a_restart_ends_each_retry_after_received_before_it(tmp_path: Path) -> None:
@@ -276,8 +276,8 @@
     rig.dispatcher.journal.record_retry_after(1, "s-1", rig.time.time + 10 * SECOND)
     restarted = DispatcherRig(tmp_path, rig.time)
     attempted = [message.id for call in restarted.advance(1) for message in call.messages]
-    assert attempted == ["a"], "it is attempted"
-    assert not restarted.answers, "and not rejected for a Retry-After that the restart ended"
+    assert attempted == ["a"], "the message is attempted"
+    assert not restarted.answers, "the message is not rejected for a Retry-After that the restart ended"
 
 
 @pytest.mark.parametrize("how", ["delivered too late", "no attempts left", "withdrawn"])
@@ -304,7 +304,7 @@
     rig.submit("next", dest=2)
     calls = rig.advance(6)
     assert calls
-    assert all(call.sent_at >= retry_after_until for call in calls), "started before the Retry-After was over"
+    assert all(call.sent_at >= retry_after_until for call in calls), "a call started during the Retry-After"
 
 
 @pytest.mark.parametrize("complete", [True, False], ids=["a complete list", "a change"])
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -194,7 +194,7 @@
         for _ in range(2):
             endpoint.responses.put_nowait(OK_RESPONSE)
         await wait_until(lambda: len(endpoint.calls) == 2)
-        assert rig.dispatcher.scheduler.now() >= retry_after_end, "started before the Retry-After was over"
+        assert rig.dispatcher.scheduler.now() >= retry_after_end, "a call started during the Retry-After"
         await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert {fields["n"] for fields in rig.records("attempt") if fields["id"] == "b"} == {0}
         assert endpoint.connection_count == 2, "the connection that was opened is pooled and used"
@@ -215,7 +215,7 @@
         assert len(rig.dispatcher.calls_in_flight) == 2
         assert len({id(call) for call in rig.dispatcher.calls_in_flight.values()}) == 1
         await wait_until(lambda: "brief" in rig.answers)
-        assert rig.answers["brief"] is Ending.REJECTED, "it was never executed"
+        assert rig.answers["brief"] is Ending.REJECTED, "a message that was never executed is rejected"
         held_connections.releases[0].set()
         endpoint.responses.put_nowait(OK_RESPONSE)
         await wait_until(lambda: len(rig.dispatcher.messages) == 0)
@@ -270,7 +270,7 @@
         assert not endpoint.calls
         assert not rig.records("attempt")
         assert not rig.records("never")
-        assert bool(rig.records("passed")), "without its call it can be handed over"
+        assert bool(rig.records("passed")), "a message without a call in flight is handed over"
         await rig.close()
 
     play(work())
@@ -383,7 +383,7 @@
         retry_after_end = rig.dispatcher.scheduler.now() + int(0.55 * SECOND)
         endpoint.responses.put_nowait(OK_RESPONSE)
         await wait_until(lambda: len(endpoint.calls) == 2)
-        assert rig.dispatcher.scheduler.now() >= retry_after_end, "started before the Retry-After was over"
+        assert rig.dispatcher.scheduler.now() >= retry_after_end, "a call started during the Retry-After"
         await wait_until(lambda: len(rig.dispatcher.messages) == 0)
         assert [fields["n"] for fields in rig.records("attempt")] == [0, 1]
         assert not rig.records("never")
@@ -442,7 +442,7 @@
         publishes: list[Packet] = []
         await wait_until(lambda: publishes.extend(broker.published()) or publishes)  # type: ignore[func-returns-value]
         assert rig.dispatcher.scheduler.now() >= retry_after_end - 10**7, (
-            "started before the Retry-After was over"
+            "a call started during the Retry-After"
         )
         broker.receive(Packet(Kind.PUBACK, id=publishes[0].id))
         await wait_until(lambda: len(rig.dispatcher.messages) == 0)
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -73,7 +73,7 @@
         forwarder = create_forwarder(owner, other)
         assert await forwarder.forward(create_message("a")) == b"+OK\r\n"
         assert await forwarder.forward(create_message("b")) == b"+OK\r\n"
-        assert owner.requests[1] == owner.requests[2], "the same request, by the same id"
+        assert owner.requests[1] == owner.requests[2], "the repeated request has the same id and content"
         assert owner.connections == 2
         assert not other.requests
 
@@ -93,7 +93,7 @@
         forwarder = create_forwarder(owner, other)
         assert await forwarder.forward(create_message("a")) == b"+OK\r\n"
         assert await forwarder.forward(create_message("b")) is None
-        assert not other.requests, "the first one may have accepted it"
+        assert not other.requests, "the first owner may have accepted the message"
 
     run_test(work)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -63,7 +63,7 @@
     def delayed_take_over(*arguments: Any) -> Any:
         start_thread.start()
         start_thread.join(0.05)
-        assert not state_directories, "it waits"
+        assert not state_directories, "the process that starts waits for the take-over"
         return take_over(*arguments)
 
     monkeypatch.setattr(Journal, "take_over", delayed_take_over)
@@ -120,7 +120,7 @@
     old.end(call, Outcome.CONNECT_FAILED)
     old.dispatcher.hand_over()
     assert old.submit("b")
-    assert not old.advance(0.5), "nothing new is sent"
+    assert not old.advance(0.5), "the old process starts no new call"
     old.kill()
     new.handover.check_peer()
     assert new.held() == {"a", "b"}
@@ -128,7 +128,7 @@
     assert new.state_directory.slot == FIRST_SLOT
     sent_ids = [message.id for call in new.advance(2) for message in call.messages]
     assert sorted(sent_ids) == ["a", "b"]
-    assert [file.name for file in sorted(tmp_path.glob("journal*"))] == ["journal"], "the name of old"
+    assert [file.name for file in sorted(tmp_path.glob("journal*"))] == ["journal"], "the original file name"
 
 
 def test_a_process_that_hands_over_pools_no_connection_that_its_successor_could_use(tmp_path: Path) -> None:
@@ -141,9 +141,9 @@
     old.dispatcher.hand_over()
     assert sorted(old.closed_endpoints) == ["s-1", "s-2"]
     old.dispatcher.hand_over()
-    assert len(old.closed_endpoints) == 2, "once"
+    assert len(old.closed_endpoints) == 2, "the pooled connections are closed only once"
     old.end(call, Outcome.DELIVERED)
-    assert old.closed_endpoints[2:] == ["s-1"], "and each that its last call leaves"
+    assert old.closed_endpoints[2:] == ["s-1"], "the connection left by the last call is closed"
 
 
 def test_queued_messages_resume_in_the_new_process_while_calls_of_the_old_one_are_in_flight(
@@ -156,12 +156,12 @@
     old.submit("b")
     new = Process(tmp_path, time)
     new.handover.check_peer()
-    assert not new.held(), "nothing is handed over before the old one is told to stop"
+    assert not new.held(), "nothing is handed over before the old process is told to stop"
     assert new.reported_calls == [None]
     old.dispatcher.hand_over()
     new.handover.check_peer()
     assert (old.held(), new.held()) == ({"a"}, {"b"})
-    assert new.reported_calls == [None, 1], "with the slots left over"
+    assert new.reported_calls == [None, 1], "the old process reports that one slot is in use"
     assert [message.id for call in new.advance(0.5) for message in call.messages] == ["b"]
     assert old.dispatcher.metrics_snapshot()["active"] == new.dispatcher.metrics_snapshot()["active"] == 1
     old.submit("c")
@@ -170,10 +170,10 @@
     new.handover.check_peer()
     assert (old.held(), new.held()) == (set(), {"a", "b", "c"})
     assert new.reported_calls == [None, 1, 0]
-    assert not old.advance(1), "the old one does nothing more for them"
+    assert not old.advance(1), "the old process starts no call for these messages"
     old.dispatcher.withdraw("b")
     old.dispatcher.conclude(old.dispatcher.messages.by_id["c"], Ending.FAILED)
-    assert not old.answers, "and answers none of them"
+    assert not old.answers, "the old process answers none of these messages"
     for call in new.calls:
         new.end(call, Outcome.DELIVERED)
     old.kill()
@@ -276,7 +276,7 @@
     old.journal.max_bytes, new.journal.max_bytes = 3_000_000, 1000
     old.dispatcher.hand_over()
     new.handover.check_peer()
-    assert not new.held(), "no room there: it is not taken, and not lost"
+    assert not new.held(), "a message without journal space is neither taken over nor lost"
     new.journal.max_bytes = 3_000_000
     new.handover.check_peer()
     assert new.held() == {"a"}
@@ -353,11 +353,11 @@
     (call,) = old.advance(0.1)
     new = Process(tmp_path, time)
     assert new.submit("a")
-    assert not new.held(), "the other one has accepted it"
+    assert not new.held(), "the old process has accepted the message"
     old.end(call, Outcome.DELIVERED)
     assert new.submit("a")
     assert not new.held()
-    assert not new.advance(1), "also once it ended"
+    assert not new.advance(1), "a duplicate is not sent after the final answer"
 
 
 def test_a_kill_between_the_two_writes_of_a_take_over_leaves_one_owner(tmp_path: Path) -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -147,7 +147,7 @@
     held = list(journal.messages.by_id.values())
     journal.record_end(held.pop(), Ending.REJECTED)
     count_rejected(500, "b")
-    assert len(snapshot_sizes) <= 4, "nor for the few bytes that one ending frees"
+    assert len(snapshot_sizes) <= 4, "no compaction for the few bytes that one ended message frees"
     for message in held[: len(held) // 2]:
         journal.record_end(message, Ending.REJECTED)
-    assert count_rejected(len(held) // 4, "c") == 0, "endings make room"
+    assert count_rejected(len(held) // 4, "c") == 0, "ended messages free space"
--- a/tests/test_journal_stored_form.py
+++ b/tests/test_journal_stored_form.py
@@ -318,7 +318,7 @@
     shutil.copyfile(FIXTURES / "torn", tmp_path / "journal")
     journal = open_journal(tmp_path)
     assert list(journal.messages.by_id) == ["b", "c"]
-    assert journal.messages.by_id["c"].attempt_count == 0, "its last record was torn"
+    assert journal.messages.by_id["c"].attempt_count == 0, "the last record of c was torn"
     assert not journal.retry_after_until, "a restart ends retry-after times"
     journal.record_attempt(journal.messages.by_id["c"], 908, 2, "s-3")
     journal.close()
