--- a/tests/test_long_service.py
+++ b/tests/test_long_service.py
@@ -197,7 +197,7 @@
         time.advance(0.025)
     assert len(deadlines) > 900
     unfinished = [name for name in deadlines if name not in message_log.ended_at]
-    assert not unfinished, f"without an end: {unfinished[:5]}"
+    assert not unfinished, f"messages that did not end: {unfinished[:5]}"
     # A message that expires while its process is down ends after the restart: after 0.6 s and one round.
     late = {
         name: message_log.ended_at[name] - deadline
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -33,7 +33,7 @@
     rig = DispatcherRig(tmp_path, max_messages=4)
     for name in "abcd":
         assert rig.submit(name)
-    assert not rig.submit("e"), "full: turned away"
+    assert not rig.submit("e"), "a message beyond max_messages is rejected"
     (first, *_) = rig.advance(0.1)
     rig.dispatcher.call_written(first)
     rig.end(first, Outcome.DELIVERED)
@@ -72,7 +72,7 @@
         with pytest.raises(FieldError):
             parser.parse(b"id", fields, b"", 0)
     assert rig.dispatcher.metrics_snapshot()["responses"]["standard"]["errors"] == 2, (
-        "the last one names no class"
+        "fields without a class are counted for no class"
     )
 
 
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -32,7 +32,7 @@
 
 
 async def app_without_lifespan(scope: Any, _receive: Any, _send: Any) -> None:
-    assert scope["type"] == "http", "it knows no lifespan"
+    assert scope["type"] == "http", "the app does not support lifespan events"
     await scope["state"]["honeyhitch"].deliver(9, b"", time_left=0.1)
 
 
@@ -98,7 +98,7 @@
             cancelled_request = asyncio.ensure_future(post(app, ""))
             await reader.readuntil(b"\r\n\r\nhi")
             cancelled_request.cancel()
-            assert await reader.read(1) == b"", "nobody waits any more: the call is given up"
+            assert await reader.read(1) == b"", "cancelling a request aborts its call"
             service = middlewares[0].service
             assert service is not None
             assert not service.dispatcher.messages.by_id
--- a/tests/test_partitioning_program.py
+++ b/tests/test_partitioning_program.py
@@ -190,7 +190,7 @@
             assert await rig.submit("z", "three", destination) == b"+OK\r\n"
             await rig.wait_until_delivered("one", "two", "three")
             assert (await rig.management_call("x", "stats"))["responses"] == responses_before, (
-                "x took none on"
+                "instance x accepted no message"
             )
             # The owner's reply is relayed, even if it is an error.
             assert (await rig.submit("x", "no", 9_999_999)).startswith(b"-ERR dest: no such destination")
@@ -260,7 +260,7 @@
                 await poll_until(request_arrived, interval=0.005)
                 rig.processes["y"].kill()
             assert await submission == b""
-            assert not rig.endpoint.calls["doubtful"], "neither x nor z took it on"
+            assert not rig.endpoint.calls["doubtful"], "neither x nor z accepted the message"
             if failure == "hangs":
                 rig.processes["y"].send_signal(signal.SIGCONT)
                 assert await rig.submit("x", "after", destination) == b"+OK\r\n"
@@ -360,7 +360,7 @@
             server = await asyncio.start_server(answer, "127.0.0.1", rig.ports["y"])
             assert await rig.submit("x", "one", destination) == b""
             server.close()
-            assert await rig.submit("x", "two", destination) == b"+OK\r\n", "x serves on"
+            assert await rig.submit("x", "two", destination) == b"+OK\r\n", "x accepts the next message"
             await rig.wait_until_delivered("two")
             assert not rig.endpoint.calls["one"]
 
--- a/tests/test_partitioning_quotas.py
+++ b/tests/test_partitioning_quotas.py
@@ -183,7 +183,7 @@
             first_held_after.setdefault(holder, control.now - published_at)
     (new_owner,) = [holder for holder in first_held_after if holder.startswith("a1") and holder != name]
     assert LEASE <= first_held_after[new_owner] <= LEASE + 2 * SKEW + 50 * MS
-    assert quota_fractions(control, 3)[name] == 0.75, "its reserved part stays its own while it is cut off"
+    assert quota_fractions(control, 3)[name] == 0.75, "an owner that is cut off keeps its reserved quota"
     assert quota_fractions(control, 3)[new_owner] == 0.25
 
 
@@ -227,7 +227,7 @@
     name = control.join("a1")
     run_without_faults(control)
     moved = [p for p in range(PARTITIONS) if name in quota_fractions(control, p)]
-    assert moved, "it was given something"
+    assert moved, "the new instance received quotas"
     for partition in moved:
         (old_owner,) = [holder for holder in before[partition] if holder.startswith("a1")]
         fractions = quota_fractions(control, partition)
@@ -236,5 +236,5 @@
     run_without_faults(control)
     assert all(quota_fractions(control, partition)[name] == 1.0 for partition in moved)
     assert all(quota_fractions(control, p) == before[p] for p in before if p not in moved), (
-        "and nothing else moved"
+        "the quotas of the other partitions did not move"
     )
--- a/tests/test_partitioning_service.py
+++ b/tests/test_partitioning_service.py
@@ -119,7 +119,7 @@
     assert rig.fleet.ready
     assert rig.refetched == 1
     rig.receive_update(1, False, [])
-    assert rig.refetched == 1, "once"
+    assert rig.refetched == 1, "the lists are requested only once"
 
 
 def test_only_destinations_it_may_own_are_kept_of_a_list(tmp_path: Path) -> None:
@@ -128,7 +128,7 @@
     assert listed_destinations == {number for number in range(1, 60) if rig.fleet.fleet.is_candidate(number)}
     assert 0 < len(listed_destinations) < 59
     other = next(number for number in range(1, 60) if number not in listed_destinations)
-    assert rig.fleet.has_destination(other), "its owner knows it"
+    assert rig.fleet.has_destination(other), "the owner of the destination may list it"
     change = {"revision": 2, "complete": False, "members": [endpoint_row("s-9999", other)]}
     assert not rig.dispatcher.pool.update(change).listings
 
@@ -144,7 +144,7 @@
     assert rig.submit("held", mine)
     held = Transaction("held", 0, mine, rig.now + SECOND, b"")
     rig.time.advance(LEASE / SECOND + 30)
-    assert rig.fleet.route(held, False) is Route.LOCAL, "its reserved part, also while control is silent"
+    assert rig.fleet.route(held, False) is Route.LOCAL, "the reserved quota lasts while control is silent"
 
 
 def test_nothing_is_sent_once_the_quota_has_expired_and_unattempted_messages_are_returned(
@@ -166,7 +166,7 @@
     lease_ends = rig.fleet.fleet.last_heartbeat + LEASE - SKEW  # type: ignore[operator]
     rig.time.advance((lease_ends - rig.now) / SECOND + 0.001)
     assert rig.submit("late", number)
-    assert not rig.advance(1), "its share has run out before the first byte"
+    assert not rig.advance(1), "the quota has expired before the first byte"
     rig.fleet.refresh_if_due()
     late = next(answer for answer in rig.answers if answer.id == "late")
     assert late.ending is Ending.REJECTED
@@ -188,8 +188,8 @@
     rig.receive_update(2, False, [{**own_row, "phase": "Gone"}])
     assert rig.fleet.quota_fraction(number, rig.now) == 0
     names = {part.id for call in calls for part in call.messages}
-    assert names <= set(rig.dispatcher.messages.by_id), "neither is answered for it"
-    assert not rig.advance(2), "and neither is sent again"
+    assert names <= set(rig.dispatcher.messages.by_id), "no message is answered because the quota was lost"
+    assert not rig.advance(2), "neither message is sent again"
     rig.end(calls[0], Outcome.DELIVERED)
     assert calls[0].messages[0].id not in rig.dispatcher.messages.by_id
 
@@ -206,13 +206,13 @@
     rig.receive_update(2, False, [{**own_row, "phase": "Gone"}])
     rig.time.advance(1)
     rig.fleet.refresh_if_due()
-    assert "out" in rig.dispatcher.messages.by_id, "its call is out"
+    assert "out" in rig.dispatcher.messages.by_id, "the message stays while its call is in flight"
     rig.end(call, Outcome.REJECTED)
     rig.time.advance(0.2)
     rig.fleet.refresh_if_due()
     assert [answer.ending for answer in rig.answers] == [Ending.REJECTED]
     rig.fleet.refresh_if_due()
-    assert not rig.fleet.lost_partitions, "and nothing more is looked for"
+    assert not rig.fleet.lost_partitions, "no lost partition is left to check"
 
 
 def test_the_policy_applies_the_quota_to_listed_and_to_reported_limits(tmp_path: Path) -> None:
@@ -234,7 +234,7 @@
     (call,) = rig.advance(0.1)
     rig.end(call, Outcome.DELIVERED, reported={"x1": 20.0})
     rig.advance(0.1)
-    assert state.rate.quota() == 3.75, "three quarters of it while control is silent"
+    assert state.rate.quota() == 3.75, "three quarters of the quota remain while control is silent"
 
 
 def test_a_saved_view_that_cannot_be_read_is_ignored(tmp_path: Path) -> None:
--- a/tests/test_partitioning_view.py
+++ b/tests/test_partitioning_view.py
@@ -125,7 +125,7 @@
         assert other.owners(destination, START)[-1].zone == "a1"
         assert not others
         later = START + other.settings.lease + other.settings.clock_skew
-        assert other.owners(destination, later)[-1].zone == "a1", "control is silent: it holds nothing yet"
+        assert other.owners(destination, later)[-1].zone == "a1", "control silent: no quota at the new owner"
         other.apply_update(view_update(revision=6, complete=False, members=[], issued_ms=later // MS), later)
         assert other.owners(destination, later)[-1].zone != "a1"
 
--- a/tests/test_policy_batches.py
+++ b/tests/test_policy_batches.py
@@ -33,10 +33,10 @@
     world.batch([world.new_message("first")])
     world.batch([world.attempt_ended("first", Outcome.DELIVERED)], now=50 * MILLISECOND)
     world.batch([world.new_message(name) for name in names], now=60 * MILLISECOND)
-    assert sum(at == 60 * MILLISECOND for at, _ in world.sends()) == 16, "one call holds them all"
+    assert sum(at == 60 * MILLISECOND for at, _ in world.sends()) == 16, "one call carries all messages"
     world.batch([world.attempt_ended(name, Outcome.RESET) for name in names], now=100 * MILLISECOND)
     world.batch([world.new_message("other")], now=110 * MILLISECOND)
-    assert world.sends("other"), "one broken call is one failure, however much it carried"
+    assert world.sends("other"), "a broken call counts as one failure, not as one per message"
     world.batch([world.attempt_ended("other", Outcome.DELIVERED)], now=160 * MILLISECOND)
     world.advance_to(600 * MILLISECOND)
     batch_sizes = Counter(at for at, _ in world.sends() if at > 160 * MILLISECOND)
@@ -71,6 +71,6 @@
             world.new_message("long", class_index=class_index),
         ]
     )
-    assert len({at for at, _ in world.sends()}) == 1, "first attempts go at once"
+    assert len({at for at, _ in world.sends()}) == 1, "first attempts start at the same time"
     calls = {id(world.policy.messages[name].call) for name in ("brief", "long")}
     assert (len(calls) == 1) is together
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -135,7 +135,7 @@
     assert rejected == {"queued": (50 * MILLISECOND, 3 * SECOND), "late": (60 * MILLISECOND, 3 * SECOND)}
     world.advance_to(10 * SECOND)
     assert world.sends("long") or world.messages["out"].attempts[1:], (
-        "a message that can outlive it waits, and is sent"
+        "a message that can outlive the Retry-After waits and is sent"
     )
 
 
@@ -439,7 +439,7 @@
             world.batch([*events, world.new_message(name)])
             world.advance_to(world.now + 100 * MILLISECOND)
         counts.append(len(world.sends()) - sends_before)
-    assert counts[1] > 85, "a hundred were submitted at half the limit"
+    assert counts[1] > 85, "100 messages were submitted at half the limit"
 
 
 def test_a_message_without_time_for_a_response_is_rejected_immediately() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -354,7 +354,7 @@
             f"m{i}": 1 for i in range(count)
         }
         calls = calls_to_partner(broker)
-        assert not any(packet.dup for packet in calls), "no call is repeated by itself"
+        assert not any(packet.dup for packet in calls), "no call is redelivered with the DUP flag"
 
     run_async_test(work())
 
@@ -379,7 +379,7 @@
         calls = calls_to_partner(broker)
         assert len(calls) == 2
         assert not any(packet.dup for packet in calls)
-        assert {dict(packet.user)["key"] for packet in calls} == {"k-m"}, "its key lets the partner drop it"
+        assert {dict(packet.user)["key"] for packet in calls} == {"k-m"}, "both calls carry the same key"
         assert [answer["status"] for answer in client.answers["m"]] == ["delivered"]
 
     run_async_test(work())
@@ -469,6 +469,6 @@
         client.paho.disconnect()
         client.paho.loop_stop()
         assert len(second_calls) == 1
-        assert second_calls[0] >= retry_after_received_at + 0.5, "started before the Retry-After was over"
+        assert second_calls[0] >= retry_after_received_at + 0.5, "a call started during the Retry-After"
 
     run_async_test(work())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -69,7 +69,7 @@
         assert not rig.advance(0.001)
     if process_end == "shutdown":
         rig.dispatcher.stop_deciding(int(1.5 * SECOND))
-    assert not rig.answers, "none is rejected early"
+    assert not rig.answers, "no message is rejected early"
     rig.time.time += int(rng.uniform(0.6, 2.0) * SECOND)
     restarted = DispatcherRig(tmp_path, rig.time, **limits)
     attempted: set[str] = set()
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -66,7 +66,7 @@
         async with running_program(tmp_path, agent.port, [endpoint_row("s-1", 1)]):
             dead = await agent.connections.get()
             second = await agent.connections.get()
-            assert await dead[0].read() != b"", "its request, and then its end"
+            assert await dead[0].read() != b"", "the first connection carries a request and then ends"
             agent.connection = second
             await serve_watch(agent, agent.port)
 
--- a/tests/test_tls_check.py
+++ b/tests/test_tls_check.py
@@ -108,7 +108,7 @@
     output = run_check(*arguments).output
     assert "FAILED wrong-name" in output
     assert "resumes" in output
-    assert run_check("--operator", str(operator), "--connect").exit_code == 1, "nobody to connect to"
+    assert run_check("--operator", str(operator), "--connect").exit_code == 1, "no endpoint to connect to"
     address_result = run_check(
         "--operator", str(operator), "--connect", "--address", f"127.0.0.1:{good.port}"
     )
--- a/tests/test_tls_files.py
+++ b/tests/test_tls_files.py
@@ -194,7 +194,7 @@
         assert reload_changed_files() == [False]
         assert state.generation == 0
         assert state.last_rejection
-        assert reload_changed_files() == [], "what has not changed is not read again"
+        assert reload_changed_files() == [], "unchanged files are not read again"
     key.write_bytes(second.key_file.read_bytes())
     assert reload_changed_files() == [True]
     assert generations == [1]
@@ -244,9 +244,9 @@
     assert cache.get(key, now + 299 * SECOND) is not None
     assert cache.get(key, now + 300 * SECOND) is None
     cache.put(key, session(0), now, now - 1)
-    assert len(cache) == 0, "a certificate that has ended leaves nothing to resume"
+    assert len(cache) == 0, "an expired certificate leaves no session to resume"
     cache.put(key, session(30 * 24 * 3600), now, 1 << 62)
-    assert cache.get(key, now + 8 * 24 * 3600 * SECOND) is None, "seven days at most (RFC 8446, 4.6.1)"
+    assert cache.get(key, now + 8 * 24 * 3600 * SECOND) is None, "sessions expire in 7 days (RFC 8446, 4.6.1)"
     for i in range(9):
         cache.put(dataclasses.replace(key, address=str(i)), session(300), now, 1 << 62)
     assert len(cache) == 3
--- a/tests/test_tls_handshake_budget.py
+++ b/tests/test_tls_handshake_budget.py
@@ -110,7 +110,7 @@
         early_weight = sum(
             weight for started_at, weight in after_outage if started_at < after_outage[0][0] + SECOND
         )
-        assert early_weight <= max(instances, rate * (SLOW_START_FRACTION + 0.1)), "slower while it is cold"
+        assert early_weight <= max(instances, rate * (SLOW_START_FRACTION + 0.1)), "slow start caps the rate"
 
 
 def test_the_full_rate_is_used_after_slow_start_and_resumed_handshakes_cost_less() -> None:
@@ -134,7 +134,7 @@
     budget = HandshakeBudget(4, 8.0, 1, SLOW_START_FRACTION, SLOW_START_DURATION)
     now = 100 * SECOND
     budget.connection_lost(now, remaining=9)
-    assert budget.slow_start_share(now) == 1.0, "one of ten is no restart"
+    assert budget.slow_start_share(now) == 1.0, "losing one of ten connections is not a restart"
     for i in range(5):
         budget.connection_lost(now + i, remaining=4 - i)
     assert budget.slow_start_share(now + 10) == pytest.approx(SLOW_START_FRACTION, abs=0.01)
@@ -165,7 +165,7 @@
     assert times[0] >= START
     assert times[-1] < START + 30 * SECOND
     assert max(b - a for a, b in itertools.pairwise(times)) < 2 * SECOND
-    assert sum(1 for at in times if at < START + SECOND) <= 4, "never all at once"
+    assert sum(1 for at in times if at < START + SECOND) <= 4, "connections are not all retired at once"
 
 
 def test_an_endpoint_is_blocked_longer_after_each_lasting_failure() -> None:
@@ -178,13 +178,13 @@
         assert not capacity.connect_failed
         assert capacity.connect_blocked_for == expected * SECOND
         assert gate.start(now + 2 * MS) is None
-        assert capacity.failure_reason == "expired", "the failure's name stands in the outcome"
+        assert capacity.failure_reason == "expired", "the outcome carries the name of the failure"
         now += MS + capacity.connect_blocked_for
     start = gate.start(now)
     assert start is not None
     outage = gate.failed(start, now + 5 * MS, TlsError(Failure.STALLED))
     assert outage.failure_reason == "stalled"
-    assert outage.connect_failed, "an outage, as the policy knows it"
+    assert outage.connect_failed, "a stalled handshake is reported as an outage"
     assert outage.elapsed == 5 * MS
     gate.block(now)
     gate.unblock()
@@ -260,7 +260,7 @@
         gated.advance(1)
     assert gated.dispatcher.messages.by_id["m"].attempt_count == 0
     gaps = [b - a for a, b in itertools.pairwise(request_counts)]
-    assert all(gap <= 2 for gap in gaps), "single trials, no storm"
+    assert all(gap <= 2 for gap in gaps), "single probes, no burst of connection requests"
     (call,) = gated.report_capacity(1) or gated.advance(5)
     assert call.attempt_numbers == [0]
 
@@ -274,7 +274,7 @@
     requests_before = len(gated.requested_connections)
     gated.submit("n")
     gated.advance(1.8)
-    assert len(gated.requested_connections) == requests_before, "no connection is even asked for"
+    assert len(gated.requested_connections) == requests_before, "no connection request during Retry-After"
     gated.advance(0.5)
     assert len(gated.requested_connections) > requests_before
 
@@ -286,13 +286,13 @@
     gated.submit("long", left=20 * SECOND)
     gated.advance(0.1)
     gated.report_capacity(0, connect_blocked_for=8 * SECOND)
-    assert [answer.id for answer in gated.answers] == ["short"], "and not near its deadline"
+    assert [answer.id for answer in gated.answers] == ["short"], "the message is answered immediately"
     assert gated.answers[0].retry_after > 0
     gated.submit("new", left=5 * SECOND)
     gated.advance(0.1)
     assert [answer.id for answer in gated.answers] == ["short", "new"]
     gated.advance(8)
-    assert gated.requested_connections, "asked again once it may be"
+    assert gated.requested_connections, "a connection is requested after the block has ended"
     (call,) = gated.report_capacity(1)
     gated.end(call, Outcome.DELIVERED)
 
--- a/tests/test_tls_machine.py
+++ b/tests/test_tls_machine.py
@@ -160,7 +160,7 @@
         assert machine.phase is Phase.FAILED, failure
         assert machine.failure is not None, failure
         assert machine.failure.failure is failure, (failure, machine.failure)
-        assert failure.lasting, "no outage: a trial storm must not probe it"
+        assert failure.lasting, "a lasting failure is not an outage and must not be probed"
         with pytest.raises(TlsError):
             machine.send(HELLO)
         assert server.got == b""
@@ -200,7 +200,7 @@
     machine, server = open_connection()
     server.tls.write(b"part of an answer")
     machine.feed(server.outgoing.read() + b"\x17\x03\x03\x00\x10" + bytes(16))
-    assert machine.take_plaintext() == b"part of an answer", "what came before the spoilt record is given"
+    assert machine.take_plaintext() == b"part of an answer", "data before the corrupt record is returned"
     assert machine.failure is not None
     assert machine.failure.failure is Failure.MALFORMED_RECORD
     machine, server = open_connection()
@@ -226,7 +226,7 @@
     machine = client(terms)
     server_output = server.take(machine.take_output())
     machine.feed(server_output)
-    assert machine.phase is Phase.OPEN, "our handshake is over before the server has looked"
+    assert machine.phase is Phase.OPEN, "the client's handshake ends before the server verifies it"
     machine.send(HELLO)
     machine.feed(server.take(machine.take_output()))
     assert machine.failure is not None
@@ -257,7 +257,7 @@
     first = TlsMachine(material.context, "localhost")
     connect(first, Server(context))
     assert not first.resumed
-    assert first.quiescent, "received tickets are no response"
+    assert first.quiescent, "received session tickets are not a response"
     session = first.session()
     assert session is not None
     second = TlsMachine(material.context, "localhost", session)
@@ -399,7 +399,7 @@
     ((changed, stamps),) = partners.changed_files()
     assert partners.apply_files(changed, stamps, partners.read_files(changed))
     assert state.generation == 1
-    assert len(partners.sessions) == 0, "what was verified under the old list is not resumed"
+    assert len(partners.sessions) == 0, "sessions verified with the old revocation list are not resumed"
     key = partners.session_key(state, "127.0.0.1:1")
     machine = partners.create_machine(state, key)
     connect(machine, Server(context))
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -114,7 +114,7 @@
             await wait_until(lambda: partner.applied["k-one"])
             await submit(client, "two")
             await wait_until(lambda: partner.applied["k-two"])
-            assert (partner.full, partner.resumed) == (1, 0), "the second went on the first's connection"
+            assert (partner.full, partner.resumed) == (1, 0), "the second message reused the first connection"
             for session in list(partner.sessions):
                 with contextlib.suppress(Exception):
                     session.tls.unwrap()
@@ -221,7 +221,7 @@
         not_executed = [fields for fields in records if fields["t"] == "never"]
         # An attempt that ended before its first byte has no `attempt` record, only a `never` record.
         assert [fields["n"] for fields in not_executed] == list(range(attempts[-1]["n"])), (
-            "all but the last never ran"
+            "no attempt but the last was executed"
         )
 
     run_async_test(work())
