--- a/tests/processes.py
+++ b/tests/processes.py
@@ -67,7 +67,7 @@
     """Wait until the process answers PING with PONG. Raise AssertionError if the process ends first."""
 
     async def ready() -> bool:
-        assert process.returncode is None, f"it ended with {process.returncode}"
+        assert process.returncode is None, f"the process ended with {process.returncode}"
         try:
             return await request_line(port, PING) == PONG
         except OSError:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -140,7 +140,7 @@
             tracked = self.world.tracked[message.id]
             tracked.calls, tracked.in_flight = tracked.calls + 1, tracked.in_flight + 1
             assert tracked.in_flight == 1, "two attempts of one message in flight"
-            assert tracked.ended_at is None, "sent after it ended"
+            assert tracked.ended_at is None, "an attempt started after the message had ended"
             tracked.first_execution = tracked.first_execution if tracked.first_execution is not None else now
         duration = CALL_DURATION
         outcome, retry_after = Outcome.DELIVERED, 0
@@ -231,12 +231,12 @@
         world = run_two_restarts(directory, seed, state, list_state, stop_method)
         assert len(world.tracked) > 300
         unfinished = [name for name, tracked in world.tracked.items() if tracked.ended_at is None]
-        assert not unfinished, f"without an end: {unfinished[:5]} of {len(unfinished)}"
+        assert not unfinished, f"messages that did not end: {unfinished[:5]} of {len(unfinished)}"
         for name, tracked in world.tracked.items():
             assert tracked.ended_at is not None
             latest_end = max(tracked.deadline + MAX_DELAY, world.started_at + MAX_START_DELAY)
             assert tracked.ended_at <= latest_end, (
-                f"{name}: {(tracked.ended_at - tracked.deadline) / SECOND:.2f} s late"
+                f"{name}: ended {(tracked.ended_at - tracked.deadline) / SECOND:.2f} s after its deadline"
             )
         unattempted_count += len(world.unattempted)
         for name in world.unattempted:
@@ -247,11 +247,11 @@
                 tracked.deadline - tracked.accepted_at
             ):
                 ended_early[tracked.message_class.name] += 1
-    assert unattempted_count > 100, "there were messages to attempt"
-    assert not ended_early, f"ended early with no call: {dict(ended_early)} of {unattempted_count}"
+    assert unattempted_count > 100, "over 100 messages were not attempted before the restarts"
+    assert not ended_early, f"ended early without a call: {dict(ended_early)} of {unattempted_count}"
     # Messages without a call end at their deadline: endpoints are unhealthy after each restart, and in most
     # cases there is no endpoint list at first.
     uncalled_bound = {"known": 0.25, "late": 0.25, "missing": 0.5}[list_state]
     assert uncalled_count <= uncalled_bound * unattempted_count, (
-        f"{uncalled_count} of {unattempted_count} ended with no call"
+        f"{uncalled_count} of {unattempted_count} ended without a call"
     )
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -39,7 +39,7 @@
     assert total.returning == 1
     assert total.fallen == 0, "no recovering destination was sent more than it sustains"
     ended = total.delivered + total.turned_away + total.returned + total.lost_with_machine
-    assert ended == total.handed_in, "every message has one end"
+    assert ended == total.handed_in, "every message ended exactly once"
     assert total.turned_away <= 0.01 * total.handed_in
     assert total.delivered >= 0.75 * total.handed_in
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -194,10 +194,10 @@
         await rig.progress.wait_until(rig.all_messages_ended)
         for process in list(rig.running):
             assert await rig.stop(process, signal.SIGTERM) == 0
-        assert not rig.ledger.concurrent_attempts, "two attempts of one message out at once"
+        assert not rig.ledger.concurrent_attempts, "two attempts of one message in flight"
         assert killed or not rig.agent.duplicate_notices, "two notices for one message"
         ended_twice = rig.ledger.delivered.keys() & rig.agent.notices.keys()
-        assert killed or not ended_twice, "delivered, and ended otherwise"
+        assert killed or not ended_twice, "a delivered message also has a notice"
     finally:
         for task in tasks:
             task.cancel()
@@ -217,7 +217,7 @@
                 target = len(rig.clients.replies) + 50
                 await rig.progress.wait_until(lambda target=target: len(rig.clients.replies) >= target)  # type: ignore[misc]
         unanswered = [name for name, answer in rig.clients.replies.items() if not answer]
-        assert not unanswered, "connections that were closed, refused or left unread"
+        assert not unanswered, "connections were closed, refused or left without a reply"
         assert max(rig.ledger.delivered.values()) == 1
 
     run_async_test(work())
--- a/tests/world.py
+++ b/tests/world.py
@@ -215,30 +215,30 @@
         assert not message.answers, "two final answers"
         assert message.withdrawn_at in (None, self.now), "answered though withdrawn"
         answer_until = message.submitted_at + message.event.time_left + ANSWER_TOLERANCE
-        assert self.now <= max(answer_until, message.submitted_at), "answered too late"
+        assert self.now <= max(answer_until, message.submitted_at), "answered too long after the deadline"
         if rejected:
             possible = message.possible_executions(in_flight=True)
-            assert not (message.non_idempotent and possible), "non-idempotent, yet rejected"
-            assert not (message.zone_bound and possible), "idempotency key of a zone, yet rejected"
+            assert not (message.non_idempotent and possible), "non-idempotent message in doubt rejected"
+            assert not (message.zone_bound and possible), "zone-bound message in doubt rejected"
 
     def check_send(
         self, message: SubmittedMessage, endpoint: str, retry_after_until: dict[object, int]
     ) -> None:
         """Check one send against rules 1, 2, 3, 5 and 6 and against the limit of slots."""
         listing = self.listings[endpoint]
-        assert listing.destination == message.event.destination, "sent elsewhere"
-        assert not message.concluded, "sent after its end"
+        assert listing.destination == message.event.destination, "sent to an endpoint of another destination"
+        assert not message.concluded, "sent after the message was concluded"
         assert all(a.outcome is not None for a in message.attempts), "two attempts in flight"
         assert len(message.attempts) < self.settings.max_attempts, "too many attempts"
         possible = message.possible_executions()
-        assert not (possible and message.non_idempotent), "non-idempotent, yet repeated"
+        assert not (possible and message.non_idempotent), "repeated though non-idempotent"
         if possible and message.has_idempotency_key:
             window_end = possible[0].sent_at + message.message_class.deduplication_window
-            assert self.now <= window_end, "idempotency key outside its window"
+            assert self.now <= window_end, "repeated after the window of its idempotency key"
             if message.zone_bound:
                 first_zone = self.listings[possible[0].endpoint].zone
-                assert listing.zone == first_zone, "idempotency key outside its zone"
-        assert self.now <= self.not_ready_since.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent after a drain"
+                assert listing.zone == first_zone, "repeated outside the zone of its idempotency key"
+        assert self.now <= self.not_ready_since.get(endpoint, 1 << 62) + DRAIN_GRACE, "sent after drain grace"
         blocked_until = retry_after_until.get(self.retry_after_scope(endpoint), 0)
         assert self.now >= blocked_until, "sent before the end of a Retry-After"
         assert self.calls_in_flight(endpoint) <= self.settings.max_concurrent_calls, "sent without a slot"
